--- a/cmd/spanlanding/bars.go
+++ b/cmd/spanlanding/bars.go
@@ -69,7 +69,7 @@
 	}
 	listed := make([]listedBar, 0, len(response.Bars))
 	for _, bar := range response.Bars {
-		fingerprint, ok := poison.FingerprintOf(bar.Fingerprint)
+		fingerprint, ok := poison.DecodeFingerprint(bar.Fingerprint)
 		if !ok {
 			continue
 		}
@@ -92,7 +92,7 @@
 func runLiftBar(ctx context.Context, command *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, command.Duration(flagTimeout))
 	defer cancel()
-	fingerprint, ok := poison.Named(command.Args().First())
+	fingerprint, ok := poison.ParseFingerprint(command.Args().First())
 	if !ok {
 		return operator.ErrUsage.New("bars lift: %q is no fingerprint (32 hexadecimal digits)", command.Args().First())
 	}
--- a/cmd/spanlanding/bars_test.go
+++ b/cmd/spanlanding/bars_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestBars(t *testing.T) {
-	fingerprint := poison.Of(poison.Identity{Target: "/x"})
+	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	server := httptest.NewServer(peerpb.NewNodesServer(&barringNode{barred: fingerprint[:]}))
 	t.Cleanup(server.Close)
 	at := "--peer=" + strings.TrimPrefix(server.URL, "http://")
--- a/cmd/spanlanding/edge.go
+++ b/cmd/spanlanding/edge.go
@@ -31,7 +31,7 @@
 func edgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
-		Usage: "run a node on the operators' platform, with the settings that " + platform.SettingsVariable + " names",
+		Usage: "run a node on the operators' platform, with the settings that " + platform.SettingsEnvVar + " names",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "metrics", Usage: "serve figures at `PORT/PATH`"},
 			&cli.StringFlag{Name: "peers-listen", Usage: "hear other nodes at `IP:PORT`, where that is not the address that the settings tell them"},
@@ -69,62 +69,62 @@
 	// also one that is stopping.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	path := os.Getenv(platform.SettingsVariable)
+	path := os.Getenv(platform.SettingsEnvVar)
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
 		return err
 	}
-	lines := logging.NewBounded(logging.BoundedOptions{Out: os.Stdout, Unbounded: keptEvents})
+	lines := logging.NewBoundedWriter(logging.BoundedWriterOptions{Out: os.Stdout, UnlimitedEvents: keptEvents})
 	defer lines.Close()
 	logger := logging.New(lines, level, logging.Field{Key: "node", Value: settings.NodeName})
-	for _, doubt := range settings.Doubts() {
+	for _, doubt := range settings.Warnings() {
 		logger.Warn().Str("place", path).Str("reason", doubt).Msg("settings_doubtful")
 	}
 	store := &platform.Store{
-		Objects: platform.NewObjects(settings.Platform.Address),
-		Places:  settings.Places(),
-		Findings: func(place string, finding error) {
+		Objects:  platform.NewObjectClient(settings.Platform.Address),
+		Topology: settings.Topology(),
+		OnInvalidEntry: func(place string, finding error) {
 			logger.Warn().Str("place", place).Str("error", finding.Error()).Msg("entry_unreadable")
 		},
 	}
 	pool := backendconn.New(backendconn.Options{})
-	engines := &platform.Engines{Pool: pool}
+	engines := &platform.EngineClient{Pool: pool}
 	node := edge.New(edge.Options{
-		Name:           settings.NodeName,
-		Build:          buildid.Current(),
-		Zone:           settings.Zone,
-		Places:         settings.Places(),
-		Frontend:       settings.Listen.Frontend,
-		Ready:          settings.Listen.Ready,
-		ReadyPath:      platform.ReadyPath,
-		Tunables:       tunables(settings),
-		PeerAddress:    settings.PeerAddress(settings.IP),
-		PeerListen:     flags.peersListen,
-		Strength:       strength(settings),
-		ApplyWithin:    applyWithin(settings),
-		EvacuateWithin: platform.Milliseconds(settings.Bounds.EvacuateMs),
-		Zones:          settings.ZoneNames(),
-		FirstStart:     settings.IsBootstrap,
-		LeaseQuiet:     platform.Milliseconds(settings.Bounds.LeaseMs),
-		LoadWindow:     platform.Seconds(settings.Bounds.CeilingWindowS),
-		LoadOverage:    settings.Bounds.OriginOverage,
-		Quota: quota.Tolerance{
+		Name:              settings.NodeName,
+		Build:             buildid.Current(),
+		Zone:              settings.Zone,
+		Topology:          settings.Topology(),
+		FrontendAddress:   settings.Listen.Frontend,
+		ReadyAddress:      settings.Listen.Ready,
+		ReadyPath:         platform.ReadyPath,
+		Tunables:          tunables(settings),
+		PeerAddress:       settings.PeerAddress(settings.IP),
+		PeerListenAddress: flags.peersListen,
+		Strength:          strength(settings),
+		ApplyWithin:       applyWithin(settings),
+		EvacuateWithin:    platform.Milliseconds(settings.Bounds.EvacuateMs),
+		Zones:             settings.ZoneNames(),
+		IsBootstrap:       settings.IsBootstrap,
+		LeaseQuietPeriod:  platform.Milliseconds(settings.Bounds.LeaseMs),
+		ModelLoadWindow:   platform.Seconds(settings.Bounds.CeilingWindowS),
+		ModelLoadOverage:  settings.Bounds.OriginOverage,
+		QuotaTolerance: quota.Tolerance{
 			Window: platform.Seconds(settings.Bounds.QuotaWindowS), Overage: settings.Bounds.QuotaOverage, Slack: settings.Bounds.QuotaSlack,
 		},
 		ColdOverage: settings.Bounds.ColdOverage,
 		ColdSlack:   settings.Bounds.ColdSlack,
 
-		Store:      store,
-		Lease:      store,
-		Engines:    engines,
-		Pool:       pool,
-		Dialect:    platform.Dialect{},
-		Logger:     logger,
-		Metrics:    metricsAddress(settings, flags.metrics),
-		LogDropped: lines.Dropped,
-		Unreadable: store.Unreadable,
+		Store:             store,
+		Lease:             store,
+		Engines:           engines,
+		Pool:              pool,
+		Dialect:           platform.Dialect{},
+		Logger:            logger,
+		MetricsEndpoint:   metricsAddress(settings, flags.metrics),
+		DroppedLogLines:   lines.Dropped,
+		UnreadableEntries: store.UnreadableEntries,
 	})
-	store.Objects.Calls = node.CountStoreCall
+	store.Objects.OnCall = node.RecordStoreCall
 	go watchSettings(ctx, path, hangups, func() { reload(node, path, logger) })
 	return node.Run(ctx)
 }
@@ -162,9 +162,9 @@
 // tunables are the settings that change while a node runs.
 func tunables(settings platform.Settings) edge.Tunables {
 	return edge.Tunables{
-		Grace:     platform.Seconds(settings.Bounds.GraceS),
-		PeerSeeds: peerSeeds(settings),
-		Budget: retrybudget.Options{
+		GracePeriod: platform.Seconds(settings.Bounds.GraceS),
+		PeerSeeds:   peerSeeds(settings),
+		RetryBudget: retrybudget.Options{
 			Ratio:  settings.Bounds.RetryBudgetRatio,
 			Extra:  settings.Bounds.BudgetExtra,
 			Window: platform.Seconds(settings.Bounds.BudgetWindowS),
@@ -180,7 +180,7 @@
 		logger.Warn().Str("error", err.Error()).Msg("settings_refused")
 		return
 	}
-	node.Retune(tunables(settings))
+	node.UpdateTunables(tunables(settings))
 	logger.Info().Int("seeds", len(settings.Seeds)).Msg("settings_reloaded")
 }
 
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -19,19 +19,19 @@
 }
 
 const (
-	// GrantAge is how long a grant may be used after it was asked for. It covers a
+	// GrantLifetime is how long a grant may be used after it was asked for. It covers a
 	// coordinator's slowest answer; a node that stood still meanwhile asks anew.
-	GrantAge = 200 * time.Millisecond
+	GrantLifetime = 200 * time.Millisecond
 	// window is the time over which grants are summed, so that those of a second stay
 	// below the bound however late each is used.
-	window = time.Second + GrantAge
+	window = time.Second + GrantLifetime
 
 	// coordinatedShare of the bound is what an old and a new coordinator grant together in
 	// one window; the rest is for nodes without one.
 	coordinatedShare = 0.75
 	// mostBurst are the grants that may come at once: as many as let a coordinator which
 	// hears from the least part of the fleet grant one.
-	mostBurst = 1 / quota.LeastReach
+	mostBurst = 1 / quota.MinReach
 	// burstShare of what is coordinated, and of PerSecond, bounds the burst where little is borne.
 	burstShare = 0.25
 	// borneShare of PerSecond bounds the rate where the bound is far above it: with the
@@ -45,9 +45,9 @@
 	rampFactor = 2
 )
 
-// Most is the number of requests that a server may receive in any second. A rate that is no
+// MaxRequests is the number of requests that a server may receive in any second. A rate that is no
 // finite number over 0 lets nothing pass; an overage or a slack that is none adds nothing.
-func (b WarmUpBound) Most() float64 {
+func (b WarmUpBound) MaxRequests() float64 {
 	if !isFigure(b.PerSecond) {
 		return 0
 	}
@@ -70,7 +70,7 @@
 	if !isFigure(b.PerSecond) {
 		return routetable.Quota{}
 	}
-	coordinated := coordinatedShare * b.Most()
+	coordinated := coordinatedShare * b.MaxRequests()
 	burst := min(mostBurst, burstShare*coordinated, 2*burstShare*b.PerSecond)
 	rate := (coordinated - burst) / (2 * window.Seconds())
 	return routetable.Quota{PerSecond: max(0, min(rate, borneShare*b.PerSecond)), Burst: max(0, burst)}
--- a/internal/admission/lots.go
+++ b/internal/admission/lots.go
@@ -6,28 +6,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Lots is what one node may send to bounded servers without a coordinator. For each server
+// FallbackAllowance is what one node may send to bounded servers without a coordinator. For each server
 // a few of all nodes are drawn, each by itself and without a message: by a hash of the
 // server and the node, against the size of the fleet. A drawn node sends one request in
 // a window; nothing is saved up.
-type Lots struct {
+type FallbackAllowance struct {
 	node string
 	// window is the time in which a lot is used once.
 	window time.Duration
 	used   map[string]time.Time
 }
 
-// NewLots returns those of the node with the address for cold servers.
-func NewLots(node string) *Lots { return newLots(node, window) }
+// NewWarmUpFallback returns those of the node with the address for cold servers.
+func NewWarmUpFallback(node string) *FallbackAllowance { return newLots(node, window) }
 
-func newLots(node string, window time.Duration) *Lots {
-	return &Lots{node: node, window: window, used: make(map[string]time.Time)}
+func newLots(node string, window time.Duration) *FallbackAllowance {
+	return &FallbackAllowance{node: node, window: window, used: make(map[string]time.Time)}
 }
 
 // Take uses the node's lot for the server, where it has one and did not use it within a
 // window. Most is what the server may receive in a window. Nodes is the size of the fleet, as
 // far as it was ever known: where it is taken for too small, too many nodes are drawn.
-func (l *Lots) Take(now time.Time, serverID string, most float64, nodes int) bool {
+func (l *FallbackAllowance) Take(now time.Time, serverID string, most float64, nodes int) bool {
 	if !l.isDrawn(serverID, most, nodes) {
 		return false
 	}
@@ -38,7 +38,7 @@
 	return true
 }
 
-func (l *Lots) isDrawn(serverID string, most float64, nodes int) bool {
+func (l *FallbackAllowance) isDrawn(serverID string, most float64, nodes int) bool {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(serverID)
 	_, _ = digest.WriteString("\x00")
@@ -48,7 +48,7 @@
 }
 
 // Prune drops what was used before the last window.
-func (l *Lots) Prune(now time.Time) {
+func (l *FallbackAllowance) Prune(now time.Time) {
 	for id, used := range l.used {
 		if now.Sub(used) >= l.window {
 			delete(l.used, id)
--- a/internal/admission/ratelimit.go
+++ b/internal/admission/ratelimit.go
@@ -12,9 +12,9 @@
 // Observation is what one answer of a server said of its rate limit.
 type Observation struct {
 	Limit inventory.RateLimit
-	// SentAt is when the request left that was answered, and HeardAt when the answer's head came:
+	// SentAt is when the request left that was answered, and ReceivedAt when the answer's head came:
 	// the server said it between the two.
-	SentAt, HeardAt time.Time
+	SentAt, ReceivedAt time.Time
 }
 
 // RateLimit is the rate limit of one start of a server, as one node knows it. The zero value is a
@@ -35,7 +35,7 @@
 
 // Observe takes what an answer said, and reports whether the limit changed.
 func (r *RateLimit) Observe(told Observation) (changed bool) {
-	if told.Limit.Kind == inventory.RateLimitUntold || !r.isNewer(told) {
+	if told.Limit.Kind == inventory.RateLimitUnknown || !r.isNewer(told) {
 		return false
 	}
 	before := r.limit
@@ -44,7 +44,7 @@
 	switch {
 	case isRaise:
 		r.raisedFrom, r.saidFrom = told.SentAt, told.SentAt
-	case !told.Limit.IsNamed():
+	case !told.Limit.IsSet():
 		r.raisedFrom = later(r.raisedFrom, told.SentAt)
 		r.saidFrom = r.raisedFrom
 	case told.Limit != before:
@@ -52,8 +52,8 @@
 	default:
 		r.saidFrom = later(r.saidFrom, told.SentAt)
 	}
-	if told.Limit.IsNamed() {
-		r.namedAt = later(r.namedAt, told.HeardAt)
+	if told.Limit.IsSet() {
+		r.namedAt = later(r.namedAt, told.ReceivedAt)
 	}
 	return rateOf(told.Limit) != rateOf(before)
 }
@@ -64,29 +64,29 @@
 	if rateOf(told.Limit) > rateOf(r.limit) {
 		return told.SentAt.After(r.namedAt)
 	}
-	return told.HeardAt.After(r.raisedFrom)
+	return told.ReceivedAt.After(r.raisedFrom)
 }
 
 // rateOf orders limits: none is the highest.
 func rateOf(limit inventory.RateLimit) float64 {
-	if !limit.IsNamed() {
+	if !limit.IsSet() {
 		return math.Inf(1)
 	}
 	return limit.PerSecond
 }
 
 // PerSecond is the rate in force; ok is false where there is none.
-func (r RateLimit) PerSecond() (rate float64, ok bool) { return r.limit.PerSecond, r.limit.IsNamed() }
+func (r RateLimit) PerSecond() (rate float64, ok bool) { return r.limit.PerSecond, r.limit.IsSet() }
 
 // Age is the time since the limit was last heard.
 func (r RateLimit) Age(now time.Time) time.Duration { return now.Sub(r.namedAt) }
 
-// IsKnown reports whether the server ever named a limit.
-func (r RateLimit) IsKnown() bool { return !r.namedAt.IsZero() }
+// HasBeenSet reports whether the server ever named a limit.
+func (r RateLimit) HasBeenSet() bool { return !r.namedAt.IsZero() }
 
 // Latest is the limit in force as an observation, for other nodes.
 func (r RateLimit) Latest() Observation {
-	return Observation{Limit: r.limit, SentAt: r.saidFrom, HeardAt: r.namedAt}
+	return Observation{Limit: r.limit, SentAt: r.saidFrom, ReceivedAt: r.namedAt}
 }
 
 const (
@@ -113,8 +113,8 @@
 	PerSecond float64
 }
 
-// Most is the number of requests that the server may receive in any window.
-func (b RateLimitBound) Most() float64 {
+// MaxRequests is the number of requests that the server may receive in any window.
+func (b RateLimitBound) MaxRequests() float64 {
 	return rateLimitOverage*b.PerSecond*rateLimitWindow.Seconds() + rateLimitSlack
 }
 
@@ -129,8 +129,10 @@
 
 // RateLimitTolerance is that of a coordinator of limited servers: nothing is given beyond Quota.
 func RateLimitTolerance() quota.Tolerance {
-	return quota.Tolerance{Window: rateLimitWindow + GrantAge, IsSteady: true}
+	return quota.Tolerance{Window: rateLimitWindow + GrantLifetime, StrictRate: true}
 }
 
-// NewRateLimitLots returns the lots of the node with the address for limited servers.
-func NewRateLimitLots(node string) *Lots { return newLots(node, rateLimitWindow+GrantAge) }
+// NewRateLimitFallback returns the lots of the node with the address for limited servers.
+func NewRateLimitFallback(node string) *FallbackAllowance {
+	return newLots(node, rateLimitWindow+GrantLifetime)
+}
--- a/internal/admission/ratelimit_test.go
+++ b/internal/admission/ratelimit_test.go
@@ -15,11 +15,11 @@
 
 // said is an answer to a request that left and was answered at these moments; below 0 it names none.
 func said(perSecond float64, sent, heard int) Observation {
-	limit := inventory.NamedRate(perSecond)
+	limit := inventory.NewRateLimit(perSecond)
 	if perSecond < 0 {
 		limit = inventory.RateLimit{Kind: inventory.RateLimitNone}
 	}
-	return Observation{Limit: limit, SentAt: at(sent), HeardAt: at(heard)}
+	return Observation{Limit: limit, SentAt: at(sent), ReceivedAt: at(heard)}
 }
 
 // TestWhichAnswerIsTheNewest: on which a limit goes where answers come out of order.
@@ -40,7 +40,7 @@
 		{"ended, and an old word comes by another node", []Observation{said(1, 5, 10), said(-1, 20, 30), said(1, 4, 15)}, -1},
 		{"ended, and the end is confirmed later than the old word", []Observation{said(1, 5, 10), said(-1, 20, 30), said(-1, 40, 50), said(1, 4, 35)}, -1},
 		{"ended, and named again", []Observation{said(1, 5, 10), said(-1, 20, 30), said(2, 25, 40)}, 2},
-		{"an answer that cannot be read", []Observation{said(1, 5, 10), {SentAt: at(20), HeardAt: at(30)}}, 1},
+		{"an answer that cannot be read", []Observation{said(1, 5, 10), {SentAt: at(20), ReceivedAt: at(30)}}, 1},
 		{"nought", []Observation{said(1, 5, 10), said(0, 11, 20)}, 0},
 		{"nought ends", []Observation{said(0, 5, 10), said(-1, 11, 20)}, -1},
 	}
@@ -79,7 +79,7 @@
 
 func (w *limitWorld) take(node int, told Observation) {
 	w.heard[node] = append(w.heard[node], told)
-	if w.liftsByAnyAnswer && !told.Limit.IsNamed() {
+	if w.liftsByAnyAnswer && !told.Limit.IsSet() {
 		w.nodes[node] = RateLimit{}
 		return
 	}
@@ -98,7 +98,7 @@
 		w.answer(t)
 	case 4:
 		from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
-		if from != to && w.nodes[from].IsKnown() {
+		if from != to && w.nodes[from].HasBeenSet() {
 			w.take(to, w.nodes[from].Latest())
 		}
 	}
@@ -125,9 +125,9 @@
 	for _, named := range w.heard[node] {
 		superseded := false
 		for _, other := range w.heard[node] {
-			superseded = superseded || rateOf(other.Limit) > rateOf(named.Limit) && other.SentAt.After(named.HeardAt)
+			superseded = superseded || rateOf(other.Limit) > rateOf(named.Limit) && other.SentAt.After(named.ReceivedAt)
 		}
-		if named.Limit.IsNamed() && !superseded && rateOf(w.nodes[node].limit) > rateOf(named.Limit) {
+		if named.Limit.IsSet() && !superseded && rateOf(w.nodes[node].limit) > rateOf(named.Limit) {
 			return named, true
 		}
 	}
@@ -176,8 +176,8 @@
 	for _, perSecond := range []float64{0, 0.01, 0.2, 0.25, 1, 2, 12, 100, 1e6} {
 		limit := RateLimitBound{PerSecond: perSecond}
 		granted, length := limit.Quota(), RateLimitTolerance().Window.Seconds()
-		if sum := halves * (granted.PerSecond*length + granted.Burst); sum > limit.Most() {
-			t.Errorf("%v a second: %.1f of %.1f", perSecond, sum, limit.Most())
+		if sum := halves * (granted.PerSecond*length + granted.Burst); sum > limit.MaxRequests() {
+			t.Errorf("%v a second: %.1f of %.1f", perSecond, sum, limit.MaxRequests())
 		}
 		if granted.PerSecond < perSecond || granted.PerSecond > max(perSecond, probeRate) {
 			t.Errorf("%v a second: %v granted", perSecond, granted.PerSecond)
--- a/internal/admission/schedule_test.go
+++ b/internal/admission/schedule_test.go
@@ -67,7 +67,7 @@
 	quota  routetable.Quota
 	// newCoordinator and newLots are those of a node that starts.
 	newCoordinator func() *quota.Coordinator
-	newLots        func(node string) *Lots
+	newLots        func(node string) *FallbackAllowance
 	// pressed are the requests a second that all nodes have for each server.
 	pressed float64
 }
@@ -75,7 +75,7 @@
 // coldRule bounds cold servers.
 func coldRule() rule {
 	return rule{
-		window: time.Second, most: bound.Most(), quota: bound.Quota(), newLots: NewLots, pressed: 70,
+		window: time.Second, most: bound.MaxRequests(), quota: bound.Quota(), newLots: NewWarmUpFallback, pressed: 70,
 		newCoordinator: func() *quota.Coordinator { return quota.NewCoordinator(WarmUpTolerance()) },
 	}
 }
@@ -84,15 +84,15 @@
 func limitRule(perSecond float64) rule {
 	limit := RateLimitBound{PerSecond: perSecond}
 	return rule{
-		window: rateLimitWindow, most: limit.Most(), quota: limit.Quota(), newLots: NewRateLimitLots, pressed: max(10, 10*perSecond),
+		window: rateLimitWindow, most: limit.MaxRequests(), quota: limit.Quota(), newLots: NewRateLimitFallback, pressed: max(10, 10*perSecond),
 		newCoordinator: func() *quota.Coordinator { return quota.NewCoordinator(RateLimitTolerance()) },
 	}
 }
 
 type simNode struct {
 	coordinator *quota.Coordinator
-	lots        *Lots
-	fleet       quota.Fleet
+	lots        *FallbackAllowance
+	fleet       quota.FleetSize
 	isTold      bool
 	// readsAt is when the node reads in the store how many there are; zero is never.
 	readsAt time.Time
@@ -143,7 +143,7 @@
 	}
 	for i, node := range f.nodes {
 		f.restart(i)
-		node.fleet.Told(f.now, count)
+		node.fleet.RaiseTo(f.now, count)
 		node.isTold, node.started = true, begin.Add(-time.Minute)
 		for other := range node.heard {
 			node.heard[other] = f.tick()
@@ -230,7 +230,7 @@
 		other, ok := f.better(asked)
 		_, reach := f.count(asked)
 		switch {
-		case !ok && (reach < quota.LeastReach || !f.mayGive(asked)):
+		case !ok && (reach < quota.MinReach || !f.mayGive(asked)):
 		case !ok:
 			return asked, true
 		case f.reaches(asked, other):
@@ -256,8 +256,8 @@
 		if f.defect == defectSavedUp {
 			granted.Burst = 10 * f.rule.most
 		}
-		if f.nodes[coordinator].coordinator.Ask(f.now, f.servers[server], granted, reach, 1, f.random.IntN(3)).Granted {
-			late := time.Duration(f.random.Int64N(int64(GrantAge)))
+		if f.nodes[coordinator].coordinator.Acquire(f.now, f.servers[server], granted, reach, 1, f.random.IntN(3)).Granted {
+			late := time.Duration(f.random.Int64N(int64(GrantLifetime)))
 			node.pending = append(node.pending, pendingGrant{server: server, asked: f.now, sendAt: f.now.Add(late)})
 		} else {
 			f.refused++
@@ -295,7 +295,7 @@
 			switch {
 			case f.now.Before(grant.sendAt):
 				kept = append(kept, grant)
-			case f.now.Sub(grant.asked) <= GrantAge:
+			case f.now.Sub(grant.asked) <= GrantLifetime:
 				f.send(grant.server)
 			}
 		}
@@ -321,12 +321,12 @@
 			node.heard[other] = f.tick()
 			if !node.isTold && f.knowsFleet(other) {
 				size, _ := f.count(other)
-				node.fleet.Told(f.now, size)
+				node.fleet.RaiseTo(f.now, size)
 				node.isTold = true
 			}
 		}
 		if !node.isTold && !node.readsAt.IsZero() && !f.now.Before(node.readsAt) {
-			node.fleet.Told(f.now, len(f.nodes))
+			node.fleet.RaiseTo(f.now, len(f.nodes))
 			node.isTold = true
 		}
 		node.coordinator.Observe(f.now)
@@ -443,8 +443,8 @@
 			for seed := range uint64(4) {
 				worst, _ := newSimFleet(seed, nodes, 8, defectNone).play(30, faults, seed%2 == 1)
 				most = max(most, worst)
-				if float64(worst) > bound.Most() {
-					t.Errorf("%d nodes, %s, seed %d: %d requests in a second, %.0f allowed", nodes, name, seed, worst, bound.Most())
+				if float64(worst) > bound.MaxRequests() {
+					t.Errorf("%d nodes, %s, seed %d: %d requests in a second, %.0f allowed", nodes, name, seed, worst, bound.MaxRequests())
 				}
 			}
 		}
@@ -495,7 +495,7 @@
 			most = max(most, worst)
 		}
 		t.Logf("%s: %d", name, most)
-		if float64(most) <= bound.Most() {
+		if float64(most) <= bound.MaxRequests() {
 			t.Errorf("%s: not found, %d in the worst second", name, most)
 		}
 	}
@@ -561,7 +561,7 @@
 	roundedUp.quota.PerSecond = 3
 	twice := limitRule(1)
 	twice.newCoordinator = func() *quota.Coordinator {
-		return quota.NewCoordinator(quota.Tolerance{Window: rateLimitWindow, Slack: 10 * twice.most, IsSteady: true})
+		return quota.NewCoordinator(quota.Tolerance{Window: rateLimitWindow, Slack: 10 * twice.most, StrictRate: true})
 	}
 	cases := map[string]struct {
 		rule   rule
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -6,31 +6,31 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// Bound is what keeps a request from a server.
-type Bound string
+// DenyReason is what keeps a request from a server.
+type DenyReason string
 
 const (
-	// BoundNone lets it go.
-	BoundNone Bound = ""
-	// BoundDraining servers go away and take no new work.
-	BoundDraining Bound = "draining"
-	// BoundBackoff servers asked this node to leave them alone for a time.
-	BoundBackoff Bound = "backoff"
-	// BoundHalfOpen servers have one request under way that shows whether they take work again.
-	BoundHalfOpen Bound = "half_open"
-	// BoundRateLimit servers did not grant a request of their rate limit lately.
-	BoundRateLimit Bound = "rate_limit"
+	// DenyNone lets it go.
+	DenyNone DenyReason = ""
+	// DenyDraining servers go away and take no new work.
+	DenyDraining DenyReason = "draining"
+	// DenyBackoff servers asked this node to leave them alone for a time.
+	DenyBackoff DenyReason = "backoff"
+	// DenyHalfOpen servers have one request under way that shows whether they take work again.
+	DenyHalfOpen DenyReason = "half_open"
+	// DenyRateLimit servers did not grant a request of their rate limit lately.
+	DenyRateLimit DenyReason = "rate_limit"
 )
 
 // Decision is whether a request may go to a server now, else when.
 type Decision struct {
-	Bound Bound
-	// RetryIn is when it may be asked again; 0 where it may go, or never may.
-	RetryIn time.Duration
+	Reason DenyReason
+	// RetryAfter is when it may be asked again; 0 where it may go, or never may.
+	RetryAfter time.Duration
 }
 
 // Admits reports whether the request may go.
-func (d Decision) Admits() bool { return d.Bound == BoundNone }
+func (d Decision) Admits() bool { return d.Reason == DenyNone }
 
 const (
 	// ProbeTimeout is how long others wait for the answer of the request that probes a half-open
@@ -73,7 +73,7 @@
 		s.isHalfOpen, s.probe = true, nil
 	}
 	news = s.receive(now, hint, &s.backoffUntil)
-	return s.observe(Observation{Limit: hint.Limit, SentAt: hint.SentAt, HeardAt: now}) || news
+	return s.observe(Observation{Limit: hint.Limit, SentAt: hint.SentAt, ReceivedAt: now}) || news
 }
 
 // ReceivePeerHint takes what a peer says that the server told it. That it drains holds for all; a
@@ -98,7 +98,7 @@
 	if !s.observe(limit) {
 		return false
 	}
-	if !limit.Limit.IsNamed() {
+	if !limit.Limit.IsSet() {
 		// What was long under way may look newer than it is: one request shows whether the limit
 		// has ended.
 		s.isHalfOpen, s.probe = true, nil
@@ -111,13 +111,13 @@
 func (s *Server) observe(told Observation) (news bool) {
 	if s.limit.Observe(told) {
 		s.heldUntil, s.grantAt = time.Time{}, time.Time{}
-		s.limitNewsAt = told.HeardAt
+		s.limitNewsAt = told.ReceivedAt
 		return true
 	}
-	if !told.Limit.IsNamed() || told.HeardAt.Sub(s.limitNewsAt) <= limitRenewal {
+	if !told.Limit.IsSet() || told.ReceivedAt.Sub(s.limitNewsAt) <= limitRenewal {
 		return false
 	}
-	s.limitNewsAt = told.HeardAt
+	s.limitNewsAt = told.ReceivedAt
 	return true
 }
 
@@ -151,7 +151,7 @@
 }
 
 // IsRateLimited reports whether a rate limit is in force.
-func (s *Server) IsRateLimited() bool { return s != nil && s.limit.limit.IsNamed() }
+func (s *Server) IsRateLimited() bool { return s != nil && s.limit.limit.IsSet() }
 
 // Check decides on a request of a caller.
 func (s *Server) Check(now time.Time) Decision {
@@ -164,28 +164,28 @@
 func (s *Server) check(now time.Time) Decision {
 	switch {
 	case s.draining:
-		return Decision{Bound: BoundDraining}
+		return Decision{Reason: DenyDraining}
 	case now.Before(s.backoffUntil):
-		return Decision{Bound: BoundBackoff, RetryIn: s.backoffUntil.Sub(now)}
+		return Decision{Reason: DenyBackoff, RetryAfter: s.backoffUntil.Sub(now)}
 	case s.isProbed(now):
-		return Decision{Bound: BoundHalfOpen, RetryIn: ProbeTimeout - now.Sub(s.probe.started)}
+		return Decision{Reason: DenyHalfOpen, RetryAfter: ProbeTimeout - now.Sub(s.probe.started)}
 	case s.IsRateLimited() && now.Before(s.heldUntil):
-		return Decision{Bound: BoundRateLimit, RetryIn: max(s.heldUntil.Sub(now), s.grantAt.Sub(now))}
+		return Decision{Reason: DenyRateLimit, RetryAfter: max(s.heldUntil.Sub(now), s.grantAt.Sub(now))}
 	default:
 		return Decision{}
 	}
 }
 
-// CheckCall decides on a call of the system itself: servers that drain go on to answer those.
-func (s *Server) CheckCall(now time.Time) Decision {
+// CheckInternalCall decides on a call of the system itself: servers that drain go on to answer those.
+func (s *Server) CheckInternalCall(now time.Time) Decision {
 	if left := s.Backoff(now); left > 0 {
-		return Decision{Bound: BoundBackoff, RetryIn: left}
+		return Decision{Reason: DenyBackoff, RetryAfter: left}
 	}
 	return Decision{}
 }
 
-// HoldBack leaves a limited server alone that did not grant a request, and may after retryIn.
-func (s *Server) HoldBack(now time.Time, retryIn time.Duration) {
+// RecordDenial leaves a limited server alone that did not grant a request, and may after retryIn.
+func (s *Server) RecordDenial(now time.Time, retryIn time.Duration) {
 	if s.IsRateLimited() {
 		s.heldUntil = now.Add(min(max(retryIn, shortestHold), longestHold))
 		s.grantAt = now.Add(retryIn)
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -22,8 +22,8 @@
 	// rampTime is the length of the ramp: the line of callers that is kept waiting at
 	// the most is about as long.
 	rampTime = time.Second
-	// LongestCold bounds what is believed of a cold time.
-	LongestCold = time.Minute
+	// MaxColdTime bounds what is believed of a cold time.
+	MaxColdTime = time.Minute
 	// shortestPause and longestPause bound for how long a node leaves a server alone that
 	// did not grant a request: a short one asks in vain, a long one misses the end.
 	shortestPause = 10 * time.Millisecond
@@ -47,17 +47,17 @@
 	closedUntil time.Time
 }
 
-// See takes that the server is known. Until it is told otherwise it is cold for as long as
+// MarkSeen takes that the server is known. Until it is told otherwise it is cold for as long as
 // servers are after a start.
-func (s *WarmUp) See(now time.Time) {
+func (s *WarmUp) MarkSeen(now time.Time) {
 	if s.seenAt.IsZero() {
 		s.seenAt = now
 	}
 }
 
-// Tell takes an entry's word, of the position, that the server is cold for the time left. It
+// ApplyEntry takes an entry's word, of the position, that the server is cold for the time left. It
 // reports whether that is newer than what was known.
-func (s *WarmUp) Tell(now time.Time, left time.Duration, at storepos.Position, start time.Duration) bool {
+func (s *WarmUp) ApplyEntry(now time.Time, left time.Duration, at storepos.Position, start time.Duration) bool {
 	if s.isTold && at.IsBefore(s.position) || !s.suspectedAt.IsZero() && !at.IsAfter(s.suspectedUpTo) {
 		return false
 	}
@@ -66,25 +66,25 @@
 	return true
 }
 
-// Answer takes the word of the server itself.
-func (s *WarmUp) Answer(now time.Time, left, start time.Duration) { s.set(now, left, start) }
+// ApplyResponse takes the word of the server itself.
+func (s *WarmUp) ApplyResponse(now time.Time, left, start time.Duration) { s.set(now, left, start) }
 
 func (s *WarmUp) set(now time.Time, left, start time.Duration) {
 	wasCold := s.Phase(now, start) == Cold
 	s.isTold, s.suspectedAt, s.suspectedUpTo = true, time.Time{}, storepos.Position{}
 	switch {
 	case left > 0:
-		s.until = now.Add(min(left, LongestCold))
+		s.until = now.Add(min(left, MaxColdTime))
 	case wasCold:
 		s.until = now
 		s.closedUntil = time.Time{}
 	}
 }
 
-// Suspect takes that the server may have turned cold, which entries up to the position
+// MarkPossiblyCold takes that the server may have turned cold, which entries up to the position
 // do not say. It is cold then until a later one says otherwise, for as long as servers are
 // after a start.
-func (s *WarmUp) Suspect(now time.Time, upTo storepos.Position) {
+func (s *WarmUp) MarkPossiblyCold(now time.Time, upTo storepos.Position) {
 	s.suspectedAt = now
 	s.suspectedUpTo = storepos.Later(s.suspectedUpTo, upTo)
 }
@@ -124,18 +124,18 @@
 	return a
 }
 
-// Left is for how long the server is cold yet, and whether that was told and not guessed.
-func (s *WarmUp) Left(now time.Time, start time.Duration) (left time.Duration, told bool) {
+// ColdRemaining is for how long the server is cold yet, and whether that was told and not guessed.
+func (s *WarmUp) ColdRemaining(now time.Time, start time.Duration) (left time.Duration, told bool) {
 	return max(0, s.coldUntil(start).Sub(now)), s.isTold && s.suspectedAt.IsZero()
 }
 
-// HoldBack takes that a request was not granted, and may be after retryIn.
-func (s *WarmUp) HoldBack(now time.Time, retryIn time.Duration) {
+// RecordDenial takes that a request was not granted, and may be after retryIn.
+func (s *WarmUp) RecordDenial(now time.Time, retryIn time.Duration) {
 	s.closedUntil = now.Add(min(max(retryIn, shortestPause), longestPause))
 }
 
-// OpensIn is for how long the server is left alone.
-func (s *WarmUp) OpensIn(now time.Time, start time.Duration) time.Duration {
+// RetryAfter is for how long the server is left alone.
+func (s *WarmUp) RetryAfter(now time.Time, start time.Duration) time.Duration {
 	if s.Phase(now, start) == Warm {
 		return 0
 	}
--- a/internal/admission/warmup_test.go
+++ b/internal/admission/warmup_test.go
@@ -25,39 +25,48 @@
 		want  Phase
 	}{
 		"never seen":                   {func(*WarmUp) {}, 0, start, Warm},
-		"first seen":                   {func(s *WarmUp) { s.See(begin) }, 2.9, start, Cold},
-		"first seen and not told":      {func(s *WarmUp) { s.See(begin) }, 3.5, start, Ramp},
-		"long seen":                    {func(s *WarmUp) { s.See(begin) }, 4.1, start, Warm},
-		"where servers are never cold": {func(s *WarmUp) { s.See(begin) }, 0, 0, Ramp},
-		"told warm":                    {func(s *WarmUp) { s.See(begin); s.Tell(begin, 0, storepos.At(0, 5), start) }, 0.9, start, Ramp},
-		"told warm, later":             {func(s *WarmUp) { s.See(begin); s.Tell(begin, 0, storepos.At(0, 5), start) }, 1.1, start, Warm},
-		"told cold":                    {func(s *WarmUp) { s.Tell(begin, 2*time.Second, storepos.At(0, 5), start) }, 1.9, start, Cold},
-		"told cold, the ramp":          {func(s *WarmUp) { s.Tell(begin, 2*time.Second, storepos.At(0, 5), start) }, 2.1, start, Ramp},
-		"told cold, the end":           {func(s *WarmUp) { s.Tell(begin, 2*time.Second, storepos.At(0, 5), start) }, 3.1, start, Warm},
+		"first seen":                   {func(s *WarmUp) { s.MarkSeen(begin) }, 2.9, start, Cold},
+		"first seen and not told":      {func(s *WarmUp) { s.MarkSeen(begin) }, 3.5, start, Ramp},
+		"long seen":                    {func(s *WarmUp) { s.MarkSeen(begin) }, 4.1, start, Warm},
+		"where servers are never cold": {func(s *WarmUp) { s.MarkSeen(begin) }, 0, 0, Ramp},
+		"told warm":                    {func(s *WarmUp) { s.MarkSeen(begin); s.ApplyEntry(begin, 0, storepos.At(0, 5), start) }, 0.9, start, Ramp},
+		"told warm, later":             {func(s *WarmUp) { s.MarkSeen(begin); s.ApplyEntry(begin, 0, storepos.At(0, 5), start) }, 1.1, start, Warm},
+		"told cold":                    {func(s *WarmUp) { s.ApplyEntry(begin, 2*time.Second, storepos.At(0, 5), start) }, 1.9, start, Cold},
+		"told cold, the ramp":          {func(s *WarmUp) { s.ApplyEntry(begin, 2*time.Second, storepos.At(0, 5), start) }, 2.1, start, Ramp},
+		"told cold, the end":           {func(s *WarmUp) { s.ApplyEntry(begin, 2*time.Second, storepos.At(0, 5), start) }, 3.1, start, Warm},
 		"an older entry": {func(s *WarmUp) {
-			s.Tell(begin, 2*time.Second, storepos.At(0, 5), start)
-			s.Tell(begin, 0, storepos.At(0, 4), start)
+			s.ApplyEntry(begin, 2*time.Second, storepos.At(0, 5), start)
+			s.ApplyEntry(begin, 0, storepos.At(0, 4), start)
 		}, 1, start, Cold},
 		"a newer entry": {func(s *WarmUp) {
-			s.Tell(begin, 2*time.Second, storepos.At(0, 5), start)
-			s.Tell(begin, 0, storepos.At(0, 6), start)
+			s.ApplyEntry(begin, 2*time.Second, storepos.At(0, 5), start)
+			s.ApplyEntry(begin, 0, storepos.At(0, 6), start)
 		}, 0.5, start, Ramp},
 		"warm, then cold again": {func(s *WarmUp) {
-			s.Tell(begin, 0, storepos.At(0, 5), start)
-			s.Tell(after(9), start, storepos.At(0, 6), start)
+			s.ApplyEntry(begin, 0, storepos.At(0, 5), start)
+			s.ApplyEntry(after(9), start, storepos.At(0, 6), start)
 		}, 10, start, Cold},
-		"suspected": {func(s *WarmUp) { s.Tell(begin, 0, storepos.At(0, 5), start); s.Suspect(after(9), storepos.At(0, 7)) }, 11, start, Cold},
+		"suspected": {func(s *WarmUp) {
+			s.ApplyEntry(begin, 0, storepos.At(0, 5), start)
+			s.MarkPossiblyCold(after(9), storepos.At(0, 7))
+		}, 11, start, Cold},
 		"suspected, an entry before": {func(s *WarmUp) {
-			s.Suspect(after(9), storepos.At(0, 7))
-			s.Tell(after(10), 0, storepos.At(0, 7), start)
+			s.MarkPossiblyCold(after(9), storepos.At(0, 7))
+			s.ApplyEntry(after(10), 0, storepos.At(0, 7), start)
 		}, 11, start, Cold},
-		"suspected, a later entry":       {func(s *WarmUp) { s.Suspect(after(9), storepos.At(0, 7)); s.Tell(after(9), 0, storepos.At(0, 8), start) }, 11, start, Warm},
-		"suspected, the server's word":   {func(s *WarmUp) { s.Suspect(after(9), storepos.At(0, 7)); s.Answer(after(9), 0, start) }, 11, start, Warm},
-		"suspected, and nothing follows": {func(s *WarmUp) { s.Suspect(after(9), storepos.At(0, 7)) }, 13.1, start, Warm},
-		"the server's word":              {func(s *WarmUp) { s.Tell(begin, 0, storepos.At(0, 5), start); s.Answer(begin, time.Second, start) }, 0.9, start, Cold},
-		"below nothing":                  {func(s *WarmUp) { s.Tell(begin, -time.Hour, storepos.At(0, 5), start) }, 0, start, Warm},
-		"endless":                        {func(s *WarmUp) { s.Tell(begin, math.MaxInt64, storepos.At(0, 5), start) }, 59, start, Cold},
-		"endless, bounded":               {func(s *WarmUp) { s.Tell(begin, math.MaxInt64, storepos.At(0, 5), start) }, 61.1, start, Warm},
+		"suspected, a later entry": {func(s *WarmUp) {
+			s.MarkPossiblyCold(after(9), storepos.At(0, 7))
+			s.ApplyEntry(after(9), 0, storepos.At(0, 8), start)
+		}, 11, start, Warm},
+		"suspected, the server's word":   {func(s *WarmUp) { s.MarkPossiblyCold(after(9), storepos.At(0, 7)); s.ApplyResponse(after(9), 0, start) }, 11, start, Warm},
+		"suspected, and nothing follows": {func(s *WarmUp) { s.MarkPossiblyCold(after(9), storepos.At(0, 7)) }, 13.1, start, Warm},
+		"the server's word": {func(s *WarmUp) {
+			s.ApplyEntry(begin, 0, storepos.At(0, 5), start)
+			s.ApplyResponse(begin, time.Second, start)
+		}, 0.9, start, Cold},
+		"below nothing":    {func(s *WarmUp) { s.ApplyEntry(begin, -time.Hour, storepos.At(0, 5), start) }, 0, start, Warm},
+		"endless":          {func(s *WarmUp) { s.ApplyEntry(begin, math.MaxInt64, storepos.At(0, 5), start) }, 59, start, Cold},
+		"endless, bounded": {func(s *WarmUp) { s.ApplyEntry(begin, math.MaxInt64, storepos.At(0, 5), start) }, 61.1, start, Warm},
 	}
 	for name, c := range cases {
 		var state WarmUp
@@ -72,18 +81,18 @@
 // word that it is warm.
 func TestHeldBackServerIsLeftAlone(t *testing.T) {
 	var state WarmUp
-	state.Tell(begin, start, storepos.At(0, 1), start)
+	state.ApplyEntry(begin, start, storepos.At(0, 1), start)
 	for retryIn, want := range map[time.Duration]time.Duration{
 		0: shortestPause, -time.Second: shortestPause, 100 * time.Millisecond: 100 * time.Millisecond, time.Hour: longestPause,
 	} {
-		state.HoldBack(begin, retryIn)
-		if got := state.OpensIn(begin, start); got != want {
+		state.RecordDenial(begin, retryIn)
+		if got := state.RetryAfter(begin, start); got != want {
 			t.Errorf("left alone for %v, want %v", got, want)
 		}
 	}
-	state.HoldBack(begin, time.Second)
-	state.Tell(begin, 0, storepos.At(0, 2), start)
-	if got := state.OpensIn(begin, start); got != 0 {
+	state.RecordDenial(begin, time.Second)
+	state.ApplyEntry(begin, 0, storepos.At(0, 2), start)
+	if got := state.RetryAfter(begin, start); got != 0 {
 		t.Errorf("warm, and left alone for %v", got)
 	}
 }
@@ -97,8 +106,8 @@
 	} {
 		granted := bound.Quota()
 		perWindow := granted.PerSecond*window.Seconds() + granted.Burst
-		if sum := perWindow + granted.PerSecond*window.Seconds(); sum > coordinatedShare*bound.Most()+1e-9 || granted.PerSecond <= 0 {
-			t.Errorf("%+v: %+v, %.1f of %.1f by two coordinators", bound, granted, sum, bound.Most())
+		if sum := perWindow + granted.PerSecond*window.Seconds(); sum > coordinatedShare*bound.MaxRequests()+1e-9 || granted.PerSecond <= 0 {
+			t.Errorf("%+v: %+v, %.1f of %.1f by two coordinators", bound, granted, sum, bound.MaxRequests())
 		}
 		if perWindow > 1.25*bound.PerSecond {
 			t.Errorf("%+v: %.1f in a window, far above what the server bears", bound, perWindow)
@@ -111,15 +120,15 @@
 	for _, rate := range []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		for _, other := range []float64{1.5, math.NaN(), math.Inf(1), -2} {
 			bound := WarmUpBound{PerSecond: rate, Overage: other, Slack: other}
-			if granted := bound.Quota(); bound.Most() != 0 || granted.PerSecond != 0 || granted.Burst != 0 {
+			if granted := bound.Quota(); bound.MaxRequests() != 0 || granted.PerSecond != 0 || granted.Burst != 0 {
 				t.Errorf("%+v grants %+v", bound, granted)
 			}
-			if NewLots("a").Take(begin, "s", bound.Most(), 1) {
+			if NewWarmUpFallback("a").Take(begin, "s", bound.MaxRequests(), 1) {
 				t.Errorf("%+v: a lot", bound)
 			}
 		}
 	}
-	most := WarmUpBound{PerSecond: 12, Overage: math.NaN(), Slack: math.Inf(1)}.Most()
+	most := WarmUpBound{PerSecond: 12, Overage: math.NaN(), Slack: math.Inf(1)}.MaxRequests()
 	if most != 12 {
 		t.Errorf("%.0f with an overage and a slack that are none", most)
 	}
@@ -132,15 +141,15 @@
 	for server := range servers {
 		id, drawn := fmt.Sprint("s", server), 0
 		for node := range nodes {
-			lots := NewLots(fmt.Sprint("10.0.0.", node))
-			if !lots.Take(begin, id, bound.Most(), nodes) {
+			lots := NewWarmUpFallback(fmt.Sprint("10.0.0.", node))
+			if !lots.Take(begin, id, bound.MaxRequests(), nodes) {
 				continue
 			}
 			drawn++
-			if lots.Take(begin.Add(window-time.Millisecond), id, bound.Most(), nodes) {
+			if lots.Take(begin.Add(window-time.Millisecond), id, bound.MaxRequests(), nodes) {
 				t.Fatal("a lot was used twice in a window")
 			}
-			if !lots.Take(begin.Add(time.Hour), id, bound.Most(), nodes) || lots.Take(begin.Add(time.Hour), id, bound.Most(), nodes) {
+			if !lots.Take(begin.Add(time.Hour), id, bound.MaxRequests(), nodes) || lots.Take(begin.Add(time.Hour), id, bound.MaxRequests(), nodes) {
 				t.Fatal("a lot was saved up, or lost")
 			}
 		}
@@ -175,7 +184,7 @@
 		heardNewest := false
 		for i, told := range words {
 			now := begin.Add(time.Duration(i+1) * 100 * time.Millisecond)
-			state.Tell(now, max(0, told.until.Sub(now)), storepos.At(0, told.revision), start)
+			state.ApplyEntry(now, max(0, told.until.Sub(now)), storepos.At(0, told.revision), start)
 			heardNewest = heardNewest || told == newest
 			if isCold := state.Phase(now, start) == Cold; heardNewest && isCold != now.Before(newest.until) {
 				t.Fatalf("seed %d: cold %v after %d words, by the newest until %v", seed, isCold, i+1, newest.until.Sub(begin))
--- a/internal/allotment/allotment_test.go
+++ b/internal/allotment/allotment_test.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-func facts(name string, most int) catalog.ModelFacts {
-	return catalog.ModelFacts{Model: fleet.ModelVersion{Model: name, Version: "1"}, MaxReplicas: most}
+func facts(name string, most int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: fleet.ModelVersion{Model: name, Version: "1"}, MaxReplicas: most}
 }
 
 func engines(counts ...int) map[fleet.Zone]int {
@@ -23,7 +23,7 @@
 }
 
 func TestEveryZoneWithEnginesGetsOneBeforeAnyGetsTwo(t *testing.T) {
-	record, changed := Decide(Record{}, Input{Models: []catalog.ModelFacts{facts("a", 3)}, Engines: engines(9, 1, 4, 0)})
+	record, changed := Decide(Record{}, Input{Models: []catalog.ModelInfo{facts("a", 3)}, Engines: engines(9, 1, 4, 0)})
 	if !changed {
 		t.Fatal("nothing decided")
 	}
@@ -36,7 +36,7 @@
 }
 
 func TestSingleReplicasAreSpreadOverZones(t *testing.T) {
-	var models []catalog.ModelFacts
+	var models []catalog.ModelInfo
 	for index := range 60 {
 		models = append(models, facts(fmt.Sprintf("m%d", index), 1))
 	}
@@ -70,10 +70,10 @@
 				record = Confirm(record, zone, record.Unconfirmed(zone))
 			} else {
 				input := Input{
-					Models:  []catalog.ModelFacts{facts("a", rapid.IntRange(0, 5).Draw(t, "most"))},
-					Engines: engines(rapid.IntRange(0, 4).Draw(t, "e0"), 2, 3),
-					Demand:  map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "demand")},
-					Idle:    map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "idle")},
+					Models:       []catalog.ModelInfo{facts("a", rapid.IntRange(0, 5).Draw(t, "most"))},
+					Engines:      engines(rapid.IntRange(0, 4).Draw(t, "e0"), 2, 3),
+					Demand:       map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "demand")},
+					IdleReplicas: map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "idle")},
 
 					Evacuated: map[fleet.Zone]bool{"z0": rapid.Bool().Draw(t, "z0 evacuated"), "z1": rapid.Bool().Draw(t, "z1 evacuated")},
 				}
@@ -94,11 +94,11 @@
 
 func check(t *rapid.T, before, after Record, model fleet.ModelVersion) {
 	was, is := before.Models[model], after.Models[model]
-	if is.CeilingSum() > is.Decided {
-		t.Fatalf("ceilings %v exceed %d", is.Zones, is.Decided)
+	if is.CeilingSum() > is.ReplicaLimit {
+		t.Fatalf("ceilings %v exceed %d", is.Zones, is.ReplicaLimit)
 	}
-	if is.Decided > max(was.Decided, is.Target) {
-		t.Fatalf("decided number grew from %d to %d, target %d", was.Decided, is.Decided, is.Target)
+	if is.ReplicaLimit > max(was.ReplicaLimit, is.Target) {
+		t.Fatalf("decided number grew from %d to %d, target %d", was.ReplicaLimit, is.ReplicaLimit, is.Target)
 	}
 	for zone, share := range is.Zones {
 		if share.Limit > share.Ceiling || share.Limit < 0 {
@@ -112,14 +112,14 @@
 
 func TestIdleReplicaMovesToTheZoneThatWantsIt(t *testing.T) {
 	model := facts("a", 1).Model
-	input := Input{Models: []catalog.ModelFacts{facts("a", 1)}, Engines: engines(2, 2)}
+	input := Input{Models: []catalog.ModelInfo{facts("a", 1)}, Engines: engines(2, 2)}
 	record, _ := Decide(Record{}, input)
 	from, to := fleet.Zone("z0"), fleet.Zone("z1")
 	if record.Limit(model, from) == 0 {
 		from, to = to, from
 	}
 	input.Demand = map[fleet.ModelVersion]map[fleet.Zone]int{model: {to: 1}}
-	input.Idle = map[fleet.ModelVersion]map[fleet.Zone]int{model: {from: 1}}
+	input.IdleReplicas = map[fleet.ModelVersion]map[fleet.Zone]int{model: {from: 1}}
 	record, _ = Decide(record, input)
 	if record.Limit(model, from) != 0 || record.Limit(model, to) != 0 {
 		t.Fatalf("before the confirmation: %v", record.Models[model].Zones)
--- a/internal/allotment/change.go
+++ b/internal/allotment/change.go
@@ -48,10 +48,10 @@
 	return next.advanced(), true
 }
 
-// Admit lets the engines that joined be used. A majority of the zone's nodes
+// AdmitEngines lets the engines that joined be used. A majority of the zone's nodes
 // must hold the generation JoinedAt: whoever learns the record from a majority
 // later then knows these engines.
-func Admit(record Record, zone fleet.Zone) Record {
+func AdmitEngines(record Record, zone fleet.Zone) Record {
 	next := record.Clone()
 	entry := next.Zones[zone]
 	entry.Engines = append(entry.Engines, entry.Joining...)
@@ -72,6 +72,6 @@
 // settle lowers the decided number as far as the ceilings allow, and raises it
 // at once.
 func settle(decision Decision) Decision {
-	decision.Decided = max(decision.Target, decision.CeilingSum())
+	decision.ReplicaLimit = max(decision.Target, decision.CeilingSum())
 	return decision
 }
--- a/internal/allotment/decide.go
+++ b/internal/allotment/decide.go
@@ -10,14 +10,14 @@
 
 // Input is what the decider knows.
 type Input struct {
-	Models []catalog.ModelFacts
+	Models []catalog.ModelInfo
 	// Engines counts the live engines of each zone; a zone without engines
 	// gets no allotment.
 	Engines map[fleet.Zone]int
 	// Demand counts what waits for a model in a zone beyond its limit.
 	Demand map[fleet.ModelVersion]map[fleet.Zone]int
-	// Idle counts the part of a zone's limit that is not loaded.
-	Idle map[fleet.ModelVersion]map[fleet.Zone]int
+	// IdleReplicas counts the part of a zone's limit that is not loaded.
+	IdleReplicas map[fleet.ModelVersion]map[fleet.Zone]int
 	// Evacuated are zones that give their allotment away; they count as zones
 	// without engines.
 	Evacuated map[fleet.Zone]bool
@@ -69,16 +69,16 @@
 }
 
 // target is the number of replicas that the fleet may hold of a model.
-func target(facts catalog.ModelFacts) int {
+func target(facts catalog.ModelInfo) int {
 	return max(facts.MaxReplicas, facts.MinReplicas, facts.StandingReplicas)
 }
 
 func decideModel(before Decision, target int, model fleet.ModelVersion, input Input, generation uint64) Decision {
-	after := Decision{Decided: before.Decided, Target: target, Zones: make(map[fleet.Zone]Share)}
+	after := Decision{ReplicaLimit: before.ReplicaLimit, Target: target, Zones: make(map[fleet.Zone]Share)}
 	for zone, share := range before.Zones {
 		after.Zones[zone] = share
 	}
-	after = lowerTo(after, target, input.Idle[model], generation)
+	after = lowerTo(after, target, input.IdleReplicas[model], generation)
 	after = leaveEvacuated(after, input, generation)
 	after = moveIdle(after, model, input, generation)
 	after = raiseFree(after, model, input)
@@ -88,7 +88,7 @@
 // lowerTo lowers limits until their sum is within the number: the idle part of
 // the largest first.
 func lowerTo(decision Decision, number int, idle map[fleet.Zone]int, generation uint64) Decision {
-	lowered := Decision{Decided: decision.Decided, Target: number, Zones: make(map[fleet.Zone]Share)}
+	lowered := Decision{ReplicaLimit: decision.ReplicaLimit, Target: number, Zones: make(map[fleet.Zone]Share)}
 	sum := 0
 	for zone, share := range decision.Zones {
 		lowered.Zones[zone] = share
@@ -132,16 +132,16 @@
 		}
 		return input.Demand[model][zone]
 	})
-	if input.Demand[model][wanting] <= 0 || decision.Decided > limitSum(decision) {
+	if input.Demand[model][wanting] <= 0 || decision.ReplicaLimit > limitSum(decision) {
 		return decision
 	}
 	giver := pick(decision.Zones, func(zone fleet.Zone) int {
 		if zone == wanting || decision.Zones[zone].Limit == 0 {
 			return -1
 		}
-		return input.Idle[model][zone]
+		return input.IdleReplicas[model][zone]
 	})
-	if giver == "" || input.Idle[model][giver] <= 0 {
+	if giver == "" || input.IdleReplicas[model][giver] <= 0 {
 		return decision
 	}
 	decision.Zones[giver] = lowerOne(decision.Zones[giver], generation)
@@ -207,7 +207,7 @@
 }
 
 func equalDecision(a, b Decision) bool {
-	if a.Decided != b.Decided || a.Target != b.Target || len(a.Zones) != len(b.Zones) {
+	if a.ReplicaLimit != b.ReplicaLimit || a.Target != b.Target || len(a.Zones) != len(b.Zones) {
 		return false
 	}
 	for zone, share := range a.Zones {
--- a/internal/allotment/evacuate.go
+++ b/internal/allotment/evacuate.go
@@ -56,7 +56,7 @@
 	}
 	taker := pick(empty, func(zone fleet.Zone) int { return score(zone, 0) })
 	giver := pick(decision.Zones, func(zone fleet.Zone) int {
-		if decision.Zones[zone].Limit == 0 || input.Idle[model][zone] <= 0 {
+		if decision.Zones[zone].Limit == 0 || input.IdleReplicas[model][zone] <= 0 {
 			return -1
 		}
 		return decision.Zones[zone].Limit
--- a/internal/allotment/evacuate_test.go
+++ b/internal/allotment/evacuate_test.go
@@ -36,8 +36,8 @@
 	return sum
 }
 
-func manyModels(count int) []catalog.ModelFacts {
-	var models []catalog.ModelFacts
+func manyModels(count int) []catalog.ModelInfo {
+	var models []catalog.ModelInfo
 	for index := range count {
 		models = append(models, facts(fmt.Sprintf("m%d", index), 1+index%2))
 	}
@@ -53,11 +53,11 @@
 		t.Errorf("evacuated: %d, %d and %d of 90", limitOf(during, "z0"), limitOf(during, "z1"), limitOf(during, "z2"))
 	}
 	input.Evacuated = nil
-	input.Idle = make(map[fleet.ModelVersion]map[fleet.Zone]int)
+	input.IdleReplicas = make(map[fleet.ModelVersion]map[fleet.Zone]int)
 	for model, decision := range during.Models {
-		input.Idle[model] = make(map[fleet.Zone]int)
+		input.IdleReplicas[model] = make(map[fleet.Zone]int)
 		for zone, share := range decision.Zones {
-			input.Idle[model][zone] = share.Limit
+			input.IdleReplicas[model][zone] = share.Limit
 		}
 	}
 	after := settled(t, during, input)
--- a/internal/allotment/record.go
+++ b/internal/allotment/record.go
@@ -34,9 +34,9 @@
 
 // Decision is the decided number of replicas of one model version.
 type Decision struct {
-	// Decided bounds the replicas in the whole fleet; it is never below the
+	// ReplicaLimit bounds the replicas in the whole fleet; it is never below the
 	// sum of the ceilings.
-	Decided int `json:"decided"`
+	ReplicaLimit int `json:"decided"`
 	// Target is what Decided becomes once the zones have confirmed.
 	Target int                  `json:"target"`
 	Zones  map[fleet.Zone]Share `json:"zones,omitempty"`
@@ -90,12 +90,12 @@
 	return sum
 }
 
-// Broken returns the models whose ceilings exceed what was decided.
-func (r Record) Broken() []fleet.ModelVersion {
+// Overcommitted returns the models whose ceilings exceed what was decided.
+func (r Record) Overcommitted() []fleet.ModelVersion {
 	var broken []fleet.ModelVersion
 	for _, model := range sortedModels(r.Models) {
 		decision := r.Models[model]
-		if decision.CeilingSum() > decision.Decided {
+		if decision.CeilingSum() > decision.ReplicaLimit {
 			broken = append(broken, model)
 		}
 	}
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -120,7 +120,7 @@
 	former bool
 	// ran is the worst that any attempt leaves open.
 	ran     exposure
-	last    Broken
+	last    Failure
 	dropped Dropped
 	deliver Deliver
 	effects []Effect
@@ -156,7 +156,7 @@
 		c.ended(now, message)
 	case Answered:
 		c.answered(message)
-	case Broken:
+	case Failure:
 		c.broken(now, message)
 	case CallerGone:
 		c.callerGone()
@@ -197,7 +197,7 @@
 	c.connections++
 	c.attempt, c.connection = c.attempts, c.connections
 	c.resumes = 0
-	c.last = Broken{}
+	c.last = Failure{}
 	c.wake = c.bound(now)
 	c.hedgeAt = time.Time{}
 	if c.mayHedge() && !c.hedged {
@@ -222,7 +222,7 @@
 	if c.phase == phaseAssigning || c.next == 0 {
 		c.dropRival()
 		if c.phase == phaseConnected {
-			c.last = Broken{Evidence: MaySent, Detail: "no token came before the deadline"}
+			c.last = Failure{Evidence: MaybeSent, Detail: "no token came before the deadline"}
 			c.cancel()
 			c.ran = max(c.ran, exposedUnknown)
 		}
@@ -230,7 +230,7 @@
 		c.giveUp(CodeDeadline, "the deadline passed")
 		return
 	}
-	c.lost(now, Broken{Evidence: MaySent, Detail: "no token came in time"})
+	c.lost(now, Failure{Evidence: MaybeSent, Detail: "no token came in time"})
 }
 
 func (c *Core) callerGone() {
@@ -258,8 +258,8 @@
 	c.former = false
 }
 
-// Last returns what broke the latest attempt; its Evidence is 0 while it has
+// LastFailure returns what broke the latest attempt; its Evidence is 0 while it has
 // not broken.
-func (c *Core) Last() Broken {
+func (c *Core) LastFailure() Failure {
 	return c.last
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -22,7 +22,7 @@
 }
 
 func finishChunk(connection, attempt, sequence int) *Chunk {
-	return &Chunk{Connection: connection, RequestID: "r1", Attempt: attempt, Sequence: sequence, Finish: "stop"}
+	return &Chunk{Connection: connection, RequestID: "r1", Attempt: attempt, Sequence: sequence, FinishReason: "stop"}
 }
 
 // brief shows effects in short form.
@@ -41,7 +41,7 @@
 		case Hedge:
 			shown = append(shown, fmt.Sprintf("hedge without %v", effect.Exclude))
 		case Drop:
-			shown = append(shown, fmt.Sprintf("drop %d blamed %t", effect.Connection, effect.Broken.Evidence != 0))
+			shown = append(shown, fmt.Sprintf("drop %d blamed %t", effect.Connection, effect.Failure.Evidence != 0))
 		case *Deliver:
 			shown = append(shown, effect.Text)
 		case Finish:
@@ -92,8 +92,8 @@
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{Ended{1, false}, "resume e1 #1 from 1"},
-			{Broken{Connection: 1, Evidence: MaySent}, ""},
-			{Broken{Connection: 2, Evidence: AnsweredError, Status: 404}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, ""},
+			{Failure{Connection: 2, Evidence: ErrorStatus, Status: 404}, "reassign without [e1]"},
 			{Assigned{"e2"}, "open e2 #2 from 1"},
 			{chunk(2, 1, 1), ""},
 			{chunk(3, 2, 1), "1"},
@@ -114,22 +114,22 @@
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{finishChunk(1, 1, 1), ""},
-			{Broken{Connection: 1, Evidence: MaySent}, "finish ok  after 1"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "finish ok  after 1"},
 		}},
 		"the former engine is cancelled once another takes over": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: MaySent}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e2"}, "cancel e1 #1; open e2 #2 from 0"},
 		}},
 		"but not where it takes over itself": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: MaySent}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e1"}, "open e1 #2 from 0"},
 		}},
 		"an interrupted answer is said to be one": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
-			{Broken{Connection: 1, Evidence: AnsweredError}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: ErrorStatus}, "reassign without [e1]"},
 			{Unassigned{Code: "queue-full"}, "finish failed queue-full after 1"},
 		}},
 		"the caller goes": {streamOptions(), []step{
@@ -142,34 +142,34 @@
 		}},
 		"refused before it ran, everywhere": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: RefusedBeforeRun, Status: 503}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: RefusedBeforeRun, Status: 503}, "reassign without [e1]"},
 			{Assigned{"e2"}, "open e2 #2 from 0"},
-			{Broken{Connection: 2, Evidence: NeverSent}, "reassign without [e1 e2]"},
+			{Failure{Connection: 2, Evidence: NeverSent}, "reassign without [e1 e2]"},
 			{Unassigned{Code: "deadline-reached"}, "finish not-run deadline-reached after 0"},
 		}},
 		"one attempt that may have run spoils not-run for good": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: MaySent}, "reassign without [e1]"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e2"}, "cancel e1 #1; open e2 #2 from 0"},
-			{Broken{Connection: 2, Evidence: RefusedBeforeRun, Final: true}, "finish unknown backend-refused after 0"},
+			{Failure{Connection: 2, Evidence: RefusedBeforeRun, Permanent: true}, "finish unknown backend-refused after 0"},
 		}},
 		"not repeatable: unknown after a byte may have left": {plain, []step{
 			{Assigned{"s1"}, "open s1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: MaySent}, "finish unknown backend-failed after 0"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "finish unknown backend-failed after 0"},
 		}},
 		"not repeatable: another back end only while nothing was sent": {plain, []step{
 			{Assigned{"s1"}, "open s1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: NeverSent}, "reassign without [s1]"},
+			{Failure{Connection: 1, Evidence: NeverSent}, "reassign without [s1]"},
 			{Assigned{"s2"}, "open s2 #2 from 0"},
 			{Answered{2}, "finish ok  after 0"},
 		}},
 		"not repeatable: refused is not-run, with no second attempt": {plain, []step{
 			{Assigned{"s1"}, "open s1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: RefusedBeforeRun}, "finish not-run backend-refused after 0"},
+			{Failure{Connection: 1, Evidence: RefusedBeforeRun}, "finish not-run backend-refused after 0"},
 		}},
 		"repeatable call": {repeatable, []step{
 			{Assigned{"s1"}, "open s1 #1 from 0"},
-			{Broken{Connection: 1, Evidence: MaySent}, "reassign without [s1]"},
+			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [s1]"},
 			{Assigned{"s2"}, "open s2 #2 from 0"},
 			{Answered{2}, "finish ok  after 0"},
 		}},
@@ -199,7 +199,7 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	for evidence, want := range map[Evidence]int{NeverSent: 3, RefusedBeforeRun: 3, MaySent: 2, AnsweredError: 2} {
+	for evidence, want := range map[Evidence]int{NeverSent: 3, RefusedBeforeRun: 3, MaybeSent: 2, ErrorStatus: 2} {
 		options := streamOptions()
 		options.MaxAttempts, options.MaxRefusals = 2, 3
 		core := New(options)
@@ -207,8 +207,8 @@
 		for core.NextWake() != (time.Time{}) && attempts < 10 {
 			attempts++
 			core.Step(epoch, Assigned{"e1"})
-			for _, effect := range core.Step(epoch, Broken{Connection: attempts, Evidence: evidence}) {
-				if reassign, isReassign := effect.(Reassign); isReassign && reassign.Unspent != (want == 3) {
+			for _, effect := range core.Step(epoch, Failure{Connection: attempts, Evidence: evidence}) {
+				if reassign, isReassign := effect.(Reassign); isReassign && reassign.BudgetExempt != (want == 3) {
 					t.Errorf("evidence %d: %+v", evidence, reassign)
 				}
 			}
@@ -259,7 +259,7 @@
 	var waits []time.Duration
 	for index := range 8 {
 		core.Step(epoch, Assigned{fleet.BackendName(fmt.Sprint("e", index))})
-		effects := core.Step(epoch, Broken{Connection: index + 1, Evidence: NeverSent})
+		effects := core.Step(epoch, Failure{Connection: index + 1, Evidence: NeverSent})
 		waits = append(waits, effects[0].(Reassign).After)
 	}
 	for index, wait := range waits {
@@ -269,7 +269,7 @@
 		}
 	}
 	core.Step(epoch, Assigned{"last"})
-	effects := core.Step(epoch.Add(30*time.Second-100*time.Millisecond), Broken{Connection: 9, Evidence: NeverSent})
+	effects := core.Step(epoch.Add(30*time.Second-100*time.Millisecond), Failure{Connection: 9, Evidence: NeverSent})
 	if wait := effects[0].(Reassign).After; wait > 50*time.Millisecond {
 		t.Errorf("waits %v with 100ms left", wait)
 	}
@@ -316,7 +316,7 @@
 	if want := "cancel e1 #1; finish unknown deadline-reached after 0"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	if evidence := core.Last().Evidence; evidence != MaySent {
-		t.Errorf("evidence %d of the silent attempt, want %d", evidence, MaySent)
+	if evidence := core.LastFailure().Evidence; evidence != MaybeSent {
+		t.Errorf("evidence %d of the silent attempt, want %d", evidence, MaybeSent)
 	}
 }
--- a/internal/attempt/hedge.go
+++ b/internal/attempt/hedge.go
@@ -53,10 +53,10 @@
 	}
 	switch {
 	case chunk.Connection == c.connection && chunk.Attempt == c.attempt:
-		c.dropSide(*c.rival, Broken{}, true)
+		c.dropSide(*c.rival, Failure{}, true)
 	case chunk.Connection == c.rival.connection && chunk.Attempt == c.rival.attempt:
 		// The former one was silent for as long as it takes to hedge.
-		c.dropSide(c.present(), Broken{Evidence: MaySent, Detail: "another back end was sooner"}, true)
+		c.dropSide(c.present(), Failure{Evidence: MaybeSent, Detail: "another back end was sooner"}, true)
 		c.promote()
 	default:
 		return
@@ -66,19 +66,19 @@
 
 // lostSide takes a connection of a race that broke out of it. It reports false
 // where there is no race.
-func (c *Core) lostSide(broken Broken) bool {
+func (c *Core) lostSide(broken Failure) bool {
 	if c.rival == nil || c.phase != phaseConnected {
 		return false
 	}
 	switch broken.Connection {
 	case c.connection:
-		c.dropSide(c.present(), broken, broken.Evidence == MaySent)
+		c.dropSide(c.present(), broken, broken.Evidence == MaybeSent)
 		if !slices.Contains(c.exclude, c.backend) {
 			c.exclude = append(c.exclude, c.backend)
 		}
 		c.promote()
 	case c.rival.connection:
-		c.dropSide(*c.rival, broken, broken.Evidence == MaySent)
+		c.dropSide(*c.rival, broken, broken.Evidence == MaybeSent)
 	default:
 		return false
 	}
@@ -93,16 +93,16 @@
 // dropRival cancels the second connection of a request that is over.
 func (c *Core) dropRival() {
 	if c.rival != nil {
-		c.dropSide(*c.rival, Broken{}, true)
+		c.dropSide(*c.rival, Failure{}, true)
 		c.rival = nil
 	}
 }
 
-func (c *Core) dropSide(dropped side, broken Broken, cancel bool) {
+func (c *Core) dropSide(dropped side, broken Failure, cancel bool) {
 	if cancel {
 		c.emit(Cancel{Attempt: dropped.attempt, Backend: dropped.backend})
 	}
-	c.emit(Drop{Connection: dropped.connection, Broken: broken})
+	c.emit(Drop{Connection: dropped.connection, Failure: broken})
 }
 
 func (c *Core) present() side {
--- a/internal/attempt/hedge_test.go
+++ b/internal/attempt/hedge_test.go
@@ -32,14 +32,14 @@
 		"the same back end is no second": {nil, append(hedged[:2:2],
 			step{HedgeAssigned{"e1"}, ""})},
 		"the first breaks, the second goes on": {nil, append(raced[:3:3],
-			step{Broken{Connection: 1, Evidence: MaySent}, "cancel e1 #1; drop 1 blamed true"},
+			step{Failure{Connection: 1, Evidence: MaybeSent}, "cancel e1 #1; drop 1 blamed true"},
 			step{chunk(2, 2, 0), "0"})},
 		"the second was never sent": {nil, append(raced[:3:3],
-			step{Broken{Connection: 2, Evidence: NeverSent}, "drop 2 blamed true"},
+			step{Failure{Connection: 2, Evidence: NeverSent}, "drop 2 blamed true"},
 			step{chunk(1, 1, 0), "0"})},
 		"both break": {nil, append(raced[:3:3],
-			step{Broken{Connection: 2, Evidence: MaySent}, "cancel e2 #2; drop 2 blamed true"},
-			step{Broken{Connection: 1, Evidence: AnsweredError}, "reassign without [e1]"},
+			step{Failure{Connection: 2, Evidence: MaybeSent}, "cancel e2 #2; drop 2 blamed true"},
+			step{Failure{Connection: 1, Evidence: ErrorStatus}, "reassign without [e1]"},
 			step{Assigned{"e3"}, "open e3 #3 from 0"})},
 		"the caller goes": {nil, append(raced[:3:3],
 			step{CallerGone{}, "cancel e2 #2; drop 2 blamed false; cancel e1 #1; finish unknown caller-gone after 0"})},
@@ -82,7 +82,7 @@
 		t.Fatalf("wakes at %v", wake)
 	}
 	core.Step(epoch.Add(time.Second), Tick{})
-	core.Step(epoch.Add(time.Second), Broken{Connection: 1, Evidence: AnsweredError})
+	core.Step(epoch.Add(time.Second), Failure{Connection: 1, Evidence: ErrorStatus})
 	if wake := core.NextWake(); !wake.Equal(options.Deadline) {
 		t.Errorf("the search for another back end ends at %v", wake)
 	}
--- a/internal/attempt/message.go
+++ b/internal/attempt/message.go
@@ -28,12 +28,12 @@
 type Chunk struct {
 	// Connection is the number from the Open or Resume effect whose
 	// connection carried the chunk.
-	Connection int
-	RequestID  fleet.RequestID
-	Attempt    int
-	Sequence   int
-	Text       string
-	Finish     string
+	Connection   int
+	RequestID    fleet.RequestID
+	Attempt      int
+	Sequence     int
+	Text         string
+	FinishReason string
 }
 
 // Ended says that a connection's stream ended. Terminated tells whether the
@@ -55,14 +55,14 @@
 	NeverSent Evidence = iota + 1
 	// RefusedBeforeRun is the back end's own word that nothing ran.
 	RefusedBeforeRun
-	// AnsweredError is an error status that says nothing of what ran.
-	AnsweredError
-	// MaySent means that bytes may have left and no answer tells more.
-	MaySent
+	// ErrorStatus is an error status that says nothing of what ran.
+	ErrorStatus
+	// MaybeSent means that bytes may have left and no answer tells more.
+	MaybeSent
 )
 
-// Broken says that a connection failed.
-type Broken struct {
+// Failure says that a connection failed.
+type Failure struct {
 	Connection int
 	Evidence   Evidence
 	// Status is the back end's status where it answered, else 0.
@@ -71,9 +71,9 @@
 	RetryAfter time.Duration
 	// NoResume is set where this back end must not be asked for the rest.
 	NoResume bool
-	// Final is set where another back end would answer the same, such as an
+	// Permanent is set where another back end would answer the same, such as an
 	// error in the caller's request.
-	Final bool
+	Permanent bool
 	// Detail goes to logs and to the caller.
 	Detail string
 }
@@ -90,7 +90,7 @@
 func (*Chunk) isMessage()        {}
 func (Ended) isMessage()         {}
 func (Answered) isMessage()      {}
-func (Broken) isMessage()        {}
+func (Failure) isMessage()       {}
 func (CallerGone) isMessage()    {}
 func (Tick) isMessage()          {}
 
@@ -126,10 +126,10 @@
 type Reassign struct {
 	After   time.Duration
 	Exclude []fleet.BackendName
-	// Unspent is set where the next attempt does not count against the retry
+	// BudgetExempt is set where the next attempt does not count against the retry
 	// budget: the one before is proved not to have run, or tokens have been
 	// delivered and giving up would waste them.
-	Unspent bool
+	BudgetExempt bool
 }
 
 // Hedge asks for a second back end beside the present one, within the retry
@@ -140,7 +140,7 @@
 // is what its back end is to be blamed for; without evidence it is nothing.
 type Drop struct {
 	Connection int
-	Broken     Broken
+	Failure    Failure
 }
 
 // Deliver hands the next token to the caller.
--- a/internal/attempt/outcome.go
+++ b/internal/attempt/outcome.go
@@ -15,7 +15,7 @@
 func (c *Core) expose(evidence Evidence) {
 	switch evidence {
 	case NeverSent, RefusedBeforeRun:
-	case AnsweredError:
+	case ErrorStatus:
 		c.ran = max(c.ran, exposedFailed)
 	default:
 		c.ran = max(c.ran, exposedUnknown)
--- a/internal/attempt/retry.go
+++ b/internal/attempt/retry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func (c *Core) broken(now time.Time, broken Broken) {
+func (c *Core) broken(now time.Time, broken Failure) {
 	if c.lostSide(broken) {
 		return
 	}
@@ -20,7 +20,7 @@
 }
 
 // lost decides what follows a connection that will bring nothing more.
-func (c *Core) lost(now time.Time, broken Broken) {
+func (c *Core) lost(now time.Time, broken Failure) {
 	c.last = broken
 	if c.mayResume(broken) {
 		c.resumes++
@@ -34,7 +34,7 @@
 	if broken.provedNotRun() {
 		c.refusals++
 	}
-	c.former = broken.Evidence == MaySent && c.options.Resumable
+	c.former = broken.Evidence == MaybeSent && c.options.Resumable
 	if !c.mayRetry(now, broken) {
 		c.cancelFormer("")
 		c.giveUp(codeOf(broken, c.next), broken.Detail)
@@ -47,21 +47,21 @@
 	if c.next > 0 {
 		c.wake = now.Add(c.options.ContinueTimeout)
 	}
-	c.emit(Reassign{After: c.backoff(now), Exclude: c.exclude, Unspent: broken.provedNotRun() || c.next > 0})
+	c.emit(Reassign{After: c.backoff(now), Exclude: c.exclude, BudgetExempt: broken.provedNotRun() || c.next > 0})
 }
 
-func (b Broken) provedNotRun() bool {
+func (b Failure) provedNotRun() bool {
 	return b.Evidence == NeverSent || b.Evidence == RefusedBeforeRun
 }
 
 // mayResume: the same engine may still have the answer, since it took the
 // request and has not said otherwise.
-func (c *Core) mayResume(broken Broken) bool {
-	return c.options.Resumable && !broken.NoResume && broken.Evidence == MaySent && c.next > 0 && c.resumes < c.options.MaxResumes
+func (c *Core) mayResume(broken Failure) bool {
+	return c.options.Resumable && !broken.NoResume && broken.Evidence == MaybeSent && c.next > 0 && c.resumes < c.options.MaxResumes
 }
 
-func (c *Core) mayRetry(now time.Time, broken Broken) bool {
-	if broken.Final || c.attempts-c.refusals >= c.options.MaxAttempts || c.refusals >= c.options.MaxRefusals {
+func (c *Core) mayRetry(now time.Time, broken Failure) bool {
+	if broken.Permanent || c.attempts-c.refusals >= c.options.MaxAttempts || c.refusals >= c.options.MaxRefusals {
 		return false
 	}
 	if c.next == 0 && !now.Before(c.options.Deadline) {
@@ -87,7 +87,7 @@
 	return min(wait, max(0, c.wake.Sub(now)/2))
 }
 
-func codeOf(broken Broken, delivered int) string {
+func codeOf(broken Failure, delivered int) string {
 	switch {
 	case delivered > 0:
 		return CodeInterrupted
--- a/internal/attempt/schedule_test.go
+++ b/internal/attempt/schedule_test.go
@@ -94,7 +94,7 @@
 func (w *world) chunk(sequence int) *Chunk {
 	made := &Chunk{Connection: w.open, RequestID: "r1", Attempt: w.attempt, Sequence: sequence, Text: fmt.Sprint(sequence, " ")}
 	if sequence >= w.tokens {
-		made.Sequence, made.Text, made.Finish = w.tokens, "", "stop"
+		made.Sequence, made.Text, made.FinishReason = w.tokens, "", "stop"
 	}
 	return made
 }
@@ -166,7 +166,7 @@
 		next := w.chunk(w.sent)
 		w.sent++
 		w.step(next)
-		if next.Finish != "" {
+		if next.FinishReason != "" {
 			w.step(Ended{w.open, true})
 		}
 	case "old":
@@ -186,7 +186,7 @@
 	case "end":
 		w.step(Ended{w.open, rapid.Bool().Draw(t, "terminated")})
 	case "break":
-		w.step(Broken{Connection: w.open, Evidence: MaySent})
+		w.step(Failure{Connection: w.open, Evidence: MaybeSent})
 	case "hedge":
 		if w.hedging {
 			w.step(HedgeAssigned{"e4"})
@@ -203,12 +203,12 @@
 func (w *world) begin(t *rapid.T) {
 	switch rapid.IntRange(0, 4).Draw(t, "begin") {
 	case 0:
-		w.step(Broken{Connection: w.open, Evidence: NeverSent})
+		w.step(Failure{Connection: w.open, Evidence: NeverSent})
 	case 1:
-		w.step(Broken{Connection: w.open, Evidence: RefusedBeforeRun})
+		w.step(Failure{Connection: w.open, Evidence: RefusedBeforeRun})
 	case 2:
 		w.executions++
-		w.step(Broken{Connection: w.open, Evidence: MaySent})
+		w.step(Failure{Connection: w.open, Evidence: MaybeSent})
 	default:
 		w.executions++
 	}
--- a/internal/attempt/stream.go
+++ b/internal/attempt/stream.go
@@ -19,15 +19,15 @@
 	case chunk.Sequence < c.next:
 		c.dropped.Duplicated++
 	case chunk.Sequence > c.next:
-		c.lost(now, Broken{Evidence: MaySent, Detail: "a part of the answer is missing"})
+		c.lost(now, Failure{Evidence: MaybeSent, Detail: "a part of the answer is missing"})
 	default:
 		c.take(now, chunk)
 	}
 }
 
 func (c *Core) take(now time.Time, chunk *Chunk) {
-	if chunk.Finish != "" {
-		c.finish = chunk.Finish
+	if chunk.FinishReason != "" {
+		c.finish = chunk.FinishReason
 		return
 	}
 	if c.finish != "" {
@@ -56,7 +56,7 @@
 // ended takes the end of a stream. Only the finish chunk, whose sequence
 // number proves that no token is missing, makes the answer whole.
 func (c *Core) ended(now time.Time, ended Ended) {
-	if c.lostSide(Broken{Connection: ended.Connection, Evidence: MaySent, Detail: "the answer ended before it was whole"}) {
+	if c.lostSide(Failure{Connection: ended.Connection, Evidence: MaybeSent, Detail: "the answer ended before it was whole"}) {
 		return
 	}
 	if ended.Connection != c.connection || c.phase != phaseConnected {
@@ -70,7 +70,7 @@
 		c.succeed("stop")
 		return
 	}
-	c.lost(now, Broken{Evidence: MaySent, Detail: "the answer ended before it was whole"})
+	c.lost(now, Failure{Evidence: MaybeSent, Detail: "the answer ended before it was whole"})
 }
 
 func (c *Core) answered(answered Answered) {
--- a/internal/backend/control.go
+++ b/internal/backend/control.go
@@ -68,8 +68,8 @@
 }
 
 // CountTraffic counts the calls from now on; it goes before the first call.
-func (c *EngineControl) CountTraffic(channel *traffic.Channel) {
-	channel.CountClient(c.client)
+func (c *EngineControl) CountTraffic(channel *traffic.ChannelCounters) {
+	channel.InstrumentClient(c.client)
 }
 
 // Close closes idle connections.
--- a/internal/backendconn/errors.go
+++ b/internal/backendconn/errors.go
@@ -8,6 +8,6 @@
 var (
 	// ErrNotSent says that no byte of the request left this process.
 	ErrNotSent = errorNamespace.NewType("not_sent")
-	// ErrUnknown says that the request may have run.
-	ErrUnknown = errorNamespace.NewType("unknown")
+	// ErrMaybeSent says that the request may have run.
+	ErrMaybeSent = errorNamespace.NewType("unknown")
 )
--- a/internal/backendconn/exchange.go
+++ b/internal/backendconn/exchange.go
@@ -28,9 +28,9 @@
 	Deadline time.Time
 	// Matches reports whether the answer belongs to this request.
 	Matches func(http.Header) bool
-	// Heard is told the head of each answer that comes on the connection, also of one that
+	// OnResponse is told the head of each answer that comes on the connection, also of one that
 	// belongs to an earlier request; nil is nobody.
-	Heard func(status int, header http.Header)
+	OnResponse func(status int, header http.Header)
 }
 
 // steadyDeadline is the deadline by the clock that connections go by.
@@ -41,9 +41,9 @@
 	return time.Now().Add(clock.Until(r.Deadline))
 }
 
-// Answer is a server's answer. Its body must be read to the end or Close be
+// Response is a server's answer. Its body must be read to the end or Close be
 // called.
-type Answer struct {
+type Response struct {
 	Status        int
 	Header        http.Header
 	ContentLength int64
@@ -74,7 +74,7 @@
 
 // RoundTrip sends the request and returns the head of its answer. When ctx
 // ends, the connection is reset, which cancels the request at the server.
-func (c *Conn) RoundTrip(ctx context.Context, request Request) (*Answer, error) {
+func (c *Conn) RoundTrip(ctx context.Context, request Request) (*Response, error) {
 	running := &exchange{conn: c, written: make(chan struct{})}
 	_ = c.SetDeadline(request.steadyDeadline())
 	running.stop = context.AfterFunc(ctx, c.reset)
@@ -120,18 +120,18 @@
 	return head.Bytes()
 }
 
-func (x *exchange) read(request Request) (*Answer, error) {
+func (x *exchange) read(request Request) (*Response, error) {
 	method := &http.Request{Method: request.Method}
 	for range maxSurplus {
 		response, err := http.ReadResponse(x.conn.reader, method)
 		if err != nil {
-			return nil, ErrUnknown.Wrap(err, "read the answer")
+			return nil, ErrMaybeSent.Wrap(err, "read the answer")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Heard != nil {
-			request.Heard(response.StatusCode, response.Header)
+		if request.OnResponse != nil {
+			request.OnResponse(response.StatusCode, response.Header)
 		}
 		if request.Matches == nil || request.Matches(response.Header) {
 			return x.answer(response), nil
@@ -140,11 +140,11 @@
 			return nil, err
 		}
 	}
-	return nil, ErrUnknown.New("too many surplus answers")
+	return nil, ErrMaybeSent.New("too many surplus answers")
 }
 
-func (x *exchange) answer(response *http.Response) *Answer {
-	return &Answer{
+func (x *exchange) answer(response *http.Response) *Response {
+	return &Response{
 		Status:        response.StatusCode,
 		Header:        response.Header,
 		ContentLength: response.ContentLength,
@@ -158,16 +158,16 @@
 // passOver reads an answer that belongs to another request.
 func passOver(response *http.Response) error {
 	if response.Close || response.ContentLength > maxSurplusBytes {
-		return ErrUnknown.New("an answer of another request that ends the connection")
+		return ErrMaybeSent.New("an answer of another request that ends the connection")
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes)); err != nil {
-		return ErrUnknown.Wrap(err, "read a surplus answer")
+		return ErrMaybeSent.Wrap(err, "read a surplus answer")
 	}
 	return nil
 }
 
 // Read reads the body. At its end the connection is kept where it can be.
-func (a *Answer) Read(into []byte) (int, error) {
+func (a *Response) Read(into []byte) (int, error) {
 	if a.ended {
 		return 0, io.EOF
 	}
@@ -182,7 +182,7 @@
 }
 
 // finish keeps the connection if nothing of this exchange is left on it.
-func (a *Answer) finish() {
+func (a *Response) finish() {
 	if a.ended {
 		return
 	}
@@ -202,7 +202,7 @@
 
 // Close ends the exchange. A body that was not read to its end takes the
 // connection with it, which cancels the request at the server.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if !a.ended {
 		a.ended = true
 		a.exchange.abort()
--- a/internal/backendconn/late_test.go
+++ b/internal/backendconn/late_test.go
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		err = giveUp(context.Background(), conn, Request{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: body, HasBody: true})
-		if !errorx.IsOfType(err, ErrUnknown) {
+		if !errorx.IsOfType(err, ErrMaybeSent) {
 			t.Errorf("%s: the request ends with %v", name, err)
 		}
 		if text := peer.readAll(t); bytes.HasSuffix(text, []byte(end)) {
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 		if within > 0 {
-			conn.LimitDelivery(within)
+			conn.SetDeliveryTimeout(within)
 		}
 		go func() {
 			_, _ = conn.RoundTrip(context.Background(), Request{Method: http.MethodPost, Target: "/", Host: "h", Body: body})
--- a/internal/backendconn/pool.go
+++ b/internal/backendconn/pool.go
@@ -19,8 +19,8 @@
 type Options struct {
 	// DialTimeout bounds the time of a new connection.
 	DialTimeout time.Duration
-	// IdleTime is how long a connection is kept where its server tells nothing.
-	IdleTime time.Duration
+	// IdleTimeout is how long a connection is kept where its server tells nothing.
+	IdleTimeout time.Duration
 	// MaxIdle is the number of idle connections kept to an address.
 	MaxIdle int
 	// Dial opens a connection; nil is TCP.
@@ -30,7 +30,7 @@
 // Defaults of Options.
 const (
 	DefaultDialTimeout = 500 * time.Millisecond
-	DefaultIdleTime    = 4 * time.Second
+	DefaultIdleTimeout = 4 * time.Second
 	DefaultMaxIdle     = 8
 )
 
@@ -53,8 +53,8 @@
 	if options.DialTimeout == 0 {
 		options.DialTimeout = DefaultDialTimeout
 	}
-	if options.IdleTime == 0 {
-		options.IdleTime = DefaultIdleTime
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = DefaultIdleTimeout
 	}
 	if options.MaxIdle == 0 {
 		options.MaxIdle = DefaultMaxIdle
@@ -122,18 +122,18 @@
 	p.mu.Lock()
 	p.dialled++
 	p.mu.Unlock()
-	return &Conn{Conn: raw, pool: p, address: address, idleTime: p.options.IdleTime}, nil
+	return &Conn{Conn: raw, pool: p, address: address, idleTime: p.options.IdleTimeout}, nil
 }
 
-// Dialled is the number of connections opened so far.
-func (p *Pool) Dialled() int64 {
+// DialCount is the number of connections opened so far.
+func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialled
 }
 
-// Forget closes the idle connections to the address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to the address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
@@ -143,8 +143,8 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that were idle for too long.
+func (p *Pool) CloseExpired() {
 	now := clock.Now()
 	var expired []*Conn
 	p.mu.Lock()
@@ -173,7 +173,7 @@
 func (c *Conn) release(header http.Header) {
 	c.putReader()
 	if c.isLimited {
-		c.isLimited = !c.deliverWithin(SilenceTimeout)
+		c.isLimited = !c.deliverWithin(DeadPeerTimeout)
 		c.linger(-1)
 	}
 	c.idleSince = clock.Now()
--- a/internal/backendconn/silence.go
+++ b/internal/backendconn/silence.go
@@ -9,13 +9,13 @@
 )
 
 // A peer that lost its power says nothing, and an open connection may go silent while
-// new ones work. Such a connection is given up after SilenceTimeout: one that rests or
+// new ones work. Such a connection is given up after DeadPeerTimeout: one that rests or
 // waits for an answer by probes that nobody acknowledges, and one with bytes under way,
 // on which no probes are sent, by the time that they stay unacknowledged. Callers of a
 // stream wait for some five seconds before they leave, and come back only if they are
 // told that it broke off.
 const (
-	SilenceTimeout = keepAliveIdle + keepAliveCount*keepAliveInterval
+	DeadPeerTimeout = keepAliveIdle + keepAliveCount*keepAliveInterval
 
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
@@ -29,7 +29,7 @@
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setDelivery(raw, SilenceTimeout) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setDelivery(raw, DeadPeerTimeout) },
 	}
 }
 
@@ -45,10 +45,10 @@
 	return failure
 }
 
-// LimitDelivery bounds how long the kernel goes on to deliver what the next request writes, also
+// SetDeliveryTimeout bounds how long the kernel goes on to deliver what the next request writes, also
 // where this process is killed meanwhile and resets nothing: however it ends, the kernel resets the
 // connection then. It holds until the connection is kept for another request.
-func (c *Conn) LimitDelivery(within time.Duration) {
+func (c *Conn) SetDeliveryTimeout(within time.Duration) {
 	if c.deliverWithin(max(within, time.Millisecond)) {
 		c.isLimited = true
 		c.linger(0)
--- a/internal/backendconn/suspension_test.go
+++ b/internal/backendconn/suspension_test.go
@@ -17,14 +17,14 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	pool := New(Options{IdleTime: 2 * time.Second})
+	pool := New(Options{IdleTimeout: 2 * time.Second})
 	conn, err := pool.Get(context.Background(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.release(http.Header{})
-	clock.Suspend(5 * time.Second)
-	defer clock.Suspend(-5 * time.Second)
+	clock.SimulateSuspend(5 * time.Second)
+	defer clock.SimulateSuspend(-5 * time.Second)
 	again, err := pool.Get(context.Background(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -177,7 +177,7 @@
 
 func TestModelFacts(t *testing.T) {
 	snapshot := compiled(t, reports(t))
-	want := []ModelFacts{
+	want := []ModelInfo{
 		{Model: fleet.ModelVersion{Model: "chat", Version: "v1"}, MemoryBytes: 3, MaxReplicas: 1, Priority: 7},
 		{Model: fleet.ModelVersion{Model: "report", Version: "v1"}, MemoryBytes: 10, CheckpointBytes: 9,
 			MinReplicas: 1, MaxReplicas: 4, StandingReplicas: 2, Priority: 3},
--- a/internal/catalog/link.go
+++ b/internal/catalog/link.go
@@ -59,7 +59,7 @@
 	for _, object := range set.usable(&l.problems) {
 		declared := object.value.(spec.Selector)
 		targets := l.matching(declared.Deployments)
-		l.eachModel(targets, func(facts *ModelFacts) { facts.Priority = max(facts.Priority, declared.Priority) })
+		l.eachModel(targets, func(facts *ModelInfo) { facts.Priority = max(facts.Priority, declared.Priority) })
 		l.snapshot.selectors = append(l.snapshot.selectors, selector{
 			name:     object.key.Name,
 			Selector: declared,
@@ -81,7 +81,7 @@
 func (l *linker) takeCapacities(set *kindSet) {
 	for _, object := range set.usable(&l.problems) {
 		capacity := object.value.(spec.Capacity)
-		l.eachModel(l.matching(capacity.Deployments), func(facts *ModelFacts) {
+		l.eachModel(l.matching(capacity.Deployments), func(facts *ModelInfo) {
 			facts.StandingReplicas = max(facts.StandingReplicas, capacity.Replicas)
 		})
 	}
@@ -183,7 +183,7 @@
 }
 
 // eachModel visits each model version that the deployments name once.
-func (l *linker) eachModel(targets []int, visit func(*ModelFacts)) {
+func (l *linker) eachModel(targets []int, visit func(*ModelInfo)) {
 	seen := make(map[int]bool)
 	for _, target := range targets {
 		for _, version := range l.snapshot.deployments[target].Versions {
--- a/internal/catalog/regions_test.go
+++ b/internal/catalog/regions_test.go
@@ -53,8 +53,8 @@
 				t.Errorf("%s of %s: %s, want %s", name, test.bound, got, test.want)
 			}
 		}
-		if snapshot.Places().Region("b") != "north" || snapshot.Places().Region("c") != "" {
-			t.Errorf("zones lie in %q and %q", snapshot.Places().Region("b"), snapshot.Places().Region("c"))
+		if snapshot.Topology().Region("b") != "north" || snapshot.Topology().Region("c") != "" {
+			t.Errorf("zones lie in %q and %q", snapshot.Topology().Region("b"), snapshot.Topology().Region("c"))
 		}
 	}
 }
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -53,8 +53,8 @@
 	Tenant string
 }
 
-// ModelFacts is what placement needs to know of one model version.
-type ModelFacts struct {
+// ModelInfo is what placement needs to know of one model version.
+type ModelInfo struct {
 	Model           fleet.ModelVersion
 	MemoryBytes     int64
 	CheckpointBytes int64
@@ -66,8 +66,8 @@
 	Priority int
 }
 
-// AdapterFacts is what placement needs to know of one adapter.
-type AdapterFacts struct {
+// AdapterInfo is what placement needs to know of one adapter.
+type AdapterInfo struct {
 	Adapter     fleet.AdapterName
 	Model       string
 	MemoryBytes int64
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -17,9 +17,9 @@
 type Snapshot struct {
 	version uint64
 
-	models       []ModelFacts
+	models       []ModelInfo
 	modelIndex   map[fleet.ModelVersion]int
-	adapters     []AdapterFacts
+	adapters     []AdapterInfo
 	adapterIndex map[fleet.AdapterName]int
 	deployments  []DeploymentInfo
 	// deploymentIndex finds a deployment by its name.
@@ -69,29 +69,29 @@
 }
 
 // Models are the facts of all declared model versions in order.
-func (s *Snapshot) Models() []ModelFacts {
+func (s *Snapshot) Models() []ModelInfo {
 	return s.models
 }
 
 // Model returns the facts of one model version.
-func (s *Snapshot) Model(model fleet.ModelVersion) (ModelFacts, bool) {
+func (s *Snapshot) Model(model fleet.ModelVersion) (ModelInfo, bool) {
 	index, found := s.modelIndex[model]
 	if !found {
-		return ModelFacts{}, false
+		return ModelInfo{}, false
 	}
 	return s.models[index], true
 }
 
 // Adapters are the facts of all declared adapters, ordered by name.
-func (s *Snapshot) Adapters() []AdapterFacts {
+func (s *Snapshot) Adapters() []AdapterInfo {
 	return s.adapters
 }
 
 // Adapter returns the facts of one adapter.
-func (s *Snapshot) Adapter(name fleet.AdapterName) (AdapterFacts, bool) {
+func (s *Snapshot) Adapter(name fleet.AdapterName) (AdapterInfo, bool) {
 	index, found := s.adapterIndex[name]
 	if !found {
-		return AdapterFacts{}, false
+		return AdapterInfo{}, false
 	}
 	return s.adapters[index], true
 }
@@ -122,8 +122,8 @@
 }
 
 // Evacuations are the zones that are out of service as of the snapshot.
-func (s *Snapshot) Evacuations() evacuation.Word {
-	return evacuation.Word{Zones: s.evacuated, Position: storepos.At(0, int64(s.version))}
+func (s *Snapshot) Evacuations() evacuation.Snapshot {
+	return evacuation.Snapshot{Zones: s.evacuated, Position: storepos.At(0, int64(s.version))}
 }
 
 // IsEvacuated reports whether the zone is out of service.
@@ -131,8 +131,8 @@
 	return slices.Contains(s.evacuated, string(zone))
 }
 
-// Places tells the region of each zone.
-func (s *Snapshot) Places() locality.Map {
+// Topology tells the region of each zone.
+func (s *Snapshot) Topology() locality.Map {
 	return s.places
 }
 
--- a/internal/catalog/stages.go
+++ b/internal/catalog/stages.go
@@ -16,7 +16,7 @@
 type modelStage struct {
 	declared map[string]spec.Model
 	// facts lack what selectors and capacities add.
-	facts    []ModelFacts
+	facts    []ModelInfo
 	index    map[fleet.ModelVersion]int
 	problems []Problem
 }
@@ -27,7 +27,7 @@
 		model := object.value.(spec.Model)
 		stage.declared[object.key.Name] = model
 		for _, version := range model.Versions {
-			stage.facts = append(stage.facts, ModelFacts{
+			stage.facts = append(stage.facts, ModelInfo{
 				Model:           fleet.ModelVersion{Model: object.key.Name, Version: version.Name},
 				MemoryBytes:     int64(version.Memory),
 				CheckpointBytes: int64(version.Checkpoint),
@@ -36,7 +36,7 @@
 			})
 		}
 	}
-	slices.SortFunc(stage.facts, func(a, b ModelFacts) int { return a.Model.Compare(b.Model) })
+	slices.SortFunc(stage.facts, func(a, b ModelInfo) int { return a.Model.Compare(b.Model) })
 	for index, facts := range stage.facts {
 		stage.index[facts.Model] = index
 	}
@@ -45,7 +45,7 @@
 
 // adapterStage is what the declared adapters give.
 type adapterStage struct {
-	facts    []AdapterFacts
+	facts    []AdapterInfo
 	index    map[fleet.AdapterName]int
 	problems []Problem
 }
@@ -53,7 +53,7 @@
 func compileAdapters(set *kindSet, models modelStage) adapterStage {
 	var stage adapterStage
 	objects := set.usable(&stage.problems)
-	stage.facts = make([]AdapterFacts, 0, len(objects))
+	stage.facts = make([]AdapterInfo, 0, len(objects))
 	stage.index = make(map[fleet.AdapterName]int, len(objects))
 	for _, object := range objects {
 		adapter := object.value.(spec.Adapter)
@@ -63,7 +63,7 @@
 		}
 		name := fleet.AdapterName(object.key.Name)
 		stage.index[name] = len(stage.facts)
-		stage.facts = append(stage.facts, AdapterFacts{
+		stage.facts = append(stage.facts, AdapterInfo{
 			Adapter:     name,
 			Model:       adapter.Model,
 			MemoryBytes: int64(adapter.Memory),
--- a/internal/catalog/tenants.go
+++ b/internal/catalog/tenants.go
@@ -10,8 +10,10 @@
 // NeedsKey reports whether callers need a tenant's key.
 func (s *Snapshot) NeedsKey() bool { return s.needsKey }
 
-// TenantOf is the owner of a key.
-func (s *Snapshot) TenantOf(key string) (*routetable.Tenant, bool) { return s.tenants.TenantOf(key) }
+// TenantByKey is the owner of a key.
+func (s *Snapshot) TenantByKey(key string) (*routetable.Tenant, bool) {
+	return s.tenants.TenantByKey(key)
+}
 
 // Tenant returns the tenant of a name.
 func (s *Snapshot) Tenant(name string) (*routetable.Tenant, bool) { return s.tenants.Tenant(name) }
--- a/internal/catalog/tenants_test.go
+++ b/internal/catalog/tenants_test.go
@@ -39,12 +39,12 @@
 		t.Fatal(err)
 	}
 	snapshot := compiled(t, []objectstore.Object{{Kind: string(spec.KindTenant), Name: "anna", Version: 1, Spec: text}})
-	tenant, found := snapshot.TenantOf("secret")
+	tenant, found := snapshot.TenantByKey("secret")
 	if !found || tenant.Name != "anna" || tenant.Regions != locality.Only("north") ||
 		tenant.Quota != (routetable.Quota{PerSecond: 3, Burst: 9, CountsTokens: true}) {
 		t.Errorf("found %v: %+v", found, tenant)
 	}
-	if _, found := snapshot.TenantOf(hex.EncodeToString(hash[:])); found {
+	if _, found := snapshot.TenantByKey(hex.EncodeToString(hash[:])); found {
 		t.Error("the hash of a key serves as the key")
 	}
 }
--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -44,23 +44,23 @@
 // Begin starts with the newest version of the key's slot that is known.
 type Begin struct{ Slot Slot }
 
-// Voted is a keeper's answer, or VoteNone where it could not be reached.
-type Voted struct {
+// VoteReceived is a keeper's answer, or VoteNone where it could not be reached.
+type VoteReceived struct {
 	From Seat
 	// Version is the slot's version that was asked with.
 	Version uint64
 	Reply   GrantReply
 }
 
-func (Begin) askerMessage() {}
-func (Voted) askerMessage() {}
-func (Tick) askerMessage()  {}
+func (Begin) askerMessage()        {}
+func (VoteReceived) askerMessage() {}
+func (Tick) askerMessage()         {}
 
 // AskerEffect is what an Asker wants done.
 type AskerEffect interface{ askerEffect() }
 
-// AskGrant asks a keeper; the answer comes back as Voted.
-type AskGrant struct {
+// RequestGrant asks a keeper; the answer comes back as Voted.
+type RequestGrant struct {
 	To    Seat
 	Grant Grant
 }
@@ -78,9 +78,9 @@
 	Slot     Slot
 }
 
-func (AskGrant) askerEffect() {}
-func (Release) askerEffect()  {}
-func (Finish) askerEffect()   {}
+func (RequestGrant) askerEffect() {}
+func (Release) askerEffect()      {}
+func (Finish) askerEffect()       {}
 
 // Asker seeks a majority for one attempt. An attempt that was released is
 // never asked for again and never runs.
@@ -117,7 +117,7 @@
 	switch message := message.(type) {
 	case Begin:
 		a.adopt(message.Slot)
-	case Voted:
+	case VoteReceived:
 		// An asker that was paused must not count grants of before and after
 		// its deadline together: the earlier ones may have expired.
 		if !now.Before(a.options.Deadline) {
@@ -166,7 +166,7 @@
 		if !slices.Contains(a.asked, seat) {
 			a.asked = append(a.asked, seat)
 		}
-		a.effects = append(a.effects, AskGrant{To: seat, Grant: Grant{
+		a.effects = append(a.effects, RequestGrant{To: seat, Grant: Grant{
 			Key:         a.options.Request.Key,
 			Fingerprint: a.options.Request.Fingerprint,
 			Attempt:     a.options.Attempt,
@@ -177,7 +177,7 @@
 	}
 }
 
-func (a *Asker) voted(message Voted) {
+func (a *Asker) voted(message VoteReceived) {
 	if message.Reply.Slot.Version > a.slot.Version {
 		a.adopt(message.Reply.Slot)
 		return
@@ -283,7 +283,7 @@
 func (a *Asker) youngWait() (time.Duration, bool) {
 	var waits []time.Duration
 	for _, reply := range a.replies {
-		if reply.Vote == VoteTooYoung {
+		if reply.Vote == VoteIncompleteHistory {
 			waits = append(waits, reply.RetryAfter)
 		}
 	}
--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -38,9 +38,9 @@
 			effect := queues[index][0]
 			queues[index] = queues[index][1:]
 			switch effect := effect.(type) {
-			case AskGrant:
+			case RequestGrant:
 				reply := grantReply(t, keepers[effect.To].Step(now, effect.Grant))
-				voted := Voted{From: effect.To, Version: effect.Grant.Slot.Version, Reply: reply}
+				voted := VoteReceived{From: effect.To, Version: effect.Grant.Slot.Version, Reply: reply}
 				queues[index] = append(queues[index], asker.Step(now, voted)...)
 			case Release:
 				for _, to := range effect.To {
@@ -65,18 +65,18 @@
 	old, next := slotOf(1, "a", "b", "c"), slotOf(2, "a", "b", "d")
 	asker := NewAsker(AskerOptions{Attempt: "one", Deadline: start.Add(time.Second)})
 	asker.Step(start, Begin{Slot: old})
-	asker.Step(start, Voted{From: seat("c"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
-	effects := asker.Step(start, Voted{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteStale, Slot: next}})
+	asker.Step(start, VoteReceived{From: seat("c"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
+	effects := asker.Step(start, VoteReceived{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteStale, Slot: next}})
 	if len(effects) != len(next.Seats) {
 		t.Fatalf("asked %d keepers of the newer version", len(effects))
 	}
 	// A vote of the older version must not count beside one of the newer.
-	asker.Step(start, Voted{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
-	effects = asker.Step(start, Voted{From: seat("a"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
+	asker.Step(start, VoteReceived{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
+	effects = asker.Step(start, VoteReceived{From: seat("a"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
 	if len(effects) != 0 {
 		t.Fatalf("decided on votes of two versions: %+v", effects)
 	}
-	effects = asker.Step(start, Voted{From: seat("d"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
+	effects = asker.Step(start, VoteReceived{From: seat("d"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
 	finish, found := effects[len(effects)-1].(Finish)
 	if !found || finish.Decision.Verdict != Granted {
 		t.Fatalf("majority of the newer version: %+v", effects)
@@ -87,7 +87,7 @@
 	asker := NewAsker(AskerOptions{Attempt: "one", Deadline: start.Add(time.Second)})
 	slot := slotOf(1, "a", "b", "c")
 	asker.Step(start, Begin{Slot: slot})
-	asker.Step(start, Voted{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}})
+	asker.Step(start, VoteReceived{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}})
 	effects := asker.Step(start.Add(time.Second), Tick{})
 	if len(effects) != 2 {
 		t.Fatalf("at the deadline: %+v", effects)
@@ -108,8 +108,8 @@
 	slot := slotOf(1, "a", "b", "c")
 	asker := NewAsker(AskerOptions{Attempt: "one", Deadline: start.Add(time.Second)})
 	asker.Step(start, Begin{Slot: slot})
-	asker.Step(start, Voted{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}})
-	late := Voted{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}}
+	asker.Step(start, VoteReceived{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}})
+	late := VoteReceived{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}}
 	for _, effect := range asker.Step(start.Add(window), late) {
 		if finish, found := effect.(Finish); found && finish.Decision.Verdict == Granted {
 			t.Fatal("a grant from before the pause was counted with one from after it")
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -42,13 +42,13 @@
 		k.effects = append(k.effects, k.grant(message))
 	case Complete:
 		k.effects = append(k.effects, k.complete(message))
-	case Learn:
+	case SlotUpdate:
 		k.learn(message.Slot)
 	case Seal:
 		k.effects = append(k.effects, k.seal(message.Slot))
-	case Handed:
+	case SealAnswered:
 		k.handed(message)
-	case Gone:
+	case ProcessEnded:
 		k.markGone(message.Seat)
 	case NodeLost:
 		for _, held := range k.records {
@@ -101,7 +101,7 @@
 	}
 	wait := state.wait(k.now, k.options.retention(request.Window))
 	if reply.Vote == VoteGranted && wait > 0 && !k.options.Defects.YoungVouches {
-		return GrantReply{Vote: VoteTooYoung, RetryAfter: wait}
+		return GrantReply{Vote: VoteIncompleteHistory, RetryAfter: wait}
 	}
 	if recorded {
 		return reply
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -58,7 +58,7 @@
 	keeper := NewKeeper(KeeperOptions{Self: seat("d")})
 	slot := slotOf(2, "a", "b", "d")
 	slot.Previous = [][]Seat{slotOf(1, "a", "b", "c").Seats}
-	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote != VoteTooYoung {
+	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote != VoteIncompleteHistory {
 		t.Fatalf("got %+v", reply)
 	}
 }
@@ -69,13 +69,13 @@
 	slot := slotOf(2, "a", "b", "d")
 	slot.Previous = [][]Seat{slotOf(1, "a", "b", "c").Seats}
 	keeper := NewKeeper(KeeperOptions{Self: seat("d")})
-	keeper.Step(start, Learn{Slot: slot})
+	keeper.Step(start, SlotUpdate{Slot: slot})
 	for _, name := range from {
 		older := NewKeeper(KeeperOptions{Self: seat(name)})
 		grantReply(t, older.Step(start, grantOf("one", slotOf(1, "a", "b", "c"))))
 		for _, effect := range older.Step(start, Seal{Slot: slot}) {
 			if reply, found := effect.(SealReply); found {
-				keeper.Step(start, Handed{Version: 2, From: seat(name), Reply: reply})
+				keeper.Step(start, SealAnswered{Version: 2, From: seat(name), Reply: reply})
 			}
 		}
 		if reply := grantReply(t, older.Step(start, grantOf("two", slotOf(1, "a", "b", "c")))); reply.Vote != VoteStale {
@@ -89,7 +89,7 @@
 	slot := slotOf(2, "a", "b", "d")
 	other := Grant{Key: "other", Attempt: "two", Window: window, Slot: slot}
 	keeper := successor(t, "a")
-	if reply := grantReply(t, keeper.Step(start, other)); reply.Vote != VoteTooYoung {
+	if reply := grantReply(t, keeper.Step(start, other)); reply.Vote != VoteIncompleteHistory {
 		t.Fatalf("after one hand-over: %+v", reply)
 	}
 	keeper = successor(t, "a", "b")
@@ -103,14 +103,14 @@
 
 func TestKeeperWaitsTheWindowWhereTheRecordsAreLost(t *testing.T) {
 	keeper := successor(t, "a")
-	keeper.Step(start, Gone{Seat: seat("b")})
+	keeper.Step(start, ProcessEnded{Seat: seat("b")})
 	slot := slotOf(2, "a", "b", "d")
 	ask := Grant{Key: "other", Attempt: "two", Window: window, Slot: slot}
 	retention := KeeperOptions{}.withDefaults().retention(window)
 	for _, moment := range []struct {
 		after time.Duration
 		vote  Vote
-	}{{0, VoteTooYoung}, {window, VoteTooYoung}, {retention, VoteGranted}} {
+	}{{0, VoteIncompleteHistory}, {window, VoteIncompleteHistory}, {retention, VoteGranted}} {
 		if reply := grantReply(t, keeper.Step(start.Add(moment.after), ask)); reply.Vote != moment.vote {
 			t.Errorf("after %v: %+v", moment.after, reply)
 		}
@@ -165,7 +165,7 @@
 	if reply := grantReply(t, keeper.Step(start, grantOf("one", older))); reply.Vote != VoteGranted {
 		t.Fatalf("in the older version: %+v", reply)
 	}
-	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote != VoteTooYoung {
+	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote != VoteIncompleteHistory {
 		t.Fatalf("in the newer version: %+v", reply)
 	}
 }
@@ -179,19 +179,19 @@
 		keepers := make(map[string]*Keeper)
 		for _, name := range []string{"a", "b", "c", "d"} {
 			keepers[name] = NewKeeper(KeeperOptions{Self: seat(name), Defects: defects})
-			keepers[name].Step(start, Learn{Slot: older})
+			keepers[name].Step(start, SlotUpdate{Slot: older})
 		}
 		for _, from := range []string{"a", "b"} {
 			for _, effect := range keepers[from].Step(start, Seal{Slot: newer}) {
 				if reply, found := effect.(SealReply); found {
-					keepers["d"].Step(start, Learn{Slot: newer})
-					keepers["d"].Step(start, Handed{Version: 2, From: seat(from), Reply: reply})
-					keepers["a"].Step(start, Handed{Version: 2, From: seat(from), Reply: reply})
-					keepers["b"].Step(start, Handed{Version: 2, From: seat(from), Reply: reply})
+					keepers["d"].Step(start, SlotUpdate{Slot: newer})
+					keepers["d"].Step(start, SealAnswered{Version: 2, From: seat(from), Reply: reply})
+					keepers["a"].Step(start, SealAnswered{Version: 2, From: seat(from), Reply: reply})
+					keepers["b"].Step(start, SealAnswered{Version: 2, From: seat(from), Reply: reply})
 				}
 			}
 		}
-		keepers["b"].Step(start, Handed{Version: 2, From: seat("a"), Reply: SealReply{Settled: true, Always: true}})
+		keepers["b"].Step(start, SealAnswered{Version: 2, From: seat("a"), Reply: SealReply{Settled: true, KnowsAll: true}})
 		majorities := 0
 		for _, asked := range []struct {
 			attempt string
--- a/internal/claim/message.go
+++ b/internal/claim/message.go
@@ -36,36 +36,36 @@
 	Slot        Slot
 }
 
-// Learn tells of a version of a slot.
-type Learn struct{ Slot Slot }
+// SlotUpdate tells of a version of a slot.
+type SlotUpdate struct{ Slot Slot }
 
 // Seal asks an older keeper for its records; it grants no more in older
 // versions.
 type Seal struct{ Slot Slot }
 
-// Handed is an older keeper's answer to a Seal that this keeper sent.
-type Handed struct {
+// SealAnswered is an older keeper's answer to a Seal that this keeper sent.
+type SealAnswered struct {
 	Index   int
 	Version uint64
 	From    Seat
 	Reply   SealReply
 }
 
-// Gone says that a process has ended for good.
-type Gone struct{ Seat Seat }
+// ProcessEnded says that a process has ended for good.
+type ProcessEnded struct{ Seat Seat }
 
 // NodeLost says that the failure detector lost a node: its attempts are not
 // going to be told of.
 type NodeLost struct{ Node fleet.NodeName }
 
-func (Tick) keeperMessage()     {}
-func (Grant) keeperMessage()    {}
-func (Complete) keeperMessage() {}
-func (Learn) keeperMessage()    {}
-func (Seal) keeperMessage()     {}
-func (Handed) keeperMessage()   {}
-func (Gone) keeperMessage()     {}
-func (NodeLost) keeperMessage() {}
+func (Tick) keeperMessage()         {}
+func (Grant) keeperMessage()        {}
+func (Complete) keeperMessage()     {}
+func (SlotUpdate) keeperMessage()   {}
+func (Seal) keeperMessage()         {}
+func (SealAnswered) keeperMessage() {}
+func (ProcessEnded) keeperMessage() {}
+func (NodeLost) keeperMessage()     {}
 
 // KeeperEffect is what a Keeper wants done.
 type KeeperEffect interface{ keeperEffect() }
@@ -82,8 +82,8 @@
 	VoteDone
 	VoteMismatch
 	VoteUnknown
-	// VoteTooYoung means that the keeper does not know of the whole window.
-	VoteTooYoung
+	// VoteIncompleteHistory means that the keeper does not know of the whole window.
+	VoteIncompleteHistory
 	// VoteFull means that the keeper can hold no more records.
 	VoteFull
 	// VoteStale means that asker and keeper know different versions.
@@ -110,13 +110,13 @@
 	// Settled is set where the keeper knows of all that was granted in older
 	// versions within KnownFor; Always means without limit.
 	Settled  bool
-	Always   bool
+	KnowsAll bool
 	KnownFor time.Duration
-	Records  []HandedRecord
+	Records  []TransferredRecord
 }
 
-// HandedRecord is a record on its way to another keeper.
-type HandedRecord struct {
+// TransferredRecord is a record on its way to another keeper.
+type TransferredRecord struct {
 	Key           string
 	Fingerprint   []byte
 	Holders       []string
@@ -128,8 +128,8 @@
 	Answer        *Answer
 }
 
-// AskSeal asks an older keeper to seal; the answer comes back as Handed.
-type AskSeal struct {
+// RequestSeal asks an older keeper to seal; the answer comes back as Handed.
+type RequestSeal struct {
 	To   Seat
 	Slot Slot
 }
@@ -137,4 +137,4 @@
 func (GrantReply) keeperEffect()    {}
 func (CompleteReply) keeperEffect() {}
 func (SealReply) keeperEffect()     {}
-func (AskSeal) keeperEffect()       {}
+func (RequestSeal) keeperEffect()   {}
--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -22,9 +22,9 @@
 	// ClockDrift is the largest difference between the rates of two nodes'
 	// clocks, as a share.
 	ClockDrift float64
-	// AskInterval is the time between requests to older keepers that have not
+	// SealRetryInterval is the time between requests to older keepers that have not
 	// yet answered.
-	AskInterval time.Duration
+	SealRetryInterval time.Duration
 	// Defects plant faults; only tests and the simulator set it.
 	Defects Defects
 }
@@ -66,7 +66,7 @@
 	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, defaultMaxAnswerBytes)
 	o.MaxAnswersBytes = cmp.Or(o.MaxAnswersBytes, defaultMaxAnswersBytes)
 	o.ClockDrift = cmp.Or(o.ClockDrift, defaultClockDrift)
-	o.AskInterval = cmp.Or(o.AskInterval, defaultAskInterval)
+	o.SealRetryInterval = cmp.Or(o.SealRetryInterval, defaultAskInterval)
 	return o
 }
 
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -6,22 +6,22 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Evidence is what the planner of the table knows of the seats.
-type Evidence struct {
+// PlanInput is what the planner of the table knows of the seats.
+type PlanInput struct {
 	// Usable are the members that may have a seat.
 	Usable []fleet.Member
 	// Settled names the seats that said they are settled, by slot index, at
 	// the slot's present version.
 	Settled map[int][]Seat
-	// Gone reports whether the process has ended for good.
-	Gone func(Seat) bool
+	// HasEnded reports whether the process has ended for good.
+	HasEnded func(Seat) bool
 }
 
-// Found returns the first table of a fleet in which no key was ever granted.
-func Found(usable []fleet.Member) Table {
+// NewTable returns the first table of a fleet in which no key was ever granted.
+func NewTable(usable []fleet.Member) Table {
 	table := Table{Slots: make([]Slot, SlotCount)}
 	for index := range table.Slots {
-		table.Slots[index] = Slot{Index: index, Version: 1, Seats: seatsOf(Choose(index, nil, usable))}
+		table.Slots[index] = Slot{Index: index, Version: 1, Seats: seatsOf(SelectVoters(index, nil, usable))}
 	}
 	return table
 }
@@ -29,7 +29,7 @@
 // Plan returns the table with unusable seats replaced, and whether anything
 // changed. A slot changes only if enough of its seats to overlap every majority
 // are settled or have ended for good.
-func Plan(table Table, evidence Evidence) (Table, bool) {
+func Plan(table Table, evidence PlanInput) (Table, bool) {
 	planned := Table{Slots: slices.Clone(table.Slots)}
 	changed := false
 	for index, slot := range planned.Slots {
@@ -41,14 +41,14 @@
 	return planned, changed
 }
 
-func planSlot(slot Slot, evidence Evidence) (Slot, bool) {
-	seats := seatsOf(Choose(slot.Index, kept(slot, evidence.Usable), evidence.Usable))
+func planSlot(slot Slot, evidence PlanInput) (Slot, bool) {
+	seats := seatsOf(SelectVoters(slot.Index, kept(slot, evidence.Usable), evidence.Usable))
 	if len(seats) == 0 || sameSeats(seats, slot.Seats) {
 		return slot, false
 	}
 	next := Slot{Index: slot.Index, Version: slot.Version + 1, Seats: seats}
 	settled := evidence.Settled[slot.Index]
-	if closable(slot.Seats, settled, evidence.Gone) < Overlap(slot.Seats) {
+	if closable(slot.Seats, settled, evidence.HasEnded) < Overlap(slot.Seats) {
 		return slot, false
 	}
 	if len(settled) > 0 {
--- a/internal/claim/plan_test.go
+++ b/internal/claim/plan_test.go
@@ -19,7 +19,7 @@
 	}
 	for slot := range SlotCount {
 		zones := make(map[fleet.Zone]bool)
-		for _, member := range Choose(slot, nil, members) {
+		for _, member := range SelectVoters(slot, nil, members) {
 			zones[member.Zone] = true
 		}
 		if len(zones) != SeatsPerSlot {
@@ -43,13 +43,13 @@
 	}{
 		{"two settled", []Seat{seat("a"), seat("b")}, never, true, 1},
 		{"one settled", []Seat{seat("a")}, never, false, 1},
-		{"one settled and one gone", []Seat{seat("a")}, seat("c").Same, true, 1},
+		{"one settled and one gone", []Seat{seat("a")}, seat("c").SameProcess, true, 1},
 		{"none settled, all gone", nil, func(Seat) bool { return true }, true, 2},
-		{"none settled, one gone", nil, seat("c").Same, false, 1},
+		{"none settled, one gone", nil, seat("c").SameProcess, false, 1},
 	} {
 		t.Run(situation.name, func(t *testing.T) {
-			planned, changed := Plan(table, Evidence{
-				Usable: usable, Settled: map[int][]Seat{0: situation.settled}, Gone: situation.gone,
+			planned, changed := Plan(table, PlanInput{
+				Usable: usable, Settled: map[int][]Seat{0: situation.settled}, HasEnded: situation.gone,
 			})
 			if changed != situation.changes || len(planned.Slots[0].Previous) != situation.generations {
 				t.Fatalf("changed %v: %+v", changed, planned.Slots[0])
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -82,7 +82,7 @@
 
 // join takes what another keeper held of the same key. Every attempt that
 // may have had a majority stays a holder.
-func (r *record) join(now time.Time, other HandedRecord) {
+func (r *record) join(now time.Time, other TransferredRecord) {
 	for _, attempt := range other.Released {
 		r.release(attempt)
 	}
@@ -105,8 +105,8 @@
 	r.attemptEnds = later(r.attemptEnds, now.Add(other.AttemptEndsIn))
 }
 
-func (r *record) handed(now time.Time) HandedRecord {
-	return HandedRecord{
+func (r *record) handed(now time.Time) TransferredRecord {
+	return TransferredRecord{
 		Key:           r.key,
 		Fingerprint:   r.fingerprint,
 		Holders:       slices.Clone(r.holders),
--- a/internal/claim/seat.go
+++ b/internal/claim/seat.go
@@ -103,12 +103,12 @@
 func (k *Keeper) sealReply(state *seatState) SealReply {
 	return SealReply{
 		Settled:  state.settledVersion > 0 && state.settledVersion+1 >= state.slot.Version,
-		Always:   state.always,
+		KnowsAll: state.always,
 		KnownFor: k.now.Sub(state.knownSince),
 	}
 }
 
-func (k *Keeper) handed(message Handed) {
+func (k *Keeper) handed(message SealAnswered) {
 	state := k.slots[message.Index]
 	if state == nil || !state.waits() || state.slot.Version != message.Version {
 		return
@@ -124,7 +124,7 @@
 
 // joinRecord must not fail for lack of room: an unknown grant is a call that
 // may run twice. What is handed over is bounded by the senders' own limits.
-func (k *Keeper) joinRecord(slot int, other HandedRecord) {
+func (k *Keeper) joinRecord(slot int, other TransferredRecord) {
 	held := k.live(other.Key)
 	if held == nil {
 		held = &record{key: other.Key, slot: slot}
@@ -176,7 +176,7 @@
 		}
 		answers++
 		since := state.heard[identity(seat)].Add(-reply.KnownFor)
-		if reply.Settled && (best == nil || reply.Always || !best.Always && since.Before(bestSince)) {
+		if reply.Settled && (best == nil || reply.KnowsAll || !best.KnowsAll && since.Before(bestSince)) {
 			best = &reply
 			bestSince = since
 		}
@@ -184,8 +184,8 @@
 	if answers < Overlap(generation) || best == nil {
 		return false
 	}
-	k.settle(state, best.Always, bestSince)
-	state.complete = answers == len(generation) || best.Always
+	k.settle(state, best.KnowsAll, bestSince)
+	state.complete = answers == len(generation) || best.KnowsAll
 	return true
 }
 
@@ -214,7 +214,7 @@
 		if !state.waits() || k.now.Before(state.nextAsk) {
 			continue
 		}
-		state.nextAsk = k.now.Add(k.options.AskInterval)
+		state.nextAsk = k.now.Add(k.options.SealRetryInterval)
 		asked := make(map[Seat]bool)
 		for _, seat := range slices.Concat(state.slot.Previous...) {
 			_, found := state.answered[identity(seat)]
@@ -222,7 +222,7 @@
 				continue
 			}
 			asked[identity(seat)] = true
-			k.effects = append(k.effects, AskSeal{To: seat, Slot: state.slot})
+			k.effects = append(k.effects, RequestSeal{To: seat, Slot: state.slot})
 		}
 	}
 }
--- a/internal/claim/slot.go
+++ b/internal/claim/slot.go
@@ -25,8 +25,8 @@
 	Address string         `json:"address"`
 }
 
-// Same reports whether both are the same process.
-func (s Seat) Same(other Seat) bool {
+// SameProcess reports whether both are the same process.
+func (s Seat) SameProcess(other Seat) bool {
 	return s.Name == other.Name && s.Boot == other.Boot
 }
 
@@ -79,12 +79,12 @@
 
 // contains reports whether the process has one of the seats.
 func contains(seats []Seat, seat Seat) bool {
-	return slices.ContainsFunc(seats, seat.Same)
+	return slices.ContainsFunc(seats, seat.SameProcess)
 }
 
-// Choose fills the kept seats up to SeatsPerSlot from the candidates, by
+// SelectVoters fills the kept seats up to SeatsPerSlot from the candidates, by
 // rendezvous hash, taking a zone that has no seat yet before one that has.
-func Choose(slot int, kept []fleet.Member, candidates []fleet.Member) []fleet.Member {
+func SelectVoters(slot int, kept []fleet.Member, candidates []fleet.Member) []fleet.Member {
 	chosen := slices.Clone(kept)
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(first, second fleet.Member) int {
@@ -127,7 +127,7 @@
 // Coordinator returns the member that keeps the table, so that usually one
 // node alone reads and writes its object. Nothing rests on its being one.
 func Coordinator(usable []fleet.Member) (fleet.Member, bool) {
-	chosen := Choose(noSlot, nil, usable)
+	chosen := SelectVoters(noSlot, nil, usable)
 	if len(chosen) == 0 {
 		return fleet.Member{}, false
 	}
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -99,7 +99,7 @@
 	for index := range worldNodes {
 		w.processes = append(w.processes, w.boot(index, maxRecords))
 	}
-	w.stored = Slot{Version: 1, Seats: seatsOf(Choose(0, nil, w.members(0, worldNodes)))}
+	w.stored = Slot{Version: 1, Seats: seatsOf(SelectVoters(0, nil, w.members(0, worldNodes)))}
 	return w
 }
 
@@ -206,7 +206,7 @@
 	}
 	for _, effect := range running.asker.Step(w.clock(process), news) {
 		switch effect := effect.(type) {
-		case AskGrant:
+		case RequestGrant:
 			w.askGrant(process, attempt, effect)
 		case Release:
 			w.tellOutcome(process, effect.To, effect.Complete)
@@ -302,14 +302,14 @@
 func (w *world) step1(process *process, news KeeperMessage) []KeeperEffect {
 	effects := process.keeper.Step(w.clock(process), news)
 	for _, effect := range effects {
-		if ask, found := effect.(AskSeal); found {
+		if ask, found := effect.(RequestSeal); found {
 			w.askSeal(process, ask)
 		}
 	}
 	return effects
 }
 
-func (w *world) askGrant(process *process, attempt string, ask AskGrant) {
+func (w *world) askGrant(process *process, attempt string, ask RequestGrant) {
 	to := w.at(ask.To).index
 	w.send(process.index, to, func() {
 		keeper := w.processes[to]
@@ -318,7 +318,7 @@
 			if !found {
 				continue
 			}
-			voted := Voted{From: ask.To, Version: ask.Grant.Slot.Version, Reply: reply}
+			voted := VoteReceived{From: ask.To, Version: ask.Grant.Slot.Version, Reply: reply}
 			w.send(to, process.index, func() {
 				if w.processes[process.index] == process {
 					w.stepAsker(process, attempt, voted)
@@ -335,15 +335,15 @@
 	}
 }
 
-func (w *world) askSeal(process *process, ask AskSeal) {
+func (w *world) askSeal(process *process, ask RequestSeal) {
 	to := w.at(ask.To).index
 	w.send(process.index, to, func() {
 		other := w.processes[to]
-		var news KeeperMessage = Gone{Seat: ask.To}
+		var news KeeperMessage = ProcessEnded{Seat: ask.To}
 		if other.member.BootID == ask.To.Boot {
 			for _, effect := range w.step1(other, Seal{Slot: ask.Slot}) {
 				if reply, found := effect.(SealReply); found {
-					news = Handed{Index: ask.Slot.Index, Version: ask.Slot.Version, From: ask.To, Reply: reply}
+					news = SealAnswered{Index: ask.Slot.Index, Version: ask.Slot.Version, From: ask.To, Reply: reply}
 				}
 			}
 		}
@@ -361,7 +361,7 @@
 	planner := w.choose(worldNodes, "planner")
 	process := w.processes[planner]
 	process.slot = w.stored
-	evidence := Evidence{Settled: make(map[int][]Seat)}
+	evidence := PlanInput{Settled: make(map[int][]Seat)}
 	unseen := w.choose(worldNodes+1, "unseen")
 	for index, other := range w.processes {
 		if w.cut[planner][index] || w.cut[index][planner] {
@@ -370,12 +370,12 @@
 		if index != unseen {
 			evidence.Usable = append(evidence.Usable, other.member)
 		}
-		w.step1(other, Learn{Slot: w.stored})
+		w.step1(other, SlotUpdate{Slot: w.stored})
 		if other.keeper.Settled()[0] == w.stored.Version {
 			evidence.Settled[0] = append(evidence.Settled[0], seatsOf([]fleet.Member{other.member})...)
 		}
 	}
-	evidence.Gone = func(seat Seat) bool {
+	evidence.HasEnded = func(seat Seat) bool {
 		other := w.at(seat)
 		reached := !w.cut[planner][other.index] && !w.cut[other.index][planner]
 		return reached && other.member.BootID != seat.Boot
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -52,6 +52,6 @@
 // Until is the time left until t, a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspend makes the clock go on by d at once, while the standard library's stands still, as
+// SimulateSuspend makes the clock go on by d at once, while the standard library's stands still, as
 // a suspension of the machine does. It is for tests.
-func Suspend(d time.Duration) { suspended.Add(int64(d)) }
+func SimulateSuspend(d time.Duration) { suspended.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,8 +9,8 @@
 // library's clock does not see it.
 func TestGoesOnWhileSuspended(t *testing.T) {
 	before, steady := Now(), time.Now()
-	Suspend(5 * time.Second)
-	defer Suspend(-5 * time.Second)
+	SimulateSuspend(5 * time.Second)
+	defer SimulateSuspend(-5 * time.Second)
 	if passed := Since(before); passed < 5*time.Second || passed > 6*time.Second {
 		t.Errorf("%v passed, want 5 s and what the test takes", passed)
 	}
--- a/internal/configsync/bench_test.go
+++ b/internal/configsync/bench_test.go
@@ -23,7 +23,7 @@
 	for index := range benchObjects {
 		list.Objects = append(list.Objects, benchObject(index, uint64(index+1)))
 	}
-	core.Step(time.Unix(1, 0), Listed{Generation: 1, List: list})
+	core.Step(time.Unix(1, 0), StoreListed{Generation: 1, List: list})
 	return core
 }
 
--- a/internal/configsync/cluster_test.go
+++ b/internal/configsync/cluster_test.go
@@ -126,7 +126,7 @@
 			c.send(node, "", ListFailed(effect))
 			return
 		}
-		c.send(node, "", Listed{Generation: effect.Generation, List: c.store.list()})
+		c.send(node, "", StoreListed{Generation: effect.Generation, List: c.store.list()})
 	case WatchStore:
 		node.watch = &effect
 		node.position = effect.Since
@@ -152,7 +152,7 @@
 		}
 	case MachinesUpdated:
 		node.machines = effect.List
-	case StoreBehind, Diverged:
+	case StoreBehind, PeerDiverged:
 		c.reports = append(c.reports, effect)
 	}
 }
@@ -203,7 +203,7 @@
 	for _, change := range c.store.history {
 		if change.Version > node.position && change.Version <= c.store.visible() {
 			node.position = change.Version
-			c.step(node, Watched{Generation: generation, Version: change.Version, Objects: []objectstore.Object{change}})
+			c.step(node, EventsReceived{Generation: generation, Version: change.Version, Objects: []objectstore.Object{change}})
 			return
 		}
 	}
@@ -271,7 +271,7 @@
 		if key.Kind == objectstore.KindLease {
 			continue
 		}
-		held, found := node.core.Holds(key)
+		held, found := node.core.Lookup(key)
 		switch {
 		case !found && !change.Deleted:
 			c.fail("%s lacks %v@%d at version %d", node.member.Name, key, change.Version, version)
--- a/internal/configsync/core.go
+++ b/internal/configsync/core.go
@@ -124,8 +124,8 @@
 	return c.objects.all()
 }
 
-// Holds returns the version at which an object or its tombstone is held.
-func (c *Core) Holds(key objectstore.Key) (objectstore.Object, bool) {
+// Lookup returns the version at which an object or its tombstone is held.
+func (c *Core) Lookup(key objectstore.Key) (objectstore.Object, bool) {
 	object, found := c.objects.objects[key]
 	return object, found
 }
@@ -142,17 +142,17 @@
 	case Tick:
 	case MembersChanged:
 		c.membersChanged(now, message.Members)
-	case Listed:
+	case StoreListed:
 		c.listed(now, message)
 	case ListFailed:
 		c.readFailed(now, message.Generation)
-	case Watched:
+	case EventsReceived:
 		c.watched(now, message)
 	case WatchEnded:
 		c.watchEnded(now, message)
 	case MachinesListed:
 		c.machinesListed(now, message.List)
-	case MachinesFailed:
+	case ListMachinesFailed:
 	case PushReceived:
 		if message.Push.Space == SpaceMachines {
 			c.machinePushReceived(now, message)
@@ -226,5 +226,5 @@
 	}
 	c.everReported = c.everReported || loaded
 	c.reported = version
-	c.emit(Updated{Version: version, Changed: changed})
+	c.emit(ObjectsUpdated{Version: version, Changed: changed})
 }
--- a/internal/configsync/ledger.go
+++ b/internal/configsync/ledger.go
@@ -17,9 +17,9 @@
 	Since   uint64
 	Version uint64
 	Objects []objectstore.Object
-	// Horizon is the version up to which tombstones may be missing. An object
+	// TombstoneHorizon is the version up to which tombstones may be missing. An object
 	// that changed after Since and is not listed was deleted up to Version.
-	Horizon uint64
+	TombstoneHorizon uint64
 }
 
 // ledger holds objects with their versions, tombstones included.
@@ -117,7 +117,7 @@
 	if ahead {
 		changed = append(changed, l.deleteUnlisted(changes, changes.Since)...)
 	}
-	l.horizon = max(l.horizon, min(changes.Horizon, changes.Version))
+	l.horizon = max(l.horizon, min(changes.TombstoneHorizon, changes.Version))
 	l.advance(changes.Version, len(changed) > 0)
 	return changed, false
 }
--- a/internal/configsync/machines.go
+++ b/internal/configsync/machines.go
@@ -114,7 +114,7 @@
 	switch {
 	case !t.loaded:
 	case digest.Hash == t.hash && digest.Version > 0:
-		answer.Same = true
+		answer.InSync = true
 	case digest.Version < t.asOf:
 		answer.Full = true
 		for _, name := range slices.Sorted(maps.Keys(t.machines)) {
@@ -246,7 +246,7 @@
 	switch {
 	case !newer:
 		c.retryFirst(now, c.machines.loaded, &c.machines.digestAt)
-	case answer.Same && answer.Hash == c.machines.hash:
+	case answer.InSync && answer.Hash == c.machines.hash:
 		c.machines.asOf = answer.Changes.Version
 	case answer.Full:
 		from, found := c.peerNamed(message.From)
--- a/internal/configsync/messages.go
+++ b/internal/configsync/messages.go
@@ -5,15 +5,15 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// Space names what versions count.
-type Space string
+// VersionSpace names what versions count.
+type VersionSpace string
 
 // The spaces.
 const (
 	// SpaceObjects counts the store's revisions.
-	SpaceObjects Space = ""
+	SpaceObjects VersionSpace = ""
 	// SpaceMachines counts the times of the machine list in Unix milliseconds.
-	SpaceMachines Space = "machines"
+	SpaceMachines VersionSpace = "machines"
 )
 
 // Message is an input of the core.
@@ -26,8 +26,8 @@
 // zones included.
 type MembersChanged struct{ Members []fleet.Member }
 
-// Listed answers ListStore.
-type Listed struct {
+// StoreListed answers ListStore.
+type StoreListed struct {
 	Generation uint64
 	List       objectstore.ObjectList
 }
@@ -35,9 +35,9 @@
 // ListFailed answers ListStore.
 type ListFailed struct{ Generation uint64 }
 
-// Watched hands over events of the watch in their order. A batch without
+// EventsReceived hands over events of the watch in their order. A batch without
 // objects only tells the store's revision.
-type Watched struct {
+type EventsReceived struct {
 	Generation uint64
 	// Version is the revision that the watch has reached.
 	Version uint64
@@ -56,8 +56,8 @@
 // MachinesListed answers ListMachines.
 type MachinesListed struct{ List objectstore.MachineList }
 
-// MachinesFailed answers ListMachines.
-type MachinesFailed struct{}
+// ListMachinesFailed answers ListMachines.
+type ListMachinesFailed struct{}
 
 // PushReceived is a peer's push; AnswerPush with the same Call answers it.
 type PushReceived struct {
@@ -82,25 +82,25 @@
 // DigestFailed tells that SendDigest got no answer.
 type DigestFailed struct {
 	To    fleet.NodeName
-	Space Space
-}
-
-func (Tick) message()           {}
-func (MembersChanged) message() {}
-func (Listed) message()         {}
-func (ListFailed) message()     {}
-func (Watched) message()        {}
-func (WatchEnded) message()     {}
-func (MachinesListed) message() {}
-func (MachinesFailed) message() {}
-func (PushReceived) message()   {}
-func (DigestReceived) message() {}
-func (DigestAnswered) message() {}
-func (DigestFailed) message()   {}
+	Space VersionSpace
+}
+
+func (Tick) message()               {}
+func (MembersChanged) message()     {}
+func (StoreListed) message()        {}
+func (ListFailed) message()         {}
+func (EventsReceived) message()     {}
+func (WatchEnded) message()         {}
+func (MachinesListed) message()     {}
+func (ListMachinesFailed) message() {}
+func (PushReceived) message()       {}
+func (DigestReceived) message()     {}
+func (DigestAnswered) message()     {}
+func (DigestFailed) message()       {}
 
 // Push hands over changes of one space.
 type Push struct {
-	Space   Space
+	Space   VersionSpace
 	Changes Changes
 	// BaseHash and Hash are over the whole machine list before and after the
 	// changes. They are set in SpaceMachines, where Changes.Since and Horizon
@@ -111,7 +111,7 @@
 
 // Digest tells what a node holds of one space.
 type Digest struct {
-	Space   Space
+	Space   VersionSpace
 	Version uint64
 	// Hash is over the objects held that are not deleted; 0 when it must not
 	// be compared.
@@ -122,14 +122,14 @@
 
 // DigestAnswer brings the sender of a digest up to date.
 type DigestAnswer struct {
-	Space   Space
+	Space   VersionSpace
 	Changes Changes
 	Hash    uint64
 	// Full is set when Changes holds all objects that are not deleted.
 	Full bool
-	// Same is set when the sender of the digest held exactly the objects that
+	// InSync is set when the sender of the digest held exactly the objects that
 	// exist at the version; Changes holds none then.
-	Same bool
+	InSync bool
 	// Loaded is false while the answering node has nothing in force.
 	Loaded bool
 }
@@ -177,9 +177,9 @@
 	Answer DigestAnswer
 }
 
-// Updated tells that objects changed or that the version in force reached
+// ObjectsUpdated tells that objects changed or that the version in force reached
 // them. Changed includes tombstones and the system's own records.
-type Updated struct {
+type ObjectsUpdated struct {
 	Version uint64
 	Changed []objectstore.Object
 }
@@ -194,8 +194,8 @@
 	Held  uint64
 }
 
-// Diverged reports that a peer at the same version holds other objects.
-type Diverged struct {
+// PeerDiverged reports that a peer at the same version holds other objects.
+type PeerDiverged struct {
 	Peer    fleet.NodeName
 	Version uint64
 }
@@ -211,8 +211,8 @@
 func (SendDigest) effect()      {}
 func (AnswerPush) effect()      {}
 func (AnswerDigest) effect()    {}
-func (Updated) effect()         {}
+func (ObjectsUpdated) effect()  {}
 func (MachinesUpdated) effect() {}
 func (StoreBehind) effect()     {}
-func (Diverged) effect()        {}
+func (PeerDiverged) effect()    {}
 func (ReaderChanged) effect()   {}
--- a/internal/configsync/read.go
+++ b/internal/configsync/read.go
@@ -131,7 +131,7 @@
 	return c.reader.active && c.reader.busy && generation == c.reader.generation
 }
 
-func (c *Core) listed(now time.Time, message Listed) {
+func (c *Core) listed(now time.Time, message StoreListed) {
 	if !c.current(message.Generation) {
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-func (c *Core) watched(now time.Time, message Watched) {
+func (c *Core) watched(now time.Time, message EventsReceived) {
 	if !c.current(message.Generation) {
 		return
 	}
--- a/internal/configsync/scenario_test.go
+++ b/internal/configsync/scenario_test.go
@@ -114,7 +114,7 @@
 	c.settle(200)
 	later := objectstore.Key{Kind: "Model", Name: "later"}
 	for _, node := range c.nodes {
-		if object, _ := node.core.Holds(later); object.Version != c.store.version {
+		if object, _ := node.core.Lookup(later); object.Version != c.store.version {
 			t.Errorf("%s holds the later model at version %d instead of %d", node.member.Name, object.Version, c.store.version)
 		}
 	}
--- a/internal/configsync/spread.go
+++ b/internal/configsync/spread.go
@@ -53,10 +53,10 @@
 	}
 	c.spread.pushAt = time.Time{}
 	changes := Changes{
-		Since:   c.spread.pushSince,
-		Version: c.objects.version,
-		Objects: c.objects.since(c.spread.pushSince),
-		Horizon: c.objects.horizon,
+		Since:            c.spread.pushSince,
+		Version:          c.objects.version,
+		Objects:          c.objects.since(c.spread.pushSince),
+		TombstoneHorizon: c.objects.horizon,
 	}
 	if c.objects.dropped > changes.Since {
 		// Tombstones are gone already: the receivers must see a gap and ask.
@@ -199,7 +199,7 @@
 	held := c.objects
 	answer := DigestAnswer{
 		Space:   SpaceObjects,
-		Changes: Changes{Since: digest.Version, Version: held.version, Horizon: held.horizon},
+		Changes: Changes{Since: digest.Version, Version: held.version, TombstoneHorizon: held.horizon},
 		Hash:    held.comparableHash(),
 		Loaded:  held.loaded,
 	}
@@ -209,7 +209,7 @@
 	switch {
 	case !held.loaded:
 	case equal && digest.Version < held.horizon:
-		answer.Same = true
+		answer.InSync = true
 	case differs || digest.WantAll || digest.Version < held.horizon:
 		answer.Full = true
 		answer.Changes.Since = 0
@@ -228,7 +228,7 @@
 	from, found := c.peerNamed(message.From)
 	push := found && c.isForeign(from)
 	switch {
-	case message.Answer.Same:
+	case message.Answer.InSync:
 		c.objects.applySame(message.Answer.Changes.Version, message.Answer.Hash)
 		c.changed(nil)
 	case message.Answer.Full:
@@ -255,7 +255,7 @@
 		return
 	}
 	c.spread.fullMergeAt = now.Add(c.options.FullMergeInterval)
-	c.emit(Diverged{Peer: from.Name, Version: c.objects.version})
+	c.emit(PeerDiverged{Peer: from.Name, Version: c.objects.version})
 	if found && !answer.Full {
 		c.sendDigest(from, true)
 	}
--- a/internal/control/candidacy.go
+++ b/internal/control/candidacy.go
@@ -61,7 +61,7 @@
 func (c *Core) candidate() fleet.NodeName {
 	members := c.zoneMembers(c.options.Zone)
 	current, heard := c.tables.leader(c.options.Zone)
-	silent := !heard.IsZero() && c.now.Sub(heard) >= c.settings().LeaderSilence
+	silent := !heard.IsZero() && c.now.Sub(heard) >= c.settings().LeaderTimeout
 	for _, member := range members {
 		if member.Name == current && !silent && current != c.standing.excluded {
 			return current
@@ -88,7 +88,7 @@
 		c.standing.since = time.Time{}
 		c.standing.handedOver = false
 		c.forgetAsked()
-		c.stepLeader(leadership.Desired{Lead: false})
+		c.stepLeader(leadership.LeadershipDesired{Lead: false})
 		return
 	}
 	if c.standing.since.IsZero() {
@@ -96,13 +96,13 @@
 		// What a leader has to write does not wait for the next try to vouch.
 		c.decider.next = c.now
 	}
-	if c.standing.handedOver || c.now.Sub(c.standing.since) >= c.settings().TakeoverWait {
-		c.stepLeader(leadership.Desired{Lead: true})
+	if c.standing.handedOver || c.now.Sub(c.standing.since) >= c.settings().TakeoverDelay {
+		c.stepLeader(leadership.LeadershipDesired{Lead: true})
 	}
 }
 
 // handOverAsked makes this node the candidate at once.
-func (c *Core) handOverAsked(asked HandOverAsked) {
+func (c *Core) handOverAsked(asked HandOverRequested) {
 	if c.standing.stopping {
 		return
 	}
@@ -117,7 +117,7 @@
 	}
 	leading, fence := c.Leading()
 	c.standing.stopping = true
-	c.stepLeader(leadership.Desired{Lead: false})
+	c.stepLeader(leadership.LeadershipDesired{Lead: false})
 	if peers := c.peersOfZone(c.options.Zone); leading && len(peers) > 0 {
 		c.emit(HandOver{To: peers[0], Fence: fence})
 	}
--- a/internal/control/coldstart_test.go
+++ b/internal/control/coldstart_test.go
@@ -117,8 +117,8 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))].Round(time.Millisecond)
 }
 
-func manyModels(count, replicas int) []catalog.ModelFacts {
-	models := make([]catalog.ModelFacts, 0, count)
+func manyModels(count, replicas int) []catalog.ModelInfo {
+	models := make([]catalog.ModelInfo, 0, count)
 	for index := range count {
 		model := fleet.ModelVersion{Model: fmt.Sprintf("model-%02d", index), Version: "1"}
 		models = append(models, facts(model, replicas))
@@ -128,7 +128,7 @@
 
 // newColdCluster has four zones and the weight store of the profile with few
 // loads a second.
-func newColdCluster(seed uint64, models []catalog.ModelFacts) *cluster {
+func newColdCluster(seed uint64, models []catalog.ModelInfo) *cluster {
 	c := newCluster(clusterOptions{seed: seed, zones: 4, nodes: 2, engins: 5, models: models, boundedStore: true})
 	c.run(10 * time.Second)
 	return c
@@ -138,17 +138,17 @@
 	// A load takes two seconds. The bounds leave what the store's rate of three
 	// begins a second asks of the last of a burst, and half a second.
 	cases := map[string]struct {
-		start func(c *cluster, models []catalog.ModelFacts)
+		start func(c *cluster, models []catalog.ModelInfo)
 		bound time.Duration
 	}{
-		"one after another": {func(c *cluster, models []catalog.ModelFacts) {
+		"one after another": {func(c *cluster, models []catalog.ModelInfo) {
 			names := c.nodeNames()
 			for index, facts := range models {
 				c.coldStartAt(names[index%len(names)], facts.Model)
 				c.run(4 * time.Second)
 			}
 		}, 3 * time.Second},
-		"eight of one zone at once": {func(c *cluster, models []catalog.ModelFacts) {
+		"eight of one zone at once": {func(c *cluster, models []catalog.ModelInfo) {
 			record := c.stored().Record
 			started := 0
 			for _, facts := range models {
@@ -158,7 +158,7 @@
 				}
 			}
 		}, 2500*time.Millisecond + 7*time.Second/3},
-		"twelve of all zones at once": {func(c *cluster, models []catalog.ModelFacts) {
+		"twelve of all zones at once": {func(c *cluster, models []catalog.ModelInfo) {
 			names := c.nodeNames()
 			for index, facts := range models[:12] {
 				c.coldStartAt(names[index%len(names)], facts.Model)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,12 +15,12 @@
 	modelB = fleet.ModelVersion{Model: "report", Version: "1"}
 )
 
-func facts(model fleet.ModelVersion, most int) catalog.ModelFacts {
-	return catalog.ModelFacts{Model: model, MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
+func facts(model fleet.ModelVersion, most int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: model, MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
 }
 
 func TestBurstAtManyNodesIsOneLoad(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 4, engins: 3, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 4, engins: 3, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	if leaders := c.leaders(); len(leaders) != 1 {
 		t.Fatalf("leaders %v, want one", leaders)
@@ -66,7 +66,7 @@
 }
 
 func TestLeavingEngineIsMarkedAtEveryNodeAndReplaced(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 2, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 2, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	c.wantEverywhere(modelA, 5)
 	holder := c.holderOf(modelA)
@@ -105,7 +105,7 @@
 }
 
 func TestPlannedStopHandsTheLeadershipOver(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 3, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 3, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	before := c.leaderOf("z0")
 	c.send(before, StopRequested{})
@@ -117,7 +117,7 @@
 }
 
 func TestModelIsLoadedWhileTheStoreIsDown(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	c.storeDown = true
 	leader := c.leaderOf("z0")
@@ -133,7 +133,7 @@
 func TestModelThatCannotBeLoadedIsRefusedAtOnce(t *testing.T) {
 	large := facts(modelA, 1)
 	large.MemoryBytes = 100 * gib
-	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelFacts{large}})
+	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelInfo{large}})
 	c.run(4 * time.Second)
 	leader := c.leaderOf("z0")
 	c.want(leader, modelA, 1)
@@ -145,7 +145,7 @@
 }
 
 func TestRecordLostByTheStoreIsWrittenAgain(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 6, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 6, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	before := c.stored().Record
 	c.store = objects.New(0)
@@ -159,7 +159,7 @@
 }
 
 func TestWantIsPassedToTheZoneWithAllotment(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 7, zones: 3, nodes: 2, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 7, zones: 3, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	record := c.stored().Record
 	if len(record.Models) == 0 {
@@ -181,7 +181,7 @@
 }
 
 func TestModelUsedFromAnotherZoneStaysLoaded(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 8, zones: 2, nodes: 2, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 8, zones: 2, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	from := c.nodeWithout(modelA)
 	c.want(from, modelA, 1)
@@ -217,7 +217,7 @@
 }
 
 func TestReplicaMovesWhereItsZoneCannotLoadIt(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 9, zones: 2, nodes: 2, engins: 1, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 9, zones: 2, nodes: 2, engins: 1, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	from := c.nodeWithout(modelA)
 	full := c.engines["z0-e0"]
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,7 +26,7 @@
 	usable       map[fleet.Zone][]fleet.Member
 	machines     objectstore.MachineList
 	machineIndex machineIndex
-	models       []catalog.ModelFacts
+	models       []catalog.ModelInfo
 	places       locality.Map
 
 	record   VersionedRecord
@@ -148,9 +148,9 @@
 		c.tableReceived(message)
 	case TablesPulled:
 		c.tablesPulled(message)
-	case LeavingHeard:
+	case LeavingNoticeReceived:
 		c.leavingHeard(message)
-	case HandOverAsked:
+	case HandOverRequested:
 		c.handOverAsked(message)
 	case StopRequested:
 		c.stopRequested()
@@ -171,7 +171,7 @@
 func (c *Core) settings() Settings { return c.options.Settings }
 
 func (c *Core) setCatalog(changed CatalogChanged) {
-	c.models, c.places = changed.Models, changed.Places
+	c.models, c.places = changed.Models, changed.Topology
 	c.takeEvacuations(changed.Evacuations)
 	c.stepPlacement(placement.CatalogChanged{
 		Models:          changed.Models,
--- a/internal/control/decide.go
+++ b/internal/control/decide.go
@@ -69,7 +69,7 @@
 		return next, true
 	}
 	if entry := record.Zones[c.options.Zone]; len(entry.Joining) > 0 && c.spreadReached(entry.JoinedAt) {
-		return allotment.Admit(record, c.options.Zone), true
+		return allotment.AdmitEngines(record, c.options.Zone), true
 	}
 	if confirmed := c.confirmable(); len(confirmed) > 0 && c.spreadKnown(confirmed) {
 		return allotment.Confirm(record, c.options.Zone, confirmed), true
@@ -128,10 +128,10 @@
 		return nil
 	}
 	var models []fleet.ModelVersion
-	carried := c.leader.Learned().Generation
+	carried := c.leader.RoundRecord().Generation
 	for _, model := range c.record.Record.Unconfirmed(c.options.Zone) {
 		share := c.record.Record.Models[model].Zones[c.options.Zone]
-		if share.LoweredAt <= carried && c.placement.Count(model) <= share.Limit {
+		if share.LoweredAt <= carried && c.placement.ReplicaUpperBound(model) <= share.Limit {
 			models = append(models, model)
 		}
 	}
@@ -154,10 +154,10 @@
 
 func (c *Core) decisionInput() allotment.Input {
 	input := allotment.Input{
-		Models:  c.models,
-		Engines: make(map[fleet.Zone]int),
-		Demand:  c.wants.unserved(c.now),
-		Idle:    make(map[fleet.ModelVersion]map[fleet.Zone]int),
+		Models:       c.models,
+		Engines:      make(map[fleet.Zone]int),
+		Demand:       c.wants.unserved(c.now),
+		IdleReplicas: make(map[fleet.ModelVersion]map[fleet.Zone]int),
 
 		Evacuated: c.evacuatedZones(),
 
@@ -173,7 +173,7 @@
 		for zone, share := range decision.Zones {
 			idle[zone] = share.Limit - c.loadedIn(zone, model)
 		}
-		input.Idle[model] = idle
+		input.IdleReplicas[model] = idle
 	}
 	return input
 }
--- a/internal/control/directed_test.go
+++ b/internal/control/directed_test.go
@@ -17,7 +17,7 @@
 func restartBetweenClaims(seed uint64, defects Defects) *cluster {
 	c := newCluster(clusterOptions{
 		seed: seed, zones: 1, nodes: 2, engins: 2, defects: defects,
-		models: []catalog.ModelFacts{facts(modelA, 1)},
+		models: []catalog.ModelInfo{facts(modelA, 1)},
 	})
 	c.run(4 * time.Second)
 	leaders := c.leaders()
@@ -78,7 +78,7 @@
 func moveWhilePaused(seed uint64, defects Defects, faulty fleet.NodeName) (*cluster, fleet.NodeName) {
 	c := newCluster(clusterOptions{
 		seed: seed, zones: 2, nodes: 3, engins: 2, defects: defects, faulty: faulty,
-		models: []catalog.ModelFacts{facts(modelA, 1)},
+		models: []catalog.ModelInfo{facts(modelA, 1)},
 	})
 	c.run(5 * time.Second)
 	from, to := fleet.Zone("z0"), fleet.Zone("z1")
@@ -174,7 +174,7 @@
 // held all the time. Nothing loads the model in between, where the list itself
 // is wrong.
 func TestEngineThatWasCalledGoneIsCountedAgain(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 1, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 1, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.wantEverywhere(modelA, 8)
 	holder := c.holderOf(modelA)
 	if holder == "" {
@@ -188,7 +188,7 @@
 	c.engines[holder].state = objectstore.MachineGone
 	c.spreadMachines()
 	c.engines[holder].state = objectstore.MachineLive
-	c.run(c.settings.GoneSilence + 2*time.Second)
+	c.run(c.settings.GoneTimeout + 2*time.Second)
 	if len(c.violations) > 0 || c.replicas(modelA) != 1 {
 		t.Fatalf("while it is gone: %d replicas, %v", c.replicas(modelA), c.violations)
 	}
--- a/internal/control/effects.go
+++ b/internal/control/effects.go
@@ -35,8 +35,8 @@
 	Majority int
 	// MembersOnly leaves the store out, and AtLeast is the generation that
 	// each member's record must have to count.
-	MembersOnly bool
-	AtLeast     uint64
+	MembersOnly   bool
+	MinGeneration uint64
 }
 
 // WriteRecord writes the record by compare-and-set; answer with RecordWritten.
--- a/internal/control/evacuate.go
+++ b/internal/control/evacuate.go
@@ -23,8 +23,8 @@
 	return evacuationState{table: evacuation.New(), displaced: make(map[fleet.ModelVersion]bool)}
 }
 
-func (c *Core) takeEvacuations(word evacuation.Word) {
-	for _, change := range c.evacuees.table.Take(c.now, word) {
+func (c *Core) takeEvacuations(word evacuation.Snapshot) {
+	for _, change := range c.evacuees.table.ApplyPeerSnapshot(c.now, word) {
 		c.emit(EvacuationChanged{change})
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	if !maps.Equal(mine, c.evacuees.told) {
 		c.evacuees.told = mine
-		c.stepPlacement(placement.Displaced{Models: mine})
+		c.stepPlacement(placement.ModelsDisplaced{Models: mine})
 	}
 }
 
--- a/internal/control/evacuate_test.go
+++ b/internal/control/evacuate_test.go
@@ -14,7 +14,7 @@
 // evacuate puts a configuration in force at all nodes in which just these zones
 // are evacuated.
 func (c *cluster) evacuate(zones ...string) {
-	c.evacuations = evacuation.Word{Zones: zones, Position: storepos.At(0, c.evacuations.Position.Revision+1)}
+	c.evacuations = evacuation.Snapshot{Zones: zones, Position: storepos.At(0, c.evacuations.Position.Revision+1)}
 	c.spreadCatalog()
 }
 
@@ -31,7 +31,7 @@
 
 // loadedCluster has each model loaded in the zone z0 only: the other one has no
 // engines at first.
-func loadedCluster(t *testing.T, seed uint64, models ...catalog.ModelFacts) *cluster {
+func loadedCluster(t *testing.T, seed uint64, models ...catalog.ModelInfo) *cluster {
 	t.Helper()
 	c := newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engins: 3, models: models})
 	c.run(4 * time.Second)
@@ -84,7 +84,7 @@
 
 // TestWantsOfAnEvacuatedZoneAreServedByAnother: its nodes still have callers.
 func TestWantsOfAnEvacuatedZoneAreServedByAnother(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 1, zones: 2, nodes: 3, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 1, zones: 2, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	for _, zone := range []string{"z0", "z1"} {
 		c.evacuate(zone)
@@ -125,7 +125,7 @@
 // TestEvacuationThatIsTakenBackLetsTheZoneLoadAgain, also where it is set and
 // taken back in one moment.
 func TestEvacuationThatIsTakenBackLetsTheZoneLoadAgain(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelFacts{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	c.evacuate("z0")
 	c.wantEverywhere(modelA, 4)
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -14,7 +14,7 @@
 // it has been wanted for some time: the allotment of a model that is new, or of
 // a zone that starts, is decided meanwhile.
 func (c *Core) refused(refusal placement.Refuse) {
-	early := !refusal.Never && c.now.Sub(refusal.Since) < c.settings().RefusalGrace
+	early := !refusal.Permanent && c.now.Sub(refusal.Since) < c.settings().RefusalGracePeriod
 	for _, key := range c.wants.keysOf(refusal.Refusal.Model) {
 		if !c.allows(key.regions, c.options.Zone) || c.leader.Leading() && c.forwardElsewhere(key) {
 			continue
--- a/internal/control/harness_effects_test.go
+++ b/internal/control/harness_effects_test.go
@@ -76,10 +76,10 @@
 		c.sendLossy(effect.To.Name, WantsReported{From: name, Wants: effect.Wants, Forwarded: effect.Forwarded})
 	case BroadcastLeaving:
 		for _, member := range effect.To {
-			c.sendLossy(member.Name, LeavingHeard{From: name, Backends: effect.Backends})
+			c.sendLossy(member.Name, LeavingNoticeReceived{From: name, Backends: effect.Backends})
 		}
 	case HandOver:
-		c.sendLossy(effect.To.Name, HandOverAsked{From: name, Fence: effect.Fence})
+		c.sendLossy(effect.To.Name, HandOverRequested{From: name, Fence: effect.Fence})
 	case TablesChanged:
 		c.nodes[name].tables = effect.Tables
 		c.noteShown(name)
@@ -181,8 +181,8 @@
 		vouching := 0
 		for _, asked := range append([]fleet.Member{{Name: name}}, effect.Members...) {
 			node := c.nodes[asked.Name]
-			held, vouched := node.core.Vouched()
-			if node.down || !vouched || c.now.Before(node.pausedUntil) || held.Record.Generation < effect.AtLeast {
+			held, vouched := node.core.AuthoritativeRecord()
+			if node.down || !vouched || c.now.Before(node.pausedUntil) || held.Record.Generation < effect.MinGeneration {
 				continue
 			}
 			vouching++
@@ -209,7 +209,7 @@
 		object := objectstore.Object{Kind: objectstore.KindAllotments, Name: allotment.ObjectName, Spec: body}
 		c.unjudged = true
 		before := c.stored().Record
-		written, conflict := c.store.Write(objectstore.WriteRequest{Object: object, Expected: effect.Expected})
+		written, conflict := c.store.Write(objectstore.WriteRequest{Object: object, ExpectedVersion: effect.Expected})
 		answer := RecordWritten{ID: effect.ID, Result: WriteDone}
 		if conflict != nil {
 			written, answer.Result = conflict.Current, WriteConflict
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -39,9 +39,9 @@
 	settings  Settings
 	// hold delays a claim on its way to the engine; nil for none.
 	hold   func(from fleet.NodeName, engine fleet.BackendName) time.Duration
-	models []catalog.ModelFacts
+	models []catalog.ModelInfo
 	// evacuations are in force beside the models.
-	evacuations evacuation.Word
+	evacuations evacuation.Snapshot
 	places      locality.Map
 	// regional lets some nodes want models in one region only.
 	regional bool
@@ -106,7 +106,7 @@
 type clusterOptions struct {
 	seed                 uint64
 	zones, nodes, engins int
-	models               []catalog.ModelFacts
+	models               []catalog.ModelInfo
 	defects              Defects
 	// faulty bounds the defects to one node; empty for all.
 	faulty fleet.NodeName
@@ -233,7 +233,7 @@
 
 // catalog is what is declared.
 func (c *cluster) catalog() CatalogChanged {
-	return CatalogChanged{Models: c.models, ColdStartWeight: 0.5, Evacuations: c.evacuations, Places: c.places}
+	return CatalogChanged{Models: c.models, ColdStartWeight: 0.5, Evacuations: c.evacuations, Topology: c.places}
 }
 
 func (c *cluster) spreadCatalog() {
@@ -340,11 +340,11 @@
 		}
 	}
 	for _, model := range slices.SortedFunc(maps.Keys(total), fleet.ModelVersion.Compare) {
-		if decided := record.Models[model].Decided; total[model] > decided {
+		if decided := record.Models[model].ReplicaLimit; total[model] > decided {
 			c.violate("%d replicas of %s, decided %d", total[model], model, decided)
 		}
 	}
-	for _, model := range record.Broken() {
+	for _, model := range record.Overcommitted() {
 		c.violate("ceilings of %s exceed what was decided", model)
 	}
 }
@@ -353,8 +353,8 @@
 // grows only where the declared one does.
 func (c *cluster) judgeChange(before, after allotment.Record) {
 	for model, decision := range after.Models {
-		if decision.Decided > max(before.Models[model].Decided, decision.Target) {
-			c.violate("decided number of %s raised to %d, target %d", model, decision.Decided, decision.Target)
+		if decision.ReplicaLimit > max(before.Models[model].ReplicaLimit, decision.Target) {
+			c.violate("decided number of %s raised to %d, target %d", model, decision.ReplicaLimit, decision.Target)
 		}
 	}
 }
--- a/internal/control/lead.go
+++ b/internal/control/lead.go
@@ -24,28 +24,28 @@
 			c.emit(SendClaim{effect})
 		case leadership.LearnRecord:
 			c.emit(c.learnRecord(effect.ID))
-		case leadership.Established:
+		case leadership.RoundEstablished:
 			c.established(effect)
-		case leadership.Ended:
+		case leadership.RoundEnded:
 			c.ended(effect)
 		}
 	}
 }
 
-func (c *Core) established(round leadership.Established) {
+func (c *Core) established(round leadership.RoundEstablished) {
 	c.adoptRecord(VersionedRecord{Record: round.Record})
 	c.beginTable(round)
 	c.polls.clear()
 	c.standing.excluded = ""
 	c.emit(LeadershipChanged{Leading: true, Fence: round.Fence})
 	c.reportAgain(c.options.Self)
-	c.stepPlacement(placement.RoundBegan{Fence: round.Fence, Held: round.Held, Full: round.Full})
+	c.stepPlacement(placement.RoundBegan{Fence: round.Fence, Held: round.Held, AssumedFull: round.AssumedFull})
 	for _, name := range slices.Sorted(maps.Keys(round.Held)) {
 		c.noticeLeaving(round.Held[name])
 	}
 }
 
-func (c *Core) ended(ended leadership.Ended) {
+func (c *Core) ended(ended leadership.RoundEnded) {
 	c.emit(LeadershipChanged{Fence: c.leader.Fence(), Reason: ended.Reason})
 	if !c.options.Defects.NoFence {
 		c.stepPlacement(placement.RoundEnded{})
@@ -63,14 +63,14 @@
 			c.refused(effect)
 		case placement.LoadFinished:
 			c.emit(LoadFinished{effect})
-		case placement.NeedRound:
-			c.stepLeader(leadership.Renew{})
+		case placement.RequestNewRound:
+			c.stepLeader(leadership.RestartRound{})
 		}
 	}
 }
 
 func (c *Core) sendOrder(sent placement.SendOrder) {
-	c.polls.ordered(c.now, sent.Engine, c.leader.NextID())
+	c.polls.ordered(c.now, sent.Engine, c.leader.NextRequestID())
 	order := sent.Order
 	if c.options.Defects.NoFence {
 		shown := c.polls.shown[sent.Engine]
@@ -88,17 +88,17 @@
 		return
 	}
 	c.stepPlacement(placement.OrderAnswered{
-		ID:     answer.OrderID,
-		Result: answer.Result,
-		Reason: answer.Reason,
-		Asked:  c.leader.LastID(),
+		ID:            answer.OrderID,
+		Result:        answer.Result,
+		Reason:        answer.Reason,
+		QuerySequence: c.leader.LastRequestID(),
 	})
 }
 
 // stateRead takes an engine's state, whoever asked for it.
 func (c *Core) stateRead(read leadership.StateRead) {
 	if isSilent, news := c.polls.answered(read); news {
-		c.stepPlacement(placement.EngineSilent{Engine: read.Engine, Silent: isSilent})
+		c.stepPlacement(placement.EngineUnresponsive{Engine: read.Engine, Unresponsive: isSilent})
 	}
 	if !read.Failed {
 		c.engineAnswered(read.Engine)
@@ -114,7 +114,7 @@
 		return
 	}
 	if !c.polls.beforeOrder(read) {
-		c.stepPlacement(placement.StateSeen{Asked: read.ID, State: read.State})
+		c.stepPlacement(placement.EngineStateReceived{QuerySequence: read.ID, State: read.State})
 	}
 	c.noticeLeaving(read.State)
 	c.showEngine(read.State)
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -90,7 +90,7 @@
 
 // leavingHeard takes the news from a peer; it is passed on by whoever heard it
 // first only.
-func (c *Core) leavingHeard(heard LeavingHeard) {
+func (c *Core) leavingHeard(heard LeavingNoticeReceived) {
 	var news []fleet.BackendName
 	for _, name := range heard.Backends {
 		if !c.leaving.has(name) {
--- a/internal/control/leaving_test.go
+++ b/internal/control/leaving_test.go
@@ -30,7 +30,7 @@
 		t.Fatal("the service is not shown")
 		return false
 	}
-	heard := LeavingHeard{From: "n2", Backends: []fleet.BackendName{"stops"}}
+	heard := LeavingNoticeReceived{From: "n2", Backends: []fleet.BackendName{"stops"}}
 	if leaving(MachinesChanged{List: list(objectstore.MachineLive)}) {
 		t.Error("a live back end counts as leaving")
 	}
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -73,7 +73,7 @@
 // engineAsked notes a question to an engine.
 func (c *Core) engineAsked(name fleet.BackendName) {
 	asked, ok := c.gone.asked[name]
-	if !ok || c.now.Sub(asked.last) > c.settings().GoneSilence {
+	if !ok || c.now.Sub(asked.last) > c.settings().GoneTimeout {
 		asked.first = c.now
 	}
 	asked.last = c.now
@@ -93,7 +93,7 @@
 // been silent for long enough.
 func (c *Core) isSilent(name fleet.BackendName, since time.Time) bool {
 	asked, ok := c.gone.asked[name]
-	silence := c.settings().GoneSilence
+	silence := c.settings().GoneTimeout
 	if !ok {
 		return false
 	}
@@ -131,7 +131,7 @@
 func (c *Core) countAgain(before map[fleet.BackendName]bool) {
 	for name := range before {
 		if !c.gone.effective[name] {
-			c.stepLeader(leadership.Renew{})
+			c.stepLeader(leadership.RestartRound{})
 			return
 		}
 	}
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -26,13 +26,13 @@
 
 // CatalogChanged gives what is declared.
 type CatalogChanged struct {
-	Models          []catalog.ModelFacts
-	Adapters        []catalog.AdapterFacts
+	Models          []catalog.ModelInfo
+	Adapters        []catalog.AdapterInfo
 	ColdStartWeight float64
 	// Evacuations are the zones that are out of service.
-	Evacuations evacuation.Word
-	// Places tells the region of each zone.
-	Places locality.Map
+	Evacuations evacuation.Snapshot
+	// Topology tells the region of each zone.
+	Topology locality.Map
 }
 
 // VersionedRecord is the record of allotments with the version of its object
@@ -68,8 +68,8 @@
 
 // The ends of a write.
 const (
-	// WriteLost means that no answer came: it may have taken effect.
-	WriteLost WriteResult = iota
+	// WriteUnanswered means that no answer came: it may have taken effect.
+	WriteUnanswered WriteResult = iota
 	WriteDone
 	WriteConflict
 )
@@ -114,8 +114,8 @@
 	// Table holds the engines and services; for a change only the engines
 	// that changed, and all services.
 	Table fleet.RouteTable
-	// Since is the sequence that the change builds on; 0 for a whole table.
-	Since uint64
+	// BaseSequence is the sequence that the change builds on; 0 for a whole table.
+	BaseSequence uint64
 	// Reports are of engines of which nothing else changed.
 	Reports []EngineReport
 	// Removed names engines that are no longer in the table.
@@ -140,14 +140,14 @@
 	Tables []fleet.RouteTable
 }
 
-// LeavingHeard names back ends that go away.
-type LeavingHeard struct {
+// LeavingNoticeReceived names back ends that go away.
+type LeavingNoticeReceived struct {
 	From     fleet.NodeName
 	Backends []fleet.BackendName
 }
 
-// HandOverAsked asks the node to lead the zone in place of one that stops.
-type HandOverAsked struct {
+// HandOverRequested asks the node to lead the zone in place of one that stops.
+type HandOverRequested struct {
 	From  fleet.NodeName
 	Fence fleet.Fence
 }
@@ -156,20 +156,20 @@
 // does not lead again.
 type StopRequested struct{}
 
-func (Tick) message()              {}
-func (MembersChanged) message()    {}
-func (MachinesChanged) message()   {}
-func (CatalogChanged) message()    {}
-func (AllotmentsChanged) message() {}
-func (RecordLearned) message()     {}
-func (RecordWritten) message()     {}
-func (StateRead) message()         {}
-func (ClaimAnswered) message()     {}
-func (OrderAnswered) message()     {}
-func (WantsReported) message()     {}
-func (ForwardAnswered) message()   {}
-func (TableReceived) message()     {}
-func (TablesPulled) message()      {}
-func (LeavingHeard) message()      {}
-func (HandOverAsked) message()     {}
-func (StopRequested) message()     {}
+func (Tick) message()                  {}
+func (MembersChanged) message()        {}
+func (MachinesChanged) message()       {}
+func (CatalogChanged) message()        {}
+func (AllotmentsChanged) message()     {}
+func (RecordLearned) message()         {}
+func (RecordWritten) message()         {}
+func (StateRead) message()             {}
+func (ClaimAnswered) message()         {}
+func (OrderAnswered) message()         {}
+func (WantsReported) message()         {}
+func (ForwardAnswered) message()       {}
+func (TableReceived) message()         {}
+func (TablesPulled) message()          {}
+func (LeavingNoticeReceived) message() {}
+func (HandOverRequested) message()     {}
+func (StopRequested) message()         {}
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -13,32 +13,32 @@
 type Settings struct {
 	Leadership leadership.Settings
 	Placement  placement.Settings
-	// TakeoverWait is how long a node waits, once it finds that it should
+	// TakeoverDelay is how long a node waits, once it finds that it should
 	// lead, before it acts.
-	TakeoverWait time.Duration
-	// LeaderSilence is how long a leader may be silent before the next node
+	TakeoverDelay time.Duration
+	// LeaderTimeout is how long a leader may be silent before the next node
 	// takes over.
-	LeaderSilence time.Duration
-	// PollBusy and PollIdle are the times between two reads of an engine
+	LeaderTimeout time.Duration
+	// BusyPollInterval and PollIdle are the times between two reads of an engine
 	// while something loads, waits or was ordered, and else.
-	PollBusy time.Duration
-	PollIdle time.Duration
-	// Heartbeat is the longest time between two publications of a table.
-	Heartbeat time.Duration
+	BusyPollInterval time.Duration
+	IdlePollInterval time.Duration
+	// HeartbeatInterval is the longest time between two publications of a table.
+	HeartbeatInterval time.Duration
 	// ReportInterval is the least time between two publications of a table of
 	// which only load reports changed.
 	ReportInterval time.Duration
-	// FarReportInterval and FarHeartbeat are those for other zones.
-	FarReportInterval time.Duration
-	FarHeartbeat      time.Duration
+	// RemoteReportInterval and FarHeartbeat are those for other zones.
+	RemoteReportInterval    time.Duration
+	RemoteHeartbeatInterval time.Duration
 	// PullInterval is the time between two repairs of the tables.
 	PullInterval time.Duration
-	// GoneSilence is how long an engine must have been silent, once the machine
+	// GoneTimeout is how long an engine must have been silent, once the machine
 	// list calls it gone, until it counts as gone.
-	GoneSilence time.Duration
-	// RefusalGrace is how long a model must have been wanted in vain until the
+	GoneTimeout time.Duration
+	// RefusalGracePeriod is how long a model must have been wanted in vain until the
 	// nodes that wait are refused.
-	RefusalGrace time.Duration
+	RefusalGracePeriod time.Duration
 	// DecideInterval is the time between two decisions on allotments.
 	DecideInterval time.Duration
 }
@@ -46,20 +46,20 @@
 // DefaultSettings returns the settings used outside tests.
 func DefaultSettings() Settings {
 	return Settings{
-		Leadership:        leadership.DefaultSettings(),
-		Placement:         placement.DefaultSettings(),
-		TakeoverWait:      300 * time.Millisecond,
-		LeaderSilence:     3 * time.Second,
-		PollBusy:          100 * time.Millisecond,
-		PollIdle:          time.Second,
-		Heartbeat:         time.Second,
-		ReportInterval:    500 * time.Millisecond,
-		FarReportInterval: 5 * time.Second,
-		FarHeartbeat:      5 * time.Second,
-		PullInterval:      2 * time.Second,
-		GoneSilence:       5 * time.Second,
-		RefusalGrace:      3 * time.Second,
-		DecideInterval:    time.Second,
+		Leadership:              leadership.DefaultSettings(),
+		Placement:               placement.DefaultSettings(),
+		TakeoverDelay:           300 * time.Millisecond,
+		LeaderTimeout:           3 * time.Second,
+		BusyPollInterval:        100 * time.Millisecond,
+		IdlePollInterval:        time.Second,
+		HeartbeatInterval:       time.Second,
+		ReportInterval:          500 * time.Millisecond,
+		RemoteReportInterval:    5 * time.Second,
+		RemoteHeartbeatInterval: 5 * time.Second,
+		PullInterval:            2 * time.Second,
+		GoneTimeout:             5 * time.Second,
+		RefusalGracePeriod:      3 * time.Second,
+		DecideInterval:          time.Second,
 	}
 }
 
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -110,7 +110,7 @@
 	if !c.leader.Leading() && !(c.options.Defects.NoFence && c.leader.Fence() != 0) {
 		return
 	}
-	for _, name := range c.leader.Learned().Engines(c.options.Zone) {
+	for _, name := range c.leader.RoundRecord().Engines(c.options.Zone) {
 		address := c.engineAddress(name)
 		known := c.polls.of(name)
 		if address == "" || c.now.Before(known.due) {
@@ -119,7 +119,7 @@
 		if known.asked != 0 && c.now.Sub(known.askedAt) < pollTimeout {
 			continue
 		}
-		known.asked, known.askedAt = c.leader.NextID(), c.now
+		known.asked, known.askedAt = c.leader.NextRequestID(), c.now
 		known.due = c.now.Add(c.pollInterval(name, known, c.ownTable()))
 		c.engineAsked(name)
 		c.emit(ReadEngine{leadership.ReadEngine{ID: known.asked, Engine: name, Address: address}})
@@ -131,14 +131,14 @@
 // where any engine's change is seen sooner.
 func (c *Core) pollInterval(name fleet.BackendName, known *enginePoll, table *zoneTable) time.Duration {
 	if c.placement.Busy() || c.now.Before(known.orderedUntil) {
-		return c.settings().PollBusy
+		return c.settings().BusyPollInterval
 	}
 	if table != nil {
 		for _, loaded := range table.engines[name].Models {
 			if loaded.State != fleet.LoadReady {
-				return c.settings().PollBusy
+				return c.settings().BusyPollInterval
 			}
 		}
 	}
-	return c.settings().PollIdle
+	return c.settings().IdlePollInterval
 }
--- a/internal/control/polls_test.go
+++ b/internal/control/polls_test.go
@@ -20,12 +20,12 @@
 	core.polls.ordered(start, "ordered", 1)
 	core.polls.ordered(start.Add(-afterOrder), "ordered long ago", 1)
 	for name, want := range map[fleet.BackendName]time.Duration{
-		"ready":            core.settings().PollIdle,
-		"loading":          core.settings().PollBusy,
-		"unloading":        core.settings().PollBusy,
-		"ordered":          core.settings().PollBusy,
-		"ordered long ago": core.settings().PollIdle,
-		"unknown":          core.settings().PollIdle,
+		"ready":            core.settings().IdlePollInterval,
+		"loading":          core.settings().BusyPollInterval,
+		"unloading":        core.settings().BusyPollInterval,
+		"ordered":          core.settings().BusyPollInterval,
+		"ordered long ago": core.settings().IdlePollInterval,
+		"unknown":          core.settings().IdlePollInterval,
 	} {
 		if got := core.pollInterval(name, core.polls.of(name), core.tables.zones["z"]); got != want {
 			t.Errorf("%s is read each %s, want %s", name, got, want)
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -96,8 +96,8 @@
 		c.tables.far.urgent = true
 	}
 	settings := c.settings()
-	near := c.tables.near.due(c.now, settings.ReportInterval, settings.Heartbeat)
-	far := c.tables.far.due(c.now, settings.FarReportInterval, settings.FarHeartbeat)
+	near := c.tables.near.due(c.now, settings.ReportInterval, settings.HeartbeatInterval)
+	far := c.tables.far.due(c.now, settings.RemoteReportInterval, settings.RemoteHeartbeatInterval)
 	if !near && !far {
 		return
 	}
@@ -128,7 +128,7 @@
 	if stream.fresh {
 		update.Table.Engines = table.export(c.options.Zone).Engines
 	} else {
-		update.Since = stream.since
+		update.BaseSequence = stream.since
 		for _, name := range slices.Sorted(maps.Keys(stream.pending)) {
 			update.Table.Engines = append(update.Table.Engines, table.engines[name])
 		}
--- a/internal/control/pulls_test.go
+++ b/internal/control/pulls_test.go
@@ -36,7 +36,7 @@
 	core.Step(start, MembersChanged{Members: []fleet.Member{member("a"), member("b")}})
 	table := fleet.RouteTable{Zone: "z", Leader: "a", Fence: 9}
 	beat := func() Message {
-		update := TableUpdate{Since: table.Sequence}
+		update := TableUpdate{BaseSequence: table.Sequence}
 		table.Sequence++
 		update.Table = table
 		return TableReceived{From: "a", Update: update}
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -78,7 +78,7 @@
 	c.record = heard
 	c.vouchSoon()
 	c.updateLimits()
-	c.stepLeader(leadership.RecordHeard{Record: heard.Record})
+	c.stepLeader(leadership.RecordReceived{Record: heard.Record})
 }
 
 // vouchSoon lets a node that does not vouch yet learn the record soon after it
@@ -131,7 +131,7 @@
 
 // write sends the record where no other write is under way.
 func (c *Core) write(record allotment.Record) {
-	c.decider.writing = c.leader.NextID()
+	c.decider.writing = c.leader.NextRequestID()
 	c.decider.sentAt = c.now
 	c.emit(WriteRecord{ID: c.decider.writing, Record: record, Expected: c.record.StoreVersion})
 }
@@ -142,7 +142,7 @@
 	if written.ID == c.decider.writing {
 		c.decider.writing = 0
 	}
-	if written.Result == WriteLost {
+	if written.Result == WriteUnanswered {
 		c.readBack()
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 func (c *Core) readBack() {
-	c.decider.reading = c.leader.NextID()
+	c.decider.reading = c.leader.NextRequestID()
 	c.decider.sentAt = c.now
 	c.emit(c.learnRecord(c.decider.reading))
 }
@@ -165,11 +165,11 @@
 	if c.decider.spreading != 0 && c.now.Sub(c.decider.sentAt) < answerPatience {
 		return
 	}
-	c.decider.spreading = c.leader.NextID()
+	c.decider.spreading = c.leader.NextRequestID()
 	c.decider.asked = c.record.Record.Generation
 	c.decider.sentAt = c.now
 	question := c.learnRecord(c.decider.spreading)
-	question.MembersOnly, question.AtLeast = true, c.decider.asked
+	question.MembersOnly, question.MinGeneration = true, c.decider.asked
 	c.emit(question)
 }
 
@@ -182,8 +182,8 @@
 	}
 }
 
-// Vouched is the record, or false where this process has it from hearsay only
+// AuthoritativeRecord is the record, or false where this process has it from hearsay only
 // and so must not count in a majority.
-func (c *Core) Vouched() (VersionedRecord, bool) {
+func (c *Core) AuthoritativeRecord() (VersionedRecord, bool) {
 	return c.record, c.decider.vouched
 }
--- a/internal/control/regions.go
+++ b/internal/control/regions.go
@@ -58,7 +58,7 @@
 		c.wants.lacking[key] = c.now
 		return
 	}
-	if c.now.Sub(since) >= c.settings().RefusalGrace {
+	if c.now.Sub(since) >= c.settings().RefusalGracePeriod {
 		c.refuse(want.Node, fleet.LoadRefusal{Model: key.model, Regions: key.regions, Reason: reasonNoAllotment, RetryAfter: abroadWait})
 	}
 }
--- a/internal/control/regions_test.go
+++ b/internal/control/regions_test.go
@@ -29,7 +29,7 @@
 	return refused
 }
 
-func regionalCluster(seed uint64, models ...catalog.ModelFacts) *cluster {
+func regionalCluster(seed uint64, models ...catalog.ModelInfo) *cluster {
 	c := newCluster(clusterOptions{seed: seed, zones: 3, nodes: 3, engins: 2, models: models})
 	c.places = locality.NewMap(map[string]string{"z0": "north", "z1": "south", "z2": "south"})
 	c.spreadCatalog()
--- a/internal/control/schedule_test.go
+++ b/internal/control/schedule_test.go
@@ -144,7 +144,7 @@
 
 // changeLimits declares other bounds of replicas.
 func (c *cluster) changeLimits(number int) {
-	c.models = []catalog.ModelFacts{facts(modelA, 1+number%3), facts(modelB, 1+number%2)}
+	c.models = []catalog.ModelInfo{facts(modelA, 1+number%3), facts(modelB, 1+number%2)}
 	c.spreadCatalog()
 }
 
@@ -176,7 +176,7 @@
 func newBusyCluster(seed uint64, defects Defects) *cluster {
 	return newCluster(clusterOptions{
 		seed: seed, zones: 2, nodes: 3, engins: 2, defects: defects,
-		models: []catalog.ModelFacts{facts(modelA, 1), facts(modelB, 2)},
+		models: []catalog.ModelInfo{facts(modelA, 1), facts(modelB, 2)},
 	})
 }
 
--- a/internal/control/store_use.go
+++ b/internal/control/store_use.go
@@ -31,15 +31,15 @@
 	if !c.leader.Leading() {
 		return
 	}
-	used := placement.StoreUsed{}
+	used := placement.StoreUsage{}
 	held := make(map[fleet.ModelVersion]bool)
 	for zone := range c.record.Record.Zones {
 		if zone == c.options.Zone {
 			continue
 		}
 		known := c.tables.zones[zone]
-		if known == nil || c.now.Sub(known.heard) > silentBeats*c.settings().FarHeartbeat {
-			used.Silent++
+		if known == nil || c.now.Sub(known.heard) > silentBeats*c.settings().RemoteHeartbeatInterval {
+			used.UnknownZones++
 			continue
 		}
 		used.Loading += known.loading
@@ -54,6 +54,6 @@
 	}
 	if !maps.Equal(held, c.tables.heldElsewhere) {
 		c.tables.heldElsewhere = held
-		c.stepPlacement(placement.HeldElsewhere{Models: held})
+		c.stepPlacement(placement.ReplicasElsewhere{Models: held})
 	}
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -39,7 +39,7 @@
 	// storeUsed and heldElsewhere are what placement was told of other zones.
 	// refused goes to the zone's members with the next update.
 	refused       []fleet.LoadRefusal
-	storeUsed     placement.StoreUsed
+	storeUsed     placement.StoreUsage
 	heldElsewhere map[fleet.ModelVersion]bool
 }
 
@@ -111,7 +111,7 @@
 }
 
 // beginTable starts the table of an established round.
-func (c *Core) beginTable(round leadership.Established) {
+func (c *Core) beginTable(round leadership.RoundEstablished) {
 	table := &zoneTable{
 		fence:    round.Fence,
 		leader:   c.options.Self,
--- a/internal/control/unheard_test.go
+++ b/internal/control/unheard_test.go
@@ -15,7 +15,7 @@
 func addUnheardEngine(seed uint64) (c *cluster, loadedOnNew bool) {
 	large := facts(modelB, 1)
 	large.MemoryBytes = 30 * gib
-	c = newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engins: 1, models: []catalog.ModelFacts{facts(modelA, 1), large}})
+	c = newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engins: 1, models: []catalog.ModelInfo{facts(modelA, 1), large}})
 	c.run(5 * time.Second)
 	leader := c.leaderOf("z0")
 	c.wantEverywhere(modelB, 4)
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -13,9 +13,9 @@
 	if known != nil && !newer(update.Table, known) {
 		return
 	}
-	if update.Since == 0 {
+	if update.BaseSequence == 0 {
 		c.replaceTable(update.Table)
-	} else if known == nil || known.fence != update.Table.Fence || known.sequence < update.Since {
+	} else if known == nil || known.fence != update.Table.Fence || known.sequence < update.BaseSequence {
 		if member, found := c.members[received.From]; found {
 			c.emit(PullTables{From: member, Held: c.tables.stamps()})
 		}
@@ -125,9 +125,9 @@
 		if !member.Usable() {
 			continue
 		}
-		heartbeat := c.settings().FarHeartbeat
+		heartbeat := c.settings().RemoteHeartbeatInterval
 		if member.Zone == c.options.Zone {
-			heartbeat = c.settings().Heartbeat
+			heartbeat = c.settings().HeartbeatInterval
 		}
 		known := c.tables.zones[member.Zone]
 		if known == nil || c.now.Sub(known.heard) > silentBeats*heartbeat {
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -22,26 +22,26 @@
 	// foretold is when a request may be granted that was not.
 	foretold time.Time
 	// by is what was last told, and noted the phase that was last logged.
-	by    ColdWord
+	by    ColdSource
 	noted admission.Phase
 }
 
-// ColdWord is where it is known from that a server is cold, or not.
-type ColdWord string
+// ColdSource is where it is known from that a server is cold, or not.
+type ColdSource string
 
 const (
 	// ColdFirstSeen servers were seen first, and nothing was told.
-	ColdFirstSeen ColdWord = "first_seen"
+	ColdFirstSeen ColdSource = "first_seen"
 	// ColdEntry is a server's entry, as the store or a peer tells it.
-	ColdEntry ColdWord = "entry"
-	// ColdAnswer is a server's own answer.
-	ColdAnswer ColdWord = "answer"
+	ColdEntry ColdSource = "entry"
+	// ColdResponse is a server's own answer.
+	ColdResponse ColdSource = "answer"
 	// ColdUnreachable servers could not be connected to.
-	ColdUnreachable ColdWord = "unreachable"
+	ColdUnreachable ColdSource = "unreachable"
 	// ColdZone servers are of a zone that takes work again.
-	ColdZone ColdWord = "zone"
+	ColdZone ColdSource = "zone"
 	// ColdElapsed is the end of a cold time.
-	ColdElapsed ColdWord = "elapsed"
+	ColdElapsed ColdSource = "elapsed"
 )
 
 // SetColdStarts takes the services whose cold servers bear less than warm ones.
@@ -52,15 +52,15 @@
 	}
 }
 
-// TellCold takes what a server's entry says, or that it says nothing.
-func (c *Core) TellCold(now time.Time, told inventory.Server) {
+// UpdateColdFromEntry takes what a server's entry says, or that it says nothing.
+func (c *Core) UpdateColdFromEntry(now time.Time, told inventory.Server) {
 	s, ok := c.servers[told.ID]
 	if !ok {
 		return
 	}
 	s.cold.limit = c.coldStarts[s.info.Service]
-	if told.TellsCold {
-		if s.cold.state.Tell(now, told.ColdLeft, told.Position, s.cold.limit.Time) {
+	if told.ReportsCold {
+		if s.cold.state.ApplyEntry(now, told.ColdRemaining, told.Position, s.cold.limit.Time) {
 			s.cold.by = ColdEntry
 		}
 		return
@@ -68,42 +68,42 @@
 	if s.cold.by == "" {
 		s.cold.by = ColdFirstSeen
 	}
-	s.cold.state.See(now)
+	s.cold.state.MarkSeen(now)
 }
 
-// TellColdAnswer takes what a server's own answer says.
-func (c *Core) TellColdAnswer(now time.Time, serverID string, left time.Duration) {
+// UpdateColdFromResponse takes what a server's own answer says.
+func (c *Core) UpdateColdFromResponse(now time.Time, serverID string, left time.Duration) {
 	if s, ok := c.servers[serverID]; ok {
-		s.cold.state.Answer(now, left, s.cold.limit.Time)
-		s.cold.by = ColdAnswer
+		s.cold.state.ApplyResponse(now, left, s.cold.limit.Time)
+		s.cold.by = ColdResponse
 	}
 }
 
-// SuspectCold takes that the servers of a zone may have turned cold, which entries up to
+// MarkPossiblyCold takes that the servers of a zone may have turned cold, which entries up to
 // the position do not say yet: as at the end of the zone's evacuation.
-func (c *Core) SuspectCold(now time.Time, zone string, upTo storepos.Position) {
+func (c *Core) MarkPossiblyCold(now time.Time, zone string, upTo storepos.Position) {
 	for _, s := range c.servers {
 		if s.info.Zone == zone {
-			s.cold.state.Suspect(now, upTo)
+			s.cold.state.MarkPossiblyCold(now, upTo)
 			s.cold.by = ColdZone
 		}
 	}
 }
 
-// Unreachable takes that no connection to the server comes up: it may have been away, and be
+// MarkUnreachable takes that no connection to the server comes up: it may have been away, and be
 // cold once it is back. Its entry may not say so for a second.
-func (c *Core) Unreachable(now time.Time, serverID string) {
+func (c *Core) MarkUnreachable(now time.Time, serverID string) {
 	if s, ok := c.servers[serverID]; ok {
-		s.cold.state.Suspect(now, s.info.Position)
+		s.cold.state.MarkPossiblyCold(now, s.info.Position)
 		s.cold.by = ColdUnreachable
 	}
 }
 
-// HoldBack takes that a request was not granted at a server, and may be after retryIn.
-func (c *Core) HoldBack(now time.Time, serverID string, retryIn time.Duration) {
+// RecordDenial takes that a request was not granted at a server, and may be after retryIn.
+func (c *Core) RecordDenial(now time.Time, serverID string, retryIn time.Duration) {
 	if s, ok := c.servers[serverID]; ok {
-		s.bounds.HoldBack(now, retryIn)
-		s.cold.state.HoldBack(now, retryIn)
+		s.bounds.RecordDenial(now, retryIn)
+		s.cold.state.RecordDenial(now, retryIn)
 		s.cold.foretold = now.Add(retryIn)
 	}
 }
@@ -117,17 +117,17 @@
 	return s.coldPhase(now), s.info.Service
 }
 
-// ColdLeft is for how long the server is cold yet, where that was told.
-func (c *Core) ColdLeft(now time.Time, serverID string) (left time.Duration, told bool) {
+// ColdRemaining is for how long the server is cold yet, where that was told.
+func (c *Core) ColdRemaining(now time.Time, serverID string) (left time.Duration, told bool) {
 	s, ok := c.servers[serverID]
 	if !ok {
 		return 0, false
 	}
-	return s.cold.state.Left(now, s.cold.limit.Time)
+	return s.cold.state.ColdRemaining(now, s.cold.limit.Time)
 }
 
-// Knows reports whether the server has an entry.
-func (c *Core) Knows(serverID string) bool {
+// HasEntry reports whether the server has an entry.
+func (c *Core) HasEntry(serverID string) bool {
 	_, ok := c.servers[serverID]
 	return ok
 }
@@ -145,11 +145,11 @@
 
 // ColdChange is a server that turned cold, or warm.
 type ColdChange struct {
-	ServerID string
-	Zone     string
-	IsCold   bool
-	Left     time.Duration
-	By       ColdWord
+	ServerID  string
+	Zone      string
+	IsCold    bool
+	Remaining time.Duration
+	Source    ColdSource
 }
 
 // ColdChanges are the servers that turned cold or warm since it was asked last. Who waits
@@ -162,10 +162,10 @@
 			continue
 		}
 		s.cold.noted = phase
-		left, told := s.cold.state.Left(now, s.cold.limit.Time)
-		change := ColdChange{ServerID: id, Zone: s.info.Zone, IsCold: phase == admission.Cold, Left: left, By: s.cold.by}
+		left, told := s.cold.state.ColdRemaining(now, s.cold.limit.Time)
+		change := ColdChange{ServerID: id, Zone: s.info.Zone, IsCold: phase == admission.Cold, Remaining: left, Source: s.cold.by}
 		if !change.IsCold && !told {
-			change.By = ColdElapsed
+			change.Source = ColdElapsed
 		}
 		changes = append(changes, change)
 	}
@@ -175,9 +175,9 @@
 	return changes
 }
 
-// IsHeldByCold reports whether what is wanted stands on servers that take work, all of
+// HasOnlyColdServers reports whether what is wanted stands on servers that take work, all of
 // which are cold or just were.
-func (c *Core) IsHeldByCold(now time.Time, wanted Wanted) bool {
+func (c *Core) HasOnlyColdServers(now time.Time, wanted Requirements) bool {
 	found := false
 	for _, s := range c.listed(wanted.Service, wanted.Model) {
 		if s.info.Service != wanted.Service || !s.takesWork() || !c.isIn(s, wanted.Regions) || !s.offers(now, wanted) {
@@ -199,10 +199,10 @@
 // stand in line for a moment at cold servers are none: a load takes longer than they are
 // cold, and drops what others ask for.
 func (c *Core) WaitingForCopies(now time.Time, count DemandCount) int {
-	if count.Waiting == 0 || !c.IsHeldByCold(now, count.Wanted) {
+	if count.Waiting == 0 || !c.HasOnlyColdServers(now, count.Requirements) {
 		return count.Waiting
 	}
-	if left, known := c.ReadyIn(now, count.Wanted); known && left > longestColdLine {
+	if left, known := c.ReadyIn(now, count.Requirements); known && left > longestColdLine {
 		return count.Waiting
 	}
 	return 0
@@ -217,7 +217,7 @@
 
 // isHeldBack reports whether the server is left alone for now, as it is cold.
 func (s *server) isHeldBack(now time.Time) bool {
-	return s.cold.limit.IsLimited() && s.cold.state.OpensIn(now, s.cold.limit.Time) > 0
+	return s.cold.limit.IsLimited() && s.cold.state.RetryAfter(now, s.cold.limit.Time) > 0
 }
 
 // mayTake reports whether a request may go to the server now, by what the server told and by its
@@ -228,18 +228,18 @@
 
 // opensIn is when a request may go to a server that holds what is wanted, and that is left alone for a
 // moment: as it is cold, did not grant a request, or answers one that shows whether it takes work.
-func (s *server) opensIn(now time.Time, wanted Wanted) (left time.Duration, ok bool) {
+func (s *server) opensIn(now time.Time, wanted Requirements) (left time.Duration, ok bool) {
 	decision, isHeldBack := s.bounds.Check(now), s.isHeldBack(now)
 	if decision.Admits() && !isHeldBack || !s.offers(now, wanted) {
 		return 0, false
 	}
 	if isHeldBack {
-		left = max(s.cold.state.OpensIn(now, s.cold.limit.Time), s.cold.foretold.Sub(now))
+		left = max(s.cold.state.RetryAfter(now, s.cold.limit.Time), s.cold.foretold.Sub(now))
 	}
-	return max(left, decision.RetryIn), true
+	return max(left, decision.RetryAfter), true
 }
 
 // offers reports whether the server can serve what is wanted.
-func (s *server) offers(now time.Time, wanted Wanted) bool {
+func (s *server) offers(now time.Time, wanted Requirements) bool {
 	return wanted.Model == "" || s.holds(now, wanted.Model, wanted.Adapter)
 }
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -18,7 +18,7 @@
 }
 
 func tellCold(core *Core, now time.Time, id string, left time.Duration, revision int64) {
-	core.TellCold(now, inventory.Server{ID: id, ColdLeft: left, TellsCold: true, Position: storepos.At(0, revision)})
+	core.UpdateColdFromEntry(now, inventory.Server{ID: id, ColdRemaining: left, ReportsCold: true, Position: storepos.At(0, revision)})
 }
 
 func phaseOf(core *Core, now time.Time, id string) admission.Phase {
@@ -34,7 +34,7 @@
 	other.Server.Service = "plain"
 	core.SetServers([]inventory.Change{other})
 	for _, id := range []string{"a", "b", "c"} {
-		core.TellCold(begin, inventory.Server{ID: id, Position: storepos.At(0, 1)})
+		core.UpdateColdFromEntry(begin, inventory.Server{ID: id, Position: storepos.At(0, 1)})
 	}
 	tellCold(core, begin, "b", 0, 2)
 	for id, want := range map[string]admission.Phase{"a": admission.Cold, "c": admission.Warm, "unknown": admission.Warm} {
@@ -55,15 +55,15 @@
 	tellCold(core, begin, "warm", 0, 1)
 	now := begin.Add(time.Second)
 	for range 20 {
-		if got := pick(core, now, Ask{Model: "m"}); got != "warm" {
+		if got := pick(core, now, Request{Model: "m"}); got != "warm" {
 			t.Fatalf("picked %q, want the warm one", got)
 		}
 	}
-	if got := pick(core, now, Ask{Model: "rare"}); got != "cold" {
+	if got := pick(core, now, Request{Model: "rare"}); got != "cold" {
 		t.Errorf("picked %q, want the cold one that alone has the model", got)
 	}
 	core.SetPeerLoads(now, "p", []PeerLoad{{ServerID: "warm", Running: 30, PendingTokens: 9000}})
-	if got := pick(core, now, Ask{Model: "m"}); got != "cold" {
+	if got := pick(core, now, Request{Model: "m"}); got != "cold" {
 		t.Errorf("picked %q, want the cold one while the other is far behind", got)
 	}
 }
@@ -73,27 +73,27 @@
 	core := newColdCore(entry("a", "z", "m", "rare"), entry("b", "z", "m"))
 	tellCold(core, begin, "a", 3*time.Second, 1)
 	tellCold(core, begin, "b", 3*time.Second, 1)
-	core.HoldBack(begin, "a", 700*time.Millisecond)
-	if got := pick(core, begin, Ask{Model: "m"}); got != "b" {
+	core.RecordDenial(begin, "a", 700*time.Millisecond)
+	if got := pick(core, begin, Request{Model: "m"}); got != "b" {
 		t.Errorf("picked %q, want the one that is not held back", got)
 	}
-	if got := pick(core, begin, Ask{Model: "rare"}); got != "" {
+	if got := pick(core, begin, Request{Model: "rare"}); got != "" {
 		t.Errorf("picked %q, which is held back", got)
 	}
-	wanted := Wanted{Service: "s", Model: "rare"}
+	wanted := Requirements{Service: "s", Model: "rare"}
 	if left, known := core.ReadyIn(begin, wanted); !known || left != 700*time.Millisecond {
 		t.Errorf("ready in %v, %v; want what was foretold", left, known)
 	}
-	if !core.IsHeldByCold(begin, wanted) {
+	if !core.HasOnlyColdServers(begin, wanted) {
 		t.Error("the wait is not put down to the cold server")
 	}
 	// It is asked again sooner than foretold: another may have given way.
-	if got := pick(core, begin.Add(300*time.Millisecond), Ask{Model: "rare"}); got != "a" {
+	if got := pick(core, begin.Add(300*time.Millisecond), Request{Model: "rare"}); got != "a" {
 		t.Errorf("picked %q", got)
 	}
-	core.HoldBack(begin, "a", time.Second)
+	core.RecordDenial(begin, "a", time.Second)
 	tellCold(core, begin.Add(time.Millisecond), "a", 0, 2)
-	if got := pick(core, begin.Add(2*time.Millisecond), Ask{Model: "rare"}); got != "a" {
+	if got := pick(core, begin.Add(2*time.Millisecond), Request{Model: "rare"}); got != "a" {
 		t.Errorf("picked %q, want the one that turned warm", got)
 	}
 }
@@ -102,12 +102,12 @@
 // cold server takes nothing at all another copy is wanted.
 func TestLineAtAColdServerIsNoWantOfCopies(t *testing.T) {
 	core := newColdCore(entry("a", "z", "rare"))
-	wanted := Wanted{Service: "s", Model: "rare"}
+	wanted := Requirements{Service: "s", Model: "rare"}
 	tellCold(core, begin, "a", 10*time.Second, 1)
-	core.Waits(wanted, 3)
+	core.AddWaiting(wanted, 3)
 	waiting := func() int { return core.WaitingForCopies(begin, core.Demand(begin)[0]) }
 	for retryIn, want := range map[time.Duration]int{300 * time.Millisecond: 0, 10 * time.Second: 3} {
-		core.HoldBack(begin, "a", retryIn)
+		core.RecordDenial(begin, "a", retryIn)
 		if got := waiting(); got != want {
 			t.Errorf("foretold in %v: %d wait for copies, want %d", retryIn, got, want)
 		}
@@ -124,7 +124,7 @@
 	tellCold(core, begin, "a", 0, 5)
 	tellCold(core, begin, "b", 0, 5)
 	now := begin.Add(time.Minute)
-	core.SuspectCold(now, "y", storepos.At(0, 9))
+	core.MarkPossiblyCold(now, "y", storepos.At(0, 9))
 	tellCold(core, now, "a", 0, 9)
 	if a, b := phaseOf(core, now, "a"), phaseOf(core, now, "b"); a != admission.Cold || b != admission.Warm {
 		t.Errorf("phases %d and %d, want cold in the zone alone", a, b)
@@ -138,10 +138,10 @@
 // TestColdChangesAreToldOnce: as a server turns cold, and warm.
 func TestColdChangesAreToldOnce(t *testing.T) {
 	core := newColdCore(entry("a", "z"))
-	core.TellCold(begin, inventory.Server{ID: "a"})
-	core.Unreachable(begin, "a")
+	core.UpdateColdFromEntry(begin, inventory.Server{ID: "a"})
+	core.MarkUnreachable(begin, "a")
 	got := core.ColdChanges(begin)
-	if len(got) != 1 || !got[0].IsCold || got[0].By != ColdUnreachable || core.CountCold(begin) != 1 {
+	if len(got) != 1 || !got[0].IsCold || got[0].Source != ColdUnreachable || core.CountCold(begin) != 1 {
 		t.Errorf("%+v", got)
 	}
 	changed := core.Changed()
@@ -149,7 +149,7 @@
 		t.Errorf("told again: %+v", again)
 	}
 	got = core.ColdChanges(begin.Add(time.Minute))
-	if len(got) != 1 || got[0].IsCold || got[0].By != ColdElapsed {
+	if len(got) != 1 || got[0].IsCold || got[0].Source != ColdElapsed {
 		t.Errorf("%+v", got)
 	}
 	select {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -16,9 +16,9 @@
 // Options set up a Core.
 type Options struct {
 	Zone string
-	// Places are the zones and regions of the deployment.
-	Places locality.Map
-	Seed   uint64
+	// Topology are the zones and regions of the deployment.
+	Topology locality.Map
+	Seed     uint64
 }
 
 // Core is the choice of servers of one node.
@@ -29,7 +29,7 @@
 	servers   map[string]*server
 	byService map[string][]*server
 	index     modelIndex
-	demand    map[Wanted]*demand
+	demand    map[Requirements]*demand
 	// loadedBy are the servers at which each peer has requests under way.
 	loadedBy map[string][]*server
 	// early are the leader's views of servers that are not known yet.
@@ -54,12 +54,12 @@
 func New(options Options) *Core {
 	return &Core{
 		zone:      options.Zone,
-		places:    options.Places,
+		places:    options.Topology,
 		random:    rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)),
 		servers:   make(map[string]*server),
 		byService: make(map[string][]*server),
 		index:     newModelIndex(),
-		demand:    make(map[Wanted]*demand),
+		demand:    make(map[Requirements]*demand),
 		loadedBy:  make(map[string][]*server),
 		early:     make(map[string]earlyView),
 		starts:    make(map[inventory.Start]*startState),
@@ -164,42 +164,42 @@
 	}
 }
 
-// SetGoing takes a peer's word that a server goes, which entries before the
+// SetDraining takes a peer's word that a server goes, which entries before the
 // position do not say yet.
-func (c *Core) SetGoing(serverID string, before storepos.Position) {
+func (c *Core) SetDraining(serverID string, before storepos.Position) {
 	if known, ok := c.servers[serverID]; ok {
 		known.goingBefore = storepos.Later(known.goingBefore, before)
 	}
 }
 
-// Supply counts the servers of a service by what this node believes of them.
-type Supply struct {
+// ServerCounts counts the servers of a service by what this node believes of them.
+type ServerCounts struct {
 	// Known servers have an entry.
 	Known int
-	// Going ones of them take no new work, by their entry, a peer's word or their own.
-	Going int
-	// Resting ones of the others want nothing from this node for now.
-	Resting int
-	// Limited ones name a rate limit.
-	Limited int
-	// Closed ones of the others take none as their zone is evacuated.
-	Closed int
+	// Draining ones of them take no new work, by their entry, a peer's word or their own.
+	Draining int
+	// BackingOff ones of the others want nothing from this node for now.
+	BackingOff int
+	// RateLimited ones name a rate limit.
+	RateLimited int
+	// Evacuated ones of the others take none as their zone is evacuated.
+	Evacuated int
 }
 
-// Supply is what the node knows of a service's servers.
-func (c *Core) Supply(now time.Time, service string) Supply {
-	supply := Supply{Known: len(c.byService[service])}
+// ServerCounts is what the node knows of a service's servers.
+func (c *Core) ServerCounts(now time.Time, service string) ServerCounts {
+	supply := ServerCounts{Known: len(c.byService[service])}
 	for _, s := range c.byService[service] {
 		if s.bounds.IsRateLimited() {
-			supply.Limited++
+			supply.RateLimited++
 		}
 		switch {
 		case s.isGoing():
-			supply.Going++
+			supply.Draining++
 		case s.isBackingOff(now):
-			supply.Resting++
+			supply.BackingOff++
 		case s.closed:
-			supply.Closed++
+			supply.Evacuated++
 		}
 	}
 	return supply
@@ -211,14 +211,14 @@
 const (
 	// StateReady servers take work.
 	StateReady State = "ready"
-	// StateGoing servers leave and take none.
-	StateGoing State = "going"
-	// StateResting servers want nothing from this node for now.
-	StateResting State = "resting"
-	// StateClosed servers take none while their zone is evacuated.
-	StateClosed State = "closed"
-	// StateLimited servers take work at the rate that they name.
-	StateLimited State = "limited"
+	// StateDraining servers leave and take none.
+	StateDraining State = "going"
+	// StateBackingOff servers want nothing from this node for now.
+	StateBackingOff State = "resting"
+	// StateEvacuated servers take none while their zone is evacuated.
+	StateEvacuated State = "closed"
+	// StateRateLimited servers take work at the rate that they name.
+	StateRateLimited State = "limited"
 	// StateSuspect servers take work, though many of their requests failed.
 	StateSuspect State = "suspect"
 )
@@ -240,13 +240,13 @@
 func (s *server) state(now time.Time) State {
 	switch {
 	case s.isGoing():
-		return StateGoing
+		return StateDraining
 	case s.isBackingOff(now):
-		return StateResting
+		return StateBackingOff
 	case s.closed:
-		return StateClosed
+		return StateEvacuated
 	case s.bounds.IsRateLimited():
-		return StateLimited
+		return StateRateLimited
 	case s.health.failureRate(now) >= suspectRate:
 		return StateSuspect
 	default:
@@ -254,8 +254,8 @@
 	}
 }
 
-// TakesWork reports whether new work may go to the server.
-func (c *Core) TakesWork(serverID string) bool {
+// IsAvailable reports whether new work may go to the server.
+func (c *Core) IsAvailable(serverID string) bool {
 	known, ok := c.servers[serverID]
 	return ok && known.takesWork()
 }
@@ -300,8 +300,8 @@
 	return loads
 }
 
-// RunningOf are the requests of the loads at each server.
-func RunningOf(loads []PeerLoad) map[string]int {
+// RunningByServer are the requests of the loads at each server.
+func RunningByServer(loads []PeerLoad) map[string]int {
 	running := make(map[string]int, len(loads))
 	for _, load := range loads {
 		running[load.ServerID] = load.Running
