--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -24,13 +24,13 @@
 	return core
 }
 
-func pick(core *Core, now time.Time, ask Ask) string {
+func pick(core *Core, now time.Time, ask Request) string {
 	ask.Service = "s"
 	choice, ok := core.Pick(now, ask)
 	if !ok {
 		return ""
 	}
-	core.End(now, choice.Flight, OutcomeServed)
+	core.End(now, choice.Attempt, OutcomeServed)
 	return choice.ServerID
 }
 
@@ -40,26 +40,26 @@
 	core := newCore(entry("a", "z", "m"), entry("b", "z"), draining)
 	cases := []struct {
 		name string
-		ask  Ask
+		ask  Request
 		want string
 	}{
-		{"the one that holds the model", Ask{Model: "m"}, "a"},
-		{"and its adapter", Ask{Model: "m", Adapter: "a1"}, "a"},
-		{"no other adapter", Ask{Model: "m", Adapter: "a2"}, ""},
-		{"no other model", Ask{Model: "n"}, ""},
-		{"excluded", Ask{Model: "m", Exclude: []string{"a"}}, ""},
-		{"only another", Ask{Model: "m", Only: []string{"b"}}, ""},
+		{"the one that holds the model", Request{Model: "m"}, "a"},
+		{"and its adapter", Request{Model: "m", Adapter: "a1"}, "a"},
+		{"no other adapter", Request{Model: "m", Adapter: "a2"}, ""},
+		{"no other model", Request{Model: "n"}, ""},
+		{"excluded", Request{Model: "m", Exclude: []string{"a"}}, ""},
+		{"only another", Request{Model: "m", AllowedServers: []string{"b"}}, ""},
 	}
 	for _, c := range cases {
 		if got := pick(core, begin, c.ask); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
-	core.Absent(begin, "a", "m", "")
-	if got := pick(core, begin.Add(time.Millisecond), Ask{Model: "m"}); got != "" {
+	core.MarkModelAbsent(begin, "a", "m", "")
+	if got := pick(core, begin.Add(time.Millisecond), Request{Model: "m"}); got != "" {
 		t.Errorf("picked %q right after it refused the model as not there", got)
 	}
-	if got := pick(core, begin.Add(time.Second), Ask{Model: "m"}); got != "a" {
+	if got := pick(core, begin.Add(time.Second), Request{Model: "m"}); got != "a" {
 		t.Errorf("picked %q a second later, want a", got)
 	}
 }
@@ -71,33 +71,33 @@
 		ServerID: "a", Sequence: 3, Held: map[string][]string{"new": {"a1"}},
 		Loading: map[string]time.Duration{"next": 2 * time.Second, "new/a2": 100 * time.Millisecond},
 	}})
-	if pick(core, begin, Ask{Model: "old"}) != "" || pick(core, begin, Ask{Model: "new"}) != "a" {
+	if pick(core, begin, Request{Model: "old"}) != "" || pick(core, begin, Request{Model: "new"}) != "a" {
 		t.Error("the entry goes before a fresh view")
 	}
-	if pick(core, begin.Add(150*time.Millisecond), Ask{Model: "new", Adapter: "a2"}) != "a" {
+	if pick(core, begin.Add(150*time.Millisecond), Request{Model: "new", Adapter: "a2"}) != "a" {
 		t.Error("an adapter whose time has come is not believed")
 	}
-	if left, known := core.ReadyIn(begin.Add(time.Second), Wanted{Service: "s", Model: "next"}); !known || left != time.Second {
+	if left, known := core.ReadyIn(begin.Add(time.Second), Requirements{Service: "s", Model: "next"}); !known || left != time.Second {
 		t.Errorf("ready in %v, %v; want 1s", left, known)
 	}
-	if pick(core, begin.Add(2500*time.Millisecond), Ask{Model: "next"}) != "" {
+	if pick(core, begin.Add(2500*time.Millisecond), Request{Model: "next"}) != "" {
 		t.Error("a model is believed before the leader has seen it")
 	}
 	core.SetViews(begin, 4, []View{{ServerID: "a", Sequence: 9}})
-	if pick(core, begin, Ask{Model: "new"}) != "a" {
+	if pick(core, begin, Request{Model: "new"}) != "a" {
 		t.Error("a view of an older term is taken")
 	}
 	// Nodes that follow their peers see no entry for long: an older one does not
 	// go before the last view, and a newer one does.
-	if pick(core, begin.Add(4*time.Second), Ask{Model: "old"}) != "" || pick(core, begin.Add(4*time.Second), Ask{Model: "new"}) != "a" {
+	if pick(core, begin.Add(4*time.Second), Request{Model: "old"}) != "" || pick(core, begin.Add(4*time.Second), Request{Model: "new"}) != "a" {
 		t.Error("an older entry goes before a view that is not repeated")
 	}
 	core.SetServers([]inventory.Change{entry("a", "z", "old")})
-	if pick(core, begin.Add(4*time.Second), Ask{Model: "old"}) != "a" {
+	if pick(core, begin.Add(4*time.Second), Request{Model: "old"}) != "a" {
 		t.Error("a newer entry does not go before a view that is not repeated")
 	}
 	core.ConfirmViews(begin.Add(5*time.Second), 5, 0)
-	if pick(core, begin.Add(6*time.Second), Ask{Model: "new"}) != "a" {
+	if pick(core, begin.Add(6*time.Second), Request{Model: "new"}) != "a" {
 		t.Error("the entry goes before a view that the leader confirmed after it")
 	}
 }
@@ -108,11 +108,11 @@
 	core := newCore(entry("a", "z", "m"), entry("b", "z"))
 	core.SetLeader(begin, 1, false, 0)
 	core.SetViews(begin, 1, []View{{ServerID: "b", Sequence: 1, Loading: map[string]time.Duration{"m": 2 * time.Second}}})
-	wanted := Wanted{Service: "s", Model: "m", Adapter: "a9"}
+	wanted := Requirements{Service: "s", Model: "m", Adapter: "a9"}
 	if left, known := core.ReadyIn(begin, wanted); !known || left > 200*time.Millisecond {
 		t.Errorf("ready in %v, %v; want soon", left, known)
 	}
-	core.SetGoing("a", storepos.At(0, 9))
+	core.SetDraining("a", storepos.At(0, 9))
 	if left, known := core.ReadyIn(begin, wanted); !known || left < 2*time.Second {
 		t.Errorf("ready in %v, %v; want after the load of its model", left, known)
 	}
@@ -122,7 +122,7 @@
 // adapters while no leader held its lease.
 func TestOrdersAreExpectedOnlyWhereSomebodyMayGiveThem(t *testing.T) {
 	core := newCore(entry("a", "z", "m"))
-	wanted := Wanted{Service: "s", Model: "m", Adapter: "a9"}
+	wanted := Requirements{Service: "s", Model: "m", Adapter: "a9"}
 	steps := []struct {
 		name   string
 		change func()
@@ -147,7 +147,7 @@
 
 func TestPromptsGoWhereTheyAreKept(t *testing.T) {
 	core := newCore(entry("a", "z", "m"), entry("b", "z", "m"), entry("c", "z", "m"))
-	ask := Ask{Model: "m", PromptTokens: 9000, Parts: []PromptPart{{"p1", 2500}, {"p2", 3500}, {"own", 3000}}}
+	ask := Request{Model: "m", PromptTokens: 9000, Parts: []PromptPart{{"p1", 2500}, {"p2", 3500}, {"own", 3000}}}
 	first := pick(core, begin, ask)
 	for i := range 10 {
 		ask.Parts[2].ID = string(rune('a' + i))
@@ -167,28 +167,28 @@
 
 func TestFailingServersAreAvoidedAndTriedAgain(t *testing.T) {
 	core := newCore(entry("a", "z"), entry("b", "other"))
-	if got := pick(core, begin, Ask{}); got != "a" {
+	if got := pick(core, begin, Request{}); got != "a" {
 		t.Fatalf("went to %s, want the own zone", got)
 	}
 	for range 6 {
-		choice, _ := core.Pick(begin, Ask{Service: "s", Only: []string{"a"}})
-		core.End(begin, choice.Flight, OutcomeFailed)
+		choice, _ := core.Pick(begin, Request{Service: "s", AllowedServers: []string{"a"}})
+		core.End(begin, choice.Attempt, OutcomeFailed)
 	}
 	if core.CountServers(begin, StateSuspect) != 1 {
 		t.Error("a server of six failures is not suspect")
 	}
-	if got := pick(core, begin.Add(time.Second), Ask{}); got != "b" {
+	if got := pick(core, begin.Add(time.Second), Request{}); got != "b" {
 		t.Errorf("went to %s, want b while a fails", got)
 	}
-	if got := pick(core, begin.Add(20*time.Second), Ask{}); got != "a" {
+	if got := pick(core, begin.Add(20*time.Second), Request{}); got != "a" {
 		t.Errorf("went to %s, want a again after a while", got)
 	}
 }
 
 func TestServersOwnWordOfItsLoadCounts(t *testing.T) {
 	core := newCore(entry("a", "z"), entry("b", "z"))
-	core.SetReported(begin, "a", Load{Running: 8, Waiting: 4, Slots: 8})
-	if got := pick(core, begin.Add(100*time.Millisecond), Ask{}); got != "b" {
+	core.SetReportedLoad(begin, "a", Load{Running: 8, Waiting: 4, Slots: 8})
+	if got := pick(core, begin.Add(100*time.Millisecond), Request{}); got != "b" {
 		t.Errorf("went to %s, want b: a says that it is full", got)
 	}
 }
@@ -210,9 +210,9 @@
 // servers or whether all were taken to leave.
 func TestSupplyTellsWhyNobodyTakesWork(t *testing.T) {
 	core := newCore(entry("a", "z"), entry("b", "z"))
-	core.SetGoing("a", storepos.At(0, 9))
-	core.SetGoing("unknown", storepos.At(0, 9))
-	if got := core.Supply(begin, "s"); got != (Supply{Known: 2, Going: 1}) {
+	core.SetDraining("a", storepos.At(0, 9))
+	core.SetDraining("unknown", storepos.At(0, 9))
+	if got := core.ServerCounts(begin, "s"); got != (ServerCounts{Known: 2, Draining: 1}) {
 		t.Errorf("supply %+v", got)
 	}
 }
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -7,9 +7,9 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Wanted names what requests ask for: a model of a service, with an adapter or
+// Requirements names what requests ask for: a model of a service, with an adapter or
 // without, in the regions in which they may run.
-type Wanted struct {
+type Requirements struct {
 	Service string
 	Model   string
 	Adapter string
@@ -26,20 +26,20 @@
 
 // DemandCount is what a node counted of the requests for one Wanted.
 type DemandCount struct {
-	Wanted Wanted
-	// Asked counts up from the node's start.
-	Asked int
+	Requirements Requirements
+	// Requests counts up from the node's start.
+	Requests int
 	// PromptTokens are those of the requests asked.
 	PromptTokens int
-	// Goal is the tightest objective among them.
-	Goal time.Duration
+	// LatencyGoal is the tightest objective among them.
+	LatencyGoal time.Duration
 	// Waiting requests have no server now.
-	Waiting int
-	LastAsk time.Time
+	Waiting     int
+	LastRequest time.Time
 }
 
-// Asked counts a request with its prompt.
-func (c *Core) Asked(now time.Time, wanted Wanted, promptTokens int, goal time.Duration) {
+// CountRequest counts a request with its prompt.
+func (c *Core) CountRequest(now time.Time, wanted Requirements, promptTokens int, goal time.Duration) {
 	counted := c.demandOf(wanted)
 	counted.asked++
 	counted.tokens += promptTokens
@@ -49,12 +49,12 @@
 	counted.lastAsk = now
 }
 
-// Waits adds to the requests that have no server now.
-func (c *Core) Waits(wanted Wanted, by int) {
+// AddWaiting adds to the requests that have no server now.
+func (c *Core) AddWaiting(wanted Requirements, by int) {
 	c.demandOf(wanted).waiting += by
 }
 
-func (c *Core) demandOf(wanted Wanted) *demand {
+func (c *Core) demandOf(wanted Requirements) *demand {
 	counted, ok := c.demand[wanted]
 	if !ok {
 		counted = &demand{}
@@ -69,7 +69,7 @@
 	for wanted, counted := range c.demand {
 		if counted.waiting > 0 || counted.lastAsk.After(since) {
 			counts = append(counts, DemandCount{
-				Wanted: wanted, Asked: counted.asked, PromptTokens: counted.tokens, Goal: counted.goal, Waiting: counted.waiting, LastAsk: counted.lastAsk,
+				Requirements: wanted, Requests: counted.asked, PromptTokens: counted.tokens, LatencyGoal: counted.goal, Waiting: counted.waiting, LastRequest: counted.lastAsk,
 			})
 		}
 	}
@@ -84,7 +84,7 @@
 // what is wanted; known is false where nobody has said that it is on its way. Servers that
 // rest are left out: see Rests.
 // An adapter comes soon wherever its model stands.
-func (c *Core) ReadyIn(now time.Time, wanted Wanted) (left time.Duration, known bool) {
+func (c *Core) ReadyIn(now time.Time, wanted Requirements) (left time.Duration, known bool) {
 	for _, s := range c.listed(wanted.Service, wanted.Model) {
 		if s.info.Service != wanted.Service || !s.takesWork() || !c.isIn(s, wanted.Regions) || s.bounds.Backoff(now) > 0 {
 			continue
@@ -100,12 +100,12 @@
 	return left, known
 }
 
-// Copy is where weights lie that a server can load.
-type Copy int
+// CopyLocation is where weights lie that a server can load.
+type CopyLocation int
 
 const (
 	// CopyInStore weights lie in the weight store alone.
-	CopyInStore Copy = iota
+	CopyInStore CopyLocation = iota
 	// CopyOnDisk weights lie on some server's disk.
 	CopyOnDisk
 	// CopyInMemory weights lie in some server's memory, beside those it holds.
@@ -114,7 +114,7 @@
 
 // NearestCopy is the copy of a model's weights that some server can load
 // soonest, by the leader's views or the servers' own entries.
-func (c *Core) NearestCopy(now time.Time, wanted Wanted) Copy {
+func (c *Core) NearestCopy(now time.Time, wanted Requirements) CopyLocation {
 	nearest := CopyInStore
 	for _, s := range c.index.keeping[wanted.Model] {
 		inMemory, onDisk := s.copies(now)
@@ -139,7 +139,7 @@
 
 // comesIn is the time until the server has what is wanted, where that can be
 // told; ordersIn is the time until somebody may order.
-func (s *server) comesIn(now time.Time, wanted Wanted, ordersIn time.Duration) (time.Duration, bool) {
+func (s *server) comesIn(now time.Time, wanted Requirements, ordersIn time.Duration) (time.Duration, bool) {
 	ready, ok := s.readyIn(now, wanted.Model, wanted.Adapter)
 	if ok || wanted.Adapter == "" {
 		return ready, ok
@@ -151,9 +151,9 @@
 	return ready + usualAdapterTime, ok
 }
 
-// ReadyAt is the time until one server has what is wanted, where it is on its
+// ServerReadyIn is the time until one server has what is wanted, where it is on its
 // way or there.
-func (c *Core) ReadyAt(now time.Time, serverID string, wanted Wanted) (left time.Duration, known bool) {
+func (c *Core) ServerReadyIn(now time.Time, serverID string, wanted Requirements) (left time.Duration, known bool) {
 	s, ok := c.servers[serverID]
 	if !ok || !s.takesWork() || !c.isIn(s, wanted.Regions) {
 		return 0, false
--- a/internal/dispatch/demand_test.go
+++ b/internal/dispatch/demand_test.go
@@ -12,7 +12,7 @@
 	cases := []struct {
 		name    string
 		servers []inventory.Server
-		want    Copy
+		want    CopyLocation
 	}{
 		{"nowhere", []inventory.Server{{ID: "a", Service: "svc"}}, CopyInStore},
 		{"on disk", []inventory.Server{{ID: "a", Service: "svc"}, {ID: "b", Service: "svc", OnDisk: []string{"m"}}}, CopyOnDisk},
@@ -27,7 +27,7 @@
 			changes = append(changes, inventory.Change{Server: server})
 		}
 		core.SetServers(changes)
-		if got := core.NearestCopy(begin, Wanted{Service: "svc", Model: "m"}); got != c.want {
+		if got := core.NearestCopy(begin, Requirements{Service: "svc", Model: "m"}); got != c.want {
 			t.Errorf("%s: copy %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/dispatch/early.go
+++ b/internal/dispatch/early.go
@@ -30,7 +30,7 @@
 		return
 	}
 	delete(c.early, serverID)
-	if s := c.servers[serverID]; early.view.Born == 0 || early.view.Born == s.info.Born {
+	if s := c.servers[serverID]; early.view.StartedAtMs == 0 || early.view.StartedAtMs == s.info.StartedAtMs {
 		s.setView(early.at, c.term, early.view)
 		c.index.put(s)
 	}
--- a/internal/dispatch/early_test.go
+++ b/internal/dispatch/early_test.go
@@ -20,7 +20,7 @@
 		t.Error("views of servers that are not known yet count as missing")
 	}
 	core.SetServers([]inventory.Change{entry("a", "z")})
-	if pick(core, begin.Add(time.Second), Ask{Model: "m"}) != "a" || !core.ConfirmViews(begin, 5, 3^4) {
+	if pick(core, begin.Add(time.Second), Request{Model: "m"}) != "a" || !core.ConfirmViews(begin, 5, 3^4) {
 		t.Error("the view that came ahead of its server is lost")
 	}
 	if core.ConfirmViews(begin.Add(earlyKept+time.Second), 5, 3^4) || !core.ConfirmViews(begin.Add(earlyKept+time.Second), 5, 3) {
@@ -29,7 +29,7 @@
 	core.SetViews(begin, 5, []View{earlyTestView("c", 9)})
 	core.SetViews(begin, 6, []View{earlyTestView("a", 3)})
 	core.SetServers([]inventory.Change{entry("c", "z")})
-	if pick(core, begin, Ask{Model: "m", Exclude: []string{"a"}}) != "" || !core.ConfirmViews(begin, 6, 3) {
+	if pick(core, begin, Request{Model: "m", Exclude: []string{"a"}}) != "" || !core.ConfirmViews(begin, 6, 3) {
 		t.Error("a view of an older term is used")
 	}
 	core.SetViews(begin, 6, []View{earlyTestView("d", 7)})
--- a/internal/dispatch/evacuate_test.go
+++ b/internal/dispatch/evacuate_test.go
@@ -11,7 +11,7 @@
 // at servers that come later; and they serve again once it is taken back.
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
 	core := newCore(entry("a", "z", "m"), entry("b", "y", "m"))
-	running, ok := core.Pick(begin, Ask{Service: "s", Model: "m", Only: []string{"a"}})
+	running, ok := core.Pick(begin, Request{Service: "s", Model: "m", AllowedServers: []string{"a"}})
 	if !ok {
 		t.Fatal("no server before the evacuation")
 	}
@@ -24,30 +24,30 @@
 	}
 	core.SetServers([]inventory.Change{entry("late", "z", "m")})
 	core.SetViews(begin, 5, []View{{ServerID: "a", Sequence: 1, Held: map[string][]string{"m": nil}, Loading: map[string]time.Duration{"n": time.Second}}})
-	wanted := Wanted{Service: "s", Model: "n"}
+	wanted := Requirements{Service: "s", Model: "n"}
 	for _, id := range []string{"a", "late"} {
-		if _, ok := core.Pick(begin, Ask{Service: "s", Model: "m", Only: []string{id}}); ok || core.CanPick(begin, Ask{Service: "s", Model: "m", Only: []string{id}}) {
+		if _, ok := core.Pick(begin, Request{Service: "s", Model: "m", AllowedServers: []string{id}}); ok || core.CanPick(begin, Request{Service: "s", Model: "m", AllowedServers: []string{id}}) {
 			t.Errorf("%s is chosen", id)
 		}
-		if core.TakesWork(id) {
+		if core.IsAvailable(id) {
 			t.Errorf("%s is still good right before a send", id)
 		}
-		if _, known := core.ReadyAt(begin, id, wanted); known {
+		if _, known := core.ServerReadyIn(begin, id, wanted); known {
 			t.Errorf("a request waits at %s for a model", id)
 		}
 	}
 	if _, known := core.ReadyIn(begin, wanted); known {
 		t.Error("a load in the zone is waited for")
 	}
-	if got := pick(core, begin, Ask{Model: "m"}); got != "b" {
+	if got := pick(core, begin, Request{Model: "m"}); got != "b" {
 		t.Errorf("picked %q, want b", got)
 	}
-	if got := core.CountServers(begin, StateClosed); got != 2 {
+	if got := core.CountServers(begin, StateEvacuated); got != 2 {
 		t.Errorf("%d servers closed, want 2", got)
 	}
-	core.End(begin, running.Flight, OutcomeServed)
+	core.End(begin, running.Attempt, OutcomeServed)
 	core.SetEvacuated(nil)
-	if got := pick(core, begin, Ask{Model: "m", Exclude: []string{"b"}}); got != "a" && got != "late" {
+	if got := pick(core, begin, Request{Model: "m", Exclude: []string{"b"}}); got != "a" && got != "late" {
 		t.Errorf("picked %q after the end, want a server of the zone", got)
 	}
 }
--- a/internal/dispatch/fleetload.go
+++ b/internal/dispatch/fleetload.go
@@ -30,8 +30,8 @@
 // NewFleetLoads returns the loads of no servers.
 func NewFleetLoads() *FleetLoads { return &FleetLoads{loads: make(map[string]PeerLoad)} }
 
-// Take adds what all nodes have under way now.
-func (f *FleetLoads) Take(now time.Time, current []PeerLoad) {
+// Add adds what all nodes have under way now.
+func (f *FleetLoads) Add(now time.Time, current []PeerLoad) {
 	kept := math.Exp(-now.Sub(f.at).Seconds() / loadMemory.Seconds())
 	f.at = now
 	for id, load := range f.loads {
@@ -70,9 +70,9 @@
 	return l.PendingTokens/readRate + l.smoothed*runningCost.Seconds()
 }
 
-// Totals are the requests of all nodes, as far as this one knows, at each server
+// TotalLoads are the requests of all nodes, as far as this one knows, at each server
 // that has any.
-func (c *Core) Totals(now time.Time) []PeerLoad {
+func (c *Core) TotalLoads(now time.Time) []PeerLoad {
 	var totals []PeerLoad
 	for id, s := range c.servers {
 		if running, pending := s.totals(now); running > 0 {
--- a/internal/dispatch/fleetload_test.go
+++ b/internal/dispatch/fleetload_test.go
@@ -15,10 +15,10 @@
 	now := begin
 	for range 40 {
 		now = now.Add(50 * time.Millisecond)
-		loads.Take(now, []PeerLoad{{ServerID: "lasting", Running: 10, PendingTokens: 20000}})
+		loads.Add(now, []PeerLoad{{ServerID: "lasting", Running: 10, PendingTokens: 20000}})
 	}
 	now = now.Add(50 * time.Millisecond)
-	loads.Take(now, []PeerLoad{
+	loads.Add(now, []PeerLoad{
 		{ServerID: "lasting", Running: 10, PendingTokens: 20000}, {ServerID: "burst", Running: 30, PendingTokens: 60000},
 	})
 	busiest := loads.Busiest(5)
@@ -28,7 +28,7 @@
 	if first := loads.Busiest(1); len(first) != 1 || first[0].ServerID != "lasting" {
 		t.Errorf("the busiest is %+v", first)
 	}
-	loads.Take(now.Add(10*time.Second), nil)
+	loads.Add(now.Add(10*time.Second), nil)
 	if left := loads.Busiest(5); len(left) != 0 {
 		t.Errorf("%+v is left after ten idle seconds", left)
 	}
@@ -38,7 +38,7 @@
 // send, and all of them took the server that keeps the prompt's shared parts.
 func TestFleetLoadTurnsRequestsAway(t *testing.T) {
 	core := newCore(entry("a", "z", "m"), entry("b", "z", "m"))
-	ask := Ask{Model: "m", PromptTokens: 9000, Parts: []PromptPart{{ID: "x", Tokens: 6300}, {ID: "y", Tokens: 2700}}}
+	ask := Request{Model: "m", PromptTokens: 9000, Parts: []PromptPart{{ID: "x", Tokens: 6300}, {ID: "y", Tokens: 2700}}}
 	preferred := pick(core, begin, ask)
 	other := map[string]string{"a": "b", "b": "a"}[preferred]
 	core.SetFleetLoads(begin, 5, []PeerLoad{{ServerID: preferred, Running: 20, PendingTokens: 30000}})
@@ -73,7 +73,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				loads.Take(now, core.Totals(begin))
+				loads.Add(now, core.TotalLoads(begin))
 				loads.Busiest(48)
 			}
 		})
--- a/internal/dispatch/hints_test.go
+++ b/internal/dispatch/hints_test.go
@@ -17,35 +17,35 @@
 // bornEntry is the entry of one start of a server that holds m.
 func bornEntry(id string, born, revision int64) inventory.Change {
 	change := entry(id, "z", "m")
-	change.Server.Born, change.Server.Position = born, storepos.At(0, revision)
+	change.Server.StartedAtMs, change.Server.Position = born, storepos.At(0, revision)
 	return change
 }
 
 // hear lets a server tell something with its answer to a request.
 func hear(t *testing.T, core *Core, now time.Time, hint inventory.Hint) inventory.Start {
 	t.Helper()
-	choice, ok := core.Pick(now, Ask{Service: "s", Model: "m"})
+	choice, ok := core.Pick(now, Request{Service: "s", Model: "m"})
 	if !ok {
 		t.Fatal("no server takes a request")
 	}
-	start := choice.Flight.Start()
+	start := choice.Attempt.Start()
 	core.ReceiveHint(now, start, hint)
-	core.Begun(now, choice.Flight)
-	core.End(now, choice.Flight, OutcomeServed)
+	core.RecordFirstByte(now, choice.Attempt)
+	core.End(now, choice.Attempt, OutcomeServed)
 	return start
 }
 
 func TestLeavingHoldsForOneStart(t *testing.T) {
 	core := newCore(bornEntry("a", 7, 1))
 	hear(t, core, begin, inventory.Hint{Draining: true})
-	ask := Ask{Model: "m"}
+	ask := Request{Model: "m"}
 	steps := []struct {
 		name   string
 		change inventory.Change
 		want   string
 	}{
 		{"a newer entry that does not say so", bornEntry("a", 7, 5), ""},
-		{"its entry goes", inventory.Change{Server: inventory.Server{ID: "a", Born: 7}, Gone: true}, ""},
+		{"its entry goes", inventory.Change{Server: inventory.Server{ID: "a", StartedAtMs: 7}, Gone: true}, ""},
 		{"an old list brings it back", bornEntry("a", 7, 2), ""},
 		{"a later start", bornEntry("a", 8, 6), "a"},
 		{"the earlier start, told late", bornEntry("a", 7, 5), "a"},
@@ -56,7 +56,7 @@
 			t.Errorf("%s: picked %q, want %q", step.name, got, step.want)
 		}
 	}
-	if core.ReceiveHint(begin, inventory.Start{ID: "a", Born: 7}, inventory.Hint{Draining: true}) || pick(core, begin, ask) != "a" {
+	if core.ReceiveHint(begin, inventory.Start{ID: "a", StartedAtMs: 7}, inventory.Hint{Draining: true}) || pick(core, begin, ask) != "a" {
 		t.Error("a late answer of the earlier start binds the later one")
 	}
 }
@@ -64,9 +64,9 @@
 func TestRestThenOneThenMore(t *testing.T) {
 	core := newCore(entry("a", "z", "m"))
 	hear(t, core, begin, inventory.Hint{Backoff: 3 * time.Second})
-	ask := Ask{Service: "s", Model: "m"}
-	wanted := Wanted{Service: "s", Model: "m"}
-	if left, elsewhere, ok := core.BackoffEnds(begin.Add(time.Second), wanted); left != 2*time.Second || elsewhere || !ok {
+	ask := Request{Service: "s", Model: "m"}
+	wanted := Requirements{Service: "s", Model: "m"}
+	if left, elsewhere, ok := core.BackoffEndsIn(begin.Add(time.Second), wanted); left != 2*time.Second || elsewhere || !ok {
 		t.Errorf("rests for %v, could be loaded elsewhere: %v, rests: %v", left, elsewhere, ok)
 	}
 	if _, known := core.ReadyIn(begin, wanted); known || core.CanPick(begin.Add(2999*time.Millisecond), ask) {
@@ -77,19 +77,19 @@
 	if !ok || core.CanPick(now, ask) {
 		t.Fatalf("after the rest one request goes: %v, and a second beside it: %v", ok, core.CanPick(now, ask))
 	}
-	core.ReceiveHint(now, first.Flight.Start(), inventory.Hint{Backoff: time.Second})
-	core.Begun(now, first.Flight)
-	core.End(now, first.Flight, OutcomeRejected)
+	core.ReceiveHint(now, first.Attempt.Start(), inventory.Hint{Backoff: time.Second})
+	core.RecordFirstByte(now, first.Attempt)
+	core.End(now, first.Attempt, OutcomeRejected)
 	if core.CanPick(now.Add(999*time.Millisecond), ask) {
 		t.Error("it is sent to in its second rest")
 	}
 	now = now.Add(time.Second)
 	again, _ := core.Pick(now, ask)
-	core.End(now, again.Flight, OutcomeFailed)
+	core.End(now, again.Attempt, OutcomeFailed)
 	if again, ok = core.Pick(now, ask); !ok || core.CanPick(now, ask) {
 		t.Error("a request that brought no answer shows nothing: the next goes alone")
 	}
-	core.Begun(now, again.Flight)
+	core.RecordFirstByte(now, again.Attempt)
 	if !core.CanPick(now, ask) {
 		t.Error("the server takes work again, and is left alone")
 	}
@@ -100,11 +100,11 @@
 	core := newCore(entry("a", "z", "m"))
 	hear(t, core, begin, inventory.Hint{Backoff: time.Second})
 	now := begin.Add(time.Second)
-	ask := Ask{Service: "s", Model: "m"}
+	ask := Request{Service: "s", Model: "m"}
 	if _, ok := core.Pick(now, ask); !ok {
 		t.Fatal("nothing goes after the rest")
 	}
-	if left, known := core.ReadyIn(now, Wanted{Service: "s", Model: "m"}); !known || left != admission.ProbeTimeout {
+	if left, known := core.ReadyIn(now, Requirements{Service: "s", Model: "m"}); !known || left != admission.ProbeTimeout {
 		t.Errorf("the next is told to wait for %v, %v", left, known)
 	}
 	if !core.CanPick(now.Add(admission.ProbeTimeout), ask) {
@@ -115,19 +115,19 @@
 // TestRestsOfOneServer: the longest counts, answers meanwhile end none, and others are not meant.
 func TestRestsOfOneServer(t *testing.T) {
 	core := newCore(entry("a", "z", "m"), entry("b", "z"))
-	choice, _ := core.Pick(begin, Ask{Service: "s", Model: "m"})
-	later, _ := core.Pick(begin, Ask{Service: "s", Model: "m"})
-	core.ReceiveHint(begin, choice.Flight.Start(), inventory.Hint{Backoff: 3 * time.Second})
-	core.ReceiveHint(begin.Add(time.Second), later.Flight.Start(), inventory.Hint{Backoff: time.Second})
-	core.Begun(begin, later.Flight)
-	core.End(begin, later.Flight, OutcomeServed)
-	if core.CanPick(begin.Add(2500*time.Millisecond), Ask{Service: "s", Model: "m"}) {
+	choice, _ := core.Pick(begin, Request{Service: "s", Model: "m"})
+	later, _ := core.Pick(begin, Request{Service: "s", Model: "m"})
+	core.ReceiveHint(begin, choice.Attempt.Start(), inventory.Hint{Backoff: 3 * time.Second})
+	core.ReceiveHint(begin.Add(time.Second), later.Attempt.Start(), inventory.Hint{Backoff: time.Second})
+	core.RecordFirstByte(begin, later.Attempt)
+	core.End(begin, later.Attempt, OutcomeServed)
+	if core.CanPick(begin.Add(2500*time.Millisecond), Request{Service: "s", Model: "m"}) {
 		t.Error("a shorter rest, or an answer to an earlier request, ends a longer one")
 	}
-	if got := pick(core, begin, Ask{}); got != "b" {
+	if got := pick(core, begin, Request{}); got != "b" {
 		t.Errorf("picked %q, want the one that does not rest", got)
 	}
-	if left, elsewhere, ok := core.BackoffEnds(begin, Wanted{Service: "s", Model: "m"}); !ok || !elsewhere || left != 3*time.Second {
+	if left, elsewhere, ok := core.BackoffEndsIn(begin, Requirements{Service: "s", Model: "m"}); !ok || !elsewhere || left != 3*time.Second {
 		t.Errorf("%v, elsewhere %v, %v", left, elsewhere, ok)
 	}
 }
@@ -136,28 +136,28 @@
 // server behind the others.
 func TestWordsOfPeers(t *testing.T) {
 	core := newCore(bornEntry("a", 1, 1), bornEntry("b", 1, 1))
-	a, b := inventory.Start{ID: "a", Born: 1}, inventory.Start{ID: "b", Born: 1}
+	a, b := inventory.Start{ID: "a", StartedAtMs: 1}, inventory.Start{ID: "b", StartedAtMs: 1}
 	core.ReceivePeerHint(begin, a, inventory.Hint{Backoff: 3 * time.Second})
 	for range 20 {
-		if got := pick(core, begin, Ask{Model: "m"}); got != "b" {
+		if got := pick(core, begin, Request{Model: "m"}); got != "b" {
 			t.Fatalf("picked %q, which asked a peer for rest", got)
 		}
 	}
-	if got := core.Away(begin); len(got) != 1 || got[0] != a {
+	if got := core.UnavailableStarts(begin); len(got) != 1 || got[0] != a {
 		t.Errorf("away: %v", got)
 	}
 	core.ReceivePeerHint(begin, b, inventory.Hint{Draining: true})
-	if got := pick(core, begin, Ask{Model: "m"}); got != "a" {
+	if got := pick(core, begin, Request{Model: "m"}); got != "a" {
 		t.Errorf("picked %q, want the one that stays", got)
 	}
-	if got := core.Away(begin.Add(2500 * time.Millisecond)); len(got) != 1 || got[0] != b {
+	if got := core.UnavailableStarts(begin.Add(2500 * time.Millisecond)); len(got) != 1 || got[0] != b {
 		t.Errorf("away: %v, want only the one that leaves", got)
 	}
 }
 
 func TestWordsAreBounded(t *testing.T) {
 	core := newCore(bornEntry("listed", 1, 1))
-	core.ReceiveHint(begin, inventory.Start{ID: "listed", Born: 1}, inventory.Hint{Draining: true})
+	core.ReceiveHint(begin, inventory.Start{ID: "listed", StartedAtMs: 1}, inventory.Hint{Draining: true})
 	for i := range maxStarts + 100 {
 		core.ReceivePeerHint(begin.Add(time.Duration(i)*time.Millisecond), inventory.Start{ID: strconv.Itoa(i)}, inventory.Hint{Draining: true})
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("%d words are kept", len(core.starts))
 	}
 	core.ReceivePeerHint(begin.Add(time.Hour), inventory.Start{ID: "late"}, inventory.Hint{Draining: true})
-	if len(core.starts) != 2 || pick(core, begin, Ask{Model: "m"}) != "" {
+	if len(core.starts) != 2 || pick(core, begin, Request{Model: "m"}) != "" {
 		t.Errorf("%d words after an hour, want those of the server with an entry and the last", len(core.starts))
 	}
 }
@@ -214,7 +214,7 @@
 	case 2:
 		w.now = w.now.Add(time.Duration(draw(4)) * time.Second)
 	case 3:
-		w.tellOfPeer(inventory.Start{ID: id, Born: int64(1 + draw(3))})
+		w.tellOfPeer(inventory.Start{ID: id, StartedAtMs: int64(1 + draw(3))})
 	case 4:
 		return w.answer(draw)
 	}
@@ -229,7 +229,7 @@
 		before = w.core.servers[entry.ID].bounds
 	}
 	w.core.SetServers([]inventory.Change{{Server: entry}})
-	isOlder := entry.Position.IsBefore(known.Position) || entry.Position == known.Position && entry.Born < known.Born
+	isOlder := entry.Position.IsBefore(known.Position) || entry.Position == known.Position && entry.StartedAtMs < known.StartedAtMs
 	if !isListed || !isOlder || entry.Start() == known.Start() {
 		w.listed[entry.ID] = entry
 	}
@@ -245,9 +245,9 @@
 func (w *wordsWorld) tellOfPeer(start inventory.Start) {
 	told := start
 	if w.defect == toldWithoutBorn {
-		told.Born = 0
+		told.StartedAtMs = 0
 		if server, ok := w.core.servers[start.ID]; ok {
-			told.Born = server.info.Born
+			told.StartedAtMs = server.info.StartedAtMs
 		}
 	}
 	w.core.ReceivePeerHint(w.now, told, inventory.Hint{Draining: true})
@@ -256,11 +256,11 @@
 
 // answer lets a server answer a request, and tell something with it.
 func (w *wordsWorld) answer(draw func(below int) int) string {
-	choice, ok := w.core.Pick(w.now, Ask{Service: "s", Model: "m"})
+	choice, ok := w.core.Pick(w.now, Request{Service: "s", Model: "m"})
 	if !ok {
 		return ""
 	}
-	start := choice.Flight.start
+	start := choice.Attempt.start
 	switch {
 	case w.leaving[start]:
 		return fmt.Sprintf("%v is sent to, which leaves", start)
@@ -268,9 +268,9 @@
 		return fmt.Sprintf("%v is sent to, which rests", start)
 	}
 	hint := inventory.Hint{Draining: draw(4) == 0, Backoff: time.Duration(draw(3)) * time.Second}
-	w.core.ReceiveHint(w.now, choice.Flight.Start(), hint)
-	w.core.Begun(w.now, choice.Flight)
-	w.core.End(w.now, choice.Flight, OutcomeServed)
+	w.core.ReceiveHint(w.now, choice.Attempt.Start(), hint)
+	w.core.RecordFirstByte(w.now, choice.Attempt)
+	w.core.End(w.now, choice.Attempt, OutcomeServed)
 	w.leaving[start] = w.leaving[start] || hint.Draining
 	w.resting[start] = later(w.resting[start], w.now.Add(hint.Backoff))
 	if w.defect == restsByService && hint.Backoff > 0 {
@@ -280,7 +280,7 @@
 	}
 	if w.defect == forgetsAtOnce {
 		clear(w.core.starts)
-		choice.Flight.server.bounds = nil
+		choice.Attempt.server.bounds = nil
 	}
 	return w.check()
 }
@@ -292,7 +292,7 @@
 		if w.leaving[start] || w.now.Before(w.resting[start]) {
 			continue
 		}
-		if !w.core.CanPick(w.now, Ask{Service: "s", Model: "m", Only: []string{id}}) {
+		if !w.core.CanPick(w.now, Request{Service: "s", Model: "m", AllowedServers: []string{id}}) {
 			return fmt.Sprintf("%v is left alone, which told nothing", start)
 		}
 	}
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -31,7 +31,7 @@
 			switch draw(4) {
 			case 0:
 				entry := inventory.Server{
-					ID: id, Born: int64(draw(3)), Service: fmt.Sprint("service", draw(2)), Zone: "z", Position: storepos.At(0, int64(step)), Draining: draw(5) == 0,
+					ID: id, StartedAtMs: int64(draw(3)), Service: fmt.Sprint("service", draw(2)), Zone: "z", Position: storepos.At(0, int64(step)), Draining: draw(5) == 0,
 					InMemory: some(), OnDisk: some(),
 				}
 				for _, model := range some() {
@@ -41,7 +41,7 @@
 			case 1:
 				core.SetServers([]inventory.Change{{Server: inventory.Server{ID: id}, Gone: true}})
 			case 2:
-				view := View{ServerID: id, Born: int64(draw(3)), Held: make(map[string][]string), Loading: make(map[string]time.Duration), InMemory: some(), OnDisk: some()}
+				view := View{ServerID: id, StartedAtMs: int64(draw(3)), Held: make(map[string][]string), Loading: make(map[string]time.Duration), InMemory: some(), OnDisk: some()}
 				for _, model := range some() {
 					view.Held[model] = []string{"a1"}
 				}
@@ -63,7 +63,7 @@
 	for _, model := range models {
 		for _, service := range []string{"service0", "service1"} {
 			for _, adapter := range []string{"", "a1", "a2"} {
-				wanted := Wanted{Service: service, Model: model, Adapter: adapter}
+				wanted := Requirements{Service: service, Model: model, Adapter: adapter}
 				var want []string
 				soonest, nearest := time.Duration(-1), CopyInStore
 				for id, s := range core.servers {
@@ -84,7 +84,7 @@
 					}
 				}
 				var got []string
-				for _, s := range core.filter(now, Ask{Service: service, Model: model, Adapter: adapter}) {
+				for _, s := range core.filter(now, Request{Service: service, Model: model, Adapter: adapter}) {
 					got = append(got, s.info.ID)
 				}
 				slices.Sort(want)
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Ask is a request that wants a server.
-type Ask struct {
+// Request is a request that wants a server.
+type Request struct {
 	Service string
 	// Model is empty where the service's servers hold no models.
 	Model        string
@@ -20,11 +20,11 @@
 	PromptTokens int
 	// Exclude are servers that this request failed at.
 	Exclude []string
-	// Only are the servers that the request may go to; empty is any.
-	Only []string
-	// Together is set for a request that may end its server: all nodes send those of one
+	// AllowedServers are the servers that the request may go to; empty is any.
+	AllowedServers []string
+	// ColocationKey is set for a request that may end its server: all nodes send those of one
 	// number to the same one, so that several at once end one server and not several.
-	Together uint64
+	ColocationKey uint64
 	// Regions are those in which the request may run.
 	Regions locality.Regions
 }
@@ -37,11 +37,11 @@
 	Estimate time.Duration
 	// Distance is how far it is.
 	Distance locality.Distance
-	Flight   *Flight
+	Attempt  *Attempt
 }
 
-// Flight is one request under way at a server.
-type Flight struct {
+// Attempt is one request under way at a server.
+type Attempt struct {
 	server *server
 	// start is the start of the server that it was sent to.
 	start    inventory.Start
@@ -73,7 +73,7 @@
 
 // Pick chooses a server that can take the request now. Where there is none, ok
 // is false; ReadyIn says for how long.
-func (c *Core) Pick(now time.Time, ask Ask) (choice Choice, ok bool) {
+func (c *Core) Pick(now time.Time, ask Request) (choice Choice, ok bool) {
 	keys := partKeys(ask.Model, ask.Adapter, ask.Parts)
 	candidates := c.filter(now, ask)
 	if len(candidates) == 0 {
@@ -83,24 +83,24 @@
 	chosen.cache.add(now, keys)
 	chosen.running++
 	chosen.pendingTokens += tokens
-	flight := &Flight{server: chosen, start: chosen.info.Start(), tokens: tokens, estimate: cost, started: now}
+	flight := &Attempt{server: chosen, start: chosen.info.Start(), tokens: tokens, estimate: cost, started: now}
 	flight.probe = chosen.bounds.StartProbe(now)
-	return Choice{ServerID: chosen.info.ID, Address: chosen.info.Address, Estimate: cost, Distance: c.places.Distance(c.zone, chosen.info.Zone), Flight: flight}, true
+	return Choice{ServerID: chosen.info.ID, Address: chosen.info.Address, Estimate: cost, Distance: c.places.Distance(c.zone, chosen.info.Zone), Attempt: flight}, true
 }
 
 // CanPick reports whether Pick would find a server.
-func (c *Core) CanPick(now time.Time, ask Ask) bool {
+func (c *Core) CanPick(now time.Time, ask Request) bool {
 	return len(c.filter(now, ask)) > 0
 }
 
 // filter returns the servers that may be sent to.
-func (c *Core) filter(now time.Time, ask Ask) []*server {
+func (c *Core) filter(now time.Time, ask Request) []*server {
 	var candidates []*server
 	for _, s := range c.listed(ask.Service, ask.Model) {
 		if s.info.Service != ask.Service || !s.takesWork() || !c.isIn(s, ask.Regions) || slices.Contains(ask.Exclude, s.info.ID) {
 			continue
 		}
-		if len(ask.Only) > 0 && !slices.Contains(ask.Only, s.info.ID) {
+		if len(ask.AllowedServers) > 0 && !slices.Contains(ask.AllowedServers, s.info.ID) {
 			continue
 		}
 		if ask.Model != "" && !s.holds(now, ask.Model, ask.Adapter) {
@@ -114,9 +114,9 @@
 	return candidates
 }
 
-func (c *Core) best(now time.Time, ask Ask, keys []uint64, candidates []*server) (*server, time.Duration, float64) {
-	if ask.Together != 0 {
-		candidates = []*server{agreed(ask.Together, candidates)}
+func (c *Core) best(now time.Time, ask Request, keys []uint64, candidates []*server) (*server, time.Duration, float64) {
+	if ask.ColocationKey != 0 {
+		candidates = []*server{agreed(ask.ColocationKey, candidates)}
 	}
 	preferred := c.preferred(keys, candidates)
 	var chosen *server
@@ -193,12 +193,12 @@
 	OutcomeFailed
 	// OutcomeRejected is a refusal by the server, which did not run it.
 	OutcomeRejected
-	// OutcomeLeft says nothing of the server: the caller left.
-	OutcomeLeft
+	// OutcomeAbandoned says nothing of the server: the caller left.
+	OutcomeAbandoned
 )
 
-// Begun tells that the answer's first byte came.
-func (c *Core) Begun(now time.Time, flight *Flight) {
+// RecordFirstByte tells that the answer's first byte came.
+func (c *Core) RecordFirstByte(now time.Time, flight *Attempt) {
 	if flight.begun || flight.ended {
 		return
 	}
@@ -213,12 +213,12 @@
 	}
 }
 
-func (c *Core) clearPending(flight *Flight) {
+func (c *Core) clearPending(flight *Attempt) {
 	flight.server.pendingTokens = math.Max(0, flight.server.pendingTokens-flight.tokens)
 }
 
 // End tells how the request ended.
-func (c *Core) End(now time.Time, flight *Flight, outcome Outcome) {
+func (c *Core) End(now time.Time, flight *Attempt, outcome Outcome) {
 	if flight.ended {
 		return
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// Absent tells that a server refused a model as not there.
-func (c *Core) Absent(now time.Time, serverID, model, adapter string) {
+// MarkModelAbsent tells that a server refused a model as not there.
+func (c *Core) MarkModelAbsent(now time.Time, serverID, model, adapter string) {
 	until := now.Add(absentTime)
 	if adapter != "" {
 		until = now.Add(absentAdapterTime)
@@ -257,8 +257,8 @@
 	absentAdapterTime = 50 * time.Millisecond
 )
 
-// SetReported takes the load that a server told with an answer.
-func (c *Core) SetReported(now time.Time, serverID string, load Load) {
+// SetReportedLoad takes the load that a server told with an answer.
+func (c *Core) SetReportedLoad(now time.Time, serverID string, load Load) {
 	if s, ok := c.servers[serverID]; ok {
 		s.reported = load
 		s.reportedAt = now
--- a/internal/dispatch/pick_bench_test.go
+++ b/internal/dispatch/pick_bench_test.go
@@ -36,27 +36,27 @@
 // waits asks for with each news.
 func BenchmarkPick(b *testing.B) {
 	core := largeCore()
-	ask := Ask{Service: "s", Model: "m7", PromptTokens: 1000}
+	ask := Request{Service: "s", Model: "m7", PromptTokens: 1000}
 	b.ReportAllocs()
 	for b.Loop() {
 		choice, ok := core.Pick(begin, ask)
 		if !ok {
 			b.Fatal("no server")
 		}
-		core.End(begin, choice.Flight, OutcomeServed)
+		core.End(begin, choice.Attempt, OutcomeServed)
 	}
 }
 
 func BenchmarkWait(b *testing.B) {
 	core := largeCore()
-	wanted := Wanted{Service: "s", Model: "m-nowhere"}
+	wanted := Requirements{Service: "s", Model: "m-nowhere"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if core.CanPick(begin, Ask{Service: "s", Model: wanted.Model}) {
+		if core.CanPick(begin, Request{Service: "s", Model: wanted.Model}) {
 			b.Fatal("a server")
 		}
 		_, _ = core.ReadyIn(begin, wanted)
-		_, _, _ = core.BackoffEnds(begin, wanted)
+		_, _, _ = core.BackoffEndsIn(begin, wanted)
 		_ = core.NearestCopy(begin, wanted)
 	}
 }
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -24,7 +24,7 @@
 // namedLimit reports whether the start ever named a rate limit.
 func (c *Core) namedLimit(start inventory.Start) bool {
 	limit := c.boundsOf(start).Limit()
-	return limit.IsKnown()
+	return limit.HasBeenSet()
 }
 
 // RateLimit is the rate limit of a server's start as this node knows it; ok is false where it names
@@ -62,9 +62,9 @@
 	return perSecond < limitedShare*float64(c.servers[state.start.ID].info.Slots)
 }
 
-// IsHeldByRate reports whether what is wanted stands on servers that take work, all of which name a
+// HasOnlyRateLimitedServers reports whether what is wanted stands on servers that take work, all of which name a
 // rate limit.
-func (c *Core) IsHeldByRate(now time.Time, wanted Wanted) bool {
+func (c *Core) HasOnlyRateLimitedServers(now time.Time, wanted Requirements) bool {
 	found := false
 	for _, s := range c.listed(wanted.Service, wanted.Model) {
 		if s.info.Service != wanted.Service || !s.takesWork() || !c.isIn(s, wanted.Regions) || !s.offers(now, wanted) {
--- a/internal/dispatch/regions.go
+++ b/internal/dispatch/regions.go
@@ -8,7 +8,7 @@
 
 // wayCosts are added for a server by how far it is: the time of the way there and back,
 // and what its bytes are priced at.
-var wayCosts = [locality.Distances]time.Duration{
+var wayCosts = [locality.DistanceCount]time.Duration{
 	locality.SameZone:    0,
 	locality.SameRegion:  3 * time.Millisecond,
 	locality.OtherRegion: 16 * time.Millisecond,
@@ -24,11 +24,11 @@
 	return !regions.IsBounded() || regions.Allows(c.places.Region(s.info.Zone))
 }
 
-// MayTake reports whether a request that was to go to a server, and that may run in the
+// MayStillSend reports whether a request that was to go to a server, and that may run in the
 // regions, may still go there now: to the same start of it, which stays and does not rest.
-func (c *Core) MayTake(now time.Time, flight *Flight, regions locality.Regions) bool {
+func (c *Core) MayStillSend(now time.Time, flight *Attempt, regions locality.Regions) bool {
 	known, ok := c.servers[flight.start.ID]
-	return ok && known == flight.server && known.takesWork() && known.bounds.CheckCall(now).Admits() && c.isIn(known, regions)
+	return ok && known == flight.server && known.takesWork() && known.bounds.CheckInternalCall(now).Admits() && c.isIn(known, regions)
 }
 
 // HasServer reports whether some server of the service in the regions takes work.
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -111,8 +111,8 @@
 // isBackingOff reports whether nothing may be sent to the server now, though it stays: it wants nothing
 // from this node, or one request shows whether it does.
 func (s *server) isBackingOff(now time.Time) bool {
-	bound := s.bounds.Check(now).Bound
-	return bound == admission.BoundBackoff || bound == admission.BoundHalfOpen
+	bound := s.bounds.Check(now).Reason
+	return bound == admission.DenyBackoff || bound == admission.DenyHalfOpen
 }
 
 // hasView reports whether the leader's view goes before the entry: while it is
--- a/internal/dispatch/starts.go
+++ b/internal/dispatch/starts.go
@@ -48,7 +48,7 @@
 
 // ReceivePeerLimit takes what a peer says that one start of a server told it of its rate limit.
 func (c *Core) ReceivePeerLimit(now time.Time, start inventory.Start, limit admission.Observation) (news bool) {
-	if !limit.Limit.IsNamed() && !c.namedLimit(start) {
+	if !limit.Limit.IsSet() && !c.namedLimit(start) {
 		return false
 	}
 	return c.noteNews(c.stateOf(now, start).bounds.ReceivePeerLimit(limit))
@@ -122,26 +122,26 @@
 
 // MayCall reports whether a call of the system itself may go to the start of a server now.
 func (c *Core) MayCall(now time.Time, start inventory.Start) bool {
-	return c.boundsOf(start).CheckCall(now).Admits()
+	return c.boundsOf(start).CheckInternalCall(now).Admits()
 }
 
-// EndedUnannounced reports whether nobody had said that the server of a flight would end, which
+// EndedUnexpectedly reports whether nobody had said that the server of a flight would end, which
 // has ended: that start of it was to take work.
-func (c *Core) EndedUnannounced(flight *Flight) bool {
+func (c *Core) EndedUnexpectedly(flight *Attempt) bool {
 	known, ok := c.servers[flight.start.ID]
 	return ok && !flight.server.isGoing() && !known.closed
 }
 
 // Start is the start of the server that the request was sent to.
-func (f *Flight) Start() inventory.Start { return f.start }
+func (f *Attempt) Start() inventory.Start { return f.start }
 
 // Age is the time since the request was sent to its server.
-func (f *Flight) Age(now time.Time) time.Duration { return now.Sub(f.started) }
+func (f *Attempt) Age(now time.Time) time.Duration { return now.Sub(f.started) }
 
-// BackoffEnds tells when requests for what is wanted may go to a server again that wants nothing for
+// BackoffEndsIn tells when requests for what is wanted may go to a server again that wants nothing for
 // now, and whether another one, which takes work, might load it meanwhile; ok is false where none
 // backs off.
-func (c *Core) BackoffEnds(now time.Time, wanted Wanted) (left time.Duration, elsewhere, ok bool) {
+func (c *Core) BackoffEndsIn(now time.Time, wanted Requirements) (left time.Duration, elsewhere, ok bool) {
 	for _, s := range c.listed(wanted.Service, wanted.Model) {
 		backoff := s.bounds.Backoff(now)
 		if backoff == 0 || s.info.Service != wanted.Service || !s.takesWork() || !c.isIn(s, wanted.Regions) || !s.bears(now, wanted) {
@@ -161,7 +161,7 @@
 }
 
 // bears reports whether the server has what is wanted, or the model that a wanted adapter is of.
-func (s *server) bears(now time.Time, wanted Wanted) bool {
+func (s *server) bears(now time.Time, wanted Requirements) bool {
 	return s.offers(now, wanted) || wanted.Adapter != "" && s.has(now, wanted.Model, "")
 }
 
@@ -169,9 +169,9 @@
 // than that is over before a copy is loaded elsewhere, from another server's disk or memory.
 const leastAway = time.Second
 
-// Away are the starts of servers that said that they drain, that want nothing from this node or
+// UnavailableStarts are the starts of servers that said that they drain, that want nothing from this node or
 // others for so long, or take so little, that what they hold is better loaded elsewhere.
-func (c *Core) Away(now time.Time) []inventory.Start {
+func (c *Core) UnavailableStarts(now time.Time) []inventory.Start {
 	var away []inventory.Start
 	for start, state := range c.starts {
 		if state.bounds.IsDraining() || state.bounds.LongestBackoff(now) >= leastAway || c.isShortOfRate(now, state) {
--- a/internal/dispatch/starts_test.go
+++ b/internal/dispatch/starts_test.go
@@ -12,13 +12,13 @@
 // start forgot what the present one had told, and sent requests to a server that leaves.
 
 func viewOfStart(born int64) []View {
-	return []View{{ServerID: "a", Born: born, Sequence: 1, Digest: uint64(born), Held: map[string][]string{"m": nil}}}
+	return []View{{ServerID: "a", StartedAtMs: born, Sequence: 1, Digest: uint64(born), Held: map[string][]string{"m": nil}}}
 }
 
 func TestLateEntryOfTheStartBefore(t *testing.T) {
 	core := newCore(bornEntry("a", 1, 4))
 	core.SetViews(begin, 5, viewOfStart(2))
-	core.ReceiveHint(begin, inventory.Start{ID: "a", Born: 2}, inventory.Hint{Draining: true})
+	core.ReceiveHint(begin, inventory.Start{ID: "a", StartedAtMs: 2}, inventory.Hint{Draining: true})
 	steps := []struct {
 		name   string
 		change inventory.Change
@@ -30,7 +30,7 @@
 	}
 	for _, step := range steps {
 		core.SetServers([]inventory.Change{step.change})
-		if got := pick(core, begin, Ask{Model: "m"}); got != step.want {
+		if got := pick(core, begin, Request{Model: "m"}); got != step.want {
 			t.Errorf("%s: picked %q, want %q", step.name, got, step.want)
 		}
 	}
@@ -42,11 +42,11 @@
 	core := newCore(bornEntry("a", 7, 4))
 	core.SetViews(begin, 5, viewOfStart(8))
 	core.SetServers([]inventory.Change{bornEntry("a", 6, 9)})
-	if got := core.servers["a"].info.Born; got != 8 {
+	if got := core.servers["a"].info.StartedAtMs; got != 8 {
 		t.Errorf("start %d by an entry alone, want 8", got)
 	}
 	core.SetViews(begin, 5, viewOfStart(6))
-	if got := core.servers["a"].info.Start(); got.Born != 6 || pick(core, begin, Ask{Model: "m"}) != "a" {
+	if got := core.servers["a"].info.Start(); got.StartedAtMs != 6 || pick(core, begin, Request{Model: "m"}) != "a" {
 		t.Errorf("%v by its entry and the leader's view, want 6 in use", got)
 	}
 }
--- a/internal/dispatch/views.go
+++ b/internal/dispatch/views.go
@@ -6,9 +6,9 @@
 // loading, and the number of orders behind that.
 type View struct {
 	ServerID string
-	// Born is that of the start of the server that is meant; 0 where it is not told.
-	Born     int64
-	Sequence int64
+	// StartedAtMs is that of the start of the server that is meant; 0 where it is not told.
+	StartedAtMs int64
+	Sequence    int64
 	// Held are the adapters of each model that may be sent to.
 	Held map[string][]string
 	// Loading are the times left until MODEL or MODEL/ADAPTER is there.
@@ -53,17 +53,17 @@
 // the present one where the store and the leader say so.
 func (c *Core) startOf(known *server, view *View) *server {
 	switch {
-	case view.Born == 0 || view.Born == known.info.Born:
+	case view.StartedAtMs == 0 || view.StartedAtMs == known.info.StartedAtMs:
 		return known
-	case known.rival != nil && known.rival.Born == view.Born:
+	case known.rival != nil && known.rival.StartedAtMs == view.StartedAtMs:
 		known.isTold = false
 		c.put(*known.rival)
 		return c.servers[known.info.ID]
-	case view.Born < known.info.Born:
+	case view.StartedAtMs < known.info.StartedAtMs:
 		return nil
 	}
 	again := known.info
-	again.Born, again.Models, again.ColdLeft, again.TellsCold = view.Born, nil, 0, false
+	again.StartedAtMs, again.Models, again.ColdRemaining, again.ReportsCold = view.StartedAtMs, nil, 0, false
 	c.put(again)
 	c.servers[again.ID].isTold = true
 	return c.servers[again.ID]
--- a/internal/edge/admissions.go
+++ b/internal/edge/admissions.go
@@ -29,7 +29,7 @@
 	// warmUps and limits are what this node granted as the coordinator, of cold servers and of those
 	// that name a rate limit, and warmUpLots and limitLots its own part without one.
 	warmUps, limits       *quota.Coordinator
-	warmUpLots, limitLots *admission.Lots
+	warmUpLots, limitLots *admission.FallbackAllowance
 	// isTold is set once this node was told how large the fleet is, by the store or by one
 	// that knows.
 	isTold atomic.Bool
@@ -42,8 +42,8 @@
 		node:       node,
 		warmUps:    quota.NewCoordinator(admission.WarmUpTolerance()),
 		limits:     quota.NewCoordinator(admission.RateLimitTolerance()),
-		warmUpLots: admission.NewLots(node.options.PeerAddress),
-		limitLots:  admission.NewRateLimitLots(node.options.PeerAddress),
+		warmUpLots: admission.NewWarmUpFallback(node.options.PeerAddress),
+		limitLots:  admission.NewRateLimitFallback(node.options.PeerAddress),
 	}
 }
 
@@ -73,14 +73,14 @@
 }
 
 // Admit implements relay.Admission.
-func (c *admissions) Admit(ctx context.Context, start inventory.Start, priority int) relay.AdmissionVerdict {
+func (c *admissions) Admit(ctx context.Context, start inventory.Start, priority int) relay.AdmissionDecision {
 	now := clock.Now()
 	return c.admit(ctx, now, start, c.boundsOf(now, start), priority)
 }
 
-// AdmitCall asks whether a call of the system itself, an order or the question for a report, may go to
+// AdmitInternalCall asks whether a call of the system itself, an order or the question for a report, may go to
 // the start. Cold servers take them.
-func (c *admissions) AdmitCall(ctx context.Context, start inventory.Start) relay.AdmissionVerdict {
+func (c *admissions) AdmitInternalCall(ctx context.Context, start inventory.Start) relay.AdmissionDecision {
 	now := clock.Now()
 	known := c.boundsOf(now, start)
 	known.phase = admission.Warm
@@ -90,11 +90,11 @@
 // callPriority is that of the system's own calls: behind all urgent requests.
 const callPriority = mostLimitPriority
 
-func (c *admissions) admit(ctx context.Context, now time.Time, start inventory.Start, known bounds, priority int) relay.AdmissionVerdict {
+func (c *admissions) admit(ctx context.Context, now time.Time, start inventory.Start, known bounds, priority int) relay.AdmissionDecision {
 	if !known.any() {
-		return relay.AdmissionVerdict{Granted: true}
+		return relay.AdmissionDecision{Granted: true}
 	}
-	if known.phase != admission.Warm && c.bound(known.service).Most() == 0 {
+	if known.phase != admission.Warm && c.bound(known.service).MaxRequests() == 0 {
 		verdict := c.admitWhenWarm(now, start.ID, known.phase)
 		if !verdict.Granted || !known.isLimited {
 			return verdict
@@ -110,9 +110,9 @@
 			continue
 		}
 		c.hearAnswer(start, answer)
-		return c.counted(known, relay.AdmissionVerdict{
-			Granted: answer.Kind == peerpb.QuotaCall_GRANTED, Until: asked.Add(admission.GrantAge), By: coordinator.Address,
-			RetryIn: time.Duration(answer.RetryMs) * time.Millisecond,
+		return c.counted(known, relay.AdmissionDecision{
+			Granted: answer.Kind == peerpb.QuotaCall_GRANTED, ValidUntil: asked.Add(admission.GrantLifetime), GrantedBy: coordinator.Address,
+			RetryAfter: time.Duration(answer.RetryMs) * time.Millisecond,
 		})
 	}
 	return c.counted(known, c.admitAlone(start, known))
@@ -121,7 +121,7 @@
 // question asks a coordinator for a request to the start.
 func question(now time.Time, start inventory.Start, known bounds, priority int) *peerpb.QuotaCall {
 	return &peerpb.QuotaCall{
-		Kind: peerpb.QuotaCall_ASK, Server: start.ID, Born: start.Born, Service: known.service, Cost: 1,
+		Kind: peerpb.QuotaCall_ASK, Server: start.ID, Born: start.StartedAtMs, Service: known.service, Cost: 1,
 		Priority: uint32(max(0, priority)), Ramping: known.phase == admission.Ramp, Warm: known.phase == admission.Warm,
 		Limit: encodeLimit(now, known.limit.Latest()),
 	}
@@ -136,13 +136,13 @@
 
 // admitWhenWarm decides on a server that takes nothing while it is cold: nobody has to be
 // asked.
-func (c *admissions) admitWhenWarm(now time.Time, serverID string, phase admission.Phase) relay.AdmissionVerdict {
+func (c *admissions) admitWhenWarm(now time.Time, serverID string, phase admission.Phase) relay.AdmissionDecision {
 	var left time.Duration
-	c.node.dispatch.Do(func(core *dispatch.Core) { left, _ = core.ColdLeft(now, serverID) })
-	return relay.AdmissionVerdict{Granted: phase != admission.Cold, RetryIn: left}
+	c.node.dispatch.Do(func(core *dispatch.Core) { left, _ = core.ColdRemaining(now, serverID) })
+	return relay.AdmissionDecision{Granted: phase != admission.Cold, RetryAfter: left}
 }
 
-func (c *admissions) counted(known bounds, verdict relay.AdmissionVerdict) relay.AdmissionVerdict {
+func (c *admissions) counted(known bounds, verdict relay.AdmissionDecision) relay.AdmissionDecision {
 	switch {
 	case !verdict.Granted:
 	case known.phase != admission.Warm:
@@ -153,29 +153,29 @@
 	return verdict
 }
 
-// GiveBack implements relay.Admission: others may use the grant of a limited server. The time of a
+// ReturnGrant implements relay.Admission: others may use the grant of a limited server. The time of a
 // cold one is over before.
-func (c *admissions) GiveBack(start inventory.Start, verdict relay.AdmissionVerdict) {
+func (c *admissions) ReturnGrant(start inventory.Start, verdict relay.AdmissionDecision) {
 	known := c.boundsOf(clock.Now(), start)
-	if !known.isLimited || !verdict.Granted || verdict.By == "" {
+	if !known.isLimited || !verdict.Granted || verdict.GrantedBy == "" {
 		return
 	}
 	c.givenBack.Add(1)
 	call := question(clock.Now(), start, known, 0)
 	call.Kind, call.Cost, call.Asker = peerpb.QuotaCall_USED, -1, c.node.options.PeerAddress
-	if verdict.By == c.node.options.PeerAddress {
+	if verdict.GrantedBy == c.node.options.PeerAddress {
 		c.decide(clock.Now(), call)
 		return
 	}
-	c.node.peers.sendQuota(verdict.By, call)
+	c.node.peers.sendQuota(verdict.GrantedBy, call)
 }
 
 // admitAlone decides where no coordinator answers. Servers in their ramp are warm: only the
 // burst is to be kept small.
-func (c *admissions) admitAlone(start inventory.Start, known bounds) relay.AdmissionVerdict {
+func (c *admissions) admitAlone(start inventory.Start, known bounds) relay.AdmissionDecision {
 	c.alone.Add(1)
 	now := clock.Now()
-	verdict := relay.AdmissionVerdict{Until: now.Add(admission.GrantAge), RetryIn: unansweredTime}
+	verdict := relay.AdmissionDecision{ValidUntil: now.Add(admission.GrantLifetime), RetryAfter: unansweredTime}
 	if known.phase == admission.Ramp && !known.isLimited {
 		verdict.Granted = true
 		return verdict
@@ -193,10 +193,10 @@
 // takeLots uses the lots of all that bounds the server. The lock is held.
 func (c *admissions) takeLots(now time.Time, start inventory.Start, known bounds, nodes int) bool {
 	limit := admission.RateLimitBound{PerSecond: known.perSecond}
-	if known.isLimited && !c.limitLots.Take(now, accountOf(start), limit.Most(), nodes) {
+	if known.isLimited && !c.limitLots.Take(now, accountOf(start), limit.MaxRequests(), nodes) {
 		return false
 	}
-	return known.phase != admission.Cold || c.warmUpLots.Take(now, start.ID, c.bound(known.service).Most(), nodes)
+	return known.phase != admission.Cold || c.warmUpLots.Take(now, start.ID, c.bound(known.service).MaxRequests(), nodes)
 }
 
 // mayUseLots reports whether this node has listened long enough, and knows the fleet.
@@ -228,7 +228,7 @@
 
 // accountOf names the account of a start.
 func accountOf(start inventory.Start) string {
-	return start.ID + "/" + strconv.FormatInt(start.Born, 10)
+	return start.ID + "/" + strconv.FormatInt(start.StartedAtMs, 10)
 }
 
 // decide answers as the coordinator, or takes back what was granted and not used. Of what the asker
@@ -239,10 +239,10 @@
 		return answer
 	}
 	_, reach := c.node.quotas.fleetSize(now)
-	if reach < quota.LeastReach {
+	if reach < quota.MinReach {
 		return answer
 	}
-	start := inventory.Start{ID: call.Server, Born: call.Born}
+	start := inventory.Start{ID: call.Server, StartedAtMs: call.Born}
 	if limit, ok := decodeLimit(now, call.Limit); ok {
 		c.node.hints.receivePeerLimit(now, start, limit)
 	}
@@ -253,7 +253,7 @@
 		return answer
 	}
 	verdict := c.decideBounds(now, call, start, known, reach)
-	answer.Kind, answer.RetryMs = peerpb.QuotaCall_REFUSED, uint32(min(verdict.RetryIn, longestAge).Milliseconds())
+	answer.Kind, answer.RetryMs = peerpb.QuotaCall_REFUSED, uint32(min(verdict.RetryAfter, longestAge).Milliseconds())
 	if verdict.Granted {
 		answer.Kind = peerpb.QuotaCall_GRANTED
 	}
@@ -261,13 +261,13 @@
 }
 
 // decideBounds asks all that bounds the server: a request needs each of them.
-func (c *admissions) decideBounds(now time.Time, call *peerpb.QuotaCall, start inventory.Start, known bounds, reach float64) quota.Verdict {
+func (c *admissions) decideBounds(now time.Time, call *peerpb.QuotaCall, start inventory.Start, known bounds, reach float64) quota.Decision {
 	limit := admission.RateLimitBound{PerSecond: known.perSecond}.Quota()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	verdict := quota.Verdict{Granted: true}
+	verdict := quota.Decision{Granted: true}
 	if known.isLimited {
-		verdict = c.limits.Ask(now, accountOf(start), limit, reach, 1, min(int(call.Priority), mostLimitPriority))
+		verdict = c.limits.Acquire(now, accountOf(start), limit, reach, 1, min(int(call.Priority), mostLimitPriority))
 	}
 	if !verdict.Granted || call.Warm {
 		return verdict
@@ -277,10 +277,10 @@
 	if call.Ramping && known.phase != admission.Cold {
 		granted = bound.RampQuota()
 	}
-	verdict = c.warmUps.Ask(now, call.Server, granted, reach, 1, int(call.Priority))
+	verdict = c.warmUps.Acquire(now, call.Server, granted, reach, 1, int(call.Priority))
 	verdict.Granted = verdict.Granted && granted.PerSecond > 0
 	if !verdict.Granted && known.isLimited {
-		c.limits.GiveBack(now, accountOf(start), limit, reach)
+		c.limits.Refund(now, accountOf(start), limit, reach)
 	}
 	return verdict
 }
@@ -292,7 +292,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.limits.GiveBack(now, accountOf(start), admission.RateLimitBound{PerSecond: known.perSecond}.Quota(), reach)
+	c.limits.Refund(now, accountOf(start), admission.RateLimitBound{PerSecond: known.perSecond}.Quota(), reach)
 }
 
 // mayGive reports whether this node has listened long enough to know who is before it,
@@ -314,7 +314,7 @@
 func (c *admissions) asOf(now time.Time, servers []inventory.Server) []inventory.Server {
 	c.node.dispatch.Do(func(core *dispatch.Core) {
 		for i := range servers {
-			servers[i].ColdLeft, servers[i].TellsCold = core.ColdLeft(now, servers[i].ID)
+			servers[i].ColdRemaining, servers[i].ReportsCold = core.ColdRemaining(now, servers[i].ID)
 		}
 	})
 	return servers
@@ -325,14 +325,14 @@
 	if wire == 0 {
 		return 0, false
 	}
-	return min(time.Duration(wire-1)*time.Millisecond, admission.LongestCold), true
+	return min(time.Duration(wire-1)*time.Millisecond, admission.MaxColdTime), true
 }
 
 func encodeColdLeft(left time.Duration, told bool) uint32 {
 	if !told {
 		return 0
 	}
-	return 1 + uint32(min(max(0, left), admission.LongestCold).Milliseconds())
+	return 1 + uint32(min(max(0, left), admission.MaxColdTime).Milliseconds())
 }
 
 // observe is called in each period: a coordinator that stood still has to notice, and
@@ -349,8 +349,8 @@
 		if change.IsCold {
 			event = "server_cold"
 		}
-		c.node.options.Logger.Info().Str("server", change.ServerID).Str("zone", change.Zone).Str("by", string(change.By)).
-			Int64("left_ms", change.Left.Milliseconds()).Msg(event)
+		c.node.options.Logger.Info().Str("server", change.ServerID).Str("zone", change.Zone).Str("by", string(change.Source)).
+			Int64("left_ms", change.Remaining.Milliseconds()).Msg(event)
 	}
 }
 
@@ -364,8 +364,8 @@
 		c.warmUpLots.Prune(now)
 		c.limitLots.Prune(now)
 		if isCoordinator {
-			c.warmUps.Prune(core.Knows)
-			c.limits.Prune(func(account string) bool { return core.Knows(account[:strings.LastIndexByte(account, '/')]) })
+			c.warmUps.Prune(core.HasEntry)
+			c.limits.Prune(func(account string) bool { return core.HasEntry(account[:strings.LastIndexByte(account, '/')]) })
 		} else {
 			c.warmUps.Forget()
 			c.limits.Forget()
--- a/internal/edge/admissions_test.go
+++ b/internal/edge/admissions_test.go
@@ -40,7 +40,7 @@
 
 func hearsOf(node *Node, server inventory.Server) {
 	server.Address, server.Zone = "127.0.0.1:1", "z"
-	node.hearServers(clock.Now(), newsOf(encodeNews([]gossip.Item{{Server: server}})))
+	node.hearServers(clock.Now(), newsOf(encodeNews([]gossip.ServerChange{{Server: server}})))
 }
 
 // admitted is how many of some requests one node may send to a server now.
@@ -63,15 +63,15 @@
 func TestServerHeardOfAsNewsIsCold(t *testing.T) {
 	node := newColdNode(t, 1)
 	hearsOf(node, inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 4)})
-	hearsOf(node, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 5), TellsCold: true})
-	hearsOf(node, inventory.Server{ID: "cold", Service: "s", Position: storepos.At(0, 6), TellsCold: true, ColdLeft: 2 * time.Second})
+	hearsOf(node, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 5), ReportsCold: true})
+	hearsOf(node, inventory.Server{ID: "cold", Service: "s", Position: storepos.At(0, 6), ReportsCold: true, ColdRemaining: 2 * time.Second})
 	hearsOf(node, inventory.Server{ID: "plain", Service: "plain", Position: storepos.At(0, 7)})
 	for id, want := range map[string]admission.Phase{"silent": admission.Cold, "warm": admission.Warm, "cold": admission.Cold, "plain": admission.Warm} {
 		if got := phaseOf(node, id); got != want {
 			t.Errorf("%s: phase %d, want %d", id, got, want)
 		}
 	}
-	node.useServers([]inventory.Change{{Server: inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 8), TellsCold: true}}}, "watch")
+	node.useServers([]inventory.Change{{Server: inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 8), ReportsCold: true}}}, "watch")
 	if got := phaseOf(node, "silent"); got == admission.Cold {
 		t.Error("cold though its entry says otherwise")
 	}
@@ -80,11 +80,11 @@
 // TestKnownServerThatTurnsColdIsNews: entries are read only once in a second.
 func TestKnownServerThatTurnsColdIsNews(t *testing.T) {
 	reader, node := newColdNode(t, 2), newColdNode(t, 1)
-	known := inventory.Server{ID: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 4), TellsCold: true}
+	known := inventory.Server{ID: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 4), ReportsCold: true}
 	for _, each := range []*Node{reader, node} {
 		each.listServers(clock.Now(), []inventory.Server{known}, storepos.At(0, 4))
 	}
-	known.Position, known.ColdLeft = storepos.At(0, 6), 2*time.Second
+	known.Position, known.ColdRemaining = storepos.At(0, 6), 2*time.Second
 	reader.changeServers([]inventory.Change{{Server: known}}, storepos.At(0, 6))
 	node.hearServers(clock.Now(), newsOf(encodeNews(reader.directory.tell(clock.Now()))))
 	for name, each := range map[string]*Node{"the reader": reader, "who heard of it": node} {
@@ -92,7 +92,7 @@
 			t.Errorf("%s: phase %d, want cold", name, got)
 		}
 	}
-	if told := node.directory.tell(clock.Now()); len(told) != 1 || told[0].Server.ColdLeft == 0 {
+	if told := node.directory.tell(clock.Now()); len(told) != 1 || told[0].Server.ColdRemaining == 0 {
 		t.Errorf("told on: %+v", told)
 	}
 }
@@ -101,8 +101,8 @@
 func TestSnapshotTellsWhatIsCold(t *testing.T) {
 	peer := newColdNode(t, 1)
 	peer.listServers(clock.Now(), []inventory.Server{
-		{ID: "cold", Service: "s", Position: storepos.At(0, 4), TellsCold: true, ColdLeft: 2 * time.Second},
-		{ID: "warm", Service: "s", Position: storepos.At(0, 4), TellsCold: true},
+		{ID: "cold", Service: "s", Position: storepos.At(0, 4), ReportsCold: true, ColdRemaining: 2 * time.Second},
+		{ID: "warm", Service: "s", Position: storepos.At(0, 4), ReportsCold: true},
 		{ID: "silent", Service: "s", Position: storepos.At(0, 4)},
 	}, storepos.At(0, 4))
 	time.Sleep(20 * time.Millisecond)
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for _, server := range entriesOf(response.Servers, 0) {
-		left, told := server.ColdLeft, server.TellsCold
+		left, told := server.ColdRemaining, server.ReportsCold
 		switch server.ID {
 		case "cold":
 			if !told || left <= 0 || left > 1990*time.Millisecond {
@@ -131,7 +131,7 @@
 	meet(coordinator, asker)
 	for _, each := range []*Node{coordinator, asker} {
 		hearsOf(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
-		hearsOf(each, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 4), TellsCold: true})
+		hearsOf(each, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 4), ReportsCold: true})
 	}
 	began, granted := clock.Now(), 0
 	for clock.Since(began) < time.Second {
@@ -180,7 +180,7 @@
 	node.quotas.toldSize(clock.Now(), 68)
 	node.admissions.learnFleet(68)
 	// The draw goes by the node's address: this one has lots for two of the servers.
-	node.admissions.warmUpLots = admission.NewLots("10.0.0.4:1")
+	node.admissions.warmUpLots = admission.NewWarmUpFallback("10.0.0.4:1")
 	if got := sent(); got != 2 {
 		t.Errorf("%d of 400 sent by one of 68 nodes, want one for each of its lots", got)
 	}
@@ -198,8 +198,8 @@
 	if got := admitted(node, "a", 20); got != 0 {
 		t.Errorf("%d sent", got)
 	}
-	if verdict := node.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0); verdict.RetryIn < 2*time.Second {
-		t.Errorf("it is to come back in %v, while the server is cold", verdict.RetryIn)
+	if verdict := node.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0); verdict.RetryAfter < 2*time.Second {
+		t.Errorf("it is to come back in %v, while the server is cold", verdict.RetryAfter)
 	}
 }
 
@@ -208,12 +208,12 @@
 	if _, told := coldLeftOf(encodeColdLeft(time.Second, false)); told {
 		t.Error("told what is not known")
 	}
-	for left, want := range map[time.Duration]time.Duration{-time.Hour: 0, 0: 0, time.Second: time.Second, time.Hour: admission.LongestCold} {
+	for left, want := range map[time.Duration]time.Duration{-time.Hour: 0, 0: 0, time.Second: time.Second, time.Hour: admission.MaxColdTime} {
 		if got, told := coldLeftOf(encodeColdLeft(left, true)); !told || got != want {
 			t.Errorf("%v: %v, %v", left, got, told)
 		}
 	}
-	if got, _ := coldLeftOf(1<<32 - 1); got != admission.LongestCold {
+	if got, _ := coldLeftOf(1<<32 - 1); got != admission.MaxColdTime {
 		t.Errorf("endless: %v", got)
 	}
 }
@@ -222,11 +222,11 @@
 // otherwise; a peer is told that nothing is known.
 func TestEndOfAnEvacuationMakesItsServersCold(t *testing.T) {
 	node := newColdNode(t, 1)
-	inZone := inventory.Server{ID: "a", Service: "s", Zone: "y", Position: storepos.At(0, 4), TellsCold: true}
-	elsewhere := inventory.Server{ID: "b", Service: "s", Zone: "z", Position: storepos.At(0, 4), TellsCold: true}
+	inZone := inventory.Server{ID: "a", Service: "s", Zone: "y", Position: storepos.At(0, 4), ReportsCold: true}
+	elsewhere := inventory.Server{ID: "b", Service: "s", Zone: "z", Position: storepos.At(0, 4), ReportsCold: true}
 	node.listServers(clock.Now(), []inventory.Server{inZone, elsewhere}, storepos.At(0, 4))
-	node.evacuations.take(evacuation.Word{Zones: []string{"y"}, Position: storepos.At(0, 5)}, "test", 0)
-	node.evacuations.take(evacuation.Word{Position: storepos.At(0, 9)}, "test", 0)
+	node.evacuations.take(evacuation.Snapshot{Zones: []string{"y"}, Position: storepos.At(0, 5)}, "test", 0)
+	node.evacuations.take(evacuation.Snapshot{Position: storepos.At(0, 9)}, "test", 0)
 	phaseOf := func(id string) admission.Phase {
 		phase := phaseOf(node, id)
 		return phase
@@ -239,7 +239,7 @@
 	if phaseOf("a") != admission.Cold {
 		t.Error("warm by an entry from before the end")
 	}
-	if told := node.admissions.asOf(clock.Now(), []inventory.Server{inZone}); told[0].TellsCold {
+	if told := node.admissions.asOf(clock.Now(), []inventory.Server{inZone}); told[0].ReportsCold {
 		t.Error("a peer is told what is not known")
 	}
 	inZone.Position = storepos.At(0, 10)
@@ -287,7 +287,7 @@
 	admitted(asker, "a", 1) // opens the account
 	time.Sleep(300 * time.Millisecond)
 	verdict := asker.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0)
-	if left := clock.Until(verdict.Until); !verdict.Granted || left < admission.GrantAge-askTimeout/2 {
+	if left := clock.Until(verdict.ValidUntil); !verdict.Granted || left < admission.GrantLifetime-askTimeout/2 {
 		t.Errorf("%+v, usable for %v", verdict, left)
 	}
 }
@@ -295,19 +295,19 @@
 // hearsLimit lets the node hear from a server itself that it names a limit.
 func hearsLimit(node *Node, start inventory.Start, perSecond float64) {
 	now := clock.Now()
-	node.hints.receiveCall(start, inventory.Hint{Limit: inventory.NamedRate(perSecond), SentAt: now}, hintFromAnswer)
+	node.hints.receiveCall(start, inventory.Hint{Limit: inventory.NewRateLimit(perSecond), SentAt: now}, hintFromAnswer)
 }
 
 // TestLimitedServersAreGrantedByTheCoordinator: one that has not heard of the limit goes by who asks, a
 // grant that is not used is given back, and who asks hears that the limit has ended.
 func TestLimitedServersAreGrantedByTheCoordinator(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
-	start := inventory.Start{ID: "a", Born: 7}
+	start := inventory.Start{ID: "a", StartedAtMs: 7}
 	for _, node := range []*Node{coordinator, asker} {
-		hearsOf(node, inventory.Server{ID: "a", Born: 7, Service: "plain", Position: storepos.At(0, 4), TellsCold: true})
+		hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
 	}
 	meet(coordinator, asker)
-	ask := func() relay.AdmissionVerdict { return asker.admissions.Admit(context.Background(), start, 0) }
+	ask := func() relay.AdmissionDecision { return asker.admissions.Admit(context.Background(), start, 0) }
 	if !ask().Granted || coordinator.admissions.limitedAdmitted.Load() > 0 {
 		t.Fatal("a server without a limit takes a grant")
 	}
@@ -315,10 +315,10 @@
 	ask() // opens the account
 	time.Sleep(150 * time.Millisecond)
 	first, second := ask(), ask()
-	if !first.Granted || first.By == "" || second.Granted || second.RetryIn <= 0 {
+	if !first.Granted || first.GrantedBy == "" || second.Granted || second.RetryAfter <= 0 {
 		t.Fatalf("1.5 requests may go: %+v, then %+v", first, second)
 	}
-	asker.admissions.GiveBack(start, first)
+	asker.admissions.ReturnGrant(start, first)
 	time.Sleep(20 * time.Millisecond)
 	if !ask().Granted {
 		t.Error("what was given back is not granted")
@@ -333,19 +333,19 @@
 // A refusal that is given back lets one request more reach a limited server.
 func TestRefusalIsNotGivenBack(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
-	start := inventory.Start{ID: "a", Born: 7}
+	start := inventory.Start{ID: "a", StartedAtMs: 7}
 	for _, node := range []*Node{coordinator, asker} {
-		hearsOf(node, inventory.Server{ID: "a", Born: 7, Service: "plain", Position: storepos.At(0, 4), TellsCold: true})
+		hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
 	}
 	meet(coordinator, asker)
 	hearsLimit(asker, start, 1)
-	asker.admissions.AdmitCall(context.Background(), start) // opens the account
+	asker.admissions.AdmitInternalCall(context.Background(), start) // opens the account
 	for range 5 {
-		verdict := asker.admissions.AdmitCall(context.Background(), start)
-		if verdict.Granted || verdict.By != coordinator.options.PeerAddress {
+		verdict := asker.admissions.AdmitInternalCall(context.Background(), start)
+		if verdict.Granted || verdict.GrantedBy != coordinator.options.PeerAddress {
 			t.Fatalf("%+v, want a refusal of the coordinator", verdict)
 		}
-		asker.admissions.GiveBack(start, verdict)
+		asker.admissions.ReturnGrant(start, verdict)
 	}
 	if given := asker.admissions.givenBack.Load(); given != 0 {
 		t.Errorf("%d refusals were given back", given)
@@ -356,10 +356,10 @@
 // limit alone.
 func TestColdAndLimitedServerTakesTheLeast(t *testing.T) {
 	node := newColdNode(t, 1)
-	start := inventory.Start{ID: "a", Born: 7}
-	hearsOf(node, inventory.Server{ID: "a", Born: 7, Service: "s", Position: storepos.At(0, 4)})
+	start := inventory.Start{ID: "a", StartedAtMs: 7}
+	hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 4)})
 	hearsLimit(node, start, 1)
-	granted := func(admit func() relay.AdmissionVerdict) (count int) {
+	granted := func(admit func() relay.AdmissionDecision) (count int) {
 		for range 30 {
 			if admit().Granted {
 				count++
@@ -368,14 +368,14 @@
 		}
 		return count
 	}
-	request := func() relay.AdmissionVerdict { return node.admissions.Admit(context.Background(), start, 0) }
-	call := func() relay.AdmissionVerdict { return node.admissions.AdmitCall(context.Background(), start) }
+	request := func() relay.AdmissionDecision { return node.admissions.Admit(context.Background(), start, 0) }
+	call := func() relay.AdmissionDecision { return node.admissions.AdmitInternalCall(context.Background(), start) }
 	if got := granted(request) + granted(call); got > 1 {
 		t.Errorf("%d granted in 1.2 s at 1 a second", got)
 	}
-	hearsOf(node, inventory.Server{ID: "nought", Born: 7, Service: "s", Position: storepos.At(0, 5)})
+	hearsOf(node, inventory.Server{ID: "nought", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 5)})
 	node.putInForce(coldTable(0), "read")
-	if node.admissions.Admit(context.Background(), inventory.Start{ID: "nought", Born: 7}, 0).Granted {
+	if node.admissions.Admit(context.Background(), inventory.Start{ID: "nought", StartedAtMs: 7}, 0).Granted {
 		t.Error("a cold server that takes nothing is sent to")
 	}
 }
@@ -387,7 +387,7 @@
 		told := &peerpb.RateLimit{Named: true, PerSecond: perSecond, SentAgeMs: 1}
 		node.hints.receivePeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Limit: told}})
 		node.admissions.decide(clock.Now(), &peerpb.QuotaCall{Kind: peerpb.QuotaCall_ASK, Server: "a", Born: 7, Cost: 1, Warm: true, Limit: told})
-		if node.admissions.boundsOf(clock.Now(), inventory.Start{ID: "a", Born: 7}).isLimited {
+		if node.admissions.boundsOf(clock.Now(), inventory.Start{ID: "a", StartedAtMs: 7}).isLimited {
 			t.Errorf("%v a second is a limit", perSecond)
 		}
 	}
--- a/internal/edge/bars.go
+++ b/internal/edge/bars.go
@@ -18,7 +18,7 @@
 // LiftBar ends the bar of a request here and tells all nodes; the next renewal of the lease
 // leaves it out.
 func (s *snapshots) LiftBar(_ context.Context, request *peerpb.LiftBarRequest) (*peerpb.LiftBarResponse, error) {
-	fingerprint, ok := poison.FingerprintOf(request.Fingerprint)
+	fingerprint, ok := poison.DecodeFingerprint(request.Fingerprint)
 	if !ok {
 		return nil, twirp.InvalidArgumentError("fingerprint", "16 bytes are wanted")
 	}
@@ -32,7 +32,7 @@
 	defer s.mu.Unlock()
 	var bars []*peerpb.Bar
 	for _, fingerprint := range s.tally.Barred(now) {
-		bar := &peerpb.Bar{Fingerprint: fingerprint[:], LeftMs: uint32(s.tally.BarLeft(now, fingerprint).Milliseconds())}
+		bar := &peerpb.Bar{Fingerprint: fingerprint[:], LeftMs: uint32(s.tally.BarRemaining(now, fingerprint).Milliseconds())}
 		for _, report := range s.tally.Reports(now, fingerprint) {
 			bar.Servers = append(bar.Servers, report.ServerID)
 		}
@@ -44,7 +44,7 @@
 // lift ends the bar of a request at all nodes; it reports whether it was barred here.
 func (s *suspects) lift(fingerprint poison.Fingerprint) bool {
 	now := clock.Now()
-	wasBarred := s.Standing(fingerprint) == poison.StandingBarred
+	wasBarred := s.Status(fingerprint) == poison.StatusBarred
 	report := poison.Report{Fingerprint: fingerprint, Lifted: true}
 	s.takeAll(now, operatorName, []poison.Report{report})
 	s.tellAll(now, report)
--- a/internal/edge/builds_test.go
+++ b/internal/edge/builds_test.go
@@ -58,7 +58,7 @@
 // TestOlderNodeForgetsNothingThatItDoesNotKnow: its list and its news do not say of which start a
 // server is. What the server told in the one that is known goes on to hold.
 func TestOlderNodeForgetsNothingThatItDoesNotKnow(t *testing.T) {
-	server := inventory.Server{ID: "a", Born: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}
+	server := inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}
 	for name, tell := range map[string]func(node *Node){
 		"list": func(node *Node) {
 			node.listPeerServers(entriesOf([]*peerpb.ServerEntry{{Server: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Revision: 9}}, 0), storepos.At(0, 9))
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -58,11 +58,11 @@
 }
 
 func (p *peers) send(what traffic, targets []string, state *peerpb.NodeState) {
-	p.sendSpread(what, gossip.Spread{Direct: targets}, state)
+	p.sendSpread(what, gossip.BroadcastPlan{Direct: targets}, state)
 }
 
 // sendSpread sends this node's state to nodes, and to those that send it on.
-func (p *peers) sendSpread(what traffic, plan gossip.Spread, state *peerpb.NodeState) {
+func (p *peers) sendSpread(what traffic, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.mu.Lock()
 	p.sequence++
 	state.Sequence = p.sequence
@@ -71,14 +71,14 @@
 		peers = manyToldPeers
 	}
 	named := state.Peers
-	state.Peers = append(slices.Clip(named), p.roster.Sample(clock.Now(), peers)...)
+	state.Peers = append(slices.Clip(named), p.roster.SampleAddresses(clock.Now(), peers)...)
 	p.mu.Unlock()
 	p.writeSpread(what, plan, state)
 	state.Peers = named
 }
 
 // writeSpread writes the state as it is.
-func (p *peers) writeSpread(what traffic, plan gossip.Spread, state *peerpb.NodeState) {
+func (p *peers) writeSpread(what traffic, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.writeOnce(what, plan.Direct, state)
 	for _, spreader := range plan.Spreaders {
 		state.Spread = encodeSpreader(spreader)
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -14,7 +14,7 @@
 type directory struct {
 	mu    sync.Mutex
 	table *inventory.Table
-	news  *gossip.News
+	news  *gossip.ServerChanges
 	// heard is the latest position of what peers told.
 	heard storepos.Position
 	// lagSince is when a peer with a later position began to know other servers;
@@ -23,7 +23,7 @@
 }
 
 func newDirectory() *directory {
-	return &directory{table: inventory.NewTable(), news: gossip.NewNews()}
+	return &directory{table: inventory.NewTable(), news: gossip.NewServerChanges()}
 }
 
 // list are the servers that take work, the position that they are known up to, and
@@ -53,7 +53,7 @@
 	isFirst := d.table.Position().IsZero()
 	worked, wasCold := make(map[inventory.Start]bool, len(servers)), make(map[inventory.Start]bool)
 	for server := range d.table.All {
-		worked[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdLeft > 0
+		worked[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdRemaining > 0
 	}
 	changes = d.table.Replace(now, asked, servers, at)
 	if at.Era < d.heard.Era {
@@ -71,7 +71,7 @@
 	var news []inventory.Change
 	for _, change := range changes {
 		start := change.Server.Start()
-		turnedCold := change.Server.ColdLeft > 0 && !wasCold[start]
+		turnedCold := change.Server.ColdRemaining > 0 && !wasCold[start]
 		if change.Gone || change.Server.Draining || turnedCold || !worked[start] {
 			news = append(news, change)
 		}
@@ -86,8 +86,8 @@
 	worked, wasCold := make(map[inventory.Start]bool, len(events)), make(map[inventory.Start]bool)
 	for _, event := range events {
 		start := event.Server.Start()
-		worked[start] = d.table.Knows(start) && d.table.TakesWork(start.ID)
-		wasCold[start] = d.table.Knows(start) && d.table.IsCold(start.ID)
+		worked[start] = d.table.HasStart(start) && d.table.IsAvailable(start.ID)
+		wasCold[start] = d.table.HasStart(start) && d.table.IsCold(start.ID)
 	}
 	changes = d.table.Apply(events, at)
 	return changes, d.learn(now, news(changes, worked, wasCold), at)
@@ -99,9 +99,9 @@
 	for _, change := range changes {
 		server := change.Server
 		if change.Gone {
-			server = inventory.Server{ID: server.ID, Born: server.Born, Draining: true, Position: at}
+			server = inventory.Server{ID: server.ID, StartedAtMs: server.StartedAtMs, Draining: true, Position: at}
 		}
-		if d.news.Learn(now, gossip.Item{Server: server}) {
+		if d.news.Learn(now, gossip.ServerChange{Server: server}) {
 			learned = true
 		}
 	}
@@ -111,7 +111,7 @@
 // hear takes what a peer tells, and returns what of it is new here. A word that a server
 // goes counts also where the entry is held back here as lapsed, and whether or not it is
 // told on.
-func (d *directory) hear(now time.Time, items []gossip.Item) []inventory.Change {
+func (d *directory) hear(now time.Time, items []gossip.ServerChange) []inventory.Change {
 	if len(items) == 0 {
 		return nil
 	}
@@ -121,32 +121,32 @@
 	for _, item := range items {
 		server := item.Server
 		era := d.table.Position().Era
-		server.Position = server.Position.In(era)
+		server.Position = server.Position.WithDefaultEra(era)
 		if server.Position.Era > era && era > 0 {
 			// The whole list of that era is asked for.
 			continue
 		}
 		item.Server = server
-		if !server.Draining && server.ColdLeft > item.Age && d.table.TakesWork(server.ID) && d.table.Knows(server.Start()) && d.table.IsNews(server.ID, server.Position) {
+		if !server.Draining && server.ColdRemaining > item.Age && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) && d.table.IsNewer(server.ID, server.Position) {
 			d.news.Learn(now, item)
-			changes = append(changes, d.table.TurnsCold(server.ID, server.ColdLeft-item.Age, server.Position))
+			changes = append(changes, d.table.MarkCold(server.ID, server.ColdRemaining-item.Age, server.Position))
 			continue
 		}
-		if !server.Draining && d.table.TakesWork(server.ID) && d.table.Knows(server.Start()) {
+		if !server.Draining && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) {
 			// Known already, and not told on.
-			d.table.Stays(server.ID, server.Position)
+			d.table.ConfirmAvailable(server.ID, server.Position)
 			continue
 		}
-		if !d.table.IsNews(server.ID, server.Position) {
+		if !d.table.IsNewer(server.ID, server.Position) {
 			continue
 		}
 		isToldOn := d.news.Learn(now, item)
 		switch {
-		case server.Draining && d.table.TakesWork(server.ID):
-			changes = append(changes, d.table.Leaves(server.ID, server.Position))
+		case server.Draining && d.table.IsAvailable(server.ID):
+			changes = append(changes, d.table.MarkDraining(server.ID, server.Position))
 		case isToldOn:
-			server.ColdLeft = max(0, server.ColdLeft-item.Age)
-			changes = append(changes, d.table.Note(server)...)
+			server.ColdRemaining = max(0, server.ColdRemaining-item.Age)
+			changes = append(changes, d.table.ApplyAnnouncement(server)...)
 		default:
 			continue
 		}
@@ -156,10 +156,10 @@
 }
 
 // tell returns the news that are told in this period.
-func (d *directory) tell(now time.Time) []gossip.Item {
+func (d *directory) tell(now time.Time) []gossip.ServerChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.news.Tell(now)
+	return d.news.TakeDue(now)
 }
 
 // standing is a digest of the servers known, and the position they are from.
@@ -180,14 +180,14 @@
 func (d *directory) settles(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table.Settles(now)
+	return d.table.ReloadDue(now)
 }
 
 // awaiting counts the servers of which an entry of an earlier era is kept.
 func (d *directory) awaiting(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table.Awaiting(now)
+	return d.table.EarlierEraCount(now)
 }
 
 // eraAge is how long the era of what is known has been known; ok is false where no other came before.
@@ -219,7 +219,7 @@
 		return true
 	case digest == d.table.Digest():
 		d.lagSince = time.Time{}
-	case !at.In(d.newest().Era).IsAfter(d.newest()) && !isFresher:
+	case !at.WithDefaultEra(d.newest().Era).IsAfter(d.newest()) && !isFresher:
 	case d.lagSince.IsZero():
 		d.lagSince = now
 	case now.Sub(d.lagSince) > tolerated:
--- a/internal/edge/directory_test.go
+++ b/internal/edge/directory_test.go
@@ -52,7 +52,7 @@
 	if diff := cmp.Diff(map[string]bool{"c": false}, told(directory, begin)); diff != "" {
 		t.Error(diff)
 	}
-	directory.hear(begin, []gossip.Item{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 9)}}})
+	directory.hear(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 9)}}})
 	if _, ok := told(directory, begin)["b"]; ok {
 		t.Error("a peer's word of a server that is known is told on")
 	}
@@ -76,7 +76,7 @@
 	if !compare(500 * time.Millisecond) {
 		t.Error("the store is not asked though news were missed")
 	}
-	other.hear(begin, []gossip.Item{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true, Announced: true}}})
+	other.hear(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true, Announced: true}}})
 	for after := range 10 {
 		if compare(time.Duration(after) * time.Second) {
 			t.Errorf("the store is asked %d s after the news came", after)
--- a/internal/edge/eras_test.go
+++ b/internal/edge/eras_test.go
@@ -36,7 +36,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			node := newInEra(t, 3)
-			node.hearServers(clock.Now(), []gossip.Item{{Server: inventory.Server{ID: "a", Draining: true, Position: c.at}}})
+			node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: c.at}}})
 			if got := takesWork(node, "a"); got != c.takes {
 				t.Errorf("takes work %v, want %v", got, c.takes)
 			}
--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -51,7 +51,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.table.IsKnown()
+	return e.table.IsInitialized()
 }
 
 // zones are the evacuated zones by name.
@@ -107,30 +107,30 @@
 }
 
 // list puts the store's whole list in force, asked for at asked, unless it is older than the one known.
-func (e *evacuations) list(asked time.Time, word evacuation.Word) {
+func (e *evacuations) list(asked time.Time, word evacuation.Snapshot) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.use(e.table.List(clock.Now(), asked, word), "read", 0)
+	e.use(e.table.ApplyStoreSnapshot(clock.Now(), asked, word), "read", 0)
 }
 
 // settle ends what was kept over a change of the store's era.
 func (e *evacuations) settle(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.use(e.table.Settle(now), "era_settled", 0)
+	e.use(e.table.ExpireRollbackOverrides(now), "era_settled", 0)
 }
 
 // take puts a peer's whole list in force, unless it is not newer than the one known.
-func (e *evacuations) take(word evacuation.Word, from string, age time.Duration) {
+func (e *evacuations) take(word evacuation.Snapshot, from string, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.use(e.table.Take(clock.Now(), word), from, age)
+	e.use(e.table.ApplyPeerSnapshot(clock.Now(), word), from, age)
 }
 
 func (e *evacuations) apply(events []evacuation.Event, at storepos.Position) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.use(e.table.Apply(clock.Now(), events, at), "watch", 0)
+	e.use(e.table.ApplyEvents(clock.Now(), events, at), "watch", 0)
 }
 
 // use puts changes in force. The lock is held.
@@ -143,7 +143,7 @@
 	e.node.dispatch.Do(func(core *dispatch.Core) {
 		for _, change := range changes {
 			if change.Kind == evacuation.Ended {
-				core.SuspectCold(now, change.Zone, change.Position)
+				core.MarkPossiblyCold(now, change.Zone, change.Position)
 			}
 		}
 		core.SetEvacuated(zones)
@@ -171,7 +171,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	unknown := e.table.Unknown(e.node.knowsZone)
+	unknown := e.table.UnknownZones(e.node.knowsZone)
 	for _, zone := range unknown {
 		if !e.doubted[zone] {
 			e.doubted[zone] = true
@@ -221,13 +221,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.table.IsKnown() {
+	if !e.table.IsInitialized() {
 		return nil
 	}
-	word := e.table.WordAt(now)
+	word := e.table.SnapshotWithRetained(now)
 	return &peerpb.Evacuations{
 		Era: word.Position.Era, Revision: word.Position.Revision, Zones: word.Zones, AgeMs: e.confirmed.wire(now),
-		Kept: word.Kept, KeptMs: uint32(max(0, word.KeptFor).Milliseconds()),
+		Kept: word.Retained, KeptMs: uint32(max(0, word.RetainedFor).Milliseconds()),
 	}
 }
 
@@ -237,9 +237,9 @@
 	if told == nil || !e.isOn() {
 		return
 	}
-	word := evacuation.Word{
+	word := evacuation.Snapshot{
 		Zones: told.Zones, Position: storepos.At(told.Era, told.Revision),
-		Kept: told.Kept, KeptFor: time.Duration(told.KeptMs) * time.Millisecond,
+		Retained: told.Kept, RetainedFor: time.Duration(told.KeptMs) * time.Millisecond,
 	}
 	isSame, isNewer := e.compare(&word, told.Abridged)
 	switch {
@@ -257,18 +257,18 @@
 // compare tells whether a peer's list names the zones known, and whether it is from a
 // later position: then also the same one counts, since lists of positions between may be
 // under way. Where the peer told a digest alone of the zones known the word gets them.
-func (e *evacuations) compare(word *evacuation.Word, abridged uint64) (isSame, isNewer bool) {
+func (e *evacuations) compare(word *evacuation.Snapshot, abridged uint64) (isSame, isNewer bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := e.table.Word()
-	word.Position = word.Position.In(known.Position.Era)
+	known := e.table.Snapshot()
+	word.Position = word.Position.WithDefaultEra(known.Position.Era)
 	digest := abridged
 	if digest == 0 {
 		digest = word.Digest()
 	}
-	isSame = e.table.IsKnown() && digest == known.Digest()
+	isSame = e.table.IsInitialized() && digest == known.Digest()
 	if isSame {
 		word.Zones = known.Zones
 	}
-	return isSame, !e.table.IsKnown() || word.Position.IsAfter(known.Position)
+	return isSame, !e.table.IsInitialized() || word.Position.IsAfter(known.Position)
 }
--- a/internal/edge/evacuations_test.go
+++ b/internal/edge/evacuations_test.go
@@ -26,7 +26,7 @@
 type evacuationStore struct {
 	sourceStore
 	mu        sync.Mutex
-	word      evacuation.Word
+	word      evacuation.Snapshot
 	turnsAway bool
 	calls     int
 	changed   chan struct{}
@@ -34,15 +34,15 @@
 }
 
 func newEvacuationStore(revision int64, zones ...string) *evacuationStore {
-	return &evacuationStore{word: evacuation.Word{Zones: zones, Position: storepos.At(0, revision)}, changed: make(chan struct{})}
+	return &evacuationStore{word: evacuation.Snapshot{Zones: zones, Position: storepos.At(0, revision)}, changed: make(chan struct{})}
 }
 
-func (s *evacuationStore) Evacuations(context.Context) (evacuation.Word, error) {
+func (s *evacuationStore) Evacuations(context.Context) (evacuation.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.turnsAway {
-		return evacuation.Word{}, errShort
+		return evacuation.Snapshot{}, errShort
 	}
 	return s.word, nil
 }
@@ -72,7 +72,7 @@
 func (s *evacuationStore) change(events []evacuation.Event, revision int64, zones ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.word, s.events = evacuation.Word{Zones: zones, Position: storepos.At(0, revision)}, events
+	s.word, s.events = evacuation.Snapshot{Zones: zones, Position: storepos.At(0, revision)}, events
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -151,10 +151,10 @@
 		{"an older word", func() { hear(4) }, []string{"a"}},
 		{"the same zones later", func() { hear(9, "a") }, []string{"a"}},
 		{"a word from between", func() { hear(7, "b") }, []string{"a"}},
-		{"a late answer of the store", func() { node.evacuations.take(evacuation.Word{Position: storepos.At(0, 8)}, "read", 0) }, []string{"a"}},
+		{"a late answer of the store", func() { node.evacuations.take(evacuation.Snapshot{Position: storepos.At(0, 8)}, "read", 0) }, []string{"a"}},
 		{"late events of a watch", func() { node.evacuations.apply([]evacuation.Event{{Zone: "a", Ended: true}}, storepos.At(0, 8)) }, []string{"a"}},
 		{"a digest of the same zones", func() {
-			digest := evacuation.Word{Zones: []string{"a"}}.Digest()
+			digest := evacuation.Snapshot{Zones: []string{"a"}}.Digest()
 			node.evacuations.hear(clock.Now(), "126.0.0.1:1", &peerpb.Evacuations{Revision: 12, Abridged: digest, AgeMs: 1})
 		}, []string{"a"}},
 		{"a word from before that", func() { hear(11) }, []string{"a"}},
@@ -177,7 +177,7 @@
 	if node.isReady() || node.knowsEnough() {
 		t.Error("ready before it knows the evacuations")
 	}
-	peer.evacuations.take(evacuation.Word{Zones: []string{"a"}, Position: storepos.At(0, 5)}, "read", 0)
+	peer.evacuations.take(evacuation.Snapshot{Zones: []string{"a"}, Position: storepos.At(0, 5)}, "read", 0)
 	if !node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.known()) || !node.isReady() {
 		t.Error("not ready with all that its peer knows")
 	}
@@ -215,7 +215,7 @@
 		zones = append(zones, fmt.Sprintf("zone-%03d", i))
 	}
 	peer, node := newEvacuee(t, newEvacuationStore(5)), newEvacuee(t, newEvacuationStore(5))
-	peer.evacuations.take(evacuation.Word{Zones: zones, Position: storepos.At(0, 5)}, "read", 0)
+	peer.evacuations.take(evacuation.Snapshot{Zones: zones, Position: storepos.At(0, 5)}, "read", 0)
 	told := peer.evacuations.wire(clock.Now())
 	if len(told.Zones) != 0 || told.Abridged == 0 {
 		t.Fatalf("told %d zones in a datagram", len(told.Zones))
@@ -239,7 +239,7 @@
 	node := newEvacuee(t, newEvacuationStore(5))
 	lines := &strings.Builder{}
 	node.options.Logger = logging.New(lines, logging.Levels["info"])
-	node.evacuations.take(evacuation.Word{Zones: []string{"a", "nowhere"}, Position: storepos.At(0, 5)}, "read", 0)
+	node.evacuations.take(evacuation.Snapshot{Zones: []string{"a", "nowhere"}, Position: storepos.At(0, 5)}, "read", 0)
 	for range 3 {
 		node.evacuations.reportUnknown()
 	}
@@ -254,7 +254,7 @@
 		t.Error("a server that came later in the zone takes work")
 	}
 	node.dispatch.Do(func(core *dispatch.Core) {
-		if got := core.CountServers(clock.Now(), dispatch.StateClosed); got != 2 {
+		if got := core.CountServers(clock.Now(), dispatch.StateEvacuated); got != 2 {
 			t.Errorf("%d servers closed, want 2", got)
 		}
 	})
--- a/internal/edge/greet.go
+++ b/internal/edge/greet.go
@@ -27,7 +27,7 @@
 	}
 	if now.Sub(p.node.started) < meetsFor {
 		for _, address := range state.Peers[:min(len(state.Peers), coordinatorsNamed)] {
-			if !p.roster.IsHeard(address) {
+			if !p.roster.HasHeardFrom(address) {
 				meet = append(meet, address)
 			}
 		}
--- a/internal/edge/hints.go
+++ b/internal/edge/hints.go
@@ -78,7 +78,7 @@
 func (h *serverHints) passOn(start inventory.Start, hint inventory.Hint, from hintSource) {
 	var limit admission.RateLimit
 	h.node.dispatch.Do(func(core *dispatch.Core) { limit, _ = core.RateLimit(start) })
-	withLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.Born).Bool("leaving", hint.Draining).
+	withLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.StartedAtMs).Bool("leaving", hint.Draining).
 		Int64("rest_ms", hint.Backoff.Milliseconds()).Str("from", string(from)).Msg("server_word")
 	h.node.metrics.hint(hint, from)
 	h.mu.Lock()
@@ -103,9 +103,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var encoded []*peerpb.ServerWord
-	for _, item := range h.told.Tell(now) {
+	for _, item := range h.told.TakeDue(now) {
 		encoded = append(encoded, &peerpb.ServerWord{
-			Server: item.Start.ID, Born: item.Start.Born, Leaving: item.Hint.Draining, RestMs: uint32(item.Hint.Backoff.Milliseconds()),
+			Server: item.Start.ID, Born: item.Start.StartedAtMs, Leaving: item.Hint.Draining, RestMs: uint32(item.Hint.Backoff.Milliseconds()),
 			Limit: encodeLimit(now, item.Limit),
 		})
 	}
@@ -121,7 +121,7 @@
 		}
 		limit, _ := decodeLimit(now, hint.Limit)
 		items = append(items, gossip.HintItem{
-			Start: inventory.Start{ID: hint.Server, Born: hint.Born},
+			Start: inventory.Start{ID: hint.Server, StartedAtMs: hint.Born},
 			Hint:  inventory.Hint{Draining: hint.Leaving, Backoff: time.Duration(hint.RestMs) * time.Millisecond},
 			Limit: limit,
 		})
@@ -132,12 +132,12 @@
 // encodeLimit is a rate limit as peers are told it; nil where the server never named one. Ages are
 // rounded to the side on which the limit holds longer.
 func encodeLimit(now time.Time, limit admission.Observation) *peerpb.RateLimit {
-	if limit.Limit.Kind == inventory.RateLimitUntold {
+	if limit.Limit.Kind == inventory.RateLimitUnknown {
 		return nil
 	}
 	return &peerpb.RateLimit{
-		Named: limit.Limit.IsNamed(), PerSecond: limit.Limit.PerSecond,
-		SentAgeMs: wireAge(now, limit.SentAt) + 1, HeardAgeMs: wireAge(now, limit.HeardAt),
+		Named: limit.Limit.IsSet(), PerSecond: limit.Limit.PerSecond,
+		SentAgeMs: wireAge(now, limit.SentAt) + 1, HeardAgeMs: wireAge(now, limit.ReceivedAt),
 	}
 }
 
@@ -149,16 +149,16 @@
 // decodeLimit is what a peer tells of a rate limit; ok is false where it tells none, or none that
 // can be.
 func decodeLimit(now time.Time, told *peerpb.RateLimit) (limit admission.Observation, ok bool) {
-	if told == nil || told.Named && !inventory.IsRate(told.PerSecond) {
+	if told == nil || told.Named && !inventory.IsValidRate(told.PerSecond) {
 		return limit, false
 	}
 	limit = admission.Observation{
-		Limit:   inventory.RateLimit{Kind: inventory.RateLimitNone},
-		SentAt:  now.Add(-time.Duration(told.SentAgeMs) * time.Millisecond),
-		HeardAt: now.Add(-time.Duration(told.HeardAgeMs) * time.Millisecond),
+		Limit:      inventory.RateLimit{Kind: inventory.RateLimitNone},
+		SentAt:     now.Add(-time.Duration(told.SentAgeMs) * time.Millisecond),
+		ReceivedAt: now.Add(-time.Duration(told.HeardAgeMs) * time.Millisecond),
 	}
 	if told.Named {
-		limit.Limit = inventory.NamedRate(told.PerSecond)
+		limit.Limit = inventory.NewRateLimit(told.PerSecond)
 	}
 	return limit, true
 }
--- a/internal/edge/lapses_test.go
+++ b/internal/edge/lapses_test.go
@@ -59,7 +59,7 @@
 	node.storeFailed("servers", errShort)
 	node.storeAnswered()
 	node.changeServers([]inventory.Change{gone("a")}, storepos.At(0, 3))
-	if node.directory.table.TakesWork("a") {
+	if node.directory.table.IsAvailable("a") {
 		t.Error("a server that is gone takes work after one failed call")
 	}
 	node = newFollower(t, 0)
@@ -67,7 +67,7 @@
 	node.failingFrom.Store(int64(clock.Since(node.started) - lapseAfter))
 	node.storeAnswered()
 	node.changeServers([]inventory.Change{gone("a")}, storepos.At(0, 3))
-	if !node.directory.table.TakesWork("a") {
+	if !node.directory.table.IsAvailable("a") {
 		t.Error("a server whose entry lapsed in an outage takes no work")
 	}
 	node.endLapses(clock.Now().Add(lapseTime))
@@ -76,7 +76,7 @@
 	}
 	node.lapses.until = time.Time{}
 	node.listServers(clock.Now(), []inventory.Server{{ID: "b", Position: storepos.At(0, 4)}}, storepos.At(0, 5))
-	if node.directory.table.TakesWork("a") {
+	if node.directory.table.IsAvailable("a") {
 		t.Error("a server whose entry did not come back takes work")
 	}
 }
@@ -89,7 +89,7 @@
 	node.lapses.storeReturned(clock.Now())
 	node.listServers(clock.Now(), nil, storepos.At(0, 9))
 	node.endLapses(clock.Now().Add(lapseTime))
-	if news := told(node.directory, clock.Now()); len(news) != 0 || !node.directory.table.TakesWork("a") {
+	if news := told(node.directory, clock.Now()); len(news) != 0 || !node.directory.table.IsAvailable("a") {
 		t.Errorf("told %v without a look at the store", news)
 	}
 }
--- a/internal/edge/leader.go
+++ b/internal/edge/leader.go
@@ -28,9 +28,9 @@
 // errServerRests says that a report was not asked for.
 var errServerRests = errors.New("the server rests, or takes no more for now")
 
-// Engines are the servers that take orders.
-type Engines interface {
-	Report(ctx context.Context, call placer.ReportCall) (placer.Report, error)
+// EngineClient are the servers that take orders.
+type EngineClient interface {
+	FetchReport(ctx context.Context, call placer.ReportRequest) (placer.Report, error)
 	// Order gives an order that is given up once the time that permit leaves it, right
 	// before it leaves, is over; where none is left it doesn't leave. The server's word is
 	// empty where no answer came.
@@ -113,12 +113,12 @@
 		inbox:   make(chan func(), inboxSize),
 		started: clock.Now(),
 		lease: storelease.New(storelease.Options{
-			Holder:   node.options.Name,
-			Address:  node.options.PeerAddress,
-			Duration: leaseDuration,
-			Renewal:  leaseRenewal,
-			Margin:   leaseMargin,
-			Quiet:    node.options.LeaseQuiet,
+			Holder:        node.options.Name,
+			Address:       node.options.PeerAddress,
+			Duration:      leaseDuration,
+			RenewInterval: leaseRenewal,
+			Margin:        leaseMargin,
+			QuietPeriod:   node.options.LeaseQuietPeriod,
 		}),
 		servers: inventory.NewTable(),
 		demand:  placer.NewDemand(),
@@ -189,19 +189,19 @@
 	l.core.SetTable(l.node.handler.Table())
 	l.core.SetEvacuated(now, l.node.evacuations.zones())
 	l.node.dispatch.Do(func(core *dispatch.Core) {
-		l.core.SetAway(now, core.Away(now))
-		totals := core.Totals(now)
-		l.core.SetRunning(dispatch.RunningOf(totals))
-		l.loads.Take(now, totals)
+		l.core.SetUnavailable(now, core.UnavailableStarts(now))
+		totals := core.TotalLoads(now)
+		l.core.SetRunningRequests(dispatch.RunningByServer(totals))
+		l.loads.Add(now, totals)
 	})
-	effects := l.core.Step(now, l.lease.MayOrder(now))
+	effects := l.core.Step(now, l.lease.MayIssueOrders(now))
 	for _, order := range effects.Orders {
 		l.order(ctx, order)
 	}
-	for _, call := range effects.Reports {
+	for _, call := range effects.ReportRequests {
 		l.report(ctx, call)
 	}
-	l.changed = l.changed || effects.Changed
+	l.changed = l.changed || effects.ViewsChanged
 	l.logPlacement(now)
 	l.publish(now)
 }
@@ -260,7 +260,7 @@
 func (l *leader) followTerm(now time.Time) {
 	term := l.lease.Term()
 	l.validUntil.Store(int64(l.lease.ValidUntil().Sub(l.started)))
-	l.orderFrom.Store(int64(l.lease.OrderFrom().Sub(l.started)))
+	l.orderFrom.Store(int64(l.lease.FirstOrderAt().Sub(l.started)))
 	l.keepLeaseAt()
 	previous := l.term.Swap(term)
 	if term == previous {
@@ -272,12 +272,12 @@
 		return
 	}
 	l.node.options.Logger.Info().Int64("term", term).
-		Int64("order_in_ms", l.lease.OrderFrom().Sub(now).Milliseconds()).Msg("lease_taken")
+		Int64("order_in_ms", l.lease.FirstOrderAt().Sub(now).Milliseconds()).Msg("lease_taken")
 	l.node.peers.forgetViews(func(string) bool { return false })
 	l.loads = dispatch.NewFleetLoads()
 	l.core = placer.New(placer.Options{
-		Window: l.node.options.LoadWindow, Overage: l.node.options.LoadOverage,
-		LoadsAtOnce: l.lease.PastLoadsAtOnce(), Demand: l.demand, Places: l.node.options.Places,
+		Window: l.node.options.ModelLoadWindow, Overage: l.node.options.ModelLoadOverage,
+		LoadsAtOnce: l.lease.PastLoadsAtOnce(), Demand: l.demand, Topology: l.node.options.Topology,
 	})
 	l.core.SetTable(l.node.handler.Table())
 	var all []inventory.Change
@@ -285,7 +285,7 @@
 		all = append(all, inventory.Change{Server: server})
 	}
 	l.core.SetServers(now, all)
-	l.core.AssumeLoads(l.lease.PastLoads())
+	l.core.AddPriorLoads(l.lease.PastLoads())
 	// The first orders wait for a write that reserves their loads.
 	l.nextCall = now
 	l.reserveNow = true
@@ -311,10 +311,10 @@
 func (l *leader) takeState(state *peerpb.NodeState) {
 	now := clock.Now()
 	if state.TellsWanted {
-		l.demand.SetCounts(now, state.Address, state.Life, countsOf(state.Wanted, l.node.options.Places.Region(state.Zone)))
+		l.demand.SetCounts(now, state.Address, state.Life, countsOf(state.Wanted, l.node.options.Topology.Region(state.Zone)))
 	}
 	if l.core != nil && state.ViewsWanted {
-		l.node.peers.answerViews(state, l.term.Load(), l.lease.Lapsed(now), func(wanted func(serverID string) bool) []dispatch.View {
+		l.node.peers.answerViews(state, l.term.Load(), l.lease.ExpiredFor(now), func(wanted func(serverID string) bool) []dispatch.View {
 			return withDigests(l.core.ViewsOf(now, wanted))
 		})
 	}
@@ -330,7 +330,7 @@
 
 // ownCounts takes this node's own counts as those of any other.
 func (l *leader) ownCounts(now time.Time) {
-	l.demand.SetCounts(now, l.node.options.PeerAddress, l.node.peers.life, countsOf(l.node.peers.wanted(now, wantedAge), l.node.options.Places.Region(l.node.options.Zone)))
+	l.demand.SetCounts(now, l.node.options.PeerAddress, l.node.peers.life, countsOf(l.node.peers.wanted(now, wantedAge), l.node.options.Topology.Region(l.node.options.Zone)))
 }
 
 func (l *leader) order(ctx context.Context, order placer.Order) {
@@ -339,7 +339,7 @@
 	started := clock.Now()
 	zone := core.ZoneOf(order.ServerID)
 	go func() {
-		admitted := l.node.admissions.AdmitCall(ctx, order.Start())
+		admitted := l.node.admissions.AdmitInternalCall(ctx, order.Start())
 		result, hint := placer.ResultNotSent, inventory.Hint{}
 		if admitted.Granted {
 			result, hint = l.node.options.Engines.Order(ctx, order, l.node.options.Name, term, func() time.Duration {
@@ -350,19 +350,19 @@
 			})
 		}
 		if result == placer.ResultNotSent {
-			l.node.admissions.GiveBack(order.Start(), admitted)
+			l.node.admissions.ReturnGrant(order.Start(), admitted)
 		}
 		l.node.hints.receiveCall(order.Start(), hint, hintFromOrder)
 		l.call(ctx, func() {
 			withLimit(l.node.options.Logger.Info(), hint).Int64("term", term).Str("server", order.ServerID).
 				Str("operation", order.Operation.String()).Str("model", order.Model).Str("adapter", order.Adapter).
-				Int64("expected", order.Expected).Str("source", order.Source.String()).Str("reason", order.Reason).
+				Int64("expected", order.ExpectedSequence).Str("source", order.Source.String()).Str("reason", order.Reason).
 				Str("result", result.String()).Int64("took_ms", clock.Since(started).Milliseconds()).
-				Int("loads_allowed", core.LoadsAllowed(order.ServerID)).Msg("order_answered")
+				Int("loads_allowed", core.LoadLimit(order.ServerID)).Msg("order_answered")
 			l.node.metrics.order(order, result)
-			core.OrderAnswered(clock.Now(), order, result)
+			core.HandleOrderResult(clock.Now(), order, result)
 			if result == placer.ResultFenced && core == l.core {
-				l.lease.Lost()
+				l.lease.WriteConflicted()
 			}
 		})
 	}()
@@ -370,7 +370,7 @@
 
 // withLimit adds the rate limit that an answer names to a line.
 func withLimit(entry *log.Entry, hint inventory.Hint) *log.Entry {
-	if hint.Limit.IsNamed() {
+	if hint.Limit.IsSet() {
 		entry.Float64("server_limit", hint.Limit.PerSecond)
 	}
 	return entry
@@ -378,30 +378,30 @@
 
 // mayCall reports whether a call of the system itself may leave for the server now, which was
 // admitted: the server does not rest, and named no rate limit meanwhile that the verdict lacks.
-func (l *leader) mayCall(start inventory.Start, admitted relay.AdmissionVerdict) (may bool) {
+func (l *leader) mayCall(start inventory.Start, admitted relay.AdmissionDecision) (may bool) {
 	now := clock.Now()
 	l.node.dispatch.Do(func(core *dispatch.Core) {
 		_, isLimited := core.RateLimit(start)
-		may = admitted.Granted && core.MayCall(now, start) && (!isLimited || now.Before(admitted.Until))
+		may = admitted.Granted && core.MayCall(now, start) && (!isLimited || now.Before(admitted.ValidUntil))
 	})
 	return may
 }
 
-func (l *leader) report(ctx context.Context, call placer.ReportCall) {
+func (l *leader) report(ctx context.Context, call placer.ReportRequest) {
 	core := l.core
 	go func() {
 		report, err := placer.Report{}, errServerRests
-		admitted := l.node.admissions.AdmitCall(ctx, call.Start())
+		admitted := l.node.admissions.AdmitInternalCall(ctx, call.Start())
 		if l.mayCall(call.Start(), admitted) {
-			report, err = l.node.options.Engines.Report(ctx, call)
+			report, err = l.node.options.Engines.FetchReport(ctx, call)
 			l.node.hints.receiveCall(call.Start(), report.Hint, hintFromReport)
 		} else if admitted.Granted {
-			l.node.admissions.GiveBack(call.Start(), admitted)
+			l.node.admissions.ReturnGrant(call.Start(), admitted)
 		}
 		l.call(ctx, func() {
 			withLimit(l.node.options.Logger.Info(), report.Hint).Str("server", call.ServerID).Int64("sequence", report.Sequence).
 				Bool("busy", report.Busy).Int("models", len(report.Models)).Bool("ok", err == nil).Msg("report_read")
-			core.TakeReport(clock.Now(), call.ServerID, report, err == nil)
+			core.HandleReport(clock.Now(), call.ServerID, report, err == nil)
 		})
 	}()
 }
@@ -419,12 +419,12 @@
 	l.toldAt = now
 	views := withDigests(l.core.Views(now))
 	term := l.term.Load()
-	lapsed, orderIn := l.lease.Lapsed(now), l.orderIn()
+	lapsed, orderIn := l.lease.ExpiredFor(now), l.orderIn()
 	l.node.dispatch.Do(func(core *dispatch.Core) {
 		core.SetViews(now, term, views)
 		core.SetLeader(now, term, lapsed > 0, orderIn)
 	})
-	l.node.peers.forgetViews(l.core.Knows)
+	l.node.peers.forgetViews(l.core.HasServer)
 	l.changed = l.node.peers.tellViews(term, lapsed, views, l.busiest(now))
 }
 
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -15,7 +15,7 @@
 	}
 	l.lease.Expire(now)
 	if l.lease.Term() != 0 && l.yields(now) {
-		l.lease.Lost()
+		l.lease.WriteConflicted()
 	}
 	switch {
 	case l.lease.Term() != 0:
@@ -24,7 +24,7 @@
 			l.writeLease(ctx, now)
 		}
 	case !l.isCandidate(now):
-	case l.lease.CanTake(now):
+	case l.lease.CanAcquire(now):
 		l.writeLease(ctx, now)
 	default:
 		l.readLease(ctx)
@@ -60,7 +60,7 @@
 	}
 	l.yieldLook = now
 	l.node.peers.mu.Lock()
-	has := l.node.peers.roster.HasMuchStronger(now)
+	has := l.node.peers.roster.HasMuchStrongerPeer(now)
 	l.node.peers.mu.Unlock()
 	if !has {
 		l.yieldFrom = time.Time{}
@@ -87,9 +87,9 @@
 	}
 	l.node.peers.mu.Lock()
 	known := l.node.peers.roster.Leader(now)
-	isLed := known != nil && known.Lapsed < lapseTolerated
+	isLed := known != nil && known.LeaseExpiredFor < lapseTolerated
 	if known != nil {
-		l.lease.Heard(known.LastSeen, known.Name, known.LeaseAt)
+		l.lease.ObserveWrite(known.LastSeen, known.Name, known.LeasePosition)
 	}
 	rank := l.node.peers.roster.Rank(now)
 	l.node.peers.mu.Unlock()
@@ -133,13 +133,13 @@
 				l.node.suspects.hearStored(now, record.Barred)
 				// Where no seed is right, the holder leads to the others.
 				l.node.peers.addSeeds([]string{record.Address})
-				if l.lease.CanTake(now) {
+				if l.lease.CanAcquire(now) {
 					l.nextCall = now
 				}
 			default:
 				// Nobody has led yet: there are no others than those that can be heard.
 				l.node.admissions.learnFleet(1)
-				l.lease.Absent(asked, now, record.Position.Era)
+				l.lease.ObserveAbsent(asked, now, record.Position.Era)
 				l.nextCall = now
 			}
 		})
@@ -148,12 +148,12 @@
 
 func (l *leader) writeLease(ctx context.Context, now time.Time) {
 	l.calling = true
-	record := l.lease.Attempt(now)
+	record := l.lease.NextRecord(now)
 	record.Nodes, _ = l.node.quotas.fleetSize(now)
 	record.Barred = l.node.suspects.stored(now)
 	core := l.core
 	if core != nil {
-		record.Loads = core.Reserve(now)
+		record.Loads = core.ReserveLoads(now)
 		record.LoadsAtOnce = core.LoadsAtOnce()
 	} else {
 		record.Loads = l.lease.Record().Loads
@@ -174,14 +174,14 @@
 				l.node.options.Logger.Warn().Int64("term", l.lease.Term()).Str("position", record.Position.String()).Msg("lease_write_refused")
 				l.nextCall = now.Add(l.refusedPause())
 				l.readBack(ctx)
-			case !l.lease.Taken(sent, now, at):
+			case !l.lease.WriteSucceeded(sent, now, at):
 				l.node.options.Logger.Warn().Int64("term", l.lease.Term()).Str("position", record.Position.String()).
 					Str("written", at.String()).Msg("lease_written_in_other_era")
 				l.readBack(ctx)
 			default:
 				l.refused = 0
 				if core != nil && core == l.core {
-					core.Reserved()
+					core.ConfirmReservation()
 				}
 			}
 		})
@@ -211,7 +211,7 @@
 			case found:
 				l.lease.Observe(asked, clock.Now(), record)
 			default:
-				l.lease.Absent(asked, clock.Now(), record.Position.Era)
+				l.lease.ObserveAbsent(asked, clock.Now(), record.Position.Era)
 			}
 		})
 	}()
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -31,7 +31,7 @@
 func TestFirstLeaseWaitsUntilNodesKnowEachOther(t *testing.T) {
 	node := newCandidate(t)
 	leader := node.leader
-	leader.lease.Absent(leader.started, leader.started, 0)
+	leader.lease.ObserveAbsent(leader.started, leader.started, 0)
 	if leader.isCandidate(leader.started.Add(firstEver - time.Millisecond)) {
 		t.Error("a candidate for a lease that nobody ever had, before nodes know each other")
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -107,8 +107,8 @@
 		defer node.peers.mu.Unlock()
 		return float64(len(node.peers.roster.Alive(clock.Now())))
 	})
-	m.gauge("repeats_left", "Repeats that may be sent now, of the service that has least.", func() float64 { return node.handler.RepeatsLeft() })
-	for _, state := range []dispatch.State{dispatch.StateReady, dispatch.StateGoing, dispatch.StateResting, dispatch.StateClosed, dispatch.StateLimited, dispatch.StateSuspect} {
+	m.gauge("repeats_left", "Repeats that may be sent now, of the service that has least.", func() float64 { return node.handler.MinRetriesRemaining() })
+	for _, state := range []dispatch.State{dispatch.StateReady, dispatch.StateDraining, dispatch.StateBackingOff, dispatch.StateEvacuated, dispatch.StateRateLimited, dispatch.StateSuspect} {
 		m.gauge("servers_"+string(state), "Servers that are "+string(state)+".", func() float64 {
 			count := 0
 			node.dispatch.Do(func(core *dispatch.Core) { count = core.CountServers(clock.Now(), state) })
@@ -136,16 +136,16 @@
 
 func (m *metrics) counters(node *Node) {
 	counts := &node.handler.Metrics
-	m.counter("repeats_total", "Requests sent to a server again.", counts.Repeats.Load)
+	m.counter("repeats_total", "Requests sent to a server again.", counts.Retries.Load)
 	m.counter("resumed_total", "Streams taken up at another server.", counts.Resumed.Load)
 	m.counter("rejected_total", "Sends that a server did not run.", counts.Rejected.Load)
-	m.counter("budget_empty_total", "Requests given up for want of a repeat.", counts.NoBudget.Load)
-	m.counter("dial_failures_total", "Connections to servers that did not come up.", counts.DialFails.Load)
-	m.counter("connections_total", "Connections opened to servers.", node.pool.Dialled)
+	m.counter("budget_empty_total", "Requests given up for want of a repeat.", counts.BudgetEmpty.Load)
+	m.counter("dial_failures_total", "Connections to servers that did not come up.", counts.DialFailures.Load)
+	m.counter("connections_total", "Connections opened to servers.", node.pool.DialCount)
 	m.counter("requests_blamed_total", "Requests of this node under which servers ended.", node.suspects.blamed.Load)
 	m.counter("requests_barred_total", "Requests that this node learned to bar, as they end each server that runs them.", node.suspects.barred.Load)
-	m.counter("barred_refused_total", "Times that barred requests were refused.", node.handler.Metrics.Barred.Load)
-	m.counter("region_refused_total", "Requests refused as their regions have no server, or meet nowhere.", counts.NoPlace.Load)
+	m.counter("barred_refused_total", "Times that barred requests were refused.", node.handler.Metrics.BarredRefused.Load)
+	m.counter("region_refused_total", "Requests refused as their regions have no server, or meet nowhere.", counts.RegionRefused.Load)
 	m.gauge("requests_barred", "Requests that are barred now.", func() float64 { return float64(node.suspects.count()) })
 	m.counter("quota_granted_total", "Requests of limited tenants within their quota.", node.quotas.granted.Load)
 	m.counter("quota_refused_total", "Requests refused as beyond their tenant's quota.", node.quotas.refused.Load)
@@ -164,29 +164,29 @@
 	for what := range trafficKinds {
 		m.counter("peer_"+what.String()+"_bytes_total", "Bytes sent to peers: "+what.String()+".", func() int64 { return node.peers.sentBytes.of(what) })
 	}
-	for distance := range locality.Distances {
+	for distance := range locality.DistanceCount {
 		m.counter("peer_"+distance.String()+"_bytes_total", "Bytes sent to peers there.", func() int64 { return node.peers.sentBytes.to(distance) })
 		m.counter("servers_"+distance.String()+"_bytes_total", "Bytes of bodies to and from servers there.", counts.ServerBytes[distance].Load)
 	}
 	m.counter("server_fields_unread_total", "Answers with a field by which a server tells of itself and which nodes do not read.", node.hints.unreadCount.Load)
 	m.counter("datagrams_unreadable_total", "Datagrams of peers dropped as they could not be read.", func() int64 { return node.peers.unreadable.Load() })
-	if node.options.Unreadable != nil {
-		m.counter("entries_unreadable_total", "Entries of servers that could not be read, each time that they came.", node.options.Unreadable)
+	if node.options.UnreadableEntries != nil {
+		m.counter("entries_unreadable_total", "Entries of servers that could not be read, each time that they came.", node.options.UnreadableEntries)
 	}
-	if node.options.LogDropped != nil {
-		m.counter("log_lines_dropped_total", "Log lines left out.", node.options.LogDropped)
+	if node.options.DroppedLogLines != nil {
+		m.counter("log_lines_dropped_total", "Log lines left out.", node.options.DroppedLogLines)
 	}
 }
 
-// CountStoreCall counts and logs a call to the object store.
-func (n *Node) CountStoreCall(call storecall.Call) {
+// RecordStoreCall counts and logs a call to the object store.
+func (n *Node) RecordStoreCall(call storecall.Call) {
 	n.options.Logger.Info().Str("method", call.Method).Str("kind", call.Kind).Int("status", call.Status).
-		Str("era", call.Era).Str("from", call.From).Int64("at", call.At).
-		Int64("took_ms", call.Took.Milliseconds()).Bool("sentinel", n.peers.isSentinel()).Msg("store_call")
+		Str("era", call.Era).Str("from", call.FromRevision).Int64("at", call.AtRevision).
+		Int64("took_ms", call.Duration.Milliseconds()).Bool("sentinel", n.peers.isSentinel()).Msg("store_call")
 	n.followEra(call)
 	n.metrics.store.WithLabelValues(call.Method, call.Kind, strconv.Itoa(call.Status)).Inc()
 	if call.Method != http.MethodGet {
-		n.metrics.storeLag.Observe(call.Took.Seconds())
+		n.metrics.storeLag.Observe(call.Duration.Seconds())
 	}
 }
 
@@ -195,9 +195,9 @@
 	if call.Status == 0 {
 		return
 	}
-	if call.Doubt != nil {
+	if call.EraError != nil {
 		n.metrics.doubtfulEras.Inc()
-		n.options.Logger.Warn().Str("kind", call.Kind).Str("era", call.Era).Str("error", call.Doubt.Error()).Msg("store_era_doubtful")
+		n.options.Logger.Warn().Str("kind", call.Kind).Str("era", call.Era).Str("error", call.EraError.Error()).Msg("store_era_doubtful")
 		return
 	}
 	before := n.storeEra.Swap(&call.Era)
@@ -205,7 +205,7 @@
 		return
 	}
 	n.metrics.eraChanges.Inc()
-	n.options.Logger.Warn().Str("before", *before).Str("era", call.Era).Str("kind", call.Kind).Int64("at", call.At).Msg("store_era_changed")
+	n.options.Logger.Warn().Str("before", *before).Str("era", call.Era).Str("kind", call.Kind).Int64("at", call.AtRevision).Msg("store_era_changed")
 }
 
 func (m *metrics) order(order placer.Order, result placer.Result) {
@@ -219,7 +219,7 @@
 	if hint.Backoff > 0 {
 		m.hints.WithLabelValues("rest", string(from)).Inc()
 	}
-	if hint.Limit.IsNamed() {
+	if hint.Limit.IsSet() {
 		m.hints.WithLabelValues("limit", string(from)).Inc()
 	}
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -37,7 +37,7 @@
 	WatchServers(ctx context.Context, from storepos.Position, wait time.Duration) (changes []inventory.Change, at storepos.Position, err error)
 	// Evacuations and WatchEvacuations are called only where Options.EvacuateWithin
 	// is set.
-	Evacuations(ctx context.Context) (evacuation.Word, error)
+	Evacuations(ctx context.Context) (evacuation.Snapshot, error)
 	WatchEvacuations(ctx context.Context, from storepos.Position, wait time.Duration) (events []evacuation.Event, at storepos.Position, err error)
 }
 
@@ -47,18 +47,18 @@
 	// Build names the build of the program, for logs and metrics.
 	Build string
 	Zone  string
-	// Places are the zones and regions of the deployment.
-	Places locality.Map
-	// Frontend and Ready are the addresses for callers and for the question
+	// Topology are the zones and regions of the deployment.
+	Topology locality.Map
+	// FrontendAddress and Ready are the addresses for callers and for the question
 	// whether the node is ready, which is asked at ReadyPath.
-	Frontend  string
-	Ready     string
-	ReadyPath string
+	FrontendAddress string
+	ReadyAddress    string
+	ReadyPath       string
 	// PeerAddress is the address, by UDP and TCP, that peers are told to speak to.
 	PeerAddress string
-	// PeerListen is where the node hears them, where that is another address;
+	// PeerListenAddress is where the node hears them, where that is another address;
 	// empty is PeerAddress.
-	PeerListen string
+	PeerListenAddress string
 	// Strength tells strong machines from weak ones: the strongest do what is to
 	// be done for all.
 	Strength uint32
@@ -71,18 +71,18 @@
 	EvacuateWithin time.Duration
 	// Zones are those that the settings name.
 	Zones []string
-	// FirstStart is set where all nodes start together for the first time.
-	FirstStart bool
-	// LeaseQuiet is the least time between orders of different holders.
-	LeaseQuiet time.Duration
-	// LoadWindow and LoadOverage bound the loads from the weight store.
-	LoadWindow  time.Duration
-	LoadOverage float64
-	Store       Store
-	Lease       LeaseStore
-	Engines     Engines
-	// Quota is by how much the tenants' quotas may be passed.
-	Quota quota.Tolerance
+	// IsBootstrap is set where all nodes start together for the first time.
+	IsBootstrap bool
+	// LeaseQuietPeriod is the least time between orders of different holders.
+	LeaseQuietPeriod time.Duration
+	// ModelLoadWindow and LoadOverage bound the loads from the weight store.
+	ModelLoadWindow  time.Duration
+	ModelLoadOverage float64
+	Store            Store
+	Lease            LeaseStore
+	Engines          EngineClient
+	// QuotaTolerance is by how much the tenants' quotas may be passed.
+	QuotaTolerance quota.Tolerance
 	// ColdOverage and ColdSlack are by how much a cold server may receive more than it
 	// bears: a factor, and requests of one second.
 	ColdOverage float64
@@ -90,21 +90,21 @@
 	Pool        *backendconn.Pool
 	Dialect     relay.Dialect
 	Logger      *log.Logger
-	// Metrics is where figures are served, as ADDRESS/PATH; empty is nowhere.
-	Metrics string
-	// LogDropped counts the log lines left out, and Unreadable the entries of the store that
+	// MetricsEndpoint is where figures are served, as ADDRESS/PATH; empty is nowhere.
+	MetricsEndpoint string
+	// DroppedLogLines counts the log lines left out, and Unreadable the entries of the store that
 	// could not be read; nil where none are.
-	LogDropped func() int64
-	Unreadable func() int64
+	DroppedLogLines   func() int64
+	UnreadableEntries func() int64
 }
 
 // Tunables are the options that may change while a node runs.
 type Tunables struct {
-	// Grace is the time from the signal to stop until the process is killed.
-	Grace time.Duration
+	// GracePeriod is the time from the signal to stop until the process is killed.
+	GracePeriod time.Duration
 	// PeerSeeds are the UDP addresses of some other nodes.
-	PeerSeeds []string
-	Budget    retrybudget.Options
+	PeerSeeds   []string
+	RetryBudget retrybudget.Options
 }
 
 // Node is one process.
@@ -167,16 +167,16 @@
 	if options.ApplyWithin <= 0 {
 		options.ApplyWithin = usualApplyWithin
 	}
-	if options.PeerListen == "" {
-		options.PeerListen = options.PeerAddress
+	if options.PeerListenAddress == "" {
+		options.PeerListenAddress = options.PeerAddress
 	}
 	spread := restartSpread
-	if options.FirstStart {
+	if options.IsBootstrap {
 		spread = firstReadSpread
 	}
 	node := &Node{
 		options:  options,
-		dispatch: dispatch.NewShared(dispatch.Options{Zone: options.Zone, Places: options.Places, Seed: rand.Uint64()}),
+		dispatch: dispatch.NewShared(dispatch.Options{Zone: options.Zone, Topology: options.Topology, Seed: rand.Uint64()}),
 		pool:     options.Pool,
 		callers:  newCallers(),
 
@@ -188,44 +188,44 @@
 		directory:    newDirectory(),
 	}
 	node.peersAsked.Store(len(options.Tunables.PeerSeeds) == 0)
-	node.grace.Store(int64(options.Tunables.Grace))
+	node.grace.Store(int64(options.Tunables.GracePeriod))
 	node.leader = newLeader(node)
 	node.snapshots = newSnapshots(node)
-	node.quotas = newQuotas(node, options.Quota, options.FirstStart)
+	node.quotas = newQuotas(node, options.QuotaTolerance, options.IsBootstrap)
 	node.suspects = newSuspects(node)
 	node.hints = newServerHints(node)
 	node.admissions = newAdmissions(node)
 	node.evacuations = newEvacuations(node)
 	node.handler = relay.New(relay.Options{
-		Dialect:  options.Dialect,
-		Dispatch: node.dispatch,
-		Pool:     node.pool,
-		Budget:   options.Tunables.Budget,
-		Logger:   options.Logger,
-		Wanted:   func() { node.peers.tellWanted() },
-		Quotas:   node.quotas,
-		Suspects: node.suspects,
-		ReceivedHint: func(start inventory.Start, hint inventory.Hint) {
+		Dialect:   options.Dialect,
+		Dispatch:  node.dispatch,
+		Pool:      node.pool,
+		Budget:    options.Tunables.RetryBudget,
+		Logger:    options.Logger,
+		OnWaiting: func() { node.peers.tellWanted() },
+		Quotas:    node.quotas,
+		Suspects:  node.suspects,
+		OnHint: func(start inventory.Start, hint inventory.Hint) {
 			node.hints.passOn(start, hint, hintFromAnswer)
 		},
-		Unread: node.hints.noteUnread,
+		OnUnreadField: node.hints.noteUnread,
 
 		Admission: node.admissions,
 
-		Knows:          node.knowsEnough,
-		AwaitKnowledge: node.awaitKnowledge,
+		IsReady:    node.knowsEnough,
+		AwaitReady: node.awaitKnowledge,
 	})
 	node.metrics = newMetrics(node)
-	node.handler.Finished = func(route, outcome string, took time.Duration) {
+	node.handler.OnFinished = func(route, outcome string, took time.Duration) {
 		node.metrics.requests.WithLabelValues(route, outcome).Observe(took.Seconds())
 	}
 	return node
 }
 
-// Retune puts other tunables in force.
-func (n *Node) Retune(tunables Tunables) {
-	n.grace.Store(int64(tunables.Grace))
-	n.handler.SetBudget(tunables.Budget)
+// UpdateTunables puts other tunables in force.
+func (n *Node) UpdateTunables(tunables Tunables) {
+	n.grace.Store(int64(tunables.GracePeriod))
+	n.handler.SetBudget(tunables.RetryBudget)
 	if n.peers != nil {
 		n.peers.addSeeds(tunables.PeerSeeds)
 	}
@@ -235,22 +235,22 @@
 
 // Run serves until stop ends, and then until what is under way has ended.
 func (n *Node) Run(stop context.Context) error {
-	frontend, err := net.Listen("tcp", n.options.Frontend)
+	frontend, err := net.Listen("tcp", n.options.FrontendAddress)
 	if err != nil {
 		return err
 	}
-	ready, err := net.Listen("tcp", n.options.Ready)
+	ready, err := net.Listen("tcp", n.options.ReadyAddress)
 	if err != nil {
 		return err
 	}
 	if n.peers, err = newPeers(n); err != nil {
 		return err
 	}
-	answers, err := net.Listen("tcp", n.options.PeerListen)
+	answers, err := net.Listen("tcp", n.options.PeerListenAddress)
 	if err != nil {
 		return err
 	}
-	n.options.Logger.Info().Str("frontend", n.options.Frontend).Str("build", n.options.Build).Msg("node_started")
+	n.options.Logger.Info().Str("frontend", n.options.FrontendAddress).Str("build", n.options.Build).Msg("node_started")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
@@ -309,7 +309,7 @@
 
 // serveMetrics serves the figures where the options say so.
 func (n *Node) serveMetrics(group *errgroup.Group) error {
-	address, path, _ := strings.Cut(n.options.Metrics, "/")
+	address, path, _ := strings.Cut(n.options.MetricsEndpoint, "/")
 	if address == "" {
 		return nil
 	}
@@ -404,7 +404,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			n.pool.Sweep()
+			n.pool.CloseExpired()
 			n.checkRegions(&regions)
 			n.leader.post(func() { n.leader.demand.Prune(clock.Now()) })
 			n.forgiveStore(clock.Now())
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -92,7 +92,7 @@
 }
 
 func newPeers(node *Node) (*peers, error) {
-	address, err := net.ResolveUDPAddr("udp4", node.options.PeerListen)
+	address, err := net.ResolveUDPAddr("udp4", node.options.PeerListenAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	life := rand.Uint64()
 	roster := gossip.New(node.options.PeerAddress, node.options.Tunables.PeerSeeds, life)
 	roster.SetStrength(node.options.Strength)
-	roster.SetPlace(node.options.Zone, node.options.Places)
+	roster.SetLocation(node.options.Zone, node.options.Topology)
 	return &peers{
 		node:    node,
 		conn:    conn,
@@ -261,7 +261,7 @@
 	state.News = encodeNews(p.farNews(news))
 	p.send(trafficGossip, far, state)
 	// Those that decide watch the store for servers that come.
-	state.News = encodeNews(slices.DeleteFunc(news, func(item gossip.Item) bool { return !item.Server.Draining }))
+	state.News = encodeNews(slices.DeleteFunc(news, func(item gossip.ServerChange) bool { return !item.Server.Draining }))
 	state.Loads, state.ViewsDigests, state.TellsWanted = loads, digests, true
 	state.Wanted = p.wanted(now, p.leaderAge(now, leader))
 	p.send(trafficWanted, leader, state)
@@ -272,13 +272,13 @@
 }
 
 // farNews are the news that this node tells in other regions.
-func (p *peers) farNews(news []gossip.Item) []gossip.Item {
+func (p *peers) farNews(news []gossip.ServerChange) []gossip.ServerChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	teller := p.roster.FarTeller()
-	var told []gossip.Item
+	teller := p.roster.CrossRegionFilter()
+	var told []gossip.ServerChange
 	for _, item := range news {
-		if item.Server.Draining || item.IsFar && teller.Tells(item.Server.ID) {
+		if item.Server.Draining || item.CrossRegion && teller.ShouldForward(item.Server.ID) {
 			told = append(told, item)
 		}
 	}
--- a/internal/edge/peers_roster.go
+++ b/internal/edge/peers_roster.go
@@ -18,7 +18,7 @@
 func (p *peers) addHints(now time.Time, addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.AddHints(now, addresses)
+	p.roster.AddCandidates(now, addresses)
 }
 
 // addSeeds tries further addresses until a node is known there.
@@ -40,7 +40,7 @@
 func (p *peers) some(now time.Time, most int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.Sample(now, most)
+	return p.roster.SampleAddresses(now, most)
 }
 
 // near is the address of some living node, of this region if there is one; empty where
@@ -48,14 +48,14 @@
 func (p *peers) near(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.Near(now)
+	return p.roster.RandomNearby(now)
 }
 
 // rankNear is the number of living nodes of this region that come before this one.
 func (p *peers) rankNear(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.RankNear(now)
+	return p.roster.RegionRank(now)
 }
 
 // isFar reports whether the node at an address is in another region.
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -20,7 +20,7 @@
 	node := New(Options{
 		Name: "n", Zone: "z", PeerAddress: "127.0.0.1:0", Logger: logging.Discard(),
 		Pool:     backendconn.New(backendconn.Options{}),
-		Tunables: Tunables{Budget: retrybudget.Options{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}},
+		Tunables: Tunables{RetryBudget: retrybudget.Options{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}},
 	})
 	peers, err := newPeers(node)
 	if err != nil {
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -44,7 +44,7 @@
 	coordinator *quota.Coordinator
 	share       *quota.Share
 	advisories  *quota.Advisories
-	fleet       quota.Fleet
+	fleet       quota.FleetSize
 	// wasTold is set once this node was told how large the fleet is.
 	wasTold bool
 	asked   *questions[*peerpb.QuotaCall]
@@ -72,7 +72,7 @@
 
 // Admit implements relay.Quotas. A request that is to be granted within admitPatience is
 // kept until then: its caller would come back for it no sooner.
-func (q *quotas) Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaVerdict {
+func (q *quotas) Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
 	asked := clock.Now()
 	patience := admitPatience
 	if deadline, ok := ctx.Deadline(); ok {
@@ -80,7 +80,7 @@
 	}
 	for {
 		verdict := q.admitNow(ctx, tenant, cost, priority)
-		pause := max(verdict.RetryIn, knowledgeCheck)
+		pause := max(verdict.RetryAfter, knowledgeCheck)
 		switch {
 		case verdict.Granted:
 			q.granted.Add(1)
@@ -99,12 +99,12 @@
 }
 
 // admitNow asks once.
-func (q *quotas) admitNow(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaVerdict {
+func (q *quotas) admitNow(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
 	now := clock.Now()
 	nodes, _ := q.fleetSize(now)
 	if by := q.takeUnasked(now, tenant, nodes, cost); by != "" {
 		q.tellUsed(now, tenant, cost)
-		return relay.QuotaVerdict{Granted: true, By: by}
+		return relay.QuotaDecision{Granted: true, DecidedBy: by}
 	}
 	for _, coordinator := range q.node.peers.coordinators(now) {
 		answer := q.ask(ctx, coordinator.Address, &peerpb.QuotaCall{
@@ -123,8 +123,8 @@
 func (q *quotas) takeUnasked(now time.Time, tenant *routetable.Tenant, nodes int, cost float64) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.advisories.IsOpen(now, tenant.Name) {
-		q.share.Granted(now, tenant.Name, tenant.Quota, nodes, cost)
+	if q.advisories.IsFarBelowQuota(now, tenant.Name) {
+		q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, cost)
 		return "open"
 	}
 	if q.share.Take(now, tenant.Name, tenant.Quota, nodes, cost) {
@@ -146,37 +146,37 @@
 }
 
 // answered takes a coordinator's advisory.
-func (q *quotas) answered(tenant *routetable.Tenant, cost float64, nodes int, coordinator string, answer *peerpb.QuotaCall) relay.QuotaVerdict {
-	verdict := relay.QuotaVerdict{
-		Granted: answer.Kind == peerpb.QuotaCall_GRANTED, By: coordinator, Left: float64(answer.Left),
-		RetryIn: time.Duration(answer.RetryMs) * time.Millisecond,
+func (q *quotas) answered(tenant *routetable.Tenant, cost float64, nodes int, coordinator string, answer *peerpb.QuotaCall) relay.QuotaDecision {
+	verdict := relay.QuotaDecision{
+		Granted: answer.Kind == peerpb.QuotaCall_GRANTED, DecidedBy: coordinator, Remaining: float64(answer.Left),
+		RetryAfter: time.Duration(answer.RetryMs) * time.Millisecond,
 	}
 	if !verdict.Granted {
 		return verdict
 	}
 	q.mu.Lock()
-	q.share.Granted(clock.Now(), tenant.Name, tenant.Quota, nodes, cost)
+	q.share.RecordGrant(clock.Now(), tenant.Name, tenant.Quota, nodes, cost)
 	q.mu.Unlock()
 	return verdict
 }
 
 // admitAlone decides where no coordinator answers.
-func (q *quotas) admitAlone(tenant *routetable.Tenant, cost float64, nodes int) relay.QuotaVerdict {
+func (q *quotas) admitAlone(tenant *routetable.Tenant, cost float64, nodes int) relay.QuotaDecision {
 	now := clock.Now()
 	q.alone.Add(1)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	verdict := relay.QuotaVerdict{By: "alone", IsUnknown: true, Left: q.share.Left(now, tenant.Name, tenant.Quota, nodes), RetryIn: unansweredTime}
-	verdict.Granted = q.share.TakeAlone(now, tenant.Name, tenant.Quota, nodes, cost)
+	verdict := relay.QuotaDecision{DecidedBy: "alone", IsUnknown: true, Remaining: q.share.Level(now, tenant.Name, tenant.Quota, nodes), RetryAfter: unansweredTime}
+	verdict.Granted = q.share.TakeWithoutCoordinator(now, tenant.Name, tenant.Quota, nodes, cost)
 	return verdict
 }
 
-// GiveBack implements relay.Quotas.
-func (q *quotas) GiveBack(tenant *routetable.Tenant, cost float64) {
+// Refund implements relay.Quotas.
+func (q *quotas) Refund(tenant *routetable.Tenant, cost float64) {
 	now := clock.Now()
 	nodes, _ := q.fleetSize(now)
 	q.mu.Lock()
-	q.share.Granted(now, tenant.Name, tenant.Quota, nodes, -cost)
+	q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, -cost)
 	q.mu.Unlock()
 	q.tellUsed(now, tenant, -cost)
 }
--- a/internal/edge/quotas_coordinator.go
+++ b/internal/edge/quotas_coordinator.go
@@ -27,7 +27,7 @@
 		}
 	case peerpb.QuotaCall_ADVISORY:
 		q.mu.Lock()
-		q.advisories.Hear(now, call.Asker, call.Closed)
+		q.advisories.Observe(now, call.Asker, call.Closed)
 		q.mu.Unlock()
 	default:
 		q.asked.answered(call.Id, call)
@@ -45,19 +45,19 @@
 		return answer
 	}
 	_, reach := q.fleetSize(now)
-	if reach < quota.LeastReach {
+	if reach < quota.MinReach {
 		return answer
 	}
 	defer q.speak(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if call.Kind == peerpb.QuotaCall_USED {
-		q.coordinator.Used(now, tenant.Name, tenant.Quota, reach, float64(call.Cost))
+		q.coordinator.RecordUse(now, tenant.Name, tenant.Quota, reach, float64(call.Cost))
 		return answer
 	}
-	verdict := q.coordinator.Ask(now, tenant.Name, tenant.Quota, reach, float64(call.Cost), int(call.Priority))
-	answer.Kind, answer.Left = peerpb.QuotaCall_REFUSED, int64(verdict.Left)
-	answer.RetryMs = uint32(min(verdict.RetryIn, longestAge).Milliseconds())
+	verdict := q.coordinator.Acquire(now, tenant.Name, tenant.Quota, reach, float64(call.Cost), int(call.Priority))
+	answer.Kind, answer.Left = peerpb.QuotaCall_REFUSED, int64(verdict.Remaining)
+	answer.RetryMs = uint32(min(verdict.RetryAfter, longestAge).Milliseconds())
 	if verdict.Granted {
 		answer.Kind = peerpb.QuotaCall_GRANTED
 	}
@@ -79,18 +79,18 @@
 	if !q.node.hasQuotas() || !q.mayGive(now) || q.better(now) != "" {
 		return
 	}
-	if _, reach := q.fleetSize(now); reach < quota.LeastReach {
+	if _, reach := q.fleetSize(now); reach < quota.MinReach {
 		return
 	}
 	period := max(advisoryPeriod, q.node.nodes()*advisoryShare)
 	q.mu.Lock()
-	closed := q.coordinator.Closed()
+	closed := q.coordinator.NearQuota()
 	slices.Sort(closed)
 	joined := strings.Join(closed, ",")
 	due := joined != q.told || now.Sub(q.toldAt) >= period-gossipPeriod/4
 	if due {
 		q.told, q.toldAt = joined, now
-		q.advisories.Hear(now, q.node.options.PeerAddress, closed)
+		q.advisories.Observe(now, q.node.options.PeerAddress, closed)
 	}
 	q.mu.Unlock()
 	if due {
@@ -113,7 +113,7 @@
 		if coordinator.Address == q.node.options.PeerAddress {
 			return ""
 		}
-		if now.Sub(coordinator.Seen) < coordinatorSilence {
+		if now.Sub(coordinator.LastSeen) < coordinatorSilence {
 			return coordinator.Address
 		}
 	}
@@ -143,9 +143,9 @@
 		if !tenant.Quota.IsLimited() {
 			continue
 		}
-		q.share.Left(now, tenant.Name, tenant.Quota, nodes)
+		q.share.Level(now, tenant.Name, tenant.Quota, nodes)
 		if isCoordinator {
-			q.coordinator.Keep(now, tenant.Name, tenant.Quota, reach)
+			q.coordinator.OpenAccount(now, tenant.Name, tenant.Quota, reach)
 		}
 	}
 }
--- a/internal/edge/quotas_fleet.go
+++ b/internal/edge/quotas_fleet.go
@@ -36,7 +36,7 @@
 func (p *peers) standing(now time.Time) (counted, fresh int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.Standing(now)
+	return p.roster.CountNodes(now)
 }
 
 // fleetSize is the number of nodes that share the quotas, and the part of them that
@@ -52,7 +52,7 @@
 func (q *quotas) toldSize(now time.Time, size int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.fleet.Told(now, size)
+	q.fleet.RaiseTo(now, size)
 	q.wasTold = q.wasTold || size > 0
 }
 
--- a/internal/edge/quotas_test.go
+++ b/internal/edge/quotas_test.go
@@ -16,7 +16,7 @@
 	table := routetable.New(2, nil, nil, routetable.Limits{})
 	table.SetTenants([]routetable.Tenant{{
 		Name: "north", Keys: []routetable.KeyHash{routetable.HashKey("k")},
-		Quota: routetable.Quota{PerSecond: perSecond, Burst: perSecond, CountsTokens: true, PlainTokens: 200},
+		Quota: routetable.Quota{PerSecond: perSecond, Burst: perSecond, CountsTokens: true, DefaultTokens: 200},
 	}})
 	return table
 }
@@ -46,10 +46,10 @@
 }
 
 // askItself asks the node's own accounts, beside its peers.
-func askItself(node *Node, now time.Time, tenant *routetable.Tenant, cost float64) quota.Verdict {
+func askItself(node *Node, now time.Time, tenant *routetable.Tenant, cost float64) quota.Decision {
 	node.quotas.mu.Lock()
 	defer node.quotas.mu.Unlock()
-	return node.quotas.coordinator.Ask(now, tenant.Name, tenant.Quota, 1, cost, 0)
+	return node.quotas.coordinator.Acquire(now, tenant.Name, tenant.Quota, 1, cost, 0)
 }
 
 func tenantOf(t *testing.T, node *Node) *routetable.Tenant {
@@ -70,15 +70,15 @@
 	now := clock.Now()
 	askItself(coordinator, now, tenant, 0)
 	got := asker.quotas.Admit(context.Background(), tenant, 700, 0)
-	if !got.Granted || got.By != coordinator.options.PeerAddress {
+	if !got.Granted || got.DecidedBy != coordinator.options.PeerAddress {
 		t.Errorf("%+v, want granted by the strongest node", got)
 	}
 	asker.quotas.Admit(context.Background(), tenant, 9000, 0)
 	got = asker.quotas.Admit(context.Background(), tenant, 9000, 0)
-	if got.Granted || got.RetryIn <= 0 || got.RetryIn > 3*time.Second {
+	if got.Granted || got.RetryAfter <= 0 || got.RetryAfter > 3*time.Second {
 		t.Errorf("%+v, want refused for about a second", got)
 	}
-	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Left; level > 3000 {
+	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 3000 {
 		t.Errorf("the coordinator has %.0f left", level)
 	}
 }
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	got := asker.quotas.Admit(ctx, tenant, 5000, 0)
-	if got.Granted || got.By != "alone" {
+	if got.Granted || got.DecidedBy != "alone" {
 		t.Errorf("%+v of a node that just started and reaches no coordinator, want refused", got)
 	}
 	for range 2 * mostUnanswered {
@@ -114,7 +114,7 @@
 		t.Errorf("%+v", got)
 	}
 	tenant := tenantOf(t, coordinator)
-	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Left; level > 700 {
+	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 700 {
 		t.Errorf("the coordinator has %.0f left: it was not asked", level)
 	}
 }
--- a/internal/edge/regions.go
+++ b/internal/edge/regions.go
@@ -25,7 +25,7 @@
 	if check.named == nil || table.Version != check.version {
 		check.version, check.named = table.Version, make(map[string]bool)
 	}
-	for _, bound := range table.BoundedParts() {
+	for _, bound := range table.RegionRestrictions() {
 		if len(check.named) >= mostNamed {
 			return
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-func (n *Node) hasServerIn(bound routetable.BoundedPart) bool {
+func (n *Node) hasServerIn(bound routetable.RegionRestriction) bool {
 	found := false
 	n.dispatch.Do(func(core *dispatch.Core) { found = core.HasServer(bound.Service, bound.Regions) })
 	return found
--- a/internal/edge/return_test.go
+++ b/internal/edge/return_test.go
@@ -11,7 +11,7 @@
 )
 
 func takesWork(node *Node, server string) (takes bool) {
-	node.dispatch.Do(func(core *dispatch.Core) { takes = core.TakesWork(server) })
+	node.dispatch.Do(func(core *dispatch.Core) { takes = core.IsAvailable(server) })
 	return takes
 }
 
@@ -50,7 +50,7 @@
 				if got := takesWork(node, "a"); got != step.want {
 					t.Errorf("%s: takes work %v, want %v", name, got, step.want)
 				}
-				if got := node.directory.table.TakesWork("a"); got != step.want {
+				if got := node.directory.table.IsAvailable("a"); got != step.want {
 					t.Errorf("%s: in the directory it takes work: %v, want %v", name, got, step.want)
 				}
 			}
@@ -60,12 +60,12 @@
 
 // TestWordThatAServerIsGoneEndsWithItsNewerEntry in whichever order a node hears.
 func TestWordThatAServerIsGoneEndsWithItsNewerEntry(t *testing.T) {
-	word := gossip.Item{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 7)}}
-	back := gossip.Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8)}}
-	for _, order := range [][]gossip.Item{{word, back}, {back, word}} {
+	word := gossip.ServerChange{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 7)}}
+	back := gossip.ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8)}}
+	for _, order := range [][]gossip.ServerChange{{word, back}, {back, word}} {
 		node := newFollower(t, 0)
 		for _, item := range order {
-			node.hearServers(clock.Now(), []gossip.Item{item})
+			node.hearServers(clock.Now(), []gossip.ServerChange{item})
 		}
 		if !takesWork(node, "a") {
 			t.Errorf("heard %v: the server takes no work", order)
@@ -83,7 +83,7 @@
 	returns := map[string]func(node *Node){
 		"by the store": func(node *Node) { node.changeServers([]inventory.Change{{Server: back}}, storepos.At(0, 10)) },
 		"by a peer's word": func(node *Node) {
-			node.hearServers(clock.Now(), []gossip.Item{{Server: back}})
+			node.hearServers(clock.Now(), []gossip.ServerChange{{Server: back}})
 		},
 		"by a peer's list": func(node *Node) { node.listPeerServers([]inventory.Server{back}, storepos.At(0, 11)) },
 		"unchanged, by the store's list": func(node *Node) {
@@ -98,15 +98,15 @@
 		if !takesWork(node, "a") {
 			t.Fatal("a lapsed entry is not held back")
 		}
-		node.hearServers(clock.Now(), []gossip.Item{{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 8)}}})
-		if takesWork(node, "a") || node.directory.table.TakesWork("a") {
+		node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 8)}}})
+		if takesWork(node, "a") || node.directory.table.IsAvailable("a") {
 			t.Error("the server takes work though a peer knows that it is gone")
 		}
 		if digest, _ := node.directory.standing(); digest == before {
 			t.Error("peers cannot tell that this node sends nothing to the server")
 		}
 		comesBack(node)
-		if !takesWork(node, "a") || !node.directory.table.TakesWork("a") {
+		if !takesWork(node, "a") || !node.directory.table.IsAvailable("a") {
 			t.Errorf("%s: the server takes no work though its entry came back", name)
 		}
 	}
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -155,7 +155,7 @@
 
 // hearServers takes the news of a peer. Entries from before a word that a server goes
 // may be under way to the choice of servers still: they do not bring the server back.
-func (n *Node) hearServers(now time.Time, items []gossip.Item) {
+func (n *Node) hearServers(now time.Time, items []gossip.ServerChange) {
 	changes := n.directory.hear(now, items)
 	if len(changes) == 0 {
 		return
@@ -164,7 +164,7 @@
 	n.dispatch.Do(func(core *dispatch.Core) {
 		for _, change := range changes {
 			if change.Server.Draining {
-				core.SetGoing(change.Server.ID, change.Server.Position)
+				core.SetDraining(change.Server.ID, change.Server.Position)
 			}
 		}
 	})
@@ -185,13 +185,13 @@
 		core.SetServers(changes)
 		for _, change := range changes {
 			if !change.Gone {
-				core.TellCold(now, change.Server)
+				core.UpdateColdFromEntry(now, change.Server)
 			}
 		}
 	})
 	for _, change := range changes {
 		if change.Gone || change.Server.Draining || startedAgain[change.Server.ID] {
-			n.pool.Forget(change.Server.Address)
+			n.pool.CloseIdle(change.Server.Address)
 		}
 		n.logServer(change, worked[change.Server.ID] && !startedAgain[change.Server.ID], from)
 	}
@@ -205,7 +205,7 @@
 	if worked && !change.Gone && !change.Server.Draining {
 		event = "server_entry"
 	}
-	n.options.Logger.Info().Str("server", change.Server.ID).Int64("born", change.Server.Born).Str("address", change.Server.Address).
+	n.options.Logger.Info().Str("server", change.Server.ID).Int64("born", change.Server.StartedAtMs).Str("address", change.Server.Address).
 		Str("service", change.Server.Service).Bool("gone", change.Gone).Bool("draining", change.Server.Draining).
 		Str("position", change.Server.Position.String()).Int("models", len(change.Server.Models)).
 		Str("from", from).Msg(event)
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -166,7 +166,7 @@
 		node.configConfirmed.hear(asked, response.ConfigAgeMs)
 	}
 	if response.ServersRevision > 0 {
-		at := storepos.At(response.ServersEra, response.ServersRevision).In(node.directory.completeTo().Era)
+		at := storepos.At(response.ServersEra, response.ServersRevision).WithDefaultEra(node.directory.completeTo().Era)
 		node.listPeerServers(entriesOf(response.Servers, at.Era), at)
 		if response.EraAgeMs > 0 {
 			node.directory.beginEra(asked.Add(-time.Duration(response.EraAgeMs-1) * time.Millisecond))
@@ -214,13 +214,13 @@
 	servers := make([]inventory.Server, 0, len(wire))
 	for _, entry := range wire {
 		server := inventory.Server{
-			ID: entry.Server, Born: entry.Born, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
-			Slots: int(entry.Slots), Draining: entry.Draining, Position: storepos.At(entry.Era, entry.Revision).In(era),
+			ID: entry.Server, StartedAtMs: entry.Born, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
+			Slots: int(entry.Slots), Draining: entry.Draining, Position: storepos.At(entry.Era, entry.Revision).WithDefaultEra(era),
 		}
 		if !isUsable(server) {
 			continue
 		}
-		server.ColdLeft, server.TellsCold = coldLeftOf(entry.ColdLeftMs)
+		server.ColdRemaining, server.ReportsCold = coldLeftOf(entry.ColdLeftMs)
 		for _, model := range entry.Held {
 			server.Models = append(server.Models, inventory.HeldModel{Name: model.Model, Adapters: model.Adapters})
 		}
@@ -232,7 +232,7 @@
 // isUsable reports whether what a peer tells of a server names one: a peer of another build may
 // have taken what this one cannot read.
 func isUsable(server inventory.Server) bool {
-	if server.ID == "" || server.Born < 0 || server.Position.IsBefore(storepos.Position{}) || server.Position.Revision < 0 {
+	if server.ID == "" || server.StartedAtMs < 0 || server.Position.IsBefore(storepos.Position{}) || server.Position.Revision < 0 {
 		return false
 	}
 	if server.Draining {
@@ -246,9 +246,9 @@
 	wire := make([]*peerpb.ServerEntry, 0, len(servers))
 	for _, server := range servers {
 		entry := &peerpb.ServerEntry{
-			Server: server.ID, Born: server.Born, Service: server.Service, Address: server.Address, Zone: server.Zone,
+			Server: server.ID, Born: server.StartedAtMs, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Slots: uint32(server.Slots), Draining: server.Draining, Revision: server.Position.Revision, Era: server.Position.Era,
-			ColdLeftMs: encodeColdLeft(server.ColdLeft, server.TellsCold),
+			ColdLeftMs: encodeColdLeft(server.ColdRemaining, server.ReportsCold),
 		}
 		for _, model := range server.Models {
 			entry.Held = append(entry.Held, &peerpb.HeldModel{Model: model.Name, Adapters: model.Adapters})
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -63,8 +63,8 @@
 	if !node.snapshots.fetch(context.Background(), address, node.known()) {
 		t.Fatal("nothing came")
 	}
-	if node.configVersion() != 9 || !node.directory.table.TakesWork("a") || node.directory.table.TakesWork("b") {
-		t.Errorf("version %d, a takes work: %v, b: %v", node.configVersion(), node.directory.table.TakesWork("a"), node.directory.table.TakesWork("b"))
+	if node.configVersion() != 9 || !node.directory.table.IsAvailable("a") || node.directory.table.IsAvailable("b") {
+		t.Errorf("version %d, a takes work: %v, b: %v", node.configVersion(), node.directory.table.IsAvailable("a"), node.directory.table.IsAvailable("b"))
 	}
 	for name, confirmed := range map[string]*confirmation{"configuration": &node.configConfirmed, "servers": &node.serversConfirmed} {
 		if age, known := confirmed.age(clock.Now()); !known || age < 300*time.Millisecond {
@@ -97,7 +97,7 @@
 		}
 	}
 	node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.known())
-	if _, known := node.serversConfirmed.age(clock.Now()); !known || !node.directory.table.TakesWork("a") {
+	if _, known := node.serversConfirmed.age(clock.Now()); !known || !node.directory.table.IsAvailable("a") {
 		t.Error("an answer without servers does not confirm those known, or drops them")
 	}
 }
@@ -127,7 +127,7 @@
 	peer.handler.SetTable(table)
 	peer.listPeerServers([]inventory.Server{{ID: "a", Position: storepos.At(0, 4)}}, storepos.At(0, 6))
 	peer.serversConfirmed.confirm(clock.Now())
-	node.hearServers(clock.Now(), []gossip.Item{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 4), Announced: true}}})
+	node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 4), Announced: true}}})
 	digest, at := peer.directory.standing()
 	node.peers.take(&peerpb.NodeState{
 		Node: "p", Address: "126.0.0.1:1", Life: 1, Sequence: 1, ServersDigest: digest, ServersRevision: at.Revision, ServersAgeMs: 1,
--- a/internal/edge/spread.go
+++ b/internal/edge/spread.go
@@ -14,9 +14,9 @@
 
 // spreadPlan is how what all nodes need to hear goes out from this node, with a line in
 // the log where another node sends on in some region.
-func (p *peers) spreadPlan(now time.Time) gossip.Spread {
+func (p *peers) spreadPlan(now time.Time) gossip.BroadcastPlan {
 	p.mu.Lock()
-	plan := p.roster.Spread(now)
+	plan := p.roster.PlanBroadcast(now)
 	changed := p.noteSpreaders(plan)
 	p.mu.Unlock()
 	for _, spreader := range changed {
@@ -27,7 +27,7 @@
 }
 
 // noteSpreaders returns the spreaders that another one was before. The lock is held.
-func (p *peers) noteSpreaders(plan gossip.Spread) []gossip.Spreader {
+func (p *peers) noteSpreaders(plan gossip.BroadcastPlan) []gossip.Spreader {
 	var changed []gossip.Spreader
 	for _, spreader := range plan.Spreaders {
 		place := spreadPlace(spreader)
@@ -52,7 +52,7 @@
 	spread := state.Spread
 	state.Spread = nil
 	p.mu.Lock()
-	plan := gossip.Spread{Direct: p.roster.InZones(now, spread.Zones)}
+	plan := gossip.BroadcastPlan{Direct: p.roster.AddressesInZones(now, spread.Zones)}
 	p.mu.Unlock()
 	plan.Direct = without(plan.Direct, []string{state.Address})
 	for _, target := range spread.Targets {
@@ -75,7 +75,7 @@
 func (p *peers) hasSilentViews(now time.Time) bool {
 	leader := p.roster.Leader(now)
 	term, _ := p.node.leader.standing()
-	if term != 0 || leader == nil || leader.Lapsed > 0 {
+	if term != 0 || leader == nil || leader.LeaseExpiredFor > 0 {
 		p.viewsHeard = now
 		return false
 	}
@@ -87,27 +87,27 @@
 // answerPlan is to whom the answer to a node goes that asked for all views: to that node
 // or, where a second one of its region or zone asks soon after, to all of that at once.
 // ok is false where they were told just now. The lock is held.
-func (p *peers) answerPlan(now time.Time, address string) (plan gossip.Spread, ok bool) {
+func (p *peers) answerPlan(now time.Time, address string) (plan gossip.BroadcastPlan, ok bool) {
 	if now.Sub(p.toldAll[address]) < viewsLag {
 		return plan, false
 	}
 	spreader := p.spreaderFor(now, p.roster.ZoneOf(address))
 	if spreader == nil {
 		p.toldAll[address] = now
-		return gossip.Spread{Direct: []string{address}}, true
+		return gossip.BroadcastPlan{Direct: []string{address}}, true
 	}
 	place := spreadPlace(*spreader)
 	asked := p.asked[place]
 	if now.Sub(asked.at) >= viewsLag {
 		p.asked[place] = askedViews{at: now}
 		p.toldAll[address] = now
-		return gossip.Spread{Direct: []string{address}}, true
+		return gossip.BroadcastPlan{Direct: []string{address}}, true
 	}
 	if asked.isTold {
 		return plan, false
 	}
 	p.asked[place] = askedViews{at: now, isTold: true}
-	return gossip.Spread{Spreaders: []gossip.Spreader{*spreader}}, true
+	return gossip.BroadcastPlan{Spreaders: []gossip.Spreader{*spreader}}, true
 }
 
 // askedViews is when a node of a place asked for views, and whether all nodes there were
@@ -120,8 +120,8 @@
 // spreaderFor is who sends on to the nodes of a zone: in its region, or in the zone where
 // that lies in this node's region; nil where this node sends itself. The lock is held.
 func (p *peers) spreaderFor(now time.Time, zone string) *gossip.Spreader {
-	region := p.node.options.Places.Region(zone)
-	for _, spreader := range p.roster.Spread(now).Spreaders {
+	region := p.node.options.Topology.Region(zone)
+	for _, spreader := range p.roster.PlanBroadcast(now).Spreaders {
 		if spreader.Region != "" && spreader.Region == region || spreader.Region == "" && spreader.Zone == zone {
 			return &spreader
 		}
--- a/internal/edge/spread_test.go
+++ b/internal/edge/spread_test.go
@@ -61,8 +61,8 @@
 	t.Helper()
 	node := newTestNode(t)
 	node.options.Zone = zone
-	node.options.Places = locality.NewMap(map[string]string{"n": "north", "s1": "south", "s2": "south"})
-	node.peers.roster.SetPlace(zone, node.options.Places)
+	node.options.Topology = locality.NewMap(map[string]string{"n": "north", "s1": "south", "s2": "south"})
+	node.peers.roster.SetLocation(zone, node.options.Topology)
 	return node
 }
 
@@ -125,7 +125,7 @@
 		Term: 7, Views: []*peerpb.ServerView{{Server: "i", Sequence: 1, Held: []*peerpb.HeldModel{{Model: "m"}}}},
 	}})
 	node.dispatch.Do(func(core *dispatch.Core) {
-		if !core.CanPick(clock.Now(), dispatch.Ask{Service: "s", Model: "m"}) {
+		if !core.CanPick(clock.Now(), dispatch.Request{Service: "s", Model: "m"}) {
 			t.Error("the view was dropped")
 		}
 	})
--- a/internal/edge/starts_test.go
+++ b/internal/edge/starts_test.go
@@ -14,9 +14,9 @@
 // startOf is the start of server a that the node would send to; 0 where it would not.
 func startOf(node *Node) (born int64) {
 	node.dispatch.Do(func(core *dispatch.Core) {
-		if choice, ok := core.Pick(clock.Now(), dispatch.Ask{Service: "s"}); ok {
-			born = choice.Flight.Start().Born
-			core.End(clock.Now(), choice.Flight, dispatch.OutcomeLeft)
+		if choice, ok := core.Pick(clock.Now(), dispatch.Request{Service: "s"}); ok {
+			born = choice.Attempt.Start().StartedAtMs
+			core.End(clock.Now(), choice.Attempt, dispatch.OutcomeAbandoned)
 		}
 	})
 	return born
@@ -25,7 +25,7 @@
 // TestLaterStartClearsWhatTheOneBeforeTold: by whatever way it is told, and not the other way.
 func TestLaterStartClearsWhatTheOneBeforeTold(t *testing.T) {
 	server := func(born, revision int64) inventory.Server {
-		return inventory.Server{ID: "a", Born: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, revision)}
+		return inventory.Server{ID: "a", StartedAtMs: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, revision)}
 	}
 	ways := map[string]func(node *Node, told inventory.Server){
 		"the store's list": func(node *Node, told inventory.Server) {
@@ -39,14 +39,14 @@
 		},
 		"a peer's news": func(node *Node, told inventory.Server) {
 			node.hearServers(clock.Now(), newsOf([]*peerpb.ServerNews{{
-				Server: told.ID, Born: told.Born, Service: told.Service, Address: told.Address, Zone: told.Zone, Revision: told.Position.Revision,
+				Server: told.ID, Born: told.StartedAtMs, Service: told.Service, Address: told.Address, Zone: told.Zone, Revision: told.Position.Revision,
 			}}))
 		},
 	}
 	for name, tell := range ways {
 		node := newTestNode(t)
 		node.listServers(clock.Now(), []inventory.Server{server(7, 3)}, storepos.At(0, 3))
-		node.hints.receiveCall(inventory.Start{ID: "a", Born: 7}, inventory.Hint{Draining: true}, hintFromAnswer)
+		node.hints.receiveCall(inventory.Start{ID: "a", StartedAtMs: 7}, inventory.Hint{Draining: true}, hintFromAnswer)
 		if got := startOf(node); got != 0 {
 			t.Errorf("%s: start %d is sent to, which leaves", name, got)
 		}
@@ -72,7 +72,7 @@
 // TestViewOfALaterStartIsTakenForOne: the leader may hear of it from the server itself, first.
 func TestViewOfALaterStartIsTakenForOne(t *testing.T) {
 	node := newTestNode(t)
-	node.listServers(clock.Now(), []inventory.Server{{ID: "a", Born: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}}, storepos.At(0, 3))
+	node.listServers(clock.Now(), []inventory.Server{{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}}, storepos.At(0, 3))
 	view := func(born int64) {
 		node.dispatch.Do(func(core *dispatch.Core) {
 			core.SetViews(clock.Now(), 5, viewsOf([]*peerpb.ServerView{{Server: "a", Born: born, Held: []*peerpb.HeldModel{{Model: "m"}}}}))
@@ -93,7 +93,7 @@
 	change := func(born int64, draining bool) {
 		revision++
 		node.changeServers([]inventory.Change{{Server: inventory.Server{
-			ID: "a", Born: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, revision), Draining: draining,
+			ID: "a", StartedAtMs: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, revision), Draining: draining,
 		}}}, storepos.At(0, revision))
 	}
 	node.listServers(clock.Now(), nil, storepos.At(0, revision))
@@ -101,7 +101,7 @@
 		change(born, false)
 		change(born, true)
 		told := node.directory.tell(clock.Now().Add(time.Millisecond))
-		if len(told) != 1 || told[0].Server.Born != born || !told[0].Server.Draining {
+		if len(told) != 1 || told[0].Server.StartedAtMs != born || !told[0].Server.Draining {
 			t.Errorf("start %d leaves: told %+v", born, told)
 		}
 	}
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -43,8 +43,8 @@
 	blamed, barred atomic.Int64
 
 	mu    sync.Mutex
-	tally *poison.Tally
-	good  poison.GoodEnds
+	tally *poison.Tracker
+	good  poison.RecentSuccesses
 	due   []dueReport
 	// barsAt is when what is barred was told last, and nextBar the one to be told next;
 	// the node's ticks alone use them.
@@ -62,7 +62,7 @@
 }
 
 func newSuspects(node *Node) *suspects {
-	return &suspects{node: node, tally: poison.NewTally(), trials: newQuestions[bool]()}
+	return &suspects{node: node, tally: poison.NewTracker(), trials: newQuestions[bool]()}
 }
 
 var _ relay.Suspects = (*suspects)(nil)
@@ -70,42 +70,42 @@
 // Any implements relay.Suspects.
 func (s *suspects) Any() bool { return s.any.Load() }
 
-// Standing implements relay.Suspects.
-func (s *suspects) Standing(fingerprint poison.Fingerprint) poison.Standing {
+// Status implements relay.Suspects.
+func (s *suspects) Status(fingerprint poison.Fingerprint) poison.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tally.Standing(clock.Now(), fingerprint)
+	return s.tally.Status(clock.Now(), fingerprint)
 }
 
-// Blame implements relay.Suspects: it takes that a server ended under the request.
-func (s *suspects) Blame(fingerprint poison.Fingerprint, serverID string, ran time.Duration) {
+// ReportCrash implements relay.Suspects: it takes that a server ended under the request.
+func (s *suspects) ReportCrash(fingerprint poison.Fingerprint, serverID string, ran time.Duration) {
 	s.blamed.Add(1)
 	now := clock.Now()
-	reports := []poison.Report{{Fingerprint: fingerprint, ServerID: serverID, Ran: ran}}
+	reports := []poison.Report{{Fingerprint: fingerprint, ServerID: serverID, RanFor: ran}}
 	if vouched := s.vouch(now, reports); len(vouched) > 0 {
 		reports = vouched
 	}
 	s.tell(now, s.takeAll(now, "", reports))
 }
 
-// EndedWell implements relay.Suspects: it acquits a suspect, and remembers that such a
+// ReportSuccess implements relay.Suspects: it acquits a suspect, and remembers that such a
 // request ended well.
-func (s *suspects) EndedWell(fingerprint poison.Fingerprint) {
+func (s *suspects) ReportSuccess(fingerprint poison.Fingerprint) {
 	now := clock.Now()
 	s.mu.Lock()
 	s.good.Add(now, fingerprint)
-	isSuspect := s.tally.Standing(now, fingerprint) != poison.StandingSound
+	isSuspect := s.tally.Status(now, fingerprint) != poison.StatusClear
 	s.mu.Unlock()
 	if isSuspect {
 		s.tell(now, s.takeAll(now, "", []poison.Report{{Fingerprint: fingerprint, Acquitted: true}}))
 	}
 }
 
-// Refused implements relay.Suspects.
-func (s *suspects) Refused(fingerprint poison.Fingerprint) {
+// ReportRefusal implements relay.Suspects.
+func (s *suspects) ReportRefusal(fingerprint poison.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tally.Refused(fingerprint)
+	s.tally.RecordRefusal(fingerprint)
 }
 
 // vouch returns a word for each of the requests that others report and that ended well here
@@ -113,7 +113,7 @@
 func (s *suspects) vouch(now time.Time, reports []poison.Report) []poison.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.good.Vouch(now, s.tally, reports)
+	return s.good.Acquittals(now, s.tally, reports)
 }
 
 // hear takes what another node reports.
@@ -135,23 +135,23 @@
 	defer s.mu.Unlock()
 	var tell []poison.Report
 	for _, report := range reports {
-		before := s.tally.Standing(now, report.Fingerprint)
-		if !s.tally.Take(now, report) {
+		before := s.tally.Status(now, report.Fingerprint)
+		if !s.tally.Record(now, report) {
 			continue
 		}
-		after := s.tally.Standing(now, report.Fingerprint)
+		after := s.tally.Status(now, report.Fingerprint)
 		s.log(report, from, after)
-		if after == poison.StandingBarred && before != after {
+		if after == poison.StatusBarred && before != after {
 			s.barred.Add(1)
 		}
 		switch {
 		case isOwn:
 			// Who did not grant the trial that ended the server goes by the bar.
-			report.BarredFor = s.tally.BarLeft(now, report.Fingerprint)
+			report.BarredFor = s.tally.BarRemaining(now, report.Fingerprint)
 			tell = append(tell, report)
 		case tellsAll && report.Acquitted:
 			tell = append(tell, report)
-		case tellsAll && s.tally.Ended(report.Fingerprint) >= widelySuspect:
+		case tellsAll && s.tally.CrashCount(report.Fingerprint) >= widelySuspect:
 			tell = append(tell, s.tally.Reports(now, report.Fingerprint)...)
 		}
 	}
@@ -192,18 +192,18 @@
 	return s.node.peers.all(now)
 }
 
-func (s *suspects) log(report poison.Report, from string, standing poison.Standing) {
+func (s *suspects) log(report poison.Report, from string, standing poison.Status) {
 	name := "request_suspected"
 	switch {
 	case report.Acquitted:
 		name = "request_acquitted"
 	case report.Lifted:
 		name = "bar_lifted"
-	case standing == poison.StandingBarred:
+	case standing == poison.StatusBarred:
 		name = "request_barred"
 	}
 	s.node.options.Logger.Info().Str("fingerprint", report.Fingerprint.String()).Str("server", report.ServerID).
-		Str("from", from).Int64("age_ms", report.Age.Milliseconds()).Int("servers_ended", s.tally.Ended(report.Fingerprint)).Msg(name)
+		Str("from", from).Int64("age_ms", report.Age.Milliseconds()).Int("servers_ended", s.tally.CrashCount(report.Fingerprint)).Msg(name)
 }
 
 // tell sends reports to those who are to know them.
@@ -287,7 +287,7 @@
 	stored := make(map[string]time.Duration)
 	for _, fingerprint := range s.tally.Barred(now) {
 		if len(stored) < mostStored {
-			stored[fingerprint.String()] = s.tally.BarLeft(now, fingerprint)
+			stored[fingerprint.String()] = s.tally.BarRemaining(now, fingerprint)
 		}
 	}
 	return stored
@@ -298,7 +298,7 @@
 func (s *suspects) hearStored(now time.Time, stored map[string]time.Duration) {
 	var reports []poison.Report
 	for name, left := range stored {
-		if fingerprint, ok := poison.Named(name); ok && s.Standing(fingerprint) != poison.StandingBarred {
+		if fingerprint, ok := poison.ParseFingerprint(name); ok && s.Status(fingerprint) != poison.StatusBarred {
 			reports = append(reports, poison.Report{Fingerprint: fingerprint, BarredFor: left})
 		}
 	}
--- a/internal/edge/suspects_test.go
+++ b/internal/edge/suspects_test.go
@@ -44,7 +44,7 @@
 	if got := len(coordinator.suspects.targets(now)); got != large-1 {
 		t.Errorf("a coordinator of %d tells %d others, want all", large, got)
 	}
-	fingerprint := poison.Of(poison.Identity{Target: "/x"})
+	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	hears := func(at time.Time, report poison.Report) int {
 		report.Fingerprint = fingerprint
 		return len(coordinator.suspects.takeAll(at, "peer", []poison.Report{report}))
@@ -58,7 +58,7 @@
 	if told := hears(now.Add(2*time.Second), poison.Report{Acquitted: true}); told != 1 {
 		t.Errorf("tells %d reports of a good end, want one", told)
 	}
-	if coordinator.suspects.Standing(fingerprint) != poison.StandingSound {
+	if coordinator.suspects.Status(fingerprint) != poison.StatusClear {
 		t.Error("suspects what ended well")
 	}
 }
--- a/internal/edge/suspension_test.go
+++ b/internal/edge/suspension_test.go
@@ -14,8 +14,8 @@
 // suspend suspends the machine for the rest of the test.
 func suspend(t *testing.T, d time.Duration) {
 	t.Helper()
-	clock.Suspend(d)
-	t.Cleanup(func() { clock.Suspend(-d) })
+	clock.SimulateSuspend(d)
+	t.Cleanup(func() { clock.SimulateSuspend(-d) })
 }
 
 // holdLease makes the node the leader, as its own write of the lease does.
@@ -23,7 +23,7 @@
 	leader := node.leader
 	now := leader.started
 	leader.lease.Observe(now, now, storelease.Record{Holder: node.options.Name, Position: storepos.At(0, 3)})
-	leader.lease.Taken(now, now, storepos.At(0, 4))
+	leader.lease.WriteSucceeded(now, now, storepos.At(0, 4))
 	leader.followTerm(now)
 	leader.orderFrom.Store(0)
 	return leader
@@ -64,7 +64,7 @@
 	leader := holdLease(node)
 	sent := clock.Now()
 	suspend(t, 5*time.Second)
-	leader.lease.Taken(sent, clock.Now(), storepos.At(0, 5))
+	leader.lease.WriteSucceeded(sent, clock.Now(), storepos.At(0, 5))
 	leader.followTerm(clock.Now())
 	if leader.orderTime(leader.term.Load(), "z") > 0 {
 		t.Error("may order by a write that was sent 5 s ago")
@@ -100,13 +100,13 @@
 // dated by the world's time.
 func TestReportsAgeInASuspension(t *testing.T) {
 	node := newTestNode(t)
-	fingerprint := poison.Of(poison.Identity{Target: "/x"})
+	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, server := range []string{"a", "b", "c"} {
 		node.suspects.takeAll(clock.Now(), "", []poison.Report{{Fingerprint: fingerprint, ServerID: server}})
 		suspend(t, time.Second)
 	}
 	reports := node.suspects.tally.Reports(clock.Now(), fingerprint)
-	if len(reports) != 3 || reports[0].Age < 3*time.Second || node.suspects.Standing(fingerprint) != poison.StandingBarred {
+	if len(reports) != 3 || reports[0].Age < 3*time.Second || node.suspects.Status(fingerprint) != poison.StatusBarred {
 		t.Errorf("after three servers a second apart: %v", reports)
 	}
 }
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -54,19 +54,19 @@
 			Int64(what.String()+"_far_bytes", p.sentBytes[what][locality.OtherRegion].Load())
 	}
 	bodies := &p.node.handler.Metrics.ServerBytes
-	for distance := range locality.Distances {
+	for distance := range locality.DistanceCount {
 		entry.Int64("servers_"+distance.String()+"_bytes", bodies[distance].Load())
 	}
 	entry.Msg("peer_traffic")
 }
 
 // sentBytes count what was sent to peers, by what it was and how far it went.
-type sentBytes [trafficKinds][locality.Distances]atomic.Int64
+type sentBytes [trafficKinds][locality.DistanceCount]atomic.Int64
 
 // of is what was sent of one kind.
 func (s *sentBytes) of(what traffic) int64 {
 	sum := int64(0)
-	for distance := range locality.Distances {
+	for distance := range locality.DistanceCount {
 		sum += s[what][distance].Load()
 	}
 	return sum
--- a/internal/edge/trials.go
+++ b/internal/edge/trials.go
@@ -47,7 +47,7 @@
 		s.trials.answered(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
 		return
 	}
-	fingerprint, ok := poison.FingerprintOf(call.Fingerprint)
+	fingerprint, ok := poison.DecodeFingerprint(call.Fingerprint)
 	if !ok {
 		return
 	}
@@ -65,7 +65,7 @@
 		return false
 	}
 	s.mu.Lock()
-	left := s.tally.BarLeft(now, fingerprint)
+	left := s.tally.BarRemaining(now, fingerprint)
 	s.mu.Unlock()
 	if left > 0 {
 		s.tellAll(now, poison.Report{Fingerprint: fingerprint, BarredFor: left})
--- a/internal/edge/trials_test.go
+++ b/internal/edge/trials_test.go
@@ -44,13 +44,13 @@
 // onTrialEverywhere makes a request known as one whose bar is over.
 func onTrialEverywhere(t *testing.T, nodes []*Node) poison.Fingerprint {
 	t.Helper()
-	fingerprint := poison.Of(poison.Identity{Target: "/x"})
+	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, node := range nodes {
 		node.suspects.takeAll(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, BarredFor: time.Millisecond}})
 	}
 	time.Sleep(5 * time.Millisecond)
 	for i, node := range nodes {
-		if got := node.suspects.Standing(fingerprint); got != poison.StandingOnTrial {
+		if got := node.suspects.Status(fingerprint); got != poison.StatusOnTrial {
 			t.Fatalf("node %d: standing %d, want on trial", i, got)
 		}
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("%d of 12 copies were granted a trial, want 1", granted.Load())
 	}
 	for i, node := range nodes {
-		for wait := 0; node.suspects.Standing(fingerprint) != poison.StandingBarred; wait++ {
+		for wait := 0; node.suspects.Status(fingerprint) != poison.StatusBarred; wait++ {
 			if wait == 200 {
 				t.Fatalf("node %d was not told that the request is barred beside its trial", i)
 			}
@@ -102,7 +102,7 @@
 // TestOperatorLiftsABar at one node, and all nodes forget it.
 func TestOperatorLiftsABar(t *testing.T) {
 	nodes := newConnectedNodes(t, 3)
-	fingerprint := poison.Of(poison.Identity{Target: "/x"})
+	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, node := range nodes {
 		node.suspects.takeAll(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, ServerID: "a", BarredFor: time.Minute}})
 	}
@@ -115,7 +115,7 @@
 		t.Fatalf("lifted %v, %v", lifted, err)
 	}
 	for i, node := range nodes {
-		for wait := 0; node.suspects.Standing(fingerprint) != poison.StandingSound; wait++ {
+		for wait := 0; node.suspects.Status(fingerprint) != poison.StatusClear; wait++ {
 			if wait == 200 {
 				t.Fatalf("node %d still bars the request", i)
 			}
--- a/internal/edge/views.go
+++ b/internal/edge/views.go
@@ -55,7 +55,7 @@
 }
 
 // sendViews sends views in as many datagrams as they need, one at the least.
-func (p *peers) sendViews(what traffic, plan gossip.Spread, term int64, lapsed time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) {
+func (p *peers) sendViews(what traffic, plan gossip.BroadcastPlan, term int64, lapsed time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) {
 	encoded := make([]*peerpb.ServerView, 0, len(views))
 	for _, view := range views {
 		encoded = append(encoded, encodeView(view))
@@ -94,7 +94,7 @@
 	told := p.toldDigests()
 	differs, count := told.Differs(asker.ViewsDigests)
 	if count == 0 {
-		p.sendViews(trafficAnswers, gossip.Spread{Direct: []string{asker.Address}}, term, lapsed, nil, nil)
+		p.sendViews(trafficAnswers, gossip.BroadcastPlan{Direct: []string{asker.Address}}, term, lapsed, nil, nil)
 		return
 	}
 	p.mu.Lock()
--- a/internal/edge/wanted.go
+++ b/internal/edge/wanted.go
@@ -20,11 +20,11 @@
 // deciders are the leader and the nodes that may lead next, as far as they are to be told
 // now what is wanted. The lock is held.
 func (p *peers) deciders(now time.Time, nodes int) (leader, standbys []string) {
-	standbys = p.roster.Deciders(now)
+	standbys = p.roster.LeaderCandidates(now)
 	if known := p.roster.Leader(now); known != nil {
 		leader, standbys = standbys[:1:1], standbys[1:]
 	}
-	if nodes <= manyNodes && !p.node.options.Places.HasRegions() {
+	if nodes <= manyNodes && !p.node.options.Topology.HasMultipleRegions() {
 		return leader, standbys
 	}
 	if now.Sub(p.standbysTold) < standbyPeriod {
@@ -54,9 +54,9 @@
 	p.node.dispatch.Do(func(core *dispatch.Core) {
 		for _, count := range core.Demand(now.Add(-age)) {
 			wanted = append(wanted, &peerpb.WantedCount{
-				Service: count.Wanted.Service, Model: count.Wanted.Model, Adapter: count.Wanted.Adapter,
-				Asked: uint64(count.Asked), Waiting: uint32(core.WaitingForCopies(now, count)), PromptTokens: uint64(count.PromptTokens),
-				GoalMs: uint32(count.Goal.Milliseconds()), Regions: count.Wanted.Regions.Names(),
+				Service: count.Requirements.Service, Model: count.Requirements.Model, Adapter: count.Requirements.Adapter,
+				Asked: uint64(count.Requests), Waiting: uint32(core.WaitingForCopies(now, count)), PromptTokens: uint64(count.PromptTokens),
+				GoalMs: uint32(count.LatencyGoal.Milliseconds()), Regions: count.Requirements.Regions.Names(),
 			})
 		}
 	})
--- a/internal/edge/wire.go
+++ b/internal/edge/wire.go
@@ -37,13 +37,13 @@
 	views := make([]dispatch.View, 0, len(wire))
 	for _, encoded := range wire {
 		view := dispatch.View{
-			ServerID: encoded.Server,
-			Born:     encoded.Born,
-			Sequence: encoded.Sequence,
-			Held:     make(map[string][]string, len(encoded.Held)),
-			Loading:  make(map[string]time.Duration, len(encoded.Loading)),
-			InMemory: encoded.InMemory,
-			OnDisk:   encoded.OnDisk,
+			ServerID:    encoded.Server,
+			StartedAtMs: encoded.Born,
+			Sequence:    encoded.Sequence,
+			Held:        make(map[string][]string, len(encoded.Held)),
+			Loading:     make(map[string]time.Duration, len(encoded.Loading)),
+			InMemory:    encoded.InMemory,
+			OnDisk:      encoded.OnDisk,
 		}
 		for _, model := range encoded.Held {
 			view.Held[model.Model] = model.Adapters
@@ -63,7 +63,7 @@
 
 func encodeView(view dispatch.View) *peerpb.ServerView {
 	encoded := &peerpb.ServerView{
-		Server: view.ServerID, Born: view.Born, Sequence: view.Sequence, InMemory: view.InMemory, OnDisk: view.OnDisk,
+		Server: view.ServerID, Born: view.StartedAtMs, Sequence: view.Sequence, InMemory: view.InMemory, OnDisk: view.OnDisk,
 	}
 	for model, adapters := range view.Held {
 		encoded.Held = append(encoded.Held, &peerpb.HeldModel{Model: model, Adapters: adapters})
@@ -78,16 +78,16 @@
 }
 
 // countsOf are the counts of a node that stands in the region.
-func countsOf(wire []*peerpb.WantedCount, region string) []placer.Count {
-	counts := make([]placer.Count, 0, len(wire))
+func countsOf(wire []*peerpb.WantedCount, region string) []placer.RequestCount {
+	counts := make([]placer.RequestCount, 0, len(wire))
 	for _, count := range wire {
-		counts = append(counts, placer.Count{
-			Wanted:       dispatch.Wanted{Service: count.Service, Model: count.Model, Adapter: count.Adapter, Regions: regionsOf(count.Regions)},
-			Asked:        count.Asked,
+		counts = append(counts, placer.RequestCount{
+			Requirements: dispatch.Requirements{Service: count.Service, Model: count.Model, Adapter: count.Adapter, Regions: regionsOf(count.Regions)},
+			Requests:     count.Asked,
 			Waiting:      int(count.Waiting),
 			PromptTokens: count.PromptTokens,
 			Region:       region,
-			Goal:         time.Duration(count.GoalMs) * time.Millisecond,
+			LatencyGoal:  time.Duration(count.GoalMs) * time.Millisecond,
 		})
 	}
 	return counts
@@ -101,12 +101,12 @@
 	return locality.Only(names...)
 }
 
-func newsOf(wire []*peerpb.ServerNews) []gossip.Item {
-	items := make([]gossip.Item, 0, len(wire))
+func newsOf(wire []*peerpb.ServerNews) []gossip.ServerChange {
+	items := make([]gossip.ServerChange, 0, len(wire))
 	for _, told := range wire {
-		item := gossip.Item{
+		item := gossip.ServerChange{
 			Server: inventory.Server{
-				ID: told.Server, Born: told.Born, Service: told.Service, Address: told.Address, Zone: told.Zone, Slots: int(told.Slots),
+				ID: told.Server, StartedAtMs: told.Born, Service: told.Service, Address: told.Address, Zone: told.Zone, Slots: int(told.Slots),
 				Draining: told.Going, Position: storepos.At(told.Era, told.Revision), Announced: true,
 			},
 			Age: time.Duration(told.AgeMs) * time.Millisecond,
@@ -115,27 +115,27 @@
 			continue
 		}
 		// What is kept is what the store said, and when.
-		item.Server.ColdLeft, item.Server.TellsCold = coldLeftOf(told.ColdLeftMs)
-		if item.Server.ColdLeft > 0 {
-			item.Server.ColdLeft += item.Age
+		item.Server.ColdRemaining, item.Server.ReportsCold = coldLeftOf(told.ColdLeftMs)
+		if item.Server.ColdRemaining > 0 {
+			item.Server.ColdRemaining += item.Age
 		}
 		items = append(items, item)
 	}
 	return items
 }
 
-func encodeNews(items []gossip.Item) []*peerpb.ServerNews {
+func encodeNews(items []gossip.ServerChange) []*peerpb.ServerNews {
 	encoded := make([]*peerpb.ServerNews, 0, len(items))
 	for _, item := range items {
 		told := &peerpb.ServerNews{
-			Server: item.Server.ID, Born: item.Server.Born, Going: item.Server.Draining,
+			Server: item.Server.ID, Born: item.Server.StartedAtMs, Going: item.Server.Draining,
 			Revision: item.Server.Position.Revision, Era: item.Server.Position.Era,
 			AgeMs: uint32(item.Age.Milliseconds()),
 		}
 		if !told.Going {
 			told.Service, told.Address, told.Zone = item.Server.Service, item.Server.Address, item.Server.Zone
 			told.Slots = uint32(item.Server.Slots)
-			told.ColdLeftMs = encodeColdLeft(item.Server.ColdLeft-item.Age, item.Server.TellsCold)
+			told.ColdLeftMs = encodeColdLeft(item.Server.ColdRemaining-item.Age, item.Server.ReportsCold)
 		}
 		encoded = append(encoded, told)
 	}
--- a/internal/evacuation/eras_test.go
+++ b/internal/evacuation/eras_test.go
@@ -13,15 +13,15 @@
 	const oldEra, newEra = storepos.FirstEra, storepos.FirstEra + 1
 	list := func(era, revision int64, zones ...string) func(*Table, time.Time) {
 		return func(table *Table, now time.Time) {
-			table.List(now, now, Word{Zones: zones, Position: storepos.At(era, revision)})
+			table.ApplyStoreSnapshot(now, now, Snapshot{Zones: zones, Position: storepos.At(era, revision)})
 		}
 	}
 	apply := func(era, revision int64, events ...Event) func(*Table, time.Time) {
-		return func(table *Table, now time.Time) { table.Apply(now, events, storepos.At(era, revision)) }
+		return func(table *Table, now time.Time) { table.ApplyEvents(now, events, storepos.At(era, revision)) }
 	}
 	late := func(era, revision int64, zones ...string) func(*Table, time.Time) {
 		return func(table *Table, now time.Time) {
-			table.List(now, now.Add(-time.Hour), Word{Zones: zones, Position: storepos.At(era, revision)})
+			table.ApplyStoreSnapshot(now, now.Add(-time.Hour), Snapshot{Zones: zones, Position: storepos.At(era, revision)})
 		}
 	}
 	cases := map[string]struct {
@@ -52,7 +52,7 @@
 			if got := table.Zones(); !slices.Equal(got, c.want) {
 				t.Errorf("%q in force, want %q", got, c.want)
 			}
-			table.Settle(begin.Add(storepos.RewriteTime + time.Second))
+			table.ExpireRollbackOverrides(begin.Add(storepos.RestoreRewriteTime + time.Second))
 			if got := table.Zones(); !slices.Equal(got, c.settled) {
 				t.Errorf("%q in force after the time of rewriting, want %q", got, c.settled)
 			}
@@ -63,19 +63,19 @@
 // What a node keeps over an era, as it missed that it had ended, is put in force at all others.
 func TestKeptEvacuationIsNoWord(t *testing.T) {
 	late, other, fresh := New(), New(), New()
-	late.List(begin, begin, Word{Zones: []string{"a"}, Position: storepos.At(2, 51)})
-	late.List(begin, begin, Word{Position: storepos.At(3, 72)})
-	other.List(begin, begin, Word{Position: storepos.At(3, 71)})
-	if other.Take(begin, late.WordAt(begin)); other.IsEvacuated("a") || !late.IsEvacuated("a") {
+	late.ApplyStoreSnapshot(begin, begin, Snapshot{Zones: []string{"a"}, Position: storepos.At(2, 51)})
+	late.ApplyStoreSnapshot(begin, begin, Snapshot{Position: storepos.At(3, 72)})
+	other.ApplyStoreSnapshot(begin, begin, Snapshot{Position: storepos.At(3, 71)})
+	if other.ApplyPeerSnapshot(begin, late.SnapshotWithRetained(begin)); other.IsEvacuated("a") || !late.IsEvacuated("a") {
 		t.Errorf("in force where it was kept: %v, at a peer: %v", late.IsEvacuated("a"), other.IsEvacuated("a"))
 	}
 	if late.Digest() != other.Digest() {
 		t.Error("the same list of the store does not count as the same")
 	}
-	if fresh.Take(begin, late.WordAt(begin)); !fresh.IsEvacuated("a") {
+	if fresh.ApplyPeerSnapshot(begin, late.SnapshotWithRetained(begin)); !fresh.IsEvacuated("a") {
 		t.Error("who knows nothing does not hear of it")
 	}
-	if fresh.Settle(begin.Add(storepos.RewriteTime)); fresh.IsEvacuated("a") {
+	if fresh.ExpireRollbackOverrides(begin.Add(storepos.RestoreRewriteTime)); fresh.IsEvacuated("a") {
 		t.Error("it is kept for ever")
 	}
 }
--- a/internal/evacuation/table.go
+++ b/internal/evacuation/table.go
@@ -9,20 +9,20 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// Word is the whole list of evacuated zones as of a position of the store, as the
+// Snapshot is the whole list of evacuated zones as of a position of the store, as the
 // store or a peer tells it.
-type Word struct {
+type Snapshot struct {
 	Zones    []string
 	Position storepos.Position
-	// Kept are zones that stay evacuated though the store's copy lists them no more, for KeptFor yet:
+	// Retained are zones that stay evacuated though the store's copy lists them no more, for KeptFor yet:
 	// for who knows of none before.
-	Kept    []string
-	KeptFor time.Duration
+	Retained    []string
+	RetainedFor time.Duration
 }
 
 // Digest is a number that two words have in common which name the same zones, as of
 // whichever positions. It is not 0.
-func (w Word) Digest() uint64 {
+func (w Snapshot) Digest() uint64 {
 	digest := fnv.New64a()
 	for _, zone := range slices.Compact(slices.Sorted(slices.Values(w.Zones))) {
 		_, _ = digest.Write([]byte(zone))
@@ -91,9 +91,9 @@
 	}
 }
 
-// IsKnown reports whether anything told which zones are evacuated. Until then
+// IsInitialized reports whether anything told which zones are evacuated. Until then
 // nothing may be sent to any server.
-func (t *Table) IsKnown() bool { return t.isKnown }
+func (t *Table) IsInitialized() bool { return t.isKnown }
 
 // Position is that of the store up to which the table is complete.
 func (t *Table) Position() storepos.Position { return t.position }
@@ -104,9 +104,9 @@
 // Zones are the evacuated zones by name.
 func (t *Table) Zones() []string { return slices.Sorted(maps.Keys(t.zones)) }
 
-// Word is what the store lists, as peers are told it. What is kept over an era is no part of it: a
+// Snapshot is what the store lists, as peers are told it. What is kept over an era is no part of it: a
 // peer may have heard that it ended.
-func (t *Table) Word() Word {
+func (t *Table) Snapshot() Snapshot {
 	listed := maps.Clone(t.zones)
 	for zone := range t.kept {
 		delete(listed, zone)
@@ -114,21 +114,21 @@
 	for zone := range t.withheld {
 		listed[zone] = true
 	}
-	return Word{Zones: slices.Sorted(maps.Keys(listed)), Position: t.position}
+	return Snapshot{Zones: slices.Sorted(maps.Keys(listed)), Position: t.position}
 }
 
-// WordAt is the word with what is kept over an era.
-func (t *Table) WordAt(now time.Time) Word {
-	word := t.Word()
-	word.Kept = slices.Sorted(maps.Keys(t.kept))
+// SnapshotWithRetained is the word with what is kept over an era.
+func (t *Table) SnapshotWithRetained(now time.Time) Snapshot {
+	word := t.Snapshot()
+	word.Retained = slices.Sorted(maps.Keys(t.kept))
 	for _, until := range t.kept {
-		word.KeptFor = max(word.KeptFor, until.Sub(now))
+		word.RetainedFor = max(word.RetainedFor, until.Sub(now))
 	}
 	return word
 }
 
 // Digest is that of the table's word.
-func (t *Table) Digest() uint64 { return t.Word().Digest() }
+func (t *Table) Digest() uint64 { return t.Snapshot().Digest() }
 
 // EndedAt is when this process learned that the zone's evacuation had ended; ok is
 // false where none did, or the zone is evacuated again. The zone's servers may have
@@ -138,16 +138,16 @@
 	return at, ok
 }
 
-// Unknown are the evacuated zones that isKnown says no to: they were misspelt, or
+// UnknownZones are the evacuated zones that isKnown says no to: they were misspelt, or
 // have no servers yet. They stay in force.
-func (t *Table) Unknown(isKnown func(zone string) bool) []string {
+func (t *Table) UnknownZones(isKnown func(zone string) bool) []string {
 	return slices.DeleteFunc(t.Zones(), isKnown)
 }
 
-// List puts the store's whole list in force, asked for at asked, and returns what it changed. An
+// ApplyStoreSnapshot puts the store's whole list in force, asked for at asked, and returns what it changed. An
 // older list changes nothing, unless it was asked for after a later era was heard of, which then
 // was told wrongly.
-func (t *Table) List(now, asked time.Time, word Word) []Change {
+func (t *Table) ApplyStoreSnapshot(now, asked time.Time, word Snapshot) []Change {
 	isWrong := word.Position.Era < t.position.Era && asked.After(t.entered)
 	if t.isKnown && word.Position.IsBefore(t.position) && !isWrong {
 		return nil
@@ -155,23 +155,23 @@
 	return t.put(now, word)
 }
 
-// Take puts a peer's whole list in force, and returns what it
+// ApplyPeerSnapshot puts a peer's whole list in force, and returns what it
 // changed. A list that is not newer than the table changes nothing.
-func (t *Table) Take(now time.Time, word Word) []Change {
+func (t *Table) ApplyPeerSnapshot(now time.Time, word Snapshot) []Change {
 	if t.isKnown && !word.Position.IsAfter(t.position) {
 		return nil
 	}
 	return t.put(now, word)
 }
 
-func (t *Table) put(now time.Time, word Word) []Change {
+func (t *Table) put(now time.Time, word Snapshot) []Change {
 	isOfCopy := t.isKnown && word.Position.Era > t.position.Era
 	if word.Position.Era != t.position.Era {
 		t.entered = now
 	}
 	if !t.isKnown {
-		for _, zone := range word.Kept {
-			t.zones[zone], t.kept[zone] = true, now.Add(min(storepos.RewriteTime, word.KeptFor))
+		for _, zone := range word.Retained {
+			t.zones[zone], t.kept[zone] = true, now.Add(min(storepos.RestoreRewriteTime, word.RetainedFor))
 		}
 	}
 	t.isKnown, t.position = true, word.Position
@@ -182,7 +182,7 @@
 	var changes []Change
 	for _, zone := range t.Zones() {
 		if isOfCopy && !listed[zone] {
-			t.kept[zone] = now.Add(storepos.RewriteTime)
+			t.kept[zone] = now.Add(storepos.RestoreRewriteTime)
 		}
 		if !listed[zone] && !now.Before(t.kept[zone]) {
 			changes = append(changes, t.end(now, zone))
@@ -199,7 +199,7 @@
 		}
 		delete(t.kept, zone)
 		if ended, ok := t.ended[zone]; isOfCopy && ok && now.Sub(ended) < oldestCopy {
-			t.withheld[zone] = now.Add(storepos.RewriteTime)
+			t.withheld[zone] = now.Add(storepos.RestoreRewriteTime)
 		}
 		if !t.zones[zone] && !now.Before(t.withheld[zone]) {
 			changes = append(changes, t.begin(zone))
@@ -208,8 +208,8 @@
 	return changes
 }
 
-// Settle ends what was kept over a change of the store's era, and not written again.
-func (t *Table) Settle(now time.Time) []Change {
+// ExpireRollbackOverrides ends what was kept over a change of the store's era, and not written again.
+func (t *Table) ExpireRollbackOverrides(now time.Time) []Change {
 	var changes []Change
 	for _, zone := range slices.Sorted(maps.Keys(t.kept)) {
 		if !now.Before(t.kept[zone]) {
@@ -224,9 +224,9 @@
 	return changes
 }
 
-// Apply takes what happened behind some position that the table covers, up to the
+// ApplyEvents takes what happened behind some position that the table covers, up to the
 // given one of the same era, and returns what it changed. Of each zone the last event counts.
-func (t *Table) Apply(now time.Time, events []Event, at storepos.Position) []Change {
+func (t *Table) ApplyEvents(now time.Time, events []Event, at storepos.Position) []Change {
 	if !t.isKnown || at.IsBefore(t.position) || at.Era != t.position.Era {
 		return nil
 	}
--- a/internal/evacuation/table_test.go
+++ b/internal/evacuation/table_test.go
@@ -18,10 +18,12 @@
 func TestTableFollowsWordsAndEvents(t *testing.T) {
 	table := New()
 	list := func(revision int64, zones ...string) func() []Change {
-		return func() []Change { return table.Take(begin, Word{Zones: zones, Position: storepos.At(0, revision)}) }
+		return func() []Change {
+			return table.ApplyPeerSnapshot(begin, Snapshot{Zones: zones, Position: storepos.At(0, revision)})
+		}
 	}
 	events := func(revision int64, events ...Event) func() []Change {
-		return func() []Change { return table.Apply(begin, events, storepos.At(0, revision)) }
+		return func() []Change { return table.ApplyEvents(begin, events, storepos.At(0, revision)) }
 	}
 	steps := []struct {
 		name string
@@ -57,26 +59,26 @@
 // TestNothingIsKnownUntilSomebodyTells, also that no zone is evacuated.
 func TestNothingIsKnownUntilSomebodyTells(t *testing.T) {
 	table := New()
-	if table.IsKnown() {
+	if table.IsInitialized() {
 		t.Error("a new table knows")
 	}
-	if changes := table.Take(begin, Word{Position: storepos.At(0, 3)}); len(changes) != 0 || !table.IsKnown() || table.Position().Revision != 3 {
-		t.Errorf("changes %v, known %v, revision %d after an empty list", changes, table.IsKnown(), table.Position().Revision)
+	if changes := table.ApplyPeerSnapshot(begin, Snapshot{Position: storepos.At(0, 3)}); len(changes) != 0 || !table.IsInitialized() || table.Position().Revision != 3 {
+		t.Errorf("changes %v, known %v, revision %d after an empty list", changes, table.IsInitialized(), table.Position().Revision)
 	}
 }
 
 // TestEndIsRemembered until the zone is evacuated again: its servers may be cold.
 func TestEndIsRemembered(t *testing.T) {
 	table := New()
-	table.Take(begin, Word{Zones: []string{"a"}, Position: storepos.At(0, 1)})
+	table.ApplyPeerSnapshot(begin, Snapshot{Zones: []string{"a"}, Position: storepos.At(0, 1)})
 	if _, ok := table.EndedAt("a"); ok {
 		t.Error("an evacuation in force has ended")
 	}
-	table.Apply(begin.Add(time.Second), []Event{{Zone: "a", Ended: true}}, storepos.At(0, 2))
+	table.ApplyEvents(begin.Add(time.Second), []Event{{Zone: "a", Ended: true}}, storepos.At(0, 2))
 	if at, ok := table.EndedAt("a"); !ok || !at.Equal(begin.Add(time.Second)) {
 		t.Errorf("ended at %v, %v", at, ok)
 	}
-	table.Apply(begin, []Event{{Zone: "a"}}, storepos.At(0, 3))
+	table.ApplyEvents(begin, []Event{{Zone: "a"}}, storepos.At(0, 3))
 	if _, ok := table.EndedAt("a"); ok {
 		t.Error("the end is remembered over the next evacuation")
 	}
@@ -85,8 +87,8 @@
 // TestUnknownZonesStayInForce and can be told apart.
 func TestUnknownZonesStayInForce(t *testing.T) {
 	table := New()
-	table.Take(begin, Word{Zones: []string{"a", "nowhere"}, Position: storepos.At(0, 1)})
-	unknown := table.Unknown(func(zone string) bool { return zone == "a" })
+	table.ApplyPeerSnapshot(begin, Snapshot{Zones: []string{"a", "nowhere"}, Position: storepos.At(0, 1)})
+	unknown := table.UnknownZones(func(zone string) bool { return zone == "a" })
 	if !slices.Equal(unknown, []string{"nowhere"}) || !table.IsEvacuated("nowhere") {
 		t.Errorf("unknown %q, in force %v", unknown, table.IsEvacuated("nowhere"))
 	}
@@ -96,7 +98,7 @@
 func TestDigestTellsListsApart(t *testing.T) {
 	of := func(revision int64, zones ...string) uint64 {
 		table := New()
-		table.Take(begin, Word{Zones: zones, Position: storepos.At(0, revision)})
+		table.ApplyPeerSnapshot(begin, Snapshot{Zones: zones, Position: storepos.At(0, revision)})
 		return table.Digest()
 	}
 	if of(1, "a", "b") != of(2, "b", "a") {
@@ -155,11 +157,11 @@
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			at := rapid.IntRange(0, len(states)-1).Draw(t, "at")
 			if newest < 0 || rapid.Bool().Draw(t, "is list") {
-				table.Take(begin, Word{Zones: states[at], Position: storepos.At(0, int64(at))})
+				table.ApplyPeerSnapshot(begin, Snapshot{Zones: states[at], Position: storepos.At(0, int64(at))})
 				newest = max(newest, at)
 			} else {
 				from := rapid.IntRange(0, min(at, newest)).Draw(t, "from")
-				table.Apply(begin, states.between(from, at), storepos.At(0, int64(at)))
+				table.ApplyEvents(begin, states.between(from, at), storepos.At(0, int64(at)))
 				newest = max(newest, at)
 			}
 			if got := table.Zones(); !slices.Equal(got, states[newest]) || table.Position().Revision != int64(newest) {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -12,8 +12,8 @@
 	RetryAfter time.Duration `json:"retryAfter"`
 }
 
-// Demand takes what waits at a node to whoever decides on loads.
-type Demand interface {
+// DemandReporter takes what waits at a node to whoever decides on loads.
+type DemandReporter interface {
 	// Report hands over wants; it does not block.
 	Report(wants []Want)
 	// OnRefusal registers who is told of models that cannot be loaded now.
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -15,7 +15,7 @@
 
 // RegionsOf names a set.
 func RegionsOf(set locality.Regions) Regions {
-	if set.IsNone() {
+	if set.IsEmpty() {
 		return noRegions
 	}
 	return Regions(strings.Join(set.Names(), ","))
