--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -20,7 +20,7 @@
 // admits asks whether a request may begin at the back end that was found for it. Where it may not the
 // back end is left alone by this node until one may, and the ticket is over.
 func (g *Gateway) admits(ctx context.Context, from *dispatcher, ticket uint64, found reply) (retryIn time.Duration, ok bool) {
-	if !found.limit.IsNamed() || g.options.Admission == nil {
+	if !found.limit.IsSet() || g.options.Admission == nil {
 		return 0, true
 	}
 	granted, retryIn := g.options.Admission.AdmitBackend(ctx, found.backend.Name, found.incarnation, found.limit.PerSecond)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -38,15 +38,15 @@
 	s.pending[submit.ticket] = &pending{submit: submit, model: model, regions: fleet.RegionsOf(regions)}
 	s.offer(now, model)
 	s.stepQueue(now, queue.Arrive{Item: queue.Item{
-		Ticket:   queue.Ticket(submit.ticket),
-		Model:    model,
-		Regions:  fleet.RegionsOf(regions),
-		Adapter:  submit.route.Adapter,
-		Priority: submit.route.Priority,
-		Deadline: submit.deadline,
-		Since:    submit.arrived,
-		Bytes:    submit.bytes,
-		Again:    submit.retry,
+		Ticket:    queue.Ticket(submit.ticket),
+		Model:     model,
+		Regions:   fleet.RegionsOf(regions),
+		Adapter:   submit.route.Adapter,
+		Priority:  submit.route.Priority,
+		Deadline:  submit.deadline,
+		ArrivedAt: submit.arrived,
+		Bytes:     submit.bytes,
+		Requeued:  submit.retry,
 	}})
 }
 
@@ -65,10 +65,10 @@
 	return nil
 }
 
-func weighted(versions []catalog.WeightedModel) []routing.Weighted {
-	weighted := make([]routing.Weighted, 0, len(versions))
+func weighted(versions []catalog.WeightedModel) []routing.WeightedVersion {
+	weighted := make([]routing.WeightedVersion, 0, len(versions))
 	for _, version := range versions {
-		weighted = append(weighted, routing.Weighted{Model: version.Model, Weight: version.Weight})
+		weighted = append(weighted, routing.WeightedVersion{Model: version.Model, Weight: version.Weight})
 	}
 	return weighted
 }
@@ -79,10 +79,10 @@
 // submitHedge finds a second back end for a request that waits for its first
 // token, unless others wait for the room or the retry budget is spent.
 func (s *dispatcherState) submitHedge(now time.Time, hedge submitHedge) {
-	waiting := slices.ContainsFunc(s.queue.Lines(), func(line queue.LineInfo) bool { return line.Model == hedge.model })
+	waiting := slices.ContainsFunc(s.queue.Queues(), func(line queue.QueueInfo) bool { return line.Model == hedge.model })
 	regions := s.gateway.modelRegions(hedge.route)
-	free := slices.ContainsFunc(s.routing.RoomsIn(now, hedge.model, regions).Rooms, func(room routing.Room) bool {
-		return room.Free > 0 && !slices.Contains(hedge.exclude, room.Name)
+	free := slices.ContainsFunc(s.routing.CapacityIn(now, hedge.model, regions).Replicas, func(room routing.ReplicaCapacity) bool {
+		return room.FreeSlots > 0 && !slices.Contains(hedge.exclude, room.Name)
 	})
 	if waiting || !free || !s.budget.Spend() {
 		hedge.reply <- reply{refusal: &noHedge}
@@ -108,7 +108,7 @@
 	s.calls[submit.ticket] = submit.reply
 	s.assigned[submit.ticket] = assigned{since: now}
 	s.stepRouting(now, routing.PickService{Ticket: routing.Ticket(submit.ticket), Service: submit.route.Service,
-		Exclude: submit.exclude, Regions: regions, Together: submit.together})
+		Exclude: submit.exclude, Regions: regions, ColocationKey: submit.together})
 }
 
 // offer tells the queue the present room for a model, in whichever regions.
@@ -120,12 +120,12 @@
 }
 
 func (s *dispatcherState) offerLine(now time.Time, model fleet.ModelVersion, regions locality.Regions) {
-	rooms := s.routing.RoomsIn(now, model, regions)
-	replicas := make([]queue.Replica, 0, len(rooms.Rooms))
-	for _, room := range rooms.Rooms {
-		replicas = append(replicas, queue.Replica{Name: room.Name, Free: room.Free, Adapters: room.Adapters})
+	rooms := s.routing.CapacityIn(now, model, regions)
+	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
+	for _, room := range rooms.Replicas {
+		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots, Adapters: room.Adapters})
 	}
-	s.stepQueue(now, queue.Offer{Model: model, Regions: fleet.RegionsOf(regions), Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
+	s.stepQueue(now, queue.CapacityChanged{Model: model, Regions: fleet.RegionsOf(regions), Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
 }
 
 func (s *dispatcherState) stepQueue(now time.Time, message queue.Message) {
@@ -154,7 +154,7 @@
 			s.picked(now, effect)
 		case routing.NonePicked:
 			s.nonePicked(now, effect)
-		case routing.RoomChanged:
+		case routing.CapacityChanged:
 			s.offer(now, effect.Model)
 		}
 	}
@@ -165,7 +165,7 @@
 	if !found {
 		return
 	}
-	waiting.cold, waiting.waited = release.Cold, release.Waited
+	waiting.cold, waiting.waited = release.ColdStart, release.Waited
 	s.stepRouting(now, routing.Pick{
 		Ticket:  routing.Ticket(release.Item.Ticket),
 		Model:   waiting.model,
@@ -173,8 +173,8 @@
 		Prefix:  waiting.submit.prefix,
 		Exclude: waiting.submit.exclude,
 
-		Regions:  s.gateway.modelRegions(waiting.submit.route),
-		Together: waiting.submit.together,
+		Regions:       s.gateway.modelRegions(waiting.submit.route),
+		ColocationKey: waiting.submit.together,
 	})
 }
 
@@ -242,7 +242,7 @@
 	s.stepQueue(now, queue.Arrive{Item: queue.Item{
 		Ticket: queue.Ticket(ticket), Model: waiting.model, Regions: waiting.regions, Adapter: submit.route.Adapter,
 		Priority: submit.route.Priority, Deadline: submit.deadline,
-		Since: submit.arrived, Bytes: submit.bytes, Again: true,
+		ArrivedAt: submit.arrived, Bytes: submit.bytes, Requeued: true,
 	}})
 }
 
@@ -264,9 +264,9 @@
 	switch reason {
 	case queue.ReasonFull:
 		return "the queue is full"
-	case queue.ReasonTooLate:
+	case queue.ReasonDeadlineUnreachable:
 		return "the request cannot be served before its deadline"
-	case queue.ReasonDeadline:
+	case queue.ReasonDeadlineExceeded:
 		return "the deadline came while the request waited"
 	case queue.ReasonCannotLoad:
 		return "the model cannot be loaded now"
@@ -281,7 +281,7 @@
 func (s *dispatcherState) abandon(now time.Time, ticket uint64) {
 	if _, found := s.pending[ticket]; found {
 		delete(s.pending, ticket)
-		s.stepQueue(now, queue.Leave{Ticket: queue.Ticket(ticket)})
+		s.stepQueue(now, queue.Cancel{Ticket: queue.Ticket(ticket)})
 		return
 	}
 	s.ended(now, attemptEnded{ticket: ticket, result: routing.ResultAbandoned})
@@ -294,7 +294,7 @@
 	}
 	delete(s.assigned, ended.ticket)
 	if !known.model.IsZero() && ended.result == routing.ResultOK {
-		s.stepQueue(now, queue.Served{Model: known.model, Regions: known.regions, Service: now.Sub(known.since)})
+		s.stepQueue(now, queue.Completed{Model: known.model, Regions: known.regions, ServiceTime: now.Sub(known.since)})
 	}
 	s.stepRouting(now, routing.Ended{Ticket: routing.Ticket(ended.ticket), Result: ended.result})
 }
@@ -302,20 +302,20 @@
 // began tells of an attempt's first token.
 func (s *dispatcherState) began(now time.Time, began attemptBegan) {
 	if known, found := s.assigned[began.ticket]; found {
-		s.stepQueue(now, queue.Began{Model: known.model, Regions: known.regions, After: began.after})
+		s.stepQueue(now, queue.FirstTokenReceived{Model: known.model, Regions: known.regions, Latency: began.after})
 	}
 	s.stepRouting(now, routing.FirstToken{Ticket: routing.Ticket(began.ticket), After: began.after})
 }
 
 // takeConfiguration has what waits go by the zones and regions in force.
 func (s *dispatcherState) takeConfiguration(now time.Time, changed configurationChanged) {
-	s.stepRouting(now, routing.Places{Map: changed.places})
-	s.stepRouting(now, routing.Evacuations{Word: changed.evacuations})
+	s.stepRouting(now, routing.Topology{Map: changed.places})
+	s.stepRouting(now, routing.Evacuations{Snapshot: changed.evacuations})
 	s.followEvacuations(now)
 	s.followRegions(now)
 }
 
-func (s *dispatcherState) takeTables(now time.Time, tables views.Tables) {
+func (s *dispatcherState) takeTables(now time.Time, tables views.RouteTables) {
 	list := make([]fleet.RouteTable, 0, len(tables))
 	for _, table := range tables {
 		list = append(list, table)
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -72,10 +72,10 @@
 		ticket uint64
 		result routing.Result
 	}
-	tablesChanged struct{ tables views.Tables }
+	tablesChanged struct{ tables views.RouteTables }
 	// configurationChanged brings the zones that are out of service, and the regions.
 	configurationChanged struct {
-		evacuations evacuation.Word
+		evacuations evacuation.Snapshot
 		places      locality.Map
 	}
 	nodesChanged struct{ nodes int }
@@ -233,7 +233,7 @@
 	s.stepRouting(now, routing.Tick{})
 	s.stepQueue(now, queue.Tick{})
 	// Reports grow stale and ejections end without a message of their own.
-	for _, line := range s.queue.Lines() {
+	for _, line := range s.queue.Queues() {
 		s.offerLine(now, line.Model, line.Regions.Set())
 	}
 }
--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -60,7 +60,7 @@
 
 func (h *harness) publishZones(zones ...*zoneOf) {
 	h.table.Sequence++
-	tables := make(views.Tables)
+	tables := make(views.RouteTables)
 	for _, zone := range zones {
 		tables[zone.name] = fleet.RouteTable{Zone: zone.name, Fence: 1, Sequence: h.table.Sequence,
 			Engines: []fleet.EngineState{{
@@ -72,7 +72,7 @@
 				Address: zone.service, Service: "turbines"}},
 		}
 	}
-	h.views.Tables.Set(tables)
+	h.views.RouteTables.Set(tables)
 }
 
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
@@ -136,7 +136,7 @@
 	h := newHarness(t, nil)
 	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
 	empty := fleet.RouteTable{Zone: "a", Fence: 1, Sequence: 1}
-	h.views.Tables.Set(views.Tables{"a": empty})
+	h.views.RouteTables.Set(views.RouteTables{"a": empty})
 	waiting := make(chan response, 1)
 	go func() { waiting <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
 	<-h.demand.first
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 	// Catalog returns the declarations in force, and false while there are
 	// none.
 	Catalog func() (Catalog, bool)
-	Demand  fleet.Demand
+	Demand  fleet.DemandReporter
 	Guard   claim.Guard
 	// Leaving hears of a back end that refuses because it goes away; it must not
 	// block. Nil tells nobody.
@@ -142,9 +142,9 @@
 // watch feeds what other shells publish to both dispatchers.
 func (g *Gateway) watch() {
 	for _, dispatcher := range []*dispatcher{g.models, g.services} {
-		g.options.Views.Tables.Watch(func(tables views.Tables) { dispatcher.send(tablesChanged{tables: tables}) })
+		g.options.Views.RouteTables.Watch(func(tables views.RouteTables) { dispatcher.send(tablesChanged{tables: tables}) })
 		g.options.Views.Catalog.Watch(func(snapshot *catalog.Snapshot) {
-			dispatcher.send(configurationChanged{evacuations: snapshot.Evacuations(), places: snapshot.Places()})
+			dispatcher.send(configurationChanged{evacuations: snapshot.Evacuations(), places: snapshot.Topology()})
 		})
 		g.options.Views.Members.Watch(func([]fleet.Member) { dispatcher.send(nodesChanged{nodes: g.usableNodes()}) })
 		g.options.Views.Machines.Watch(func(machines objectstore.MachineList) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -138,7 +138,7 @@
 	copied := h.table
 	copied.Engines = append([]fleet.EngineState(nil), h.table.Engines...)
 	copied.Services = append([]fleet.Backend(nil), h.table.Services...)
-	h.views.Tables.Set(views.Tables{"a": copied})
+	h.views.RouteTables.Set(views.RouteTables{"a": copied})
 }
 
 type response struct {
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -105,7 +105,7 @@
 	switch err {
 	case nil:
 		return &attempt.Chunk{Connection: connection, RequestID: chunk.RequestID, Attempt: chunk.Attempt,
-			Sequence: chunk.Sequence, Text: chunk.Text, Finish: chunk.Finish}, true
+			Sequence: chunk.Sequence, Text: chunk.Text, FinishReason: chunk.Finish}, true
 	case backend.ErrDone:
 		return attempt.Ended{Connection: connection, Terminated: true}, false
 	}
@@ -126,7 +126,7 @@
 			event.close()
 		case reply := <-r.race.hedge:
 			r.race.hedge = nil
-			if reply.refusal == nil && reply.limit.IsNamed() {
+			if reply.refusal == nil && reply.limit.IsSet() {
 				// A second send is not worth what such a back end takes.
 				r.gateway.models.send(attemptEnded{ticket: r.race.asked, result: routing.ResultAbandoned})
 			} else if reply.refusal == nil {
@@ -149,7 +149,7 @@
 
 // took lets the leg that decides the race, or the only one, be the request's.
 func (r *modelRun) took(event raceEvent) attempt.Message {
-	if broken, isBroken := event.message.(attempt.Broken); isBroken {
+	if broken, isBroken := event.message.(attempt.Failure); isBroken {
 		r.suspicion.brokeOff(event.racer.engine, broken)
 	}
 	_, isChunk := event.message.(*attempt.Chunk)
@@ -192,8 +192,8 @@
 		r.race.legs = append(r.race.legs[:index:index], r.race.legs[index+1:]...)
 		racer.link.close()
 		result := routing.ResultAbandoned
-		if drop.Broken.Evidence != 0 {
-			result = resultOf(drop.Broken, false)
+		if drop.Failure.Evidence != 0 {
+			result = resultOf(drop.Failure, false)
 		}
 		r.gateway.models.send(attemptEnded{ticket: racer.ticket, result: result})
 		return
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -110,7 +110,7 @@
 // no more in the regions allowed.
 func (r *modelRun) resume(resume attempt.Resume) attempt.Message {
 	if !r.gateway.mayAsk(r.engine.Zone, r.gateway.modelRegions(r.route)) {
-		return attempt.Broken{Connection: resume.Connection, Evidence: attempt.MaySent, NoResume: true,
+		return attempt.Failure{Connection: resume.Connection, Evidence: attempt.MaybeSent, NoResume: true,
 			Detail: "the stream broke and its engine's zone may not be asked any more"}
 	}
 	r.record.resumes++
@@ -150,7 +150,7 @@
 	err := r.link.stream.Next(&r.chunk)
 	if err == nil {
 		r.piece = attempt.Chunk{Connection: r.link.number, RequestID: r.chunk.RequestID, Attempt: r.chunk.Attempt,
-			Sequence: r.chunk.Sequence, Text: r.chunk.Text, Finish: r.chunk.Finish}
+			Sequence: r.chunk.Sequence, Text: r.chunk.Text, FinishReason: r.chunk.Finish}
 		return &r.piece
 	}
 	if errors.Is(err, backend.ErrDone) {
@@ -173,19 +173,19 @@
 }
 
 // brokenBy turns an error of the back end's client into evidence.
-func brokenBy(connection int, err error) attempt.Broken {
-	broken := attempt.Broken{Connection: connection, Evidence: attempt.MaySent, Detail: err.Error()}
+func brokenBy(connection int, err error) attempt.Failure {
+	broken := attempt.Failure{Connection: connection, Evidence: attempt.MaybeSent, Detail: err.Error()}
 	var refusal *backend.Refusal
 	var send *backend.SendError
 	switch {
 	case errors.As(err, &refusal):
-		broken.Evidence = attempt.AnsweredError
+		broken.Evidence = attempt.ErrorStatus
 		if refusal.NotRun {
 			broken.Evidence = attempt.RefusedBeforeRun
 		}
 		broken.Status = refusal.Status
 		broken.RetryAfter = refusal.RetryAfter
-		broken.Final = isCallersFault(refusal.Status)
+		broken.Permanent = isCallersFault(refusal.Status)
 	case errors.As(err, &send) && send.NeverSent:
 		broken.Evidence = attempt.NeverSent
 	}
@@ -213,14 +213,14 @@
 }
 
 func (r *modelRun) result() routing.Result {
-	return resultOf(r.core.Last(), r.request.Context().Err() != nil)
+	return resultOf(r.core.LastFailure(), r.request.Context().Err() != nil)
 }
 
-func resultOf(last attempt.Broken, abandoned bool) routing.Result {
+func resultOf(last attempt.Failure, abandoned bool) routing.Result {
 	switch {
 	case abandoned:
 		return routing.ResultAbandoned
-	case last.Evidence == 0 || last.Final:
+	case last.Evidence == 0 || last.Permanent:
 		return routing.ResultOK
 	case last.Evidence == attempt.NeverSent:
 		return routing.ResultUnreachable
--- a/internal/gateway/model_run.go
+++ b/internal/gateway/model_run.go
@@ -154,7 +154,7 @@
 	r.ticket = r.gateway.tickets.Add(1)
 	r.gateway.models.send(submit{
 		ticket: r.ticket, route: r.route, model: r.model, prefix: r.prefix, deadline: r.core.NextWake(), arrived: r.arrived,
-		bytes: r.bytes, retry: retry, unspent: reassign.Unspent, exclude: slices.Clone(reassign.Exclude),
+		bytes: r.bytes, retry: retry, unspent: reassign.BudgetExempt, exclude: slices.Clone(reassign.Exclude),
 		together: r.suspicion.together(), reply: answer,
 	})
 	select {
@@ -182,7 +182,7 @@
 		r.ticket = 0
 		return refusalBarred
 	}
-	r.model, r.engine, r.isLimited = reply.model, reply.backend, reply.limit.IsNamed()
+	r.model, r.engine, r.isLimited = reply.model, reply.backend, reply.limit.IsSet()
 	r.record.model, r.record.backend = reply.model, reply.backend.Name
 	if reassign.Exclude == nil {
 		r.record.waited = reply.waited
@@ -201,7 +201,7 @@
 	}
 	r.model = model
 	// It is counted already, as an attempt and against its route.
-	return r.assign(attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), Unspent: true})
+	return r.assign(attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), BudgetExempt: true})
 }
 
 // pause waits before a retry; it reports false when the caller went away.
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -14,7 +14,7 @@
 // that ends each server that runs it is sent to no more of them.
 type Suspects interface {
 	// Standing is what is known of a request.
-	Standing(fingerprint poison.Fingerprint) poison.Standing
+	Standing(fingerprint poison.Fingerprint) poison.Status
 	// Blame takes that a server ended as it had the request.
 	Blame(fingerprint poison.Fingerprint, serverID string)
 	// EndedWell takes that a request ended well.
@@ -40,12 +40,12 @@
 	if g.options.Suspects == nil {
 		return suspicion{}
 	}
-	return suspicion{gateway: g, fingerprint: poison.Of(identity)}
+	return suspicion{gateway: g, fingerprint: poison.NewFingerprint(identity)}
 }
 
-func (s *suspicion) standing() poison.Standing {
+func (s *suspicion) standing() poison.Status {
 	if s.gateway == nil {
-		return poison.StandingSound
+		return poison.StatusClear
 	}
 	return s.gateway.options.Suspects.Standing(s.fingerprint)
 }
@@ -58,7 +58,7 @@
 
 // isBarred reports whether the request is to be sent to no server.
 func (s *suspicion) isBarred() bool {
-	return !s.isTrial && s.standing() == poison.StandingBarred
+	return !s.isTrial && s.standing() == poison.StatusBarred
 }
 
 // mayBeSent is asked last before a send. A request on trial is sent where this node
@@ -70,9 +70,9 @@
 		return true
 	}
 	switch s.standing() {
-	case poison.StandingBarred:
+	case poison.StatusBarred:
 		return false
-	case poison.StandingOnTrial:
+	case poison.StatusOnTrial:
 		s.isTrial = s.gateway.options.Suspects.ClaimTrial(ctx, s.fingerprint)
 		return s.isTrial
 	default:
@@ -83,7 +83,7 @@
 // together is a number by which copies of a suspect find the same server, so that
 // several of them at once end one server; 0 for others.
 func (s *suspicion) together() uint64 {
-	if standing := s.standing(); standing == poison.StandingSound {
+	if standing := s.standing(); standing == poison.StatusClear {
 		return 0
 	}
 	return s.fingerprint.Key()
@@ -92,8 +92,8 @@
 // brokeOff looks what became of a server that had the request and did not answer to the
 // end: a connection that was reset and a way that was cut look the same. Where the server
 // ended, and had not said that it would, the request is suspected.
-func (s *suspicion) brokeOff(target fleet.Backend, broken attempt.Broken) {
-	if s.gateway == nil || broken.Evidence != attempt.MaySent {
+func (s *suspicion) brokeOff(target fleet.Backend, broken attempt.Failure) {
+	if s.gateway == nil || broken.Evidence != attempt.MaybeSent {
 		return
 	}
 	s.isTrial = false
@@ -116,7 +116,7 @@
 // processOf names the process of a back end by the newest tables, and reports false where
 // it had said that it leaves. One that starts anew under its name is another process.
 func (g *Gateway) processOf(target fleet.Backend) (serverID string, stays bool) {
-	tables, _ := g.options.Views.Tables.Get()
+	tables, _ := g.options.Views.RouteTables.Get()
 	table := tables[target.Zone]
 	for index := range table.Engines {
 		if engine := &table.Engines[index]; engine.Name == target.Name {
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -23,7 +23,7 @@
 // tallied is the memory of one node alone.
 type tallied struct {
 	mutex sync.Mutex
-	tally *poison.Tally
+	tally *poison.Tracker
 	// ahead is by how much its clock is ahead.
 	ahead time.Duration
 	// trials counts those granted.
@@ -32,22 +32,22 @@
 
 func (s *tallied) now() time.Time { return time.Now().Add(s.ahead) }
 
-func (s *tallied) Standing(fingerprint poison.Fingerprint) poison.Standing {
+func (s *tallied) Standing(fingerprint poison.Fingerprint) poison.Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.tally.Standing(s.now(), fingerprint)
+	return s.tally.Status(s.now(), fingerprint)
 }
 
 func (s *tallied) Blame(fingerprint poison.Fingerprint, serverID string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Take(s.now(), poison.Report{Fingerprint: fingerprint, ServerID: serverID})
+	s.tally.Record(s.now(), poison.Report{Fingerprint: fingerprint, ServerID: serverID})
 }
 
 func (s *tallied) EndedWell(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Take(s.now(), poison.Report{Fingerprint: fingerprint, Acquitted: true})
+	s.tally.Record(s.now(), poison.Report{Fingerprint: fingerprint, Acquitted: true})
 }
 
 func (s *tallied) ClaimTrial(_ context.Context, fingerprint poison.Fingerprint) bool {
@@ -63,7 +63,7 @@
 func (s *tallied) Refused(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Refused(fingerprint)
+	s.tally.RecordRefusal(fingerprint)
 }
 
 // later moves the clock on.
@@ -122,7 +122,7 @@
 
 // TestPoisonRequestEndsThreeServers: its caller sends it again and again. Others go on.
 func TestPoisonRequestEndsThreeServers(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTally()}
+	suspects := &tallied{tally: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	for index := range 12 {
@@ -144,7 +144,7 @@
 
 // TestTrialOfAPoisonRequestIsOneSend: copies come at once when the bar is over.
 func TestTrialOfAPoisonRequestIsOneSend(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTally()}
+	suspects := &tallied{tally: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	for index := range 12 {
@@ -167,7 +167,7 @@
 
 // TestConnectionThatBreaksIsNoPoison: the servers are still there.
 func TestConnectionThatBreaksIsNoPoison(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTally()}
+	suspects := &tallied{tally: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	for index := range 5 {
 		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.backend(func(writer http.ResponseWriter, request *http.Request) {
@@ -185,7 +185,7 @@
 
 // TestServerThatLeavesIsNobodysFault: it had said that it goes.
 func TestServerThatLeavesIsNobodysFault(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTally()}
+	suspects := &tallied{tally: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	leave := func(body string) bool {
@@ -204,7 +204,7 @@
 
 // TestPoisonCallEndsThreeServers: a call that may be repeated is sent again at once.
 func TestPoisonCallEndsThreeServers(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTally()}
+	suspects := &tallied{tally: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	always := func(string) bool { return true }
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -30,7 +30,7 @@
 }
 
 func (s *dispatcherState) lines(now time.Time) []QueueInfo {
-	lines := s.queue.Lines()
+	lines := s.queue.Queues()
 	infos := make([]QueueInfo, 0, len(lines))
 	for _, line := range lines {
 		infos = append(infos, QueueInfo{Model: line.Model, Waiting: line.Waiting, Oldest: now.Sub(line.Oldest)})
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -19,7 +19,7 @@
 	if !found {
 		return true
 	}
-	return !snapshot.IsEvacuated(zone) && regions.Allows(snapshot.Places().Region(string(zone)))
+	return !snapshot.IsEvacuated(zone) && regions.Allows(snapshot.Topology().Region(string(zone)))
 }
 
 // modelRegions are the regions of a route, and of its tenant, by the configuration in
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, ticket := range slices.Sorted(maps.Keys(moved)) {
-		s.stepQueue(now, queue.Leave{Ticket: queue.Ticket(ticket)})
+		s.stepQueue(now, queue.Cancel{Ticket: queue.Ticket(ticket)})
 		s.waitAgain(now, ticket, moved[ticket])
 	}
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -76,10 +76,10 @@
 	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
 	loading := func() {
 		h.publishZones(home, other)
-		tables, _ := h.views.Tables.Get()
+		tables, _ := h.views.RouteTables.Get()
 		table := tables["a"]
 		table.Engines = nil
-		h.views.Tables.Set(views.Tables{"a": table, "b": tables["b"]})
+		h.views.RouteTables.Set(views.RouteTables{"a": table, "b": tables["b"]})
 	}
 	for version, test := range []struct {
 		regions []string
@@ -137,7 +137,7 @@
 // TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed at once, not at its deadline.
 func TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed(t *testing.T) {
 	h := newHarness(t, nil)
-	h.views.Tables.Set(views.Tables{"a": {Zone: "a", Fence: 1, Sequence: 1}})
+	h.views.RouteTables.Set(views.RouteTables{"a": {Zone: "a", Fence: 1, Sequence: 1}})
 	h.declare(1, nil)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -274,7 +274,7 @@
 	if err != nil {
 		broken := brokenBy(open.Connection, err)
 		if ctx.Err() != nil || !r.mayStart() {
-			broken.Final = true
+			broken.Permanent = true
 		}
 		if ctx.Err() == nil {
 			r.suspicion.brokeOff(r.target, broken)
@@ -296,12 +296,12 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable
 }
 
-func refusedBy(connection int, answer *backend.ServiceAnswer) attempt.Broken {
-	evidence := attempt.AnsweredError
+func refusedBy(connection int, answer *backend.ServiceAnswer) attempt.Failure {
+	evidence := attempt.ErrorStatus
 	if answer.NotRun {
 		evidence = attempt.RefusedBeforeRun
 	}
-	return attempt.Broken{Connection: connection, Evidence: evidence, Status: answer.Status,
+	return attempt.Failure{Connection: connection, Evidence: evidence, Status: answer.Status,
 		RetryAfter: answer.RetryAfterDuration(), Detail: fmt.Sprintf("the back end answered %d", answer.Status)}
 }
 
@@ -320,7 +320,7 @@
 	reply := make(chan reply, 1)
 	gateway := r.caller.gateway
 	r.ticket = gateway.tickets.Add(1)
-	gateway.services.send(submitCall{ticket: r.ticket, route: r.route, retry: reassign.Exclude != nil, unspent: reassign.Unspent,
+	gateway.services.send(submitCall{ticket: r.ticket, route: r.route, retry: reassign.Exclude != nil, unspent: reassign.BudgetExempt,
 		exclude: slices.Clone(reassign.Exclude), together: r.suspicion.together(), reply: reply})
 	select {
 	case answer := <-reply:
@@ -345,14 +345,14 @@
 	if retryIn, ok := r.caller.gateway.admits(ctx, r.caller.gateway.services, r.ticket, reply); !ok {
 		// Another back end may take it; this one is left alone until it does.
 		r.retryIn = retryIn
-		return r.assign(ctx, attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), Unspent: true})
+		return r.assign(ctx, attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), BudgetExempt: true})
 	}
 	if !r.suspicion.mayBeSent(ctx) {
 		r.caller.gateway.services.send(attemptEnded{ticket: r.ticket, result: routing.ResultAbandoned})
 		r.ticket = 0
 		return refusalBarred
 	}
-	r.target, r.isLimited = reply.backend, reply.limit.IsNamed()
+	r.target, r.isLimited = reply.backend, reply.limit.IsSet()
 	r.caller.record.backend = reply.backend.Name
 	return attempt.Assigned{Backend: reply.backend.Name}
 }
@@ -361,7 +361,7 @@
 	if r.ticket == 0 {
 		return
 	}
-	result := resultOf(r.core.Last(), r.caller.request.Context().Err() != nil && ctx.Err() != nil)
+	result := resultOf(r.core.LastFailure(), r.caller.request.Context().Err() != nil && ctx.Err() != nil)
 	if r.result != nil {
 		result = routing.ResultOK
 	}
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	key, given := strings.CutPrefix(c.request.Header.Get("Authorization"), bearer)
-	if tenant, known := snapshot.TenantOf(strings.TrimSpace(key)); given && known {
+	if tenant, known := snapshot.TenantByKey(strings.TrimSpace(key)); given && known {
 		c.tenant = tenant
 		return nil
 	}
--- a/internal/gossip/hints.go
+++ b/internal/gossip/hints.go
@@ -81,9 +81,9 @@
 // learnLimit reports whether the rate limit changed, or was last told on long ago.
 func (h *hintState) learnLimit(told admission.Observation) bool {
 	changed := h.limit.Observe(told)
-	isRenewed := told.Limit.IsNamed() && told.HeardAt.Sub(h.limitHeard) > limitRenewal
+	isRenewed := told.Limit.IsSet() && told.ReceivedAt.Sub(h.limitHeard) > limitRenewal
 	if changed || isRenewed {
-		h.limitHeard = told.HeardAt
+		h.limitHeard = told.ReceivedAt
 	}
 	return changed || isRenewed
 }
@@ -101,9 +101,9 @@
 	delete(h.items, oldest)
 }
 
-// Tell returns what is to be told in this period: servers that drain first, then what was told
+// TakeDue returns what is to be told in this period: servers that drain first, then what was told
 // least.
-func (h *Hints) Tell(now time.Time) []HintItem {
+func (h *Hints) TakeDue(now time.Time) []HintItem {
 	type dueItem struct {
 		start inventory.Start
 		known *hintState
@@ -111,13 +111,13 @@
 	var due []dueItem
 	for start, known := range h.items {
 		rests := now.Before(known.backoffUntil)
-		if known.told < hintTold && (known.draining || rests || known.limit.IsKnown()) {
+		if known.told < hintTold && (known.draining || rests || known.limit.HasBeenSet()) {
 			due = append(due, dueItem{start, known})
 		}
 	}
 	slices.SortFunc(due, func(a, b dueItem) int {
 		return cmp.Or(-cmp.Compare(rankOf(a.known.draining), rankOf(b.known.draining)), cmp.Compare(a.known.told, b.known.told),
-			strings.Compare(a.start.ID, b.start.ID), cmp.Compare(a.start.Born, b.start.Born))
+			strings.Compare(a.start.ID, b.start.ID), cmp.Compare(a.start.StartedAtMs, b.start.StartedAtMs))
 	})
 	var items []HintItem
 	for _, item := range due[:min(hintsPerPeriod, len(due))] {
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -29,10 +29,10 @@
 	newsPerPeriod = 16
 )
 
-// News are the servers that came or go lately, as the nodes tell each other.
+// ServerChanges are the servers that came or go lately, as the nodes tell each other.
 // They run ahead of a node's own calls to the store, so that these may be rare.
 // It is not safe for concurrent use.
-type News struct {
+type ServerChanges struct {
 	items map[string]*newsItem
 }
 
@@ -42,22 +42,22 @@
 	told   int
 }
 
-// Item is one server that came or, where it is draining, takes no new work any
+// ServerChange is one server that came or, where it is draining, takes no new work any
 // more. The entries of the server up to its position say no more than it.
-type Item struct {
+type ServerChange struct {
 	Server inventory.Server
 	// Age is the time since the store said so.
 	Age time.Duration
-	// IsFar is set where nodes of other regions are told, too.
-	IsFar bool
+	// CrossRegion is set where nodes of other regions are told, too.
+	CrossRegion bool
 }
 
-// NewNews returns news of nothing.
-func NewNews() *News { return &News{items: make(map[string]*newsItem)} }
+// NewServerChanges returns news of nothing.
+func NewServerChanges() *ServerChanges { return &ServerChanges{items: make(map[string]*newsItem)} }
 
 // Learn takes one item. It returns false where it is none: it was known, or
 // it is too old.
-func (n *News) Learn(now time.Time, item Item) bool {
+func (n *ServerChanges) Learn(now time.Time, item ServerChange) bool {
 	if item.Age > newsAge {
 		return false
 	}
@@ -70,9 +70,9 @@
 	return true
 }
 
-// Tell returns what is to be told in this period: servers that go first, then
+// TakeDue returns what is to be told in this period: servers that go first, then
 // what was told least.
-func (n *News) Tell(now time.Time) []Item {
+func (n *ServerChanges) TakeDue(now time.Time) []ServerChange {
 	var due []*newsItem
 	for id, known := range n.items {
 		age := now.Sub(known.since)
@@ -91,11 +91,11 @@
 		)
 	})
 	due = due[:min(newsPerPeriod, len(due))]
-	var items []Item
+	var items []ServerChange
 	for _, known := range due {
 		known.told++
 		isFar := known.server.Draining || known.told <= comingToldFar
-		items = append(items, Item{Server: known.server, Age: now.Sub(known.since), IsFar: isFar})
+		items = append(items, ServerChange{Server: known.server, Age: now.Sub(known.since), CrossRegion: isFar})
 	}
 	return items
 }
--- a/internal/gossip/news_test.go
+++ b/internal/gossip/news_test.go
@@ -17,19 +17,19 @@
 }
 
 func TestNewsAreLearnedOnce(t *testing.T) {
-	news := NewNews()
+	news := NewServerChanges()
 	cases := []struct {
 		name string
-		item Item
+		item ServerChange
 		want bool
 	}{
-		{"a server comes", Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}}, true},
-		{"the same once more", Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}, Age: time.Second}, false},
-		{"it leaves", Item{Server: going("a", 7)}, true},
-		{"it is gone after that", Item{Server: going("a", 9)}, false},
-		{"that it came is old", Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}}, false},
-		{"its entry is made again", Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 11)}}, true},
-		{"too old", Item{Server: going("b", 12), Age: newsAge + time.Millisecond}, false},
+		{"a server comes", ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}}, true},
+		{"the same once more", ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}, Age: time.Second}, false},
+		{"it leaves", ServerChange{Server: going("a", 7)}, true},
+		{"it is gone after that", ServerChange{Server: going("a", 9)}, false},
+		{"that it came is old", ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5)}}, false},
+		{"its entry is made again", ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 11)}}, true},
+		{"too old", ServerChange{Server: going("b", 12), Age: newsAge + time.Millisecond}, false},
 	}
 	for _, c := range cases {
 		if got := news.Learn(begin, c.item); got != c.want {
@@ -39,19 +39,19 @@
 }
 
 func TestNewsKeepTheirAgeAndEnd(t *testing.T) {
-	news := NewNews()
-	news.Learn(begin, Item{Server: going("a", 3), Age: time.Second})
-	want := []Item{{Server: going("a", 3), Age: 1500 * time.Millisecond, IsFar: true}}
-	if diff := cmp.Diff(want, news.Tell(begin.Add(500*time.Millisecond))); diff != "" {
+	news := NewServerChanges()
+	news.Learn(begin, ServerChange{Server: going("a", 3), Age: time.Second})
+	want := []ServerChange{{Server: going("a", 3), Age: 1500 * time.Millisecond, CrossRegion: true}}
+	if diff := cmp.Diff(want, news.TakeDue(begin.Add(500*time.Millisecond))); diff != "" {
 		t.Error(diff)
 	}
 	for range newsTold {
-		news.Tell(begin.Add(600 * time.Millisecond))
+		news.TakeDue(begin.Add(600 * time.Millisecond))
 	}
-	if told := news.Tell(begin.Add(700 * time.Millisecond)); len(told) != 0 {
+	if told := news.TakeDue(begin.Add(700 * time.Millisecond)); len(told) != 0 {
 		t.Errorf("told %v for more than %d periods", told, newsTold)
 	}
-	if news.Learn(begin.Add(newsAge), Item{Server: going("a", 3), Age: newsAge}) {
+	if news.Learn(begin.Add(newsAge), ServerChange{Server: going("a", 3), Age: newsAge}) {
 		t.Error("an echo was taken for news")
 	}
 }
@@ -59,16 +59,16 @@
 // TestNewsOfManyAreBounded: the servers of a fleet that starts were told by each
 // node to all, eight times.
 func TestNewsOfManyAreBounded(t *testing.T) {
-	news := NewNews()
+	news := NewServerChanges()
 	for i := range 3000 {
-		news.Learn(begin, Item{Server: inventory.Server{ID: fmt.Sprint("s", i), Position: storepos.At(0, 5)}})
+		news.Learn(begin, ServerChange{Server: inventory.Server{ID: fmt.Sprint("s", i), Position: storepos.At(0, 5)}})
 	}
-	news.Learn(begin, Item{Server: going("g", 6)})
-	told := news.Tell(begin)
+	news.Learn(begin, ServerChange{Server: going("g", 6)})
+	told := news.TakeDue(begin)
 	if len(told) != newsPerPeriod || told[0].Server.ID != "g" {
 		t.Errorf("%d told, first %s; want %d, the server that goes first", len(told), told[0].Server.ID, newsPerPeriod)
 	}
-	if again := news.Tell(begin.Add(time.Second)); again[1].Server.ID == told[1].Server.ID {
+	if again := news.TakeDue(begin.Add(time.Second)); again[1].Server.ID == told[1].Server.ID {
 		t.Error("what was told goes before what was not")
 	}
 }
@@ -81,16 +81,16 @@
 		nodes, fanout := size.nodes, size.fanout
 		for seed := range uint64(4) {
 			random := rand.New(rand.NewPCG(seed, uint64(nodes)))
-			fleet := make([]*News, nodes)
+			fleet := make([]*ServerChanges, nodes)
 			rosters := make([]*Roster, nodes)
 			for i := range fleet {
-				fleet[i] = NewNews()
+				fleet[i] = NewServerChanges()
 				rosters[i] = New(fmt.Sprint(i), nil, seed*1000+uint64(i))
 				for other := range fleet {
 					rosters[i].Observe(begin, state(fmt.Sprint(other), 1, 1))
 				}
 			}
-			fleet[0].Learn(begin, Item{Server: going("s", 4)})
+			fleet[0].Learn(begin, ServerChange{Server: going("s", 4)})
 			knows := make([]bool, nodes)
 			knows[0] = true
 			periods := 0
@@ -99,9 +99,9 @@
 					t.Fatalf("%d nodes, seed %d: %d reached after %d periods", nodes, seed, reached, periods)
 				}
 				now := begin.Add(time.Duration(periods) * period)
-				told := make([][]Item, nodes)
+				told := make([][]ServerChange, nodes)
 				for i := range fleet {
-					told[i] = fleet[i].Tell(now)
+					told[i] = fleet[i].TakeDue(now)
 				}
 				for i := range fleet {
 					if len(told[i]) == 0 {
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -13,14 +13,14 @@
 
 // TestServersThatComeAreToldLess than those that go: nodes of other regions in one period.
 func TestServersThatComeAreToldLess(t *testing.T) {
-	news := NewNews()
-	news.Learn(begin, Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 3)}})
-	news.Learn(begin, Item{Server: going("b", 4)})
+	news := NewServerChanges()
+	news.Learn(begin, ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 3)}})
+	news.Learn(begin, ServerChange{Server: going("b", 4)})
 	near, far := make(map[string]int), make(map[string]int)
 	for period := range 2 * newsTold {
-		for _, item := range news.Tell(begin.Add(time.Duration(period) * 200 * time.Millisecond)) {
+		for _, item := range news.TakeDue(begin.Add(time.Duration(period) * 200 * time.Millisecond)) {
 			near[item.Server.ID]++
-			if item.IsFar {
+			if item.CrossRegion {
 				far[item.Server.ID]++
 			}
 		}
@@ -33,7 +33,7 @@
 // regionFleet is a fleet over three regions whose nodes all know each other.
 type regionFleet struct {
 	rosters []*Roster
-	news    []*News
+	news    []*ServerChanges
 	numbers map[string]int
 }
 
@@ -43,8 +43,8 @@
 	for i := range perZone * len(zones) {
 		address := fmt.Sprintf("%s-%03d", zones[i%len(zones)], i)
 		roster := New(address, nil, seed+uint64(i))
-		roster.SetPlace(zones[i%len(zones)], threeRegions)
-		f.rosters, f.news = append(f.rosters, roster), append(f.news, NewNews())
+		roster.SetLocation(zones[i%len(zones)], threeRegions)
+		f.rosters, f.news = append(f.rosters, roster), append(f.news, NewServerChanges())
 		f.numbers[address] = i
 	}
 	for _, roster := range f.rosters {
@@ -61,15 +61,15 @@
 func (f *regionFleet) tell(now time.Time, period int) {
 	type datagram struct {
 		to    int
-		items []Item
+		items []ServerChange
 	}
 	var sent []datagram
 	for i, roster := range f.rosters {
-		items := f.news[i].Tell(now)
+		items := f.news[i].TakeDue(now)
 		for number, address := range roster.Targets(begin, 6) {
-			var told []Item
+			var told []ServerChange
 			for _, item := range items {
-				if item.Server.Draining || item.IsFar && roster.FarTeller().Tells(item.Server.ID) || !roster.isFar(roster.peers[address]) {
+				if item.Server.Draining || item.CrossRegion && roster.CrossRegionFilter().ShouldForward(item.Server.ID) || !roster.isFar(roster.peers[address]) {
 					told = append(told, item)
 				}
 			}
@@ -91,8 +91,8 @@
 	for seed := range uint64(6) {
 		for _, perZone := range []int{5, 11, 50} {
 			f := newRegionFleet(perZone, 1000*seed)
-			f.news[0].Learn(begin, Item{Server: going("b", 4)})
-			f.news[0].Learn(begin, Item{Server: inventory.Server{ID: "a", Position: storepos.At(0, 3)}})
+			f.news[0].Learn(begin, ServerChange{Server: going("b", 4)})
+			f.news[0].Learn(begin, ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 3)}})
 			for period := range 10 {
 				f.tell(begin.Add(time.Duration(period)*200*time.Millisecond), period)
 			}
@@ -114,14 +114,14 @@
 func BenchmarkFarTeller(b *testing.B) {
 	places := locality.NewMap(map[string]string{"z0": "r0", "z1": "r1", "z2": "r2"})
 	roster := New("self", nil, 1)
-	roster.SetPlace("z0", places)
+	roster.SetLocation("z0", places)
 	for i := range 299 {
 		roster.Observe(time.Now(), &peerpb.NodeState{Node: fmt.Sprint(i), Address: fmt.Sprint("n", i), Life: 1, Sequence: 1, Zone: fmt.Sprint("z", i%3)})
 	}
 	for range b.N {
-		teller := roster.FarTeller()
+		teller := roster.CrossRegionFilter()
 		for server := range 60 {
-			teller.Tells(fmt.Sprint("i-", server))
+			teller.ShouldForward(fmt.Sprint("i-", server))
 		}
 	}
 }
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -30,15 +30,15 @@
 type Peer struct {
 	Name          string
 	Address       string
-	Life          uint64
+	Incarnation   uint64
 	Leaving       bool
 	ConfigVersion int64
 	// Term is the fencing token of a leader, 0 of others.
 	Term int64
-	// Lapsed is how long the leader's lease had ended when it sent.
-	Lapsed time.Duration
-	// LeaseAt is where the leader last wrote its lease.
-	LeaseAt storepos.Position
+	// LeaseExpiredFor is how long the leader's lease had ended when it sent.
+	LeaseExpiredFor time.Duration
+	// LeasePosition is where the leader last wrote its lease.
+	LeasePosition storepos.Position
 	// StoreFailing is set while the node's last call to the store failed.
 	StoreFailing bool
 	// Strength tells strong machines from weak ones.
@@ -74,8 +74,8 @@
 	r.summary = summary{}
 }
 
-// SetPlace tells where this node's machine stands.
-func (r *Roster) SetPlace(zone string, places locality.Map) {
+// SetLocation tells where this node's machine stands.
+func (r *Roster) SetLocation(zone string, places locality.Map) {
 	r.zone, r.places = zone, places
 	r.summary = summary{}
 }
@@ -117,7 +117,7 @@
 		return false
 	}
 	known, ok := r.peers[state.Address]
-	if ok && known.Life == state.Life && state.Sequence <= known.sequence {
+	if ok && known.Incarnation == state.Life && state.Sequence <= known.sequence {
 		return false
 	}
 	if !ok {
@@ -126,7 +126,7 @@
 	}
 	before, wasSeen := known.standing(), known.LastSeen
 	known.Name = state.Node
-	known.Life = state.Life
+	known.Incarnation = state.Life
 	known.sequence = state.Sequence
 	known.Leaving = state.Leaving
 	known.ConfigVersion = state.ConfigVersion
@@ -134,35 +134,35 @@
 	known.Strength = state.Strength
 	known.Zone = state.Zone
 	known.LastSeen = now
-	known.Term, known.Lapsed, known.LeaseAt = 0, 0, storepos.Position{}
+	known.Term, known.LeaseExpiredFor, known.LeasePosition = 0, 0, storepos.Position{}
 	if state.Leader != nil {
 		known.Term = state.Leader.Term
-		known.LeaseAt = storepos.At(state.Leader.LeaseEra, state.Leader.LeaseRevision)
-		known.Lapsed = time.Duration(state.Leader.LapsedMs) * time.Millisecond
+		known.LeasePosition = storepos.At(state.Leader.LeaseEra, state.Leader.LeaseRevision)
+		known.LeaseExpiredFor = time.Duration(state.Leader.LapsedMs) * time.Millisecond
 	}
 	if known.standing() != before || now.Sub(wasSeen) >= r.windowOf(known) {
 		r.summary = summary{}
 	}
 	delete(r.hints, state.Address)
-	r.AddHints(now, state.Peers)
+	r.AddCandidates(now, state.Peers)
 	return true
 }
 
 // Knows reports whether the node at the address was heard from in this life of its.
 func (r *Roster) Knows(address string, life uint64) bool {
 	known, ok := r.peers[address]
-	return ok && known.Life == life
+	return ok && known.Incarnation == life
 }
 
-// IsHeard reports whether a node was ever heard from at the address, or it is this one's.
-func (r *Roster) IsHeard(address string) bool {
+// HasHeardFrom reports whether a node was ever heard from at the address, or it is this one's.
+func (r *Roster) HasHeardFrom(address string) bool {
 	_, ok := r.peers[address]
 	return ok || address == r.self
 }
 
-// AddHints tries addresses that a peer named, for a while, where no node is known
+// AddCandidates tries addresses that a peer named, for a while, where no node is known
 // there yet.
-func (r *Roster) AddHints(now time.Time, addresses []string) {
+func (r *Roster) AddCandidates(now time.Time, addresses []string) {
 	for _, address := range addresses {
 		if _, ok := r.peers[address]; !ok && address != r.self {
 			r.hints[address] = now
@@ -212,9 +212,9 @@
 // Rank is the number of nodes that come before this one as candidates.
 func (r *Roster) Rank(now time.Time) int { return r.summarize(now).rank }
 
-// Deciders are the addresses of the leader and of the nodes that would lead
+// LeaderCandidates are the addresses of the leader and of the nodes that would lead
 // next: who needs to know all that a leader goes by.
-func (r *Roster) Deciders(now time.Time) []string {
+func (r *Roster) LeaderCandidates(now time.Time) []string {
 	var deciders []string
 	leader := r.Leader(now)
 	if leader != nil {
@@ -234,9 +234,9 @@
 // one has to do for all, though it does it already.
 const muchStronger = 2
 
-// HasMuchStronger reports whether a living node is much stronger than this one
+// HasMuchStrongerPeer reports whether a living node is much stronger than this one
 // and can do what one has to do for all.
-func (r *Roster) HasMuchStronger(now time.Time) bool {
+func (r *Roster) HasMuchStrongerPeer(now time.Time) bool {
 	return r.strength > 0 && r.summarize(now).strongest >= muchStronger*r.strength
 }
 
@@ -301,12 +301,12 @@
 	return silent
 }
 
-// Sample draws up to most addresses of living nodes to tell others of.
-func (r *Roster) Sample(now time.Time, most int) []string { return r.draw(r.Alive(now), most) }
+// SampleAddresses draws up to most addresses of living nodes to tell others of.
+func (r *Roster) SampleAddresses(now time.Time, most int) []string { return r.draw(r.Alive(now), most) }
 
-// Near draws the address of a living node to ask for much: of this region, if there is
+// RandomNearby draws the address of a living node to ask for much: of this region, if there is
 // one; empty where none lives.
-func (r *Roster) Near(now time.Time) string {
+func (r *Roster) RandomNearby(now time.Time) string {
 	living := r.summarize(now)
 	near := living.near
 	if len(near) == 0 {
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -168,7 +168,7 @@
 		roster.SetStrength(100)
 		c.peer.Address, c.peer.Life, c.peer.Sequence = "10.0.0.2:1", 7, 1
 		roster.Observe(begin, c.peer)
-		if got := roster.HasMuchStronger(begin); got != c.want {
+		if got := roster.HasMuchStrongerPeer(begin); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -20,9 +20,9 @@
 	spreaderSilence = time.Second
 )
 
-// Spread is how what all nodes need to hear goes out from this node: once to each region,
+// BroadcastPlan is how what all nodes need to hear goes out from this node: once to each region,
 // and once to each large zone of it.
-type Spread struct {
+type BroadcastPlan struct {
 	// Direct are the nodes that this node sends to itself.
 	Direct []string
 	// Spreaders send on.
@@ -46,10 +46,10 @@
 	Zone    string
 }
 
-// Spread is whom to send what all living nodes need to hear. It is asked of the leader's
+// PlanBroadcast is whom to send what all living nodes need to hear. It is asked of the leader's
 // roster, since all nodes speak to the leader and none knows the others better.
-func (r *Roster) Spread(now time.Time) Spread {
-	var plan Spread
+func (r *Roster) PlanBroadcast(now time.Time) BroadcastPlan {
+	var plan BroadcastPlan
 	regions := make(map[string]map[string][]*Peer)
 	var order []string
 	for _, peer := range r.Alive(now) {
@@ -75,7 +75,7 @@
 }
 
 // addZones adds the zones of this node's region.
-func (s *Spread) addZones(now time.Time, zones map[string][]*Peer) {
+func (s *BroadcastPlan) addZones(now time.Time, zones map[string][]*Peer) {
 	for zone, peers := range zones {
 		spreader := spreaderOf(now, zone, peers)
 		if len(peers) < leastInZone || spreader == nil {
@@ -87,7 +87,7 @@
 }
 
 // addRegion adds another region.
-func (s *Spread) addRegion(now time.Time, region string, zones map[string][]*Peer) {
+func (s *BroadcastPlan) addRegion(now time.Time, region string, zones map[string][]*Peer) {
 	var all []*Peer
 	for _, peers := range zones {
 		all = append(all, peers...)
@@ -109,7 +109,7 @@
 	s.Spreaders = append(s.Spreaders, spreader)
 }
 
-func (s *Spread) addDirect(peers []*Peer) {
+func (s *BroadcastPlan) addDirect(peers []*Peer) {
 	for _, peer := range peers {
 		s.Direct = append(s.Direct, peer.Address)
 	}
@@ -155,8 +155,8 @@
 	return r.places.Distance(r.zone, r.ZoneOf(address))
 }
 
-// InZones are the addresses of the living nodes of the zones.
-func (r *Roster) InZones(now time.Time, zones []string) []string {
+// AddressesInZones are the addresses of the living nodes of the zones.
+func (r *Roster) AddressesInZones(now time.Time, zones []string) []string {
 	var addresses []string
 	for _, peer := range r.Alive(now) {
 		if slices.Contains(zones, peer.Zone) {
--- a/internal/gossip/spread_test.go
+++ b/internal/gossip/spread_test.go
@@ -15,7 +15,7 @@
 // placedRoster is the roster of a node in n1 that hears some nodes in each zone.
 func placedRoster(places locality.Map, nodes map[string]int) *Roster {
 	roster := New("self", nil, 1)
-	roster.SetPlace("n1", places)
+	roster.SetLocation("n1", places)
 	for zone, count := range nodes {
 		for i := range count {
 			hearIn(roster, begin, zone, i, 1)
@@ -34,21 +34,21 @@
 
 // reached are the nodes that a plan reaches, and how often, where the spreaders know the
 // same nodes as this one.
-func (s Spread) reached(roster *Roster, now time.Time) map[string]int {
+func (s BroadcastPlan) reached(roster *Roster, now time.Time) map[string]int {
 	count := make(map[string]int)
 	for _, address := range s.Direct {
 		count[address]++
 	}
 	for _, spreader := range s.Spreaders {
 		count[spreader.Address]++
-		for _, address := range roster.InZones(now, spreader.Zones) {
+		for _, address := range roster.AddressesInZones(now, spreader.Zones) {
 			if address != spreader.Address {
 				count[address]++
 			}
 		}
 		for _, target := range spreader.Targets {
 			count[target.Address]++
-			for _, address := range roster.InZones(now, []string{target.Zone}) {
+			for _, address := range roster.AddressesInZones(now, []string{target.Zone}) {
 				if address != target.Address {
 					count[address]++
 				}
@@ -75,7 +75,7 @@
 				}
 			}
 		}
-		plan := roster.Spread(now)
+		plan := roster.PlanBroadcast(now)
 		reached := plan.reached(roster, now)
 		for _, peer := range roster.Alive(now) {
 			if reached[peer.Address] != 1 {
@@ -94,7 +94,7 @@
 func TestWhatCrossesARegionCrossesItOnce(t *testing.T) {
 	nodes := map[string]int{"n1": 10, "n2": 11, "s1": 11, "s2": 12, "w1": 11, "w2": 11}
 	roster := placedRoster(threeRegions, nodes)
-	plan := roster.Spread(begin)
+	plan := roster.PlanBroadcast(begin)
 	crossing := 0
 	for _, address := range plan.Direct {
 		if roster.DistanceTo(address) == locality.OtherRegion {
@@ -111,7 +111,7 @@
 func TestSilentSpreaderIsReplaced(t *testing.T) {
 	roster := placedRoster(threeRegions, map[string]int{"n1": 3, "s1": 8})
 	spreader := func(now time.Time) string {
-		plan := roster.Spread(now)
+		plan := roster.PlanBroadcast(now)
 		if len(plan.Spreaders) != 1 {
 			t.Fatalf("spreaders %+v, want one", plan.Spreaders)
 		}
@@ -135,7 +135,7 @@
 	if got := spreader(now); got != second && got != addressIn("s1", 20) {
 		t.Errorf("%s sends on in place of %s as another node came", got, second)
 	}
-	if later := now.Add(spreaderSilence + 200*time.Millisecond); len(roster.Spread(later).Spreaders) != 0 || len(roster.Spread(later).Direct) == 0 {
+	if later := now.Add(spreaderSilence + 200*time.Millisecond); len(roster.PlanBroadcast(later).Spreaders) != 0 || len(roster.PlanBroadcast(later).Direct) == 0 {
 		t.Error("nodes that are silent are trusted to send on")
 	}
 }
@@ -154,7 +154,7 @@
 		told := state(strong, 1, 1)
 		told.Zone, told.Strength = "s1", 10
 		roster.Observe(begin, told)
-		if plan := roster.Spread(begin); len(plan.Spreaders) != 1 || plan.Spreaders[0].Address != strong {
+		if plan := roster.PlanBroadcast(begin); len(plan.Spreaders) != 1 || plan.Spreaders[0].Address != strong {
 			t.Fatalf("spreaders %+v, want %s", plan.Spreaders, strong)
 		}
 	}
@@ -163,11 +163,11 @@
 // TestSmallFleetsSendToAll themselves, and so do those without regions.
 func TestSmallFleetsSendToAll(t *testing.T) {
 	small := placedRoster(threeRegions, map[string]int{"n1": 5, "n2": leastInZone - 1, "s1": leastInRegion - 1})
-	if plan := small.Spread(begin); len(plan.Spreaders) != 0 || len(plan.Direct) != 5+leastInZone-1+leastInRegion-1 {
+	if plan := small.PlanBroadcast(begin); len(plan.Spreaders) != 0 || len(plan.Direct) != 5+leastInZone-1+leastInRegion-1 {
 		t.Errorf("%+v", plan)
 	}
 	oneRegion := placedRoster(locality.Map{}, map[string]int{"n1": 6, "n2": 6, "s1": 6})
-	if plan := oneRegion.Spread(begin); len(plan.Spreaders) != 0 || len(plan.Direct) != 18 {
+	if plan := oneRegion.PlanBroadcast(begin); len(plan.Spreaders) != 0 || len(plan.Direct) != 18 {
 		t.Errorf("%+v", plan)
 	}
 }
@@ -232,7 +232,7 @@
 // TestLargeOwnZoneIsSentOnTo: what the leader sends does not grow with its zone.
 func TestLargeOwnZoneIsSentOnTo(t *testing.T) {
 	roster := placedRoster(threeRegions, map[string]int{"n1": 50, "n2": 50, "s1": 50, "s2": 50})
-	plan := roster.Spread(begin)
+	plan := roster.PlanBroadcast(begin)
 	if len(plan.Direct) != 0 || len(plan.Spreaders) != 3 {
 		t.Errorf("%d nodes and %d spreaders are sent to, want one of each own zone and of the other region", len(plan.Direct), len(plan.Spreaders))
 	}
--- a/internal/gossip/summary_test.go
+++ b/internal/gossip/summary_test.go
@@ -22,19 +22,19 @@
 	for i, strength := range []uint32{40, 800, 40, 800, 800, 800} {
 		roster.Observe(begin, peerOf(fmt.Sprint("n", i), strength, 1))
 	}
-	if diff := cmp.Diff([]string{"n1", "n3"}, roster.Deciders(begin)); diff != "" {
+	if diff := cmp.Diff([]string{"n1", "n3"}, roster.LeaderCandidates(begin)); diff != "" {
 		t.Errorf("without a leader: %s", diff)
 	}
 	leading := peerOf("n3", 800, 2)
 	leading.Leader = &peerpb.LeaderState{Term: 4}
 	roster.Observe(begin, leading)
-	if diff := cmp.Diff([]string{"n3", "n1", "n4"}, roster.Deciders(begin)); diff != "" {
+	if diff := cmp.Diff([]string{"n3", "n1", "n4"}, roster.LeaderCandidates(begin)); diff != "" {
 		t.Errorf("with a leader: %s", diff)
 	}
 	leaving := peerOf("n1", 800, 2)
 	leaving.Leaving = true
 	roster.Observe(begin, leaving)
-	if diff := cmp.Diff([]string{"n3", "n4", "n5"}, roster.Deciders(begin)); diff != "" {
+	if diff := cmp.Diff([]string{"n3", "n4", "n5"}, roster.LeaderCandidates(begin)); diff != "" {
 		t.Errorf("a node that leaves: %s", diff)
 	}
 }
@@ -50,13 +50,13 @@
 	}
 	now := begin.Add(time.Millisecond)
 	roster.Observe(now, peerOf("b", 800, 1))
-	if rank := roster.Rank(now); rank != 2 || !roster.HasMuchStronger(now) {
+	if rank := roster.Rank(now); rank != 2 || !roster.HasMuchStrongerPeer(now) {
 		t.Errorf("rank %d, want 2, at once after a node came", rank)
 	}
 	failing := peerOf("b", 800, 2)
 	failing.StoreFailing = true
 	roster.Observe(now, failing)
-	if roster.HasMuchStronger(now) {
+	if roster.HasMuchStrongerPeer(now) {
 		t.Error("a node cut from the store still counts as one that could lead")
 	}
 	later := begin.Add(aliveTime + summaryAge)
@@ -85,7 +85,7 @@
 // while; a seed for good.
 func TestHintsEnd(t *testing.T) {
 	roster := New("m", []string{"seed"}, 1)
-	roster.AddHints(begin, []string{"m", "gone"})
+	roster.AddCandidates(begin, []string{"m", "gone"})
 	if targets := roster.Targets(begin, 8); len(targets) != 2 {
 		t.Errorf("targets %v, want the seed and the address named", targets)
 	}
--- a/internal/gossip/targets.go
+++ b/internal/gossip/targets.go
@@ -87,16 +87,16 @@
 	farTellersShare = 4
 )
 
-// FarTeller says of what this node tells other regions. The nodes of its own are counted
+// CrossRegionFilter says of what this node tells other regions. The nodes of its own are counted
 // once for all that is told in a period.
-type FarTeller struct {
+type CrossRegionFilter struct {
 	self string
 	near int
 }
 
-// FarTeller counts the nodes of this region.
-func (r *Roster) FarTeller() FarTeller {
-	teller := FarTeller{self: r.self, near: 1}
+// CrossRegionFilter counts the nodes of this region.
+func (r *Roster) CrossRegionFilter() CrossRegionFilter {
+	teller := CrossRegionFilter{self: r.self, near: 1}
 	for _, peer := range r.order {
 		if !r.isFar(peer) {
 			teller.near++
@@ -105,14 +105,14 @@
 	return teller
 }
 
-// Tells reports whether this node is one of those of its region that tell others of what
+// ShouldForward reports whether this node is one of those of its region that tell others of what
 // has the name, by a number that each draws for itself.
-func (f FarTeller) Tells(name string) bool {
+func (f CrossRegionFilter) ShouldForward(name string) bool {
 	return xxhash.Sum64String(name+"/"+f.self)%uint64(f.near) < uint64(max(farTellers, f.near/farTellersShare))
 }
 
-// RankNear is the number of living nodes of this node's region that come before it.
-func (r *Roster) RankNear(now time.Time) int {
+// RegionRank is the number of living nodes of this node's region that come before it.
+func (r *Roster) RegionRank(now time.Time) int {
 	rank := 0
 	for _, peer := range r.summarize(now).near {
 		if r.precedes(peer) {
--- a/internal/inventory/eras.go
+++ b/internal/inventory/eras.go
@@ -43,10 +43,10 @@
 	return now.Sub(t.eras.since), !t.eras.since.IsZero()
 }
 
-// Settles reports, once each, that a time is over in which entries of an earlier era were kept:
+// ReloadDue reports, once each, that a time is over in which entries of an earlier era were kept:
 // the list is to be read anew.
-func (t *Table) Settles(now time.Time) bool {
-	times := [...]time.Duration{storepos.RewriteTime, leavingTime}
+func (t *Table) ReloadDue(now time.Time) bool {
+	times := [...]time.Duration{storepos.RestoreRewriteTime, leavingTime}
 	if t.eras.since.IsZero() || t.eras.settled == len(times) || now.Sub(t.eras.since) < times[t.eras.settled] {
 		return false
 	}
@@ -73,11 +73,11 @@
 // awaitsRewrite reports whether the server may be missing in the store's list only because the
 // copy was made before its entry.
 func (t *Table) awaitsRewrite(now time.Time, server Server) bool {
-	return server.Position.Era < t.position.Era && t.isWithin(now, storepos.RewriteTime)
+	return server.Position.Era < t.position.Era && t.isWithin(now, storepos.RestoreRewriteTime)
 }
 
-// Awaiting counts the servers of which an entry of an earlier era is kept.
-func (t *Table) Awaiting(now time.Time) int {
+// EarlierEraCount counts the servers of which an entry of an earlier era is kept.
+func (t *Table) EarlierEraCount(now time.Time) int {
 	count := 0
 	for _, server := range t.servers {
 		if server.Position.Era < t.position.Era && t.isWithin(now, leavingTime) {
@@ -102,7 +102,7 @@
 		return server, true
 	}
 	switch {
-	case t.isWithin(now, storepos.RewriteTime):
+	case t.isWithin(now, storepos.RestoreRewriteTime):
 		if has {
 			server.Position.Era = known.Position.Era
 			return server, true
--- a/internal/inventory/eras_test.go
+++ b/internal/inventory/eras_test.go
@@ -166,7 +166,7 @@
 // check says what is wrong; empty is nothing.
 func (w *erasWorld) check() string {
 	for id, said := range w.learned {
-		if w.table.TakesWork(id) {
+		if w.table.IsAvailable(id) {
 			return fmt.Sprintf("%s takes work though it was known that it %s", id, said)
 		}
 	}
@@ -179,8 +179,8 @@
 	w.pass(leavingTime)
 	w.list()
 	for id, said := range w.said {
-		if w.table.TakesWork(id) != (said == ready) {
-			return fmt.Sprintf("%s %s, and takes work: %v", id, said, w.table.TakesWork(id))
+		if w.table.IsAvailable(id) != (said == ready) {
+			return fmt.Sprintf("%s %s, and takes work: %v", id, said, w.table.IsAvailable(id))
 		}
 	}
 	return ""
@@ -228,10 +228,10 @@
 	table.Replace(begin, begin, []Server{{ID: "a", Position: storepos.At(2, 1)}}, storepos.At(2, 5))
 	table.ReplaceByPeer(begin.Add(time.Second), []Server{{ID: "a", Position: storepos.At(9, 1)}}, storepos.At(9, 1))
 	leaving := []Server{{ID: "a", Position: storepos.At(2, 6), Draining: true}}
-	if table.Replace(begin.Add(2*time.Second), begin, leaving, storepos.At(2, 6)); !table.TakesWork("a") {
+	if table.Replace(begin.Add(2*time.Second), begin, leaving, storepos.At(2, 6)); !table.IsAvailable("a") {
 		t.Error("a list that was asked for before the era was heard of is taken")
 	}
-	if table.Replace(begin.Add(3*time.Second), begin.Add(2*time.Second), leaving, storepos.At(2, 6)); table.TakesWork("a") {
+	if table.Replace(begin.Add(3*time.Second), begin.Add(2*time.Second), leaving, storepos.At(2, 6)); table.IsAvailable("a") {
 		t.Error("the store's own list is left out for an era that a peer told of")
 	}
 }
@@ -241,7 +241,7 @@
 	table := NewTable()
 	table.Replace(begin, begin, nil, storepos.At(3, 70))
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(2, 5)}, {ID: "b", Position: storepos.At(3, 71)}}, storepos.At(3, 72))
-	if table.TakesWork("a") || !table.TakesWork("b") {
-		t.Errorf("takes work: a %v, b %v", table.TakesWork("a"), table.TakesWork("b"))
+	if table.IsAvailable("a") || !table.IsAvailable("b") {
+		t.Errorf("takes work: a %v, b %v", table.IsAvailable("a"), table.IsAvailable("b"))
 	}
 }
--- a/internal/inventory/hint.go
+++ b/internal/inventory/hint.go
@@ -17,4 +17,4 @@
 }
 
 // IsEmpty reports whether the server told nothing that binds later requests.
-func (h Hint) IsEmpty() bool { return !h.Draining && h.Backoff <= 0 && !h.Limit.IsNamed() }
+func (h Hint) IsEmpty() bool { return !h.Draining && h.Backoff <= 0 && !h.Limit.IsSet() }
--- a/internal/inventory/ratelimit.go
+++ b/internal/inventory/ratelimit.go
@@ -10,12 +10,12 @@
 type RateLimitKind int
 
 const (
-	// RateLimitUntold says nothing: no answer came, or what it says cannot be read.
-	RateLimitUntold RateLimitKind = iota
+	// RateLimitUnknown says nothing: no answer came, or what it says cannot be read.
+	RateLimitUnknown RateLimitKind = iota
 	// RateLimitNone says that the server names no limit.
 	RateLimitNone
-	// RateLimitNamed says that the server names one.
-	RateLimitNamed
+	// RateLimitSet says that the server names one.
+	RateLimitSet
 )
 
 // RateLimit is the rate that a server takes from all nodes together, as one answer tells it. It
@@ -26,17 +26,17 @@
 	PerSecond float64
 }
 
-// NamedRate is a rate limit that an answer names.
-func NamedRate(perSecond float64) RateLimit {
-	return RateLimit{Kind: RateLimitNamed, PerSecond: perSecond}
+// NewRateLimit is a rate limit that an answer names.
+func NewRateLimit(perSecond float64) RateLimit {
+	return RateLimit{Kind: RateLimitSet, PerSecond: perSecond}
 }
 
-// IsNamed reports whether the answer names a limit.
-func (r RateLimit) IsNamed() bool { return r.Kind == RateLimitNamed }
+// IsSet reports whether the answer names a limit.
+func (r RateLimit) IsSet() bool { return r.Kind == RateLimitSet }
 
-// HighestRate bounds the rate limit that a server may name, in requests a second; what is above it
+// MaxRate bounds the rate limit that a server may name, in requests a second; what is above it
 // limits nothing.
-const HighestRate = 1e6
+const MaxRate = 1e6
 
 // ParseRateLimit reads the rate limit that an answer names, as the values of its header. Of several
 // the least counts; where none of them is a finite number from 0 on the answer tells nothing of a
@@ -48,15 +48,15 @@
 	var limit RateLimit
 	for _, text := range named {
 		perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-		if err != nil || !IsRate(perSecond) {
+		if err != nil || !IsValidRate(perSecond) {
 			continue
 		}
-		if !limit.IsNamed() || perSecond < limit.PerSecond {
-			limit = NamedRate(min(perSecond, HighestRate))
+		if !limit.IsSet() || perSecond < limit.PerSecond {
+			limit = NewRateLimit(min(perSecond, MaxRate))
 		}
 	}
 	return limit
 }
 
-// IsRate reports whether the figure is a rate: finite, and 0 or more.
-func IsRate(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
+// IsValidRate reports whether the figure is a rate: finite, and 0 or more.
+func IsValidRate(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
--- a/internal/inventory/server.go
+++ b/internal/inventory/server.go
@@ -12,9 +12,9 @@
 // Server is what one start of a server says of itself.
 type Server struct {
 	ID string
-	// Born tells one start from another under the ID; see Start.
-	Born    int64
-	Service string
+	// StartedAtMs tells one start from another under the ID; see Start.
+	StartedAtMs int64
+	Service     string
 	// Address is IP:PORT. Another server may have it once this one is gone.
 	Address string
 	Zone    string
@@ -33,9 +33,9 @@
 	// Position is that of the entry which says so. Its era is the one in which the entry was
 	// written, as far as that is known: a copy of the store brings entries of earlier ones.
 	Position storepos.Position
-	// ColdLeft is for how long the server is cold yet, where TellsCold is set.
-	ColdLeft  time.Duration
-	TellsCold bool
+	// ColdRemaining is for how long the server is cold yet, where TellsCold is set.
+	ColdRemaining time.Duration
+	ReportsCold   bool
 	// Unreadable is set where an entry stands that cannot be read, of which ID and Position are
 	// known alone: it names no server to use.
 	Unreadable bool
@@ -193,7 +193,7 @@
 	if known, ok := t.servers[server.ID]; !ok || known.Draining || !server.Position.IsAfter(known.Position) {
 		return nil
 	}
-	return []Change{t.Leaves(server.ID, server.Position)}
+	return []Change{t.MarkDraining(server.ID, server.Position)}
 }
 
 // lastOfEach returns the last event of each server, in the order of the events.
@@ -216,7 +216,7 @@
 // nothing.
 func (t *Table) take(server Server, at storepos.Position) (taken Server, ok bool) {
 	known, has := t.servers[server.ID]
-	if has && known.Born != 0 && server.Born == 0 {
+	if has && known.StartedAtMs != 0 && server.StartedAtMs == 0 {
 		// Its server told its start before: the entry is another writer's.
 		changes := t.turnsUnreadable(server)
 		return t.servers[server.ID], len(changes) > 0
@@ -235,17 +235,17 @@
 	if has && !server.isNewerThan(known) {
 		return known, false
 	}
-	if server.Born == 0 {
+	if server.StartedAtMs == 0 {
 		// A peer whose build does not tell it.
-		server.Born = known.Born
+		server.StartedAtMs = known.StartedAtMs
 	}
 	t.put(server)
 	return server, true
 }
 
-// Stays takes a peer's word that the server's entry at the position says that it
+// ConfirmAvailable takes a peer's word that the server's entry at the position says that it
 // takes work, as is known here: older words that it goes are void.
-func (t *Table) Stays(id string, at storepos.Position) {
+func (t *Table) ConfirmAvailable(id string, at storepos.Position) {
 	known, ok := t.servers[id]
 	if !ok || known.Draining || !at.IsAfter(known.Position) {
 		return
@@ -255,34 +255,34 @@
 	t.servers[id] = known
 }
 
-// IsNews reports whether a peer's word as of the position can say more of the server
+// IsNewer reports whether a peer's word as of the position can say more of the server
 // than is known.
-func (t *Table) IsNews(id string, at storepos.Position) bool {
+func (t *Table) IsNewer(id string, at storepos.Position) bool {
 	known, ok := t.servers[id]
 	return !ok || at.IsAfter(known.Position)
 }
 
-// Note takes what a peer tells ahead of the store: a server that came, without
+// ApplyAnnouncement takes what a peer tells ahead of the store: a server that came, without
 // what it holds, or one that is draining or gone. The table is not complete up to
 // its position by that. It returns what it changed.
-func (t *Table) Note(server Server) []Change {
+func (t *Table) ApplyAnnouncement(server Server) []Change {
 	known, ok := t.servers[server.ID]
 	if !server.Position.IsAfter(t.position) || (ok && !server.Position.IsAfter(known.Position)) {
 		return nil
 	}
 	if ok && server.Draining {
-		return []Change{t.Leaves(server.ID, server.Position)}
+		return []Change{t.MarkDraining(server.ID, server.Position)}
 	}
-	if server.Born == 0 {
-		server.Born = known.Born
+	if server.StartedAtMs == 0 {
+		server.StartedAtMs = known.StartedAtMs
 	}
 	t.put(server)
 	return []Change{{Server: server}}
 }
 
-// Leaves marks a known server as one that takes no more work as of the position, on a
+// MarkDraining marks a known server as one that takes no more work as of the position, on a
 // peer's word. An answer of the store that says otherwise ends it.
-func (t *Table) Leaves(id string, at storepos.Position) Change {
+func (t *Table) MarkDraining(id string, at storepos.Position) Change {
 	server := t.servers[id]
 	server.Draining = true
 	server.Position = at
@@ -290,26 +290,26 @@
 	return Change{Server: server}
 }
 
-// Knows reports whether the table has an entry of that start of a server, or one that does not
+// HasStart reports whether the table has an entry of that start of a server, or one that does not
 // say of which it is.
-func (t *Table) Knows(start Start) bool {
+func (t *Table) HasStart(start Start) bool {
 	known, ok := t.servers[start.ID]
-	return ok && (known.Born == start.Born || known.Born == 0 || start.Born == 0)
+	return ok && (known.StartedAtMs == start.StartedAtMs || known.StartedAtMs == 0 || start.StartedAtMs == 0)
 }
 
-// TakesWork reports whether the table has the server, and not as draining.
-func (t *Table) TakesWork(id string) bool {
+// IsAvailable reports whether the table has the server, and not as draining.
+func (t *Table) IsAvailable(id string) bool {
 	known, ok := t.servers[id]
 	return ok && !known.Draining
 }
 
 // IsCold reports whether the server's newest entry says that it is cold.
-func (t *Table) IsCold(id string) bool { return t.servers[id].ColdLeft > 0 }
+func (t *Table) IsCold(id string) bool { return t.servers[id].ColdRemaining > 0 }
 
-// TurnsCold takes a peer's word that a known server turned cold as of the position.
-func (t *Table) TurnsCold(id string, left time.Duration, at storepos.Position) Change {
+// MarkCold takes a peer's word that a known server turned cold as of the position.
+func (t *Table) MarkCold(id string, left time.Duration, at storepos.Position) Change {
 	server := t.servers[id]
-	server.ColdLeft, server.TellsCold = left, true
+	server.ColdRemaining, server.ReportsCold = left, true
 	server.Position, server.Announced = at, true
 	t.servers[id] = server
 	return Change{Server: server}
@@ -328,7 +328,7 @@
 }
 
 func (t *Table) remove(id string) {
-	if t.TakesWork(id) {
+	if t.IsAvailable(id) {
 		t.digest ^= xxhash.Sum64String(id)
 	}
 	delete(t.servers, id)
--- a/internal/inventory/server_test.go
+++ b/internal/inventory/server_test.go
@@ -59,19 +59,23 @@
 		take func() []Change
 		want []Change
 	}{
-		{"what the table covers is no note", func() []Change { return table.Note(Server{ID: "b", Position: storepos.At(0, 5), Draining: true}) }, nil},
+		{"what the table covers is no note", func() []Change {
+			return table.ApplyAnnouncement(Server{ID: "b", Position: storepos.At(0, 5), Draining: true})
+		}, nil},
 		{"a server leaves", func() []Change {
-			return table.Note(Server{ID: "a", Position: storepos.At(0, 7), Draining: true, Announced: true})
+			return table.ApplyAnnouncement(Server{ID: "a", Position: storepos.At(0, 7), Draining: true, Announced: true})
 		},
 			[]Change{{Server: draining}}},
 		{"an entry from before does not bring it back", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "a", Position: storepos.At(0, 6)}}}, storepos.At(0, 6))
 		}, nil},
-		{"one that is not known yet leaves", func() []Change { return table.Note(going("x", 8)) }, []Change{{Server: going("x", 8)}}},
+		{"one that is not known yet leaves", func() []Change { return table.ApplyAnnouncement(going("x", 8)) }, []Change{{Server: going("x", 8)}}},
 		{"its entry comes late", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "x", Position: storepos.At(0, 7)}}}, storepos.At(0, 7))
 		}, nil},
-		{"a server comes", func() []Change { return table.Note(Server{ID: "n", Position: storepos.At(0, 9), Announced: true}) },
+		{"a server comes", func() []Change {
+			return table.ApplyAnnouncement(Server{ID: "n", Position: storepos.At(0, 9), Announced: true})
+		},
 			[]Change{{Server: Server{ID: "n", Position: storepos.At(0, 9), Announced: true}}}},
 		{"its entry says more", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "n", Position: storepos.At(0, 9), Models: []HeldModel{{Name: "m"}}}}}, storepos.At(0, 9))
@@ -86,7 +90,7 @@
 		t.Errorf("revision %d, want 9: notes do not complete the table", table.Position().Revision)
 	}
 	for id, want := range map[string]bool{"a": false, "b": true, "x": false, "n": true, "none": false} {
-		if table.TakesWork(id) != want {
+		if table.IsAvailable(id) != want {
 			t.Errorf("%s takes work: %v, want %v", id, !want, want)
 		}
 	}
@@ -103,7 +107,7 @@
 	newTable := func() *Table {
 		table := NewTable()
 		table.Replace(begin, begin, []Server{{ID: "a", Service: "s", Position: storepos.At(0, 2)}}, storepos.At(0, 5))
-		table.Note(going("a", 9))
+		table.ApplyAnnouncement(going("a", 9))
 		return table
 	}
 	answers := []struct {
@@ -121,10 +125,10 @@
 		for revision, want := range map[int64]bool{8: false, 9: true, 12: true} {
 			table := newTable()
 			answer.take(table, revision)
-			if table.TakesWork("a") != want {
+			if table.IsAvailable("a") != want {
 				t.Errorf("%s as of %d: takes work %v, want %v", answer.name, revision, !want, want)
 			}
-			if want && table.IsNews("a", storepos.At(0, revision)) {
+			if want && table.IsNewer("a", storepos.At(0, revision)) {
 				t.Errorf("%s as of %d: an older word counts again", answer.name, revision)
 			}
 		}
@@ -135,13 +139,13 @@
 func TestPeersListRefutesNothing(t *testing.T) {
 	table := NewTable()
 	table.Replace(begin, begin, []Server{{ID: "a", Position: storepos.At(0, 2)}}, storepos.At(0, 5))
-	table.Note(going("a", 9))
+	table.ApplyAnnouncement(going("a", 9))
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(0, 2)}}, storepos.At(0, 12))
-	if table.TakesWork("a") {
+	if table.IsAvailable("a") {
 		t.Error("a peer's list brings a server back whose entry it may hold back")
 	}
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(0, 13)}}, storepos.At(0, 14))
-	if !table.TakesWork("a") {
+	if !table.IsAvailable("a") {
 		t.Error("a peer's newer entry does not bring the server back")
 	}
 }
@@ -183,10 +187,10 @@
 		if diff := cmp.Diff([]Change{{Server: out}}, tell(table, unreadable, 5)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if again := tell(table, unreadable, 6); again != nil || table.TakesWork("a") || table.TakesWork("x") {
+		if again := tell(table, unreadable, 6); again != nil || table.IsAvailable("a") || table.IsAvailable("x") {
 			t.Errorf("%s: the same once more is news: %v", name, again)
 		}
-		if diff := cmp.Diff([]Change{{Server: back}}, tell(table, back, 9)); diff != "" || !table.TakesWork("a") {
+		if diff := cmp.Diff([]Change{{Server: back}}, tell(table, back, 9)); diff != "" || !table.IsAvailable("a") {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
@@ -196,14 +200,14 @@
 // nothing that it told is forgotten by that; where the store told it once, an entry without it is
 // another writer's.
 func TestStartThatIsNotTold(t *testing.T) {
-	known := Server{ID: "a", Born: 7, Service: "s", Address: "1.2.3.4:5", Position: storepos.At(0, 2)}
+	known := Server{ID: "a", StartedAtMs: 7, Service: "s", Address: "1.2.3.4:5", Position: storepos.At(0, 2)}
 	newer := known
-	newer.Born, newer.Position = 0, storepos.At(0, 5)
+	newer.StartedAtMs, newer.Position = 0, storepos.At(0, 5)
 	want := newer
-	want.Born = 7
+	want.StartedAtMs = 7
 	for name, tell := range map[string]func(table *Table) []Change{
 		"a list": func(table *Table) []Change { return table.ReplaceByPeer(begin, []Server{newer}, storepos.At(0, 5)) },
-		"news":   func(table *Table) []Change { return table.Note(newer) },
+		"news":   func(table *Table) []Change { return table.ApplyAnnouncement(newer) },
 	} {
 		table := NewTable()
 		table.Replace(begin, begin, []Server{known}, storepos.At(0, 3))
@@ -213,7 +217,7 @@
 	}
 	table := NewTable()
 	table.Replace(begin, begin, []Server{known}, storepos.At(0, 3))
-	if changes := table.Apply([]Change{{Server: newer}}, storepos.At(0, 5)); len(changes) != 1 || !changes[0].Server.Draining || changes[0].Server.Born != 7 {
+	if changes := table.Apply([]Change{{Server: newer}}, storepos.At(0, 5)); len(changes) != 1 || !changes[0].Server.Draining || changes[0].Server.StartedAtMs != 7 {
 		t.Errorf("an entry without a start: %+v, want its server out of use", changes)
 	}
 }
--- a/internal/lab/policy/clairvoyant.go
+++ b/internal/lab/policy/clairvoyant.go
@@ -22,7 +22,7 @@
 	keepFactor = 2
 )
 
-func (clairvoyant) Arrived(time.Time, fleet.ModelVersion) {}
+func (clairvoyant) RequestsArrived(time.Time, fleet.ModelVersion) {}
 
 // untilNext is the time until the model's next request.
 func (c clairvoyant) untilNext(model int) time.Duration {
@@ -34,8 +34,8 @@
 	return times[index] - c.world.now
 }
 
-// Expired keeps a model only where a load would have to begin about at once.
-func (c clairvoyant) Expired(_, _ time.Time, model fleet.ModelVersion) bool {
+// ShouldUnload keeps a model only where a load would have to begin about at once.
+func (c clairvoyant) ShouldUnload(_, _ time.Time, model fleet.ModelVersion) bool {
 	index := c.world.modelIndex[model]
 	for _, engine := range c.zone.engines {
 		// One that unloads can't be loaded again before it has ended its work.
--- a/internal/lab/policy/setups.go
+++ b/internal/lab/policy/setups.go
@@ -15,7 +15,7 @@
 	// weight is the preference from 0, only idle hours count, to 1.
 	weight   float64
 	settings placement.Settings
-	without  placement.Without
+	without  placement.DisabledMechanisms
 	// preloadEvicts lets models that are loaded ahead evict others.
 	preloadEvicts bool
 	// policy replaces the core's own; nil for none.
@@ -23,7 +23,7 @@
 }
 
 func (s setup) options(w *world, z *zone) placement.Options {
-	options := placement.Options{Settings: s.settings, Without: s.without, PreloadEvicts: s.preloadEvicts}
+	options := placement.Options{Settings: s.settings, Disabled: s.without, PreloadEvicts: s.preloadEvicts}
 	options.Settings.StoreLoadsPerSecond = w.trace.shape.StoreRate
 	options.Settings.StoreConcurrency = w.trace.shape.StoreConcurrency
 	if s.policy != nil {
@@ -45,7 +45,7 @@
 )
 
 // withouts are the mechanisms that can be turned off.
-var withouts = map[string]placement.Without{
+var withouts = map[string]placement.DisabledMechanisms{
 	"preload":       {Preload: true},
 	"idle-times":    {IdleTimes: true},
 	"eviction-cost": {EvictionCost: true},
@@ -104,9 +104,9 @@
 
 type fixedKeepAlive time.Duration
 
-func (fixedKeepAlive) Arrived(time.Time, fleet.ModelVersion) {}
+func (fixedKeepAlive) RequestsArrived(time.Time, fleet.ModelVersion) {}
 
-func (k fixedKeepAlive) Expired(now, idleSince time.Time, _ fleet.ModelVersion) bool {
+func (k fixedKeepAlive) ShouldUnload(now, idleSince time.Time, _ fleet.ModelVersion) bool {
 	return now.Sub(idleSince) > time.Duration(k)
 }
 
--- a/internal/lab/policy/world.go
+++ b/internal/lab/policy/world.go
@@ -24,8 +24,8 @@
 	events   events
 	sequence uint64
 
-	facts        []catalog.ModelFacts
-	adapterFacts []catalog.AdapterFacts
+	facts        []catalog.ModelInfo
+	adapterFacts []catalog.AdapterInfo
 	modelIndex   map[fleet.ModelVersion]int
 	adapterIndex map[fleet.AdapterName]int
 
@@ -103,7 +103,7 @@
 	for index, drawn := range w.trace.models {
 		name := fleet.ModelVersion{Model: fmt.Sprintf("model-%02d", index), Version: "1"}
 		w.modelIndex[name] = index
-		w.facts = append(w.facts, catalog.ModelFacts{
+		w.facts = append(w.facts, catalog.ModelInfo{
 			Model: name, MemoryBytes: drawn.bytes, CheckpointBytes: drawn.bytes,
 			MaxReplicas: drawn.maxReplicas, StandingReplicas: drawn.standing, Priority: drawn.priority,
 		})
@@ -113,7 +113,7 @@
 	for index, base := range w.trace.adapterModels {
 		name := fleet.AdapterName(fmt.Sprintf("adapter-%02d", index))
 		w.adapterIndex[name] = index
-		w.adapterFacts = append(w.adapterFacts, catalog.AdapterFacts{
+		w.adapterFacts = append(w.adapterFacts, catalog.AdapterInfo{
 			Adapter: name, Model: w.facts[base].Model.Model, MemoryBytes: adapterBytes,
 		})
 	}
@@ -206,10 +206,10 @@
 func (w *world) decide() {
 	w.undecided = false
 	input := allotment.Input{
-		Models:  w.facts,
-		Engines: make(map[fleet.Zone]int),
-		Demand:  make(map[fleet.ModelVersion]map[fleet.Zone]int),
-		Idle:    make(map[fleet.ModelVersion]map[fleet.Zone]int),
+		Models:       w.facts,
+		Engines:      make(map[fleet.Zone]int),
+		Demand:       make(map[fleet.ModelVersion]map[fleet.Zone]int),
+		IdleReplicas: make(map[fleet.ModelVersion]map[fleet.Zone]int),
 	}
 	for _, zone := range w.zones {
 		if count := zone.live(); count > 0 {
@@ -221,7 +221,7 @@
 		for _, zone := range w.zones {
 			idle[zone.name] = w.record.Limit(facts.Model, zone.name) - zone.loaded(model)
 		}
-		input.Idle[facts.Model] = idle
+		input.IdleReplicas[facts.Model] = idle
 		input.Demand[facts.Model] = w.waiting[model].starvedZones(w)
 	}
 	next, changed := allotment.Decide(w.record, input)
@@ -288,7 +288,7 @@
 	e.replicas = nil
 	e.cache = checkpoints{}
 	zone := e.zone
-	zone.tell(placement.EngineSilent{Engine: e.name, Silent: true})
+	zone.tell(placement.EngineUnresponsive{Engine: e.name, Unresponsive: true})
 	w.after(goneAfter, func() {
 		if !e.up {
 			zone.tell(placement.EnginesGone{Engines: []fleet.BackendName{e.name}})
--- a/internal/lab/policy/zone.go
+++ b/internal/lab/policy/zone.go
@@ -27,7 +27,7 @@
 	arrived []int
 	// elsewhere and used are what the core was told of the other zones last.
 	elsewhere map[fleet.ModelVersion]bool
-	used      placement.StoreUsed
+	used      placement.StoreUsage
 }
 
 // Times between two steps of a core without other cause.
@@ -41,7 +41,7 @@
 	w := z.world
 	z.core = placement.New(w.policy.options(w, z))
 	z.arrived = make([]int, len(w.facts))
-	z.elsewhere, z.used = nil, placement.StoreUsed{}
+	z.elsewhere, z.used = nil, placement.StoreUsage{}
 	z.tell(placement.CatalogChanged{
 		Models: w.facts, Adapters: w.adapterFacts, ColdStartWeight: w.policy.weight,
 	})
@@ -94,13 +94,13 @@
 // where that has changed.
 func (z *zone) hear() {
 	elsewhere := make(map[fleet.ModelVersion]bool)
-	var used placement.StoreUsed
+	var used placement.StoreUsage
 	for _, other := range z.world.zones {
 		if other == z {
 			continue
 		}
 		if other.core == nil {
-			used.Silent++
+			used.UnknownZones++
 			continue
 		}
 		used.Waiting += other.core.WaitingLoads()
@@ -117,7 +117,7 @@
 	}
 	if !maps.Equal(elsewhere, z.elsewhere) {
 		z.elsewhere = elsewhere
-		z.tell(placement.HeldElsewhere{Models: elsewhere})
+		z.tell(placement.ReplicasElsewhere{Models: elsewhere})
 	}
 	if used != z.used {
 		z.used = used
@@ -136,7 +136,7 @@
 			z.send(decided)
 		case placement.Refuse:
 			z.world.refused(z, z.world.modelIndex[decided.Refusal.Model], decided.Refusal.RetryAfter)
-		case placement.NeedRound:
+		case placement.RequestNewRound:
 			z.world.after(0, z.newRound)
 		}
 	}
@@ -158,7 +158,7 @@
 			result = placement.OrderRefused
 		}
 		z.asked++
-		z.tell(placement.OrderAnswered{ID: sent.Order.ID, Result: result, Reason: reason, Asked: z.asked})
+		z.tell(placement.OrderAnswered{ID: sent.Order.ID, Result: result, Reason: reason, QuerySequence: z.asked})
 		z.show(target)
 	})
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	z.asked++
-	z.tell(placement.StateSeen{Asked: z.asked, State: engine.state(z.world)})
+	z.tell(placement.EngineStateReceived{QuerySequence: z.asked, State: engine.state(z.world)})
 }
 
 // newRound claims all engines that live.
--- a/internal/lab/requestpath/node.go
+++ b/internal/lab/requestpath/node.go
@@ -65,7 +65,7 @@
 func (n *node) tick() {
 	n.stepRouting(routing.Tick{})
 	n.stepQueue(queue.Tick{})
-	for _, line := range n.queue.Lines() {
+	for _, line := range n.queue.Queues() {
 		n.offer(line.Model)
 	}
 }
@@ -77,7 +77,7 @@
 	case n.budget == nil:
 	case !retry:
 		n.budget.Earn()
-	case !reassign.Unspent && !n.budget.Spend():
+	case !reassign.BudgetExempt && !n.budget.Spend():
 		r.take(attempt.Unassigned{Code: "retry-budget-spent"})
 		return
 	}
@@ -93,17 +93,17 @@
 func (n *node) arrive(r *request, again bool) {
 	n.stepQueue(queue.Arrive{Item: queue.Item{
 		Ticket: queue.Ticket(r.ticket), Model: model, Priority: r.call.priority, Deadline: r.core.NextWake(),
-		Since: r.call.arrived, Bytes: itemBytes, Again: again,
+		ArrivedAt: r.call.arrived, Bytes: itemBytes, Requeued: again,
 	}})
 }
 
 func (n *node) offer(model fleet.ModelVersion) {
-	rooms := n.routing.Rooms(n.world.clock.now, model)
-	replicas := make([]queue.Replica, 0, len(rooms.Rooms))
-	for _, room := range rooms.Rooms {
-		replicas = append(replicas, queue.Replica{Name: room.Name, Free: room.Free})
+	rooms := n.routing.Capacity(n.world.clock.now, model)
+	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
+	for _, room := range rooms.Replicas {
+		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots})
 	}
-	n.stepQueue(queue.Offer{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
+	n.stepQueue(queue.CapacityChanged{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
 }
 
 func (n *node) stepQueue(message queue.Message) {
@@ -130,7 +130,7 @@
 			n.picked(uint64(effect.Ticket), effect.Backend.Name)
 		case routing.NonePicked:
 			n.nonePicked(uint64(effect.Ticket))
-		case routing.RoomChanged:
+		case routing.CapacityChanged:
 			n.offer(effect.Model)
 		}
 	}
@@ -141,8 +141,8 @@
 // within the budget.
 func (n *node) hedge(r *request, exclude []fleet.BackendName) {
 	items, _ := n.queue.Waiting()
-	free := slices.ContainsFunc(n.routing.Rooms(n.world.clock.now, model).Rooms, func(room routing.Room) bool {
-		return room.Free > 0 && !slices.Contains(exclude, room.Name)
+	free := slices.ContainsFunc(n.routing.Capacity(n.world.clock.now, model).Replicas, func(room routing.ReplicaCapacity) bool {
+		return room.FreeSlots > 0 && !slices.Contains(exclude, room.Name)
 	})
 	if items > 0 || !free || n.budget != nil && !n.budget.Spend() {
 		return
@@ -198,7 +198,7 @@
 }
 
 func (n *node) began(ticket uint64, after time.Duration) {
-	n.stepQueue(queue.Began{Model: model, After: after})
+	n.stepQueue(queue.FirstTokenReceived{Model: model, Latency: after})
 	n.stepRouting(routing.FirstToken{Ticket: routing.Ticket(ticket), After: after})
 }
 
@@ -209,7 +209,7 @@
 	}
 	delete(n.assigned, ticket)
 	if result == routing.ResultOK {
-		n.stepQueue(queue.Served{Model: model, Service: n.world.clock.now.Sub(since)})
+		n.stepQueue(queue.Completed{Model: model, ServiceTime: n.world.clock.now.Sub(since)})
 	}
 	n.stepRouting(routing.Ended{Ticket: routing.Ticket(ticket), Result: result})
 }
--- a/internal/lab/requestpath/plain.go
+++ b/internal/lab/requestpath/plain.go
@@ -52,7 +52,7 @@
 	now := p.world.clock.now
 	switch message := message.(type) {
 	case *attempt.Chunk:
-		if message.Finish != "" {
+		if message.FinishReason != "" {
 			p.call.whole, p.call.ended = true, now
 			return
 		}
@@ -60,7 +60,7 @@
 		if p.call.firstToken.IsZero() {
 			p.call.firstToken = now
 		}
-	case attempt.Broken:
+	case attempt.Failure:
 		p.call.ended = now
 	}
 }
--- a/internal/lab/requestpath/request.go
+++ b/internal/lab/requestpath/request.go
@@ -146,8 +146,8 @@
 	}
 	r.rival = nil
 	result := routing.ResultAbandoned
-	if drop.Broken.Evidence != 0 {
-		result = resultOf(drop.Broken)
+	if drop.Failure.Evidence != 0 {
+		result = resultOf(drop.Failure)
 	}
 	r.node.ended(dropped.ticket, result)
 }
@@ -172,12 +172,12 @@
 	if r.ticket == 0 {
 		return
 	}
-	r.node.ended(r.ticket, resultOf(r.core.Last()))
+	r.node.ended(r.ticket, resultOf(r.core.LastFailure()))
 	r.ticket = 0
 }
 
 // resultOf is what the gateway tells routing.
-func resultOf(last attempt.Broken) routing.Result {
+func resultOf(last attempt.Failure) routing.Result {
 	switch last.Evidence {
 	case 0:
 		return routing.ResultOK
--- a/internal/lab/requestpath/server.go
+++ b/internal/lab/requestpath/server.go
@@ -126,19 +126,19 @@
 			}
 			chunk := effect.Chunk
 			send(to, &attempt.Chunk{Connection: to.number, RequestID: chunk.RequestID, Attempt: chunk.Attempt,
-				Sequence: chunk.Sequence, Text: chunk.Text, Finish: chunk.Finish})
+				Sequence: chunk.Sequence, Text: chunk.Text, FinishReason: chunk.Finish})
 			if chunk.Finish != "" {
 				send(to, attempt.Ended{Connection: to.number, Terminated: true})
 				delete(s.calls, effect.Call)
 			}
 		case engine.Refused:
 			if to := s.calls[effect.Call]; to != nil {
-				send(to, attempt.Broken{Connection: to.number, Evidence: attempt.RefusedBeforeRun, Detail: string(effect.Reason)})
+				send(to, attempt.Failure{Connection: to.number, Evidence: attempt.RefusedBeforeRun, Detail: string(effect.Reason)})
 				delete(s.calls, effect.Call)
 			}
 		case engine.Broken:
 			if to := s.calls[effect.Call]; to != nil {
-				send(to, attempt.Broken{Connection: to.number, Evidence: attempt.MaySent, Detail: "the connection broke"})
+				send(to, attempt.Failure{Connection: to.number, Evidence: attempt.MaybeSent, Detail: "the connection broke"})
 				delete(s.calls, effect.Call)
 			}
 		}
@@ -162,7 +162,7 @@
 		case silent:
 		case unreachable:
 			s.world.clock.after(from.latency, func() {
-				from.reader.take(attempt.Broken{Connection: from.number, Evidence: attempt.NeverSent, Detail: "no connection"})
+				from.reader.take(attempt.Failure{Connection: from.number, Evidence: attempt.NeverSent, Detail: "no connection"})
 			})
 		case reachable:
 			s.next++
--- a/internal/leadership/answers.go
+++ b/internal/leadership/answers.go
@@ -51,7 +51,7 @@
 	case read.State.Incarnation != engine.incarnation:
 		c.end(now, "an engine restarted", 0)
 	case read.State.Fence > c.fence:
-		c.end(now, "an engine was claimed by another leader", c.options.Settings.Yield)
+		c.end(now, "an engine was claimed by another leader", c.options.Settings.YieldDelay)
 	}
 }
 
@@ -68,8 +68,8 @@
 	case ClaimRefused:
 		c.highest = max(c.highest, answer.Fence)
 		if answer.Fence > c.fence {
-			c.end(now, "claim refused by a greater fence", c.options.Settings.Yield)
+			c.end(now, "claim refused by a greater fence", c.options.Settings.YieldDelay)
 		}
-	case ClaimLost:
+	case ClaimUnanswered:
 	}
 }
--- a/internal/leadership/core.go
+++ b/internal/leadership/core.go
@@ -13,21 +13,21 @@
 type Settings struct {
 	// AnswerTimeout bounds the wait for engines in each step of a round.
 	AnswerTimeout time.Duration
-	// Yield is how long a node waits after a greater fence was met.
-	Yield time.Duration
-	// RoundInterval is the least time between the starts of two rounds. It
+	// YieldDelay is how long a node waits after a greater fence was met.
+	YieldDelay time.Duration
+	// MinRoundInterval is the least time between the starts of two rounds. It
 	// doubles, up to LongestInterval, for each round that did not last so long.
-	RoundInterval   time.Duration
-	LongestInterval time.Duration
+	MinRoundInterval time.Duration
+	MaxRoundInterval time.Duration
 }
 
 // DefaultSettings returns the times used outside tests.
 func DefaultSettings() Settings {
 	return Settings{
-		AnswerTimeout:   time.Second,
-		Yield:           2 * time.Second,
-		RoundInterval:   250 * time.Millisecond,
-		LongestInterval: 4 * time.Second,
+		AnswerTimeout:    time.Second,
+		YieldDelay:       2 * time.Second,
+		MinRoundInterval: 250 * time.Millisecond,
+		MaxRoundInterval: 4 * time.Second,
 	}
 }
 
@@ -130,11 +130,11 @@
 	c.effects = nil
 	switch message := message.(type) {
 	case Tick:
-	case Desired:
+	case LeadershipDesired:
 		c.setDesired(message.Lead)
 	case EnginesListed:
 		c.setEngines(message)
-	case RecordHeard:
+	case RecordReceived:
 		c.hear(message.Record)
 	case RecordLearned:
 		c.learn(now, message)
@@ -144,7 +144,7 @@
 		c.takeClaim(now, message)
 	case OrderRefused:
 		c.orderRefused(now, message)
-	case Renew:
+	case RestartRound:
 		c.end(now, "renewed", 0)
 	}
 	c.advance(now)
@@ -202,7 +202,7 @@
 	c.highest = max(c.highest, refused.Fence)
 	pause := time.Duration(0)
 	if refused.Fence > c.fence {
-		pause = c.options.Settings.Yield
+		pause = c.options.Settings.YieldDelay
 	}
 	c.end(now, "order refused by "+string(refused.Engine), pause)
 }
@@ -226,16 +226,16 @@
 // that answers reads but no claims. Waiting for a record does not count.
 func (c *Core) adjustInterval(now time.Time) {
 	settings := c.options.Settings
-	if now.Sub(c.began) >= settings.LongestInterval || c.phase == phaseLearning {
-		c.interval = settings.RoundInterval
+	if now.Sub(c.began) >= settings.MaxRoundInterval || c.phase == phaseLearning {
+		c.interval = settings.MinRoundInterval
 		return
 	}
-	c.interval = min(max(2*c.interval, settings.RoundInterval), settings.LongestInterval)
+	c.interval = min(max(2*c.interval, settings.MinRoundInterval), settings.MaxRoundInterval)
 }
 
 func (c *Core) stop(reason string) {
 	if c.phase == phaseLeading {
-		c.emit(Ended{Reason: reason})
+		c.emit(RoundEnded{Reason: reason})
 	}
 	c.phase = phaseIdle
 	c.engines = nil
@@ -259,12 +259,12 @@
 	return slices.Sorted(maps.Keys(c.engines))
 }
 
-// NextID returns the next number of the sequence of questions, for questions
+// NextRequestID returns the next number of the sequence of questions, for questions
 // that are put beside the round's own.
-func (c *Core) NextID() uint64 { return c.nextID() }
+func (c *Core) NextRequestID() uint64 { return c.nextID() }
 
-// LastID returns the number of the newest question.
-func (c *Core) LastID() uint64 { return c.sequence }
+// LastRequestID returns the number of the newest question.
+func (c *Core) LastRequestID() uint64 { return c.sequence }
 
-// Learned is the record that the round carries.
-func (c *Core) Learned() allotment.Record { return c.learned }
+// RoundRecord is the record that the round carries.
+func (c *Core) RoundRecord() allotment.Record { return c.learned }
--- a/internal/leadership/messages.go
+++ b/internal/leadership/messages.go
@@ -11,8 +11,8 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-// Desired says whether this node is to lead its zone.
-type Desired struct{ Lead bool }
+// LeadershipDesired says whether this node is to lead its zone.
+type LeadershipDesired struct{ Lead bool }
 
 // EnginesListed gives the engines that the machine list shows in the zone.
 type EnginesListed struct {
@@ -23,8 +23,8 @@
 	Gone map[fleet.BackendName]bool
 }
 
-// RecordHeard is a newer record of allotments, from whoever it came.
-type RecordHeard struct{ Record allotment.Record }
+// RecordReceived is a newer record of allotments, from whoever it came.
+type RecordReceived struct{ Record allotment.Record }
 
 // RecordLearned answers LearnRecord: the record as the store or a majority of
 // the zone's members held it after the question was put.
@@ -62,8 +62,8 @@
 
 // The ends of a claim.
 const (
-	// ClaimLost means that no answer came; it may have been granted.
-	ClaimLost ClaimResult = iota
+	// ClaimUnanswered means that no answer came; it may have been granted.
+	ClaimUnanswered ClaimResult = iota
 	ClaimGranted
 	ClaimRefused
 )
@@ -76,18 +76,18 @@
 	Fence fleet.Fence
 }
 
-// Renew asks for a new round, so that orders still on their way are refused.
-type Renew struct{}
+// RestartRound asks for a new round, so that orders still on their way are refused.
+type RestartRound struct{}
 
-func (Tick) message()          {}
-func (Desired) message()       {}
-func (EnginesListed) message() {}
-func (RecordHeard) message()   {}
-func (RecordLearned) message() {}
-func (StateRead) message()     {}
-func (ClaimAnswered) message() {}
-func (OrderRefused) message()  {}
-func (Renew) message()         {}
+func (Tick) message()              {}
+func (LeadershipDesired) message() {}
+func (EnginesListed) message()     {}
+func (RecordReceived) message()    {}
+func (RecordLearned) message()     {}
+func (StateRead) message()         {}
+func (ClaimAnswered) message()     {}
+func (OrderRefused) message()      {}
+func (RestartRound) message()      {}
 
 // Effect is what the shell is to do.
 type Effect interface{ effect() }
@@ -112,24 +112,24 @@
 	Incarnation uint64
 }
 
-// Established says that the round counts: from now on orders may be sent under
+// RoundEstablished says that the round counts: from now on orders may be sent under
 // its fence to the engines that it holds.
-type Established struct {
+type RoundEstablished struct {
 	Fence fleet.Fence
 	// Record is the one that the round carries.
 	Record allotment.Record
 	// Held are the engines granted and verified, with their inventories.
 	Held map[fleet.BackendName]fleet.EngineState
-	// Full are the other engines that are not gone: each counts as holding
+	// AssumedFull are the other engines that are not gone: each counts as holding
 	// every model.
-	Full []fleet.BackendName
+	AssumedFull []fleet.BackendName
 }
 
-// Ended says that the round is over: no further order may be sent.
-type Ended struct{ Reason string }
+// RoundEnded says that the round is over: no further order may be sent.
+type RoundEnded struct{ Reason string }
 
-func (ReadEngine) effect()  {}
-func (LearnRecord) effect() {}
-func (SendClaim) effect()   {}
-func (Established) effect() {}
-func (Ended) effect()       {}
+func (ReadEngine) effect()       {}
+func (LearnRecord) effect()      {}
+func (SendClaim) effect()        {}
+func (RoundEstablished) effect() {}
+func (RoundEnded) effect()       {}
--- a/internal/leadership/round.go
+++ b/internal/leadership/round.go
@@ -51,7 +51,7 @@
 func (c *Core) startReading(now time.Time) bool {
 	c.phase = phaseReading
 	c.began = now
-	c.notBefore = now.Add(c.options.Settings.RoundInterval)
+	c.notBefore = now.Add(c.options.Settings.MinRoundInterval)
 	c.deadline = now.Add(c.options.Settings.AnswerTimeout)
 	c.engines = make(map[fleet.BackendName]*engineProgress)
 	for _, name := range c.record.Engines(c.options.Zone) {
@@ -116,7 +116,7 @@
 // learned ends the round.
 func (c *Core) startClaiming(now time.Time, record allotment.Record) bool {
 	if c.highest.AllotmentVersion() > record.Generation {
-		c.end(now, "an engine knows a later record", c.options.Settings.Yield)
+		c.end(now, "an engine knows a later record", c.options.Settings.YieldDelay)
 		return false
 	}
 	c.phase = phaseClaiming
@@ -204,6 +204,6 @@
 	if c.options.Defects.NoConservativeCount {
 		full = nil
 	}
-	c.emit(Established{Fence: c.fence, Record: c.learned, Held: held, Full: full})
+	c.emit(RoundEstablished{Fence: c.fence, Record: c.learned, Held: held, AssumedFull: full})
 	return true
 }
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -29,10 +29,10 @@
 			t.Errorf("%s, the other way round: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if !places.HasRegions() || !places.HasRegion("south") || places.HasRegion("east") || places.HasRegion("") {
+	if !places.HasMultipleRegions() || !places.HasRegion("south") || places.HasRegion("east") || places.HasRegion("") {
 		t.Error("the regions are not those of the zones")
 	}
-	if (Map{}).HasRegions() || NewMap(map[string]string{"a": "r", "b": "r"}).HasRegions() {
+	if (Map{}).HasMultipleRegions() || NewMap(map[string]string{"a": "r", "b": "r"}).HasMultipleRegions() {
 		t.Error("one region, or none, is taken for several")
 	}
 }
@@ -62,8 +62,8 @@
 				t.Errorf("%s allows %q: %v, want %v", c.name, region, got, want)
 			}
 		}
-		if c.set.String() != c.text || c.set.IsNone() != c.isNone {
-			t.Errorf("%s is %q, none: %v", c.name, c.set, c.set.IsNone())
+		if c.set.String() != c.text || c.set.IsEmpty() != c.isNone {
+			t.Errorf("%s is %q, none: %v", c.name, c.set, c.set.IsEmpty())
 		}
 	}
 	if Only("a", "b") != Only("b", "", "a") || Only("a") == Only("a", "b") || (Regions{}) == Only() {
--- a/internal/locality/map.go
+++ b/internal/locality/map.go
@@ -13,8 +13,8 @@
 	// OtherRegion places lie in two regions.
 	OtherRegion
 
-	// Distances is the number of distances, for tables by distance.
-	Distances
+	// DistanceCount is the number of distances, for tables by distance.
+	DistanceCount
 )
 
 // String names the distance in logs and metrics.
@@ -34,8 +34,8 @@
 // Region is the region of a zone; empty where none is known.
 func (m Map) Region(zone string) string { return m.regions[zone] }
 
-// HasRegions reports whether there is more than one region.
-func (m Map) HasRegions() bool {
+// HasMultipleRegions reports whether there is more than one region.
+func (m Map) HasMultipleRegions() bool {
 	first, seen := "", false
 	for _, region := range m.regions {
 		if seen && region != first {
@@ -68,5 +68,5 @@
 	}
 }
 
-// HasAny reports whether some zone's region is known.
-func (m Map) HasAny() bool { return len(m.regions) > 0 }
+// HasAnyRegion reports whether some zone's region is known.
+func (m Map) HasAnyRegion() bool { return len(m.regions) > 0 }
--- a/internal/locality/regions.go
+++ b/internal/locality/regions.go
@@ -34,8 +34,8 @@
 // IsBounded reports whether there are regions that the set does not hold.
 func (r Regions) IsBounded() bool { return r.isBounded }
 
-// IsNone reports whether the set holds no region at all.
-func (r Regions) IsNone() bool { return r.isBounded && r.names == "" }
+// IsEmpty reports whether the set holds no region at all.
+func (r Regions) IsEmpty() bool { return r.isBounded && r.names == "" }
 
 // Allows reports whether the set holds the region. A place whose region is not known
 // (empty) is in no bounded set.
--- a/internal/logging/actor.go
+++ b/internal/logging/actor.go
@@ -14,8 +14,8 @@
 	fields []slog.Attr
 }
 
-// ForActors returns the logger that is given to the actor system.
-func ForActors(logger *log.Logger) *slog.Logger {
+// NewActorLogger returns the logger that is given to the actor system.
+func NewActorLogger(logger *log.Logger) *slog.Logger {
 	return slog.New(&actorHandler{logger: logger})
 }
 
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// BoundedOptions set up a Bounded writer.
-type BoundedOptions struct {
+// BoundedWriterOptions set up a Bounded writer.
+type BoundedWriterOptions struct {
 	Out io.Writer
-	// Lines is the number of lines that wait to be written; more are dropped.
-	Lines int
-	// PerSecond bounds the lines of one event in a second.
-	PerSecond int
-	// Unbounded are events of which every line is kept while there is room.
-	Unbounded map[string]bool
+	// BufferedLines is the number of lines that wait to be written; more are dropped.
+	BufferedLines int
+	// EventLinesPerSecond bounds the lines of one event in a second.
+	EventLinesPerSecond int
+	// UnlimitedEvents are events of which every line is kept while there is room.
+	UnlimitedEvents map[string]bool
 	// Now is the clock; nil is the time of day's.
 	Now func() time.Time
 }
 
 // Defaults of BoundedOptions.
 const (
-	DefaultLines     = 512
-	DefaultPerSecond = 100
+	DefaultBufferedLines       = 512
+	DefaultEventLinesPerSecond = 100
 )
 
-// Bounded is a writer of log lines that never blocks: lines wait in a bounded
+// BoundedWriter is a writer of log lines that never blocks: lines wait in a bounded
 // buffer for a goroutine of their own, and those over the bound of their event
 // or of the buffer are dropped and counted. A line says how many were.
-type Bounded struct {
-	options BoundedOptions
+type BoundedWriter struct {
+	options BoundedWriterOptions
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
@@ -44,20 +44,20 @@
 	closed bool
 }
 
-// NewBounded starts the writer's goroutine; Close ends it.
-func NewBounded(options BoundedOptions) *Bounded {
-	if options.Lines == 0 {
-		options.Lines = DefaultLines
+// NewBoundedWriter starts the writer's goroutine; Close ends it.
+func NewBoundedWriter(options BoundedWriterOptions) *BoundedWriter {
+	if options.BufferedLines == 0 {
+		options.BufferedLines = DefaultBufferedLines
 	}
-	if options.PerSecond == 0 {
-		options.PerSecond = DefaultPerSecond
+	if options.EventLinesPerSecond == 0 {
+		options.EventLinesPerSecond = DefaultEventLinesPerSecond
 	}
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	b := &Bounded{
+	b := &BoundedWriter{
 		options: options,
-		lines:   make(chan []byte, options.Lines),
+		lines:   make(chan []byte, options.BufferedLines),
 		done:    make(chan struct{}),
 		counts:  make(map[string]int),
 		missed:  make(map[string]int),
@@ -66,7 +66,7 @@
 	return b
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	for line := range b.lines {
 		_, _ = b.options.Out.Write(line)
@@ -74,10 +74,10 @@
 }
 
 // Dropped is the number of lines dropped so far.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Write takes one line. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	event := eventOf(line)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 	b.turn()
 	b.counts[event]++
-	if b.counts[event] > b.options.PerSecond && !b.options.Unbounded[event] {
+	if b.counts[event] > b.options.EventLinesPerSecond && !b.options.UnlimitedEvents[event] {
 		b.miss(event)
 		return len(line), nil
 	}
@@ -97,7 +97,7 @@
 }
 
 // turn begins a new second, and tells what was dropped in the one before.
-func (b *Bounded) turn() {
+func (b *BoundedWriter) turn() {
 	second := b.options.Now().Unix()
 	if second == b.second {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-func (b *Bounded) offer(line []byte) bool {
+func (b *BoundedWriter) offer(line []byte) bool {
 	select {
 	case b.lines <- line:
 		return true
@@ -120,13 +120,13 @@
 	}
 }
 
-func (b *Bounded) miss(event string) {
+func (b *BoundedWriter) miss(event string) {
 	b.missed[event]++
 	b.dropped.Add(1)
 }
 
 // Close writes what waits and ends the goroutine.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.mu.Lock()
 	if !b.closed {
 		b.closed = true
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -29,7 +29,7 @@
 
 func TestBoundedNeverBlocksAndCountsWhatItDrops(t *testing.T) {
 	out := &gate{open: make(chan struct{})}
-	bounded := NewBounded(BoundedOptions{Out: out, Lines: 10, PerSecond: 1000})
+	bounded := NewBoundedWriter(BoundedWriterOptions{Out: out, BufferedLines: 10, EventLinesPerSecond: 1000})
 	for range 100 {
 		_, _ = bounded.Write([]byte("event=a x=1\n"))
 	}
@@ -47,8 +47,8 @@
 	now := time.Unix(100, 0)
 	out := &gate{open: make(chan struct{})}
 	close(out.open)
-	bounded := NewBounded(BoundedOptions{
-		Out: out, PerSecond: 5, Now: func() time.Time { return now }, Unbounded: map[string]bool{"failed": true},
+	bounded := NewBoundedWriter(BoundedWriterOptions{
+		Out: out, EventLinesPerSecond: 5, Now: func() time.Time { return now }, UnlimitedEvents: map[string]bool{"failed": true},
 	})
 	for range 50 {
 		_, _ = bounded.Write([]byte("level=info event=answered\n"))
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,7 +23,7 @@
 
 func TestActorLibraryLinesKeepTheForm(t *testing.T) {
 	var out bytes.Buffer
-	actors := ForActors(New(&out, log.InfoLevel))
+	actors := NewActorLogger(New(&out, log.InfoLevel))
 	actors.Info("chatter")
 	actors.With(slog.String("system", "s")).Warn("dead letter", slog.Int("count", 2))
 	want := ` level=warn event=actor_library text="dead letter" system=s count=2` + "\n"
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -20,7 +20,7 @@
 	records map[fleet.NodeName]*record
 	zones   map[fleet.Zone]*zoneReport
 	updates queue
-	hints   []Hint
+	hints   []ListedNode
 
 	sequence   uint64
 	probe      probe
@@ -80,7 +80,7 @@
 	case Tick:
 	case Receive:
 		c.receive(message)
-	case Hints:
+	case NodesListed:
 		c.takeHints(message.Nodes)
 	case SetDraining:
 		c.setDraining(message.Draining)
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -27,7 +27,7 @@
 	network := newNetwork(1)
 	network.start(0, 1)
 	network.start(0, 2)
-	network.step(address(0, 2), Hints{Nodes: []Hint{{Name: "node-00-001", Gossip: address(0, 1)}}})
+	network.step(address(0, 2), NodesListed{Nodes: []ListedNode{{Name: "node-00-001", GossipAddress: address(0, 1)}}})
 	network.until(t, time.Minute, "join", network.converged)
 }
 
@@ -185,7 +185,7 @@
 func TestGoingMachineIsSuspectedAndRefutes(t *testing.T) {
 	network := joined(t, 12, 1, 5, nil)
 	hinted := address(0, 3)
-	network.step(address(0, 1), Hints{Nodes: []Hint{{Name: "node-00-003", Gossip: hinted, Going: true}}})
+	network.step(address(0, 1), NodesListed{Nodes: []ListedNode{{Name: "node-00-003", GossipAddress: hinted, Leaving: true}}})
 	if state := network.state(address(0, 1), hinted); state != fleet.MemberSuspect {
 		t.Fatalf("listed as going, held as %s", state)
 	}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -13,19 +13,19 @@
 	Packet []byte
 }
 
-// Hints are nodes of the platform's machine list. A listed node is a seed; one
+// NodesListed are nodes of the platform's machine list. A listed node is a seed; one
 // that is leaving or gone is suspected, and dies only if it does not refute.
-type Hints struct {
-	Nodes []Hint
+type NodesListed struct {
+	Nodes []ListedNode
 }
 
-// Hint is one node of the machine list.
-type Hint struct {
+// ListedNode is one node of the machine list.
+type ListedNode struct {
 	Name string
-	// Gossip is the node's gossip address.
-	Gossip string
-	// Going is set where the list says that the machine leaves or is gone.
-	Going bool
+	// GossipAddress is the node's gossip address.
+	GossipAddress string
+	// Leaving is set where the list says that the machine leaves or is gone.
+	Leaving bool
 }
 
 // SetDraining tells the others whether this node takes new work.
@@ -39,7 +39,7 @@
 
 func (Tick) message()             {}
 func (Receive) message()          {}
-func (Hints) message()            {}
+func (NodesListed) message()      {}
 func (SetDraining) message()      {}
 func (SetConfigVersion) message() {}
 func (Leave) message()            {}
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -43,9 +43,9 @@
 	DigestInterval time.Duration
 	// Delegates is how many members of a zone exchange with other zones.
 	Delegates int
-	// ZoneStale is how long a foreign zone may be unheard of before its
+	// ZoneStaleAfter is how long a foreign zone may be unheard of before its
 	// members count as suspect.
-	ZoneStale time.Duration
+	ZoneStaleAfter time.Duration
 	// PacketBytes bounds an encoded packet.
 	PacketBytes int
 	// Defects plant faults; only tests and the simulator set it.
@@ -92,7 +92,7 @@
 	o.SyncInterval = cmp.Or(o.SyncInterval, defaultSyncInterval)
 	o.DigestInterval = cmp.Or(o.DigestInterval, defaultDigestInterval)
 	o.Delegates = cmp.Or(o.Delegates, defaultDelegates)
-	o.ZoneStale = cmp.Or(o.ZoneStale, defaultZoneStale)
+	o.ZoneStaleAfter = cmp.Or(o.ZoneStaleAfter, defaultZoneStale)
 	o.PacketBytes = cmp.Or(o.PacketBytes, defaultPacketBytes)
 	return o
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -46,12 +46,12 @@
 }
 
 // takeHints keeps the listed nodes as seeds and suspects those that go.
-func (c *Core) takeHints(nodes []Hint) {
+func (c *Core) takeHints(nodes []ListedNode) {
 	c.hints = nodes
 	for _, hint := range nodes {
 		name := fleet.NodeName(hint.Name)
 		held := c.records[name]
-		if hint.Going && held != nil && c.isLiveNeighbour(held.member) {
+		if hint.Leaving && held != nil && c.isLiveNeighbour(held.member) {
 			c.suspect(name)
 		}
 	}
@@ -91,8 +91,8 @@
 		add(seed)
 	}
 	for _, hint := range c.hints {
-		if !hint.Going {
-			add(hint.Gossip)
+		if !hint.Leaving {
+			add(hint.GossipAddress)
 		}
 	}
 	for _, name := range c.sortedNames(func(member fleet.Member) bool { return member.State == fleet.MemberDead }) {
@@ -256,7 +256,7 @@
 // markStaleZones notices zones whose delegates were not heard of for long.
 func (c *Core) markStaleZones() {
 	for zone, report := range c.zones {
-		stale := zone != c.options.Self.Zone && c.now.Sub(report.heard) > c.options.ZoneStale
+		stale := zone != c.options.Self.Zone && c.now.Sub(report.heard) > c.options.ZoneStaleAfter
 		if stale != report.stale {
 			report.stale = stale
 			c.changed = true
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -22,13 +22,13 @@
 // guards it.
 type backendLimits struct {
 	coordinator *quota.Coordinator
-	lots        *admission.Lots
+	lots        *admission.FallbackAllowance
 }
 
 func newBackendLimits(self fleet.Member) backendLimits {
 	return backendLimits{
 		coordinator: quota.NewCoordinator(admission.RateLimitTolerance()),
-		lots:        admission.NewRateLimitLots(string(self.Name)),
+		lots:        admission.NewRateLimitFallback(string(self.Name)),
 	}
 }
 
@@ -44,7 +44,7 @@
 			continue
 		}
 		// A grant counts from its question; one that took longer is void.
-		granted = answer.GetGranted() && time.Since(asked) < admission.GrantAge
+		granted = answer.GetGranted() && time.Since(asked) < admission.GrantLifetime
 		return granted, max(time.Duration(answer.GetRetryMillis())*time.Millisecond, shortestLimitRetry)
 	}
 	return q.admitBackendAlone(question), unknownRetry
@@ -63,20 +63,20 @@
 	bound := admission.RateLimitBound{PerSecond: question.GetPerSecond()}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limits.lots.Take(now, backendAccount(question), bound.Most(), nodes)
+	return q.limits.lots.Take(now, backendAccount(question), bound.MaxRequests(), nodes)
 }
 
 // decideBackend answers a question for a limited back end as the coordinator.
 func (q *Quotas) decideBackend(now time.Time, question *peerpb.QuotaQuestion) *peerpb.QuotaAnswer {
 	reach, ok := q.mayCoordinate(now)
-	if !ok || !inventory.IsRate(question.GetPerSecond()) {
+	if !ok || !inventory.IsValidRate(question.GetPerSecond()) {
 		return &peerpb.QuotaAnswer{Declined: true}
 	}
-	bound := admission.RateLimitBound{PerSecond: min(question.GetPerSecond(), inventory.HighestRate)}
+	bound := admission.RateLimitBound{PerSecond: min(question.GetPerSecond(), inventory.MaxRate)}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	verdict := q.limits.coordinator.Ask(now, backendAccount(question), bound.Quota(), reach, 1, 0)
-	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryIn.Milliseconds()}
+	verdict := q.limits.coordinator.Acquire(now, backendAccount(question), bound.Quota(), reach, 1, 0)
+	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryAfter.Milliseconds()}
 }
 
 // backendAccount names the account of an incarnation.
@@ -86,7 +86,7 @@
 
 // pruneLimits drops the accounts of back ends that are gone. The lock is held.
 func (q *Quotas) pruneLimits(now time.Time) {
-	tables, _ := q.dependencies.Views.Tables.Get()
+	tables, _ := q.dependencies.Views.RouteTables.Get()
 	known := make(map[string]bool)
 	for _, table := range tables {
 		for _, engine := range table.Engines {
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -32,7 +32,7 @@
 	first := judges(f.nodes[0].member, f.nodes[0].views)[0].Name
 	f.meet(func(_, other fleet.Member) bool { return other.Name != first })
 	asking.Wait()
-	most := admission.RateLimitBound{PerSecond: perSecond}.Most()
+	most := admission.RateLimitBound{PerSecond: perSecond}.MaxRequests()
 	t.Logf("%d granted in 4 s at %d a second, %.0f are allowed", granted.Load(), perSecond, most)
 	if float64(granted.Load()) > most || granted.Load() < perSecond*2 {
 		t.Errorf("%d granted in 4 s at %d a second, %.0f are allowed", granted.Load(), perSecond, most)
--- a/internal/node/claim_drain.go
+++ b/internal/node/claim_drain.go
@@ -53,7 +53,7 @@
 func (c *Claims) seatedSlots() []int {
 	var indexes []int
 	for _, slot := range c.currentTable().Slots {
-		if slices.ContainsFunc(slot.Seats, c.seat.Same) {
+		if slices.ContainsFunc(slot.Seats, c.seat.SameProcess) {
 			indexes = append(indexes, slot.Index)
 		}
 	}
--- a/internal/node/claim_guard.go
+++ b/internal/node/claim_guard.go
@@ -76,14 +76,14 @@
 
 // runAsker feeds the asker until it finishes; its deadline ends it.
 func (c *Claims) runAsker(asker *claim.Asker, slot claim.Slot) claim.Finish {
-	answers := make(chan claim.Voted, claim.SeatsPerSlot)
+	answers := make(chan claim.VoteReceived, claim.SeatsPerSlot)
 	done := make(chan struct{})
 	defer close(done)
 	var message claim.AskerMessage = claim.Begin{Slot: slot}
 	for {
 		for _, effect := range asker.Step(time.Now(), message) {
 			switch effect := effect.(type) {
-			case claim.AskGrant:
+			case claim.RequestGrant:
 				c.goBackground(func() { c.askGrant(effect, answers, done) })
 			case claim.Release:
 				c.goBackground(func() { c.tellOutcome(c.lifetime, effect.To, effect.Complete) })
@@ -102,18 +102,18 @@
 }
 
 // askGrant asks one keeper and always answers.
-func (c *Claims) askGrant(ask claim.AskGrant, answers chan<- claim.Voted, done <-chan struct{}) {
+func (c *Claims) askGrant(ask claim.RequestGrant, answers chan<- claim.VoteReceived, done <-chan struct{}) {
 	ctx, cancel := context.WithTimeout(c.lifetime, keeperCallTimeout)
 	defer cancel()
-	voted := claim.Voted{From: ask.To, Version: ask.Grant.Slot.Version, Reply: c.grantAt(ctx, ask)}
+	voted := claim.VoteReceived{From: ask.To, Version: ask.Grant.Slot.Version, Reply: c.grantAt(ctx, ask)}
 	select {
 	case answers <- voted:
 	case <-done:
 	}
 }
 
-func (c *Claims) grantAt(ctx context.Context, ask claim.AskGrant) claim.GrantReply {
-	if ask.To.Same(c.seat) {
+func (c *Claims) grantAt(ctx context.Context, ask claim.RequestGrant) claim.GrantReply {
+	if ask.To.SameProcess(c.seat) {
 		reply, err := call[claim.GrantReply](ctx, c, ask.Grant)
 		if err != nil {
 			return claim.GrantReply{}
--- a/internal/node/claim_outcome.go
+++ b/internal/node/claim_outcome.go
@@ -52,7 +52,7 @@
 func (o *outcomeTeller) once(ctx context.Context, seat claim.Seat) (claim.Slot, error) {
 	ctx, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 	defer cancel()
-	if seat.Same(o.claims.seat) {
+	if seat.SameProcess(o.claims.seat) {
 		reply, err := call[claim.CompleteReply](ctx, o.claims, o.complete)
 		return reply.Slot, err
 	}
--- a/internal/node/claim_shell.go
+++ b/internal/node/claim_shell.go
@@ -149,7 +149,7 @@
 	effects := c.keeper.Step(time.Now(), message)
 	c.records.Store(int64(c.keeper.Records()))
 	for _, effect := range effects {
-		if ask, found := effect.(claim.AskSeal); found {
+		if ask, found := effect.(claim.RequestSeal); found {
 			c.goBackground(func() { c.askSeal(ask) })
 		}
 	}
@@ -209,7 +209,7 @@
 // askSeal carries a request to an older keeper. Any other process that answers
 // at the seat's address proves that the seat's own has ended: it would still
 // hold the port.
-func (c *Claims) askSeal(ask claim.AskSeal) {
+func (c *Claims) askSeal(ask claim.RequestSeal) {
 	ctx, cancel := context.WithTimeout(c.lifetime, transferTimeout)
 	defer cancel()
 	response, err := c.dependencies.Pool.To(ask.To.Address).Claims.Transfer(ctx, &peerpb.TransferRequest{
@@ -222,11 +222,11 @@
 		return
 	}
 	if response.GetBoot() != ask.To.Boot {
-		c.tell(claim.Gone{Seat: ask.To})
+		c.tell(claim.ProcessEnded{Seat: ask.To})
 		return
 	}
 	c.goneMachines.answered(ask.To, time.Now())
-	c.tell(claim.Handed{
+	c.tell(claim.SealAnswered{
 		Index:   ask.Slot.Index,
 		Version: ask.Slot.Version,
 		From:    ask.To,
@@ -262,7 +262,7 @@
 		for _, generation := range slices.Concat(slot.Previous, [][]claim.Seat{slot.Seats}) {
 			for _, seat := range generation {
 				if c.goneMachines.has(seat, now) {
-					c.tell(claim.Gone{Seat: seat})
+					c.tell(claim.ProcessEnded{Seat: seat})
 				}
 			}
 		}
@@ -282,6 +282,6 @@
 	c.table = merged
 	c.mutex.Unlock()
 	for _, slot := range newer {
-		c.tell(claim.Learn{Slot: slot})
+		c.tell(claim.SlotUpdate{Slot: slot})
 	}
 }
--- a/internal/node/claim_table.go
+++ b/internal/node/claim_table.go
@@ -158,10 +158,10 @@
 	}
 	c.takeSlots(table.Slots)
 	settled := c.askSeats(table)
-	planned, changed := claim.Plan(table, claim.Evidence{
-		Usable:  c.responsive(usable),
-		Settled: settled,
-		Gone:    c.knownGone(),
+	planned, changed := claim.Plan(table, claim.PlanInput{
+		Usable:   c.responsive(usable),
+		Settled:  settled,
+		HasEnded: c.knownGone(),
 	})
 	if !changed {
 		return false, nil
@@ -189,7 +189,7 @@
 	case err != nil && (known || object.Version > 0):
 		return object, claim.Table{}, errorx.IllegalState.New("the keepers' table was deleted: no keeper can be replaced")
 	case err != nil:
-		founded := claim.Found(usable)
+		founded := claim.NewTable(usable)
 		object, err = c.writeTable(founded, 0)
 		return object, founded, err
 	}
@@ -256,7 +256,7 @@
 	for _, slot := range slots {
 		request.Slots = append(request.Slots, encodeSlot(slot))
 	}
-	if seat.Same(c.seat) {
+	if seat.SameProcess(c.seat) {
 		response, _ := claimsServer{claims: c}.Seats(ctx, request)
 		return response
 	}
--- a/internal/node/claim_wire.go
+++ b/internal/node/claim_wire.go
@@ -93,7 +93,7 @@
 	peerpb.GrantResponse_DONE:        claim.VoteDone,
 	peerpb.GrantResponse_MISMATCH:    claim.VoteMismatch,
 	peerpb.GrantResponse_UNKNOWN:     claim.VoteUnknown,
-	peerpb.GrantResponse_TOO_YOUNG:   claim.VoteTooYoung,
+	peerpb.GrantResponse_TOO_YOUNG:   claim.VoteIncompleteHistory,
 	peerpb.GrantResponse_FULL:        claim.VoteFull,
 	peerpb.GrantResponse_STALE:       claim.VoteStale,
 }
@@ -182,7 +182,7 @@
 		Settled:        reply.Settled,
 		KnownForMillis: reply.KnownFor.Milliseconds(),
 	}
-	if reply.Always {
+	if reply.KnowsAll {
 		response.KnownForMillis = alwaysMillis
 	}
 	for _, held := range reply.Records {
@@ -205,11 +205,11 @@
 func decodeSealReply(response *peerpb.TransferResponse) claim.SealReply {
 	reply := claim.SealReply{
 		Settled:  response.GetSettled(),
-		Always:   response.GetKnownForMillis() == alwaysMillis,
+		KnowsAll: response.GetKnownForMillis() == alwaysMillis,
 		KnownFor: milliseconds(max(0, response.GetKnownForMillis())),
 	}
 	for _, record := range response.GetRecords() {
-		reply.Records = append(reply.Records, claim.HandedRecord{
+		reply.Records = append(reply.Records, claim.TransferredRecord{
 			Key:           record.GetKey(),
 			Fingerprint:   record.GetFingerprint(),
 			Holders:       record.GetHolders(),
--- a/internal/node/config_actor.go
+++ b/internal/node/config_actor.go
@@ -189,11 +189,11 @@
 		a.pushAnswers[effect.Call] <- effect.Version
 	case configsync.AnswerDigest:
 		a.digestAnswers[effect.Call] <- effect.Answer
-	case configsync.Updated:
+	case configsync.ObjectsUpdated:
 		a.updated(effect)
 	case configsync.MachinesUpdated:
 		a.dependencies.Views.Machines.Set(effect.List)
-	case configsync.StoreBehind, configsync.Diverged, configsync.ReaderChanged:
+	case configsync.StoreBehind, configsync.PeerDiverged, configsync.ReaderChanged:
 		a.report(effect)
 	}
 }
@@ -203,14 +203,14 @@
 	switch effect := effect.(type) {
 	case configsync.StoreBehind:
 		logger.Warn().Uint64("store", effect.Store).Uint64("held", effect.Held).Msg("store_behind")
-	case configsync.Diverged:
+	case configsync.PeerDiverged:
 		logger.Warn().Str("peer", string(effect.Peer)).Uint64("version", effect.Version).Msg("config_diverged")
 	case configsync.ReaderChanged:
 		logger.Info().Bool("reader", effect.Reader).Msg("store_reader_changed")
 	}
 }
 
-func (a *configActor) updated(effect configsync.Updated) {
+func (a *configActor) updated(effect configsync.ObjectsUpdated) {
 	if a.dependencies.Changed != nil {
 		a.dependencies.Changed(effect.Version, effect.Changed)
 	}
--- a/internal/node/config_io.go
+++ b/internal/node/config_io.go
@@ -41,7 +41,7 @@
 		a.send(configsync.ListFailed(effect))
 		return
 	}
-	a.send(configsync.Listed{Generation: effect.Generation, List: list})
+	a.send(configsync.StoreListed{Generation: effect.Generation, List: list})
 }
 
 func (a *configActor) watch(wanted context.Context, effect configsync.WatchStore) {
@@ -78,7 +78,7 @@
 			return true, err
 		}
 		idle.Reset(watchIdleLimit)
-		message := configsync.Watched{Generation: effect.Generation, Version: event.Version}
+		message := configsync.EventsReceived{Generation: effect.Generation, Version: event.Version}
 		if event.Object != nil {
 			message.Objects = []objectstore.Object{*event.Object}
 		}
@@ -92,7 +92,7 @@
 	list, err := a.dependencies.Platform.Machines(ctx)
 	a.machineOutage.note(a.dependencies.Logger, machineEvents, err)
 	if err != nil {
-		a.send(configsync.MachinesFailed{})
+		a.send(configsync.ListMachinesFailed{})
 		return
 	}
 	a.send(configsync.MachinesListed{List: list})
--- a/internal/node/config_wire.go
+++ b/internal/node/config_wire.go
@@ -32,12 +32,12 @@
 	s.root.Send(s.process, pushCall{
 		from: fleet.NodeName(request.GetFrom()),
 		push: configsync.Push{
-			Space: configsync.Space(request.GetSpace()),
+			Space: configsync.VersionSpace(request.GetSpace()),
 			Changes: configsync.Changes{
-				Since:   request.GetSince(),
-				Version: request.GetVersion(),
-				Objects: objects,
-				Horizon: request.GetHorizon(),
+				Since:            request.GetSince(),
+				Version:          request.GetVersion(),
+				Objects:          objects,
+				TombstoneHorizon: request.GetHorizon(),
 			},
 			BaseHash: request.GetBaseHash(),
 			Hash:     request.GetHash(),
@@ -58,7 +58,7 @@
 	s.root.Send(s.process, digestCall{
 		from: fleet.NodeName(request.GetFrom()),
 		digest: configsync.Digest{
-			Space:   configsync.Space(request.GetSpace()),
+			Space:   configsync.VersionSpace(request.GetSpace()),
 			Version: request.GetVersion(),
 			Hash:    request.GetHash(),
 			WantAll: request.GetWantAll(),
@@ -95,12 +95,12 @@
 		Since:   answer.Changes.Since,
 		Full:    answer.Full,
 		Loaded:  answer.Loaded,
-		Same:    answer.Same,
-		Horizon: answer.Changes.Horizon,
+		Same:    answer.InSync,
+		Horizon: answer.Changes.TombstoneHorizon,
 	}, nil
 }
 
-func decodeDigestAnswer(space configsync.Space, response *peerpb.DigestResponse) (configsync.DigestAnswer, error) {
+func decodeDigestAnswer(space configsync.VersionSpace, response *peerpb.DigestResponse) (configsync.DigestAnswer, error) {
 	objects, err := decodeObjects(response.GetObjects())
 	if err != nil {
 		return configsync.DigestAnswer{}, err
@@ -108,15 +108,15 @@
 	return configsync.DigestAnswer{
 		Space: space,
 		Changes: configsync.Changes{
-			Since:   response.GetSince(),
-			Version: response.GetVersion(),
-			Objects: objects,
-			Horizon: response.GetHorizon(),
+			Since:            response.GetSince(),
+			Version:          response.GetVersion(),
+			Objects:          objects,
+			TombstoneHorizon: response.GetHorizon(),
 		},
 		Hash:   response.GetHash(),
 		Full:   response.GetFull(),
 		Loaded: response.GetLoaded(),
-		Same:   response.GetSame(),
+		InSync: response.GetSame(),
 	}, nil
 }
 
@@ -176,7 +176,7 @@
 		Since:    changes.Since,
 		Space:    string(push.Space),
 		Objects:  objects,
-		Horizon:  changes.Horizon,
+		Horizon:  changes.TombstoneHorizon,
 		BaseHash: push.BaseHash,
 		Hash:     push.Hash,
 	}
--- a/internal/node/config_wire_test.go
+++ b/internal/node/config_wire_test.go
@@ -23,10 +23,10 @@
 func TestDigestAnswerKeepsEveryField(t *testing.T) {
 	want := configsync.DigestAnswer{
 		Space:   configsync.SpaceMachines,
-		Changes: configsync.Changes{Since: 3, Version: 9, Objects: testObjects(), Horizon: 2},
+		Changes: configsync.Changes{Since: 3, Version: 9, Objects: testObjects(), TombstoneHorizon: 2},
 		Hash:    5,
 		Full:    true,
-		Same:    true,
+		InSync:  true,
 		Loaded:  true,
 	}
 	encoded, err := encodeDigestAnswer(want)
--- a/internal/node/control_actor.go
+++ b/internal/node/control_actor.go
@@ -67,7 +67,7 @@
 	onRefusal []func([]fleet.LoadRefusal)
 }
 
-var _ fleet.Demand = (*Control)(nil)
+var _ fleet.DemandReporter = (*Control)(nil)
 
 // query runs a function in the actor, for calls that want an answer.
 type query struct {
@@ -134,7 +134,7 @@
 
 // BackendLeaving spreads that a back end said that it goes away.
 func (s *Control) BackendLeaving(name fleet.BackendName) {
-	s.send(control.LeavingHeard{Backends: []fleet.BackendName{name}})
+	s.send(control.LeavingNoticeReceived{Backends: []fleet.BackendName{name}})
 }
 
 // HandOver gives the leadership away, for a planned stop.
--- a/internal/node/control_actor_test.go
+++ b/internal/node/control_actor_test.go
@@ -71,7 +71,7 @@
 func (n *controlNode) awaitReady(t *testing.T, model fleet.ModelVersion) {
 	t.Helper()
 	found := make(chan struct{}, 1)
-	n.views.Tables.Watch(func(tables views.Tables) {
+	n.views.RouteTables.Watch(func(tables views.RouteTables) {
 		for _, state := range tables["z"].Engines {
 			if loaded := state.Find(model); loaded != nil && loaded.State == fleet.LoadReady {
 				select {
@@ -116,7 +116,7 @@
 	defer standIn.Close()
 
 	model := fleet.ModelVersion{Model: "alarm", Version: "1"}
-	facts := control.CatalogChanged{Models: []catalog.ModelFacts{{
+	facts := control.CatalogChanged{Models: []catalog.ModelInfo{{
 		Model: model, MemoryBytes: engine.GiB, CheckpointBytes: engine.GiB, MaxReplicas: 1,
 	}}}
 	client := objectstore.NewClient(store.URL, "z")
--- a/internal/node/control_effects.go
+++ b/internal/node/control_effects.go
@@ -51,7 +51,7 @@
 	case control.HandOver:
 		go s.handOver(effect)
 	case control.TablesChanged:
-		s.dependencies.Views.Tables.Set(effect.Tables)
+		s.dependencies.Views.RouteTables.Set(effect.Tables)
 	case control.LoadFinished:
 		s.logLoad(effect)
 	case control.EvacuationChanged:
@@ -190,7 +190,7 @@
 	vouched := 0
 	for range len(effect.Members) + 1 {
 		answer := <-answers
-		if answer.Record.Generation == 0 || answer.Record.Generation < effect.AtLeast {
+		if answer.Record.Generation == 0 || answer.Record.Generation < effect.MinGeneration {
 			continue
 		}
 		vouched++
@@ -212,7 +212,7 @@
 // vouchedRecord is the record, or none where this process has it from hearsay
 // only.
 func (s *Control) vouchedRecord() control.VersionedRecord {
-	record, vouched := s.core.Vouched()
+	record, vouched := s.core.AuthoritativeRecord()
 	if !vouched {
 		return control.VersionedRecord{}
 	}
--- a/internal/node/control_peers.go
+++ b/internal/node/control_peers.go
@@ -58,7 +58,7 @@
 		Zone:     string(update.Table.Zone),
 		Fence:    uint64(update.Table.Fence),
 		Sequence: update.Table.Sequence,
-		Since:    update.Since,
+		Since:    update.BaseSequence,
 		Leader:   string(update.Table.Leader),
 		Table:    table,
 	}
@@ -72,7 +72,7 @@
 }
 
 func decodeUpdate(encoded *peerpb.RouteTableUpdate) (control.TableUpdate, error) {
-	update := control.TableUpdate{Since: encoded.GetSince()}
+	update := control.TableUpdate{BaseSequence: encoded.GetSince()}
 	if err := json.Unmarshal(encoded.GetTable(), &update.Table); err != nil {
 		return update, fmt.Errorf("table of zone %s: %w", encoded.GetZone(), err)
 	}
@@ -285,7 +285,7 @@
 
 // Leaving implements peerpb.Control.
 func (s ControlService) Leaving(_ context.Context, notice *peerpb.LeavingNotice) (*peerpb.LeavingAck, error) {
-	heard := control.LeavingHeard{From: fleet.NodeName(notice.GetFrom())}
+	heard := control.LeavingNoticeReceived{From: fleet.NodeName(notice.GetFrom())}
 	for _, name := range notice.GetBackends() {
 		heard.Backends = append(heard.Backends, fleet.BackendName(name))
 	}
@@ -295,7 +295,7 @@
 
 // HandOver implements peerpb.Control.
 func (s ControlService) HandOver(_ context.Context, request *peerpb.HandOverRequest) (*peerpb.HandOverResponse, error) {
-	s.send(control.HandOverAsked{
+	s.send(control.HandOverRequested{
 		From:  fleet.NodeName(request.GetFrom()),
 		Fence: fleet.Fence(request.GetFence()),
 	})
--- a/internal/node/control_queries.go
+++ b/internal/node/control_queries.go
@@ -24,7 +24,7 @@
 	decided, err := ask(s, ctx, func(shell *Control) map[fleet.ModelVersion]int {
 		replicas := make(map[fleet.ModelVersion]int)
 		for model, decision := range shell.core.Record().Record.Models {
-			replicas[model] = decision.Decided
+			replicas[model] = decision.ReplicaLimit
 		}
 		return replicas
 	})
--- a/internal/node/control_reports_test.go
+++ b/internal/node/control_reports_test.go
@@ -12,8 +12,8 @@
 
 func TestAnUpdateOfReportsComesBackFromTheWire(t *testing.T) {
 	update := control.TableUpdate{
-		Since: 4,
-		Table: fleet.RouteTable{Zone: "z", Leader: "a", Fence: 9, Sequence: 5},
+		BaseSequence: 4,
+		Table:        fleet.RouteTable{Zone: "z", Leader: "a", Fence: 9, Sequence: 5},
 		Reports: []control.EngineReport{
 			{Engine: "e1", Report: fleet.LoadReport{
 				AsOf: time.Unix(1000, 5).UTC(), Running: 1, Waiting: 2, QueuedTokens: 3, TokensPerSecond: 4.5, KVUsedBytes: 6,
--- a/internal/node/control_timing.go
+++ b/internal/node/control_timing.go
@@ -19,14 +19,14 @@
 		Str("engine", string(load.Engine)).
 		Str("model", load.Model.String()).
 		Str("tier", string(load.Tier)).
-		Bool("wanted", !load.Wanted.IsZero()).
-		Int64("to_order_ms", between(load.Wanted, load.Ordered)).
-		Int64("held_allotment_ms", load.Held.Allotment.Milliseconds()).
-		Int64("held_memory_ms", load.Held.Memory.Milliseconds()).
-		Int64("held_eviction_ms", load.Held.Eviction.Milliseconds()).
-		Int64("held_store_ms", load.Held.Store.Milliseconds()).
-		Int64("to_taken_ms", between(load.Ordered, load.Taken)).
+		Bool("wanted", !load.RequestedAt.IsZero()).
+		Int64("to_order_ms", between(load.RequestedAt, load.Ordered)).
+		Int64("held_allotment_ms", load.HoldTimes.Allotment.Milliseconds()).
+		Int64("held_memory_ms", load.HoldTimes.Memory.Milliseconds()).
+		Int64("held_eviction_ms", load.HoldTimes.Eviction.Milliseconds()).
+		Int64("held_store_ms", load.HoldTimes.Store.Milliseconds()).
+		Int64("to_taken_ms", between(load.Ordered, load.Accepted)).
 		Int64("to_ready_ms", between(load.Ordered, load.Ready)).
-		Int64("to_seen_ms", between(load.Ready, load.Seen)).
+		Int64("to_seen_ms", between(load.Ready, load.ReadySeen)).
 		Msg("load_finished")
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -207,7 +207,7 @@
 		encodeGrant(claim.Grant{Key: "k", Attempt: "t", Node: "n", Window: 1 << 30, Slot: slot}),
 		encodeGrantReply(claim.GrantReply{Vote: claim.VoteDone, Answer: answer, Slot: slot}),
 		encodeComplete(claim.Complete{Key: "k", Attempt: "t", Outcome: claim.Ran, Answer: answer, Slot: slot}),
-		encodeSealReply(1, claim.SealReply{Settled: true, Records: []claim.HandedRecord{{Key: "k", Holders: []string{"t"}, Answer: answer}}}),
+		encodeSealReply(1, claim.SealReply{Settled: true, Records: []claim.TransferredRecord{{Key: "k", Holders: []string{"t"}, Answer: answer}}}),
 		&peerpb.SeatsResponse{Slots: []*peerpb.KeeperSlot{encodeSlot(slot)}},
 		digest,
 		update,
--- a/internal/node/membership_actor.go
+++ b/internal/node/membership_actor.go
@@ -66,7 +66,7 @@
 		shell.readPackets()
 	})
 	dependencies.Views.Machines.Watch(func(list objectstore.MachineList) {
-		shell.tell(membership.Hints{Nodes: hintsOf(list)})
+		shell.tell(membership.NodesListed{Nodes: hintsOf(list)})
 	})
 	return shell
 }
@@ -205,16 +205,16 @@
 }
 
 // hintsOf takes the fleet's nodes from the machine list.
-func hintsOf(list objectstore.MachineList) []membership.Hint {
-	var hints []membership.Hint
+func hintsOf(list objectstore.MachineList) []membership.ListedNode {
+	var hints []membership.ListedNode
 	for _, machine := range list.Machines {
 		if machine.Role != "node" || machine.Node.Gossip == "" {
 			continue
 		}
-		hints = append(hints, membership.Hint{
-			Name:   machine.Name,
-			Gossip: machine.Node.Gossip,
-			Going:  machine.State != objectstore.MachineLive,
+		hints = append(hints, membership.ListedNode{
+			Name:          machine.Name,
+			GossipAddress: machine.Node.Gossip,
+			Leaving:       machine.State != objectstore.MachineLive,
 		})
 	}
 	return hints
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -53,9 +53,9 @@
 }
 
 var claimResultNames = map[leadership.ClaimResult]string{
-	leadership.ClaimGranted: "granted",
-	leadership.ClaimRefused: "refused",
-	leadership.ClaimLost:    "lost",
+	leadership.ClaimGranted:    "granted",
+	leadership.ClaimRefused:    "refused",
+	leadership.ClaimUnanswered: "lost",
 }
 
 func (m *controlMetrics) orderAnswered(action backend.Action, result placement.OrderResult, fenceStale bool) {
@@ -67,9 +67,9 @@
 }
 
 var orderResultNames = map[placement.OrderResult]string{
-	placement.OrderAccepted: "accepted",
-	placement.OrderRefused:  "refused",
-	placement.OrderLost:     "lost",
+	placement.OrderAccepted:   "accepted",
+	placement.OrderRefused:    "refused",
+	placement.OrderUnanswered: "lost",
 }
 
 func (m *controlMetrics) leadershipChanged(leading bool) {
@@ -188,7 +188,7 @@
 	for zone, received := range c.node.tableAges.snapshot() {
 		gauges.set(tableAgeDesc, now.Sub(received).Seconds(), string(zone))
 	}
-	tables, _ := c.node.views.Tables.Get()
+	tables, _ := c.node.views.RouteTables.Get()
 	table := tables[c.node.self.Zone]
 	var staying, leaving int
 	var total, reserved, used int64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -106,7 +106,7 @@
 }
 
 func actorLoggerFactory(logger *log.Logger) func(*actor.ActorSystem) *slog.Logger {
-	return func(*actor.ActorSystem) *slog.Logger { return logging.ForActors(logger) }
+	return func(*actor.ActorSystem) *slog.Logger { return logging.NewActorLogger(logger) }
 }
 
 // startShells starts the actors, those first that the others listen to.
@@ -115,7 +115,7 @@
 	n.catalogAge = followCatalog(n.views, n.metrics)
 	n.membership = StartMembership(MembershipDependencies{
 		System:     n.system,
-		Connection: n.traffic.Channel("gossip").PacketConn(bound.gossip),
+		Connection: n.traffic.Channel("gossip").InstrumentPacketConn(bound.gossip),
 		Core: membership.Options{
 			Self:          n.self,
 			Seeds:         append(append([]string(nil), n.settings.Seeds...), n.settings.RemoteSeeds...),
@@ -165,7 +165,7 @@
 
 func (n *Node) startServers(bound sockets) {
 	peers := n.traffic.Channel("peer")
-	n.servers.serve(partPeers, peers.Listener(bound.peer), peers.Handler(peer.NewHandler(peer.Handlers{
+	n.servers.serve(partPeers, peers.InstrumentListener(bound.peer), peers.InstrumentHandler(peer.NewHandler(peer.Handlers{
 		Config:   n.config.Server(),
 		Control:  n.control.Server(),
 		Claims:   n.claims.Server(),
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -61,7 +61,7 @@
 	mutex       sync.Mutex
 	coordinator *quota.Coordinator
 	share       *quota.Share
-	fleet       quota.Fleet
+	fleet       quota.FleetSize
 	limits      backendLimits
 	// used is what was granted without asking and is still to be told, by tenant.
 	used map[string]float64
@@ -166,7 +166,7 @@
 	nodes, _ := q.fleetSize(now)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.share.Granted(now, tenant.Name, tenant.Quota, nodes, cost)
+	q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, cost)
 	return verdict
 }
 
@@ -176,7 +176,7 @@
 	nodes, _ := q.fleetSize(now)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if !q.share.TakeAlone(now, tenant.Name, tenant.Quota, nodes, cost) {
+	if !q.share.TakeWithoutCoordinator(now, tenant.Name, tenant.Quota, nodes, cost) {
 		return gateway.QuotaVerdict{IsUnknown: true, RetryIn: unknownRetry}
 	}
 	q.used[tenant.Name] += cost
@@ -189,7 +189,7 @@
 	nodes, _ := q.fleetSize(now)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.share.Granted(now, tenant.Name, tenant.Quota, nodes, -cost)
+	q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, -cost)
 	q.used[tenant.Name] -= cost
 }
 
@@ -237,15 +237,15 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	verdict := q.coordinator.Ask(now, tenant.Name, tenant.Quota, reach, question.GetCost(), 0)
-	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryIn.Milliseconds()}
+	verdict := q.coordinator.Acquire(now, tenant.Name, tenant.Quota, reach, question.GetCost(), 0)
+	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryAfter.Milliseconds()}
 }
 
 // mayCoordinate reports whether this node may grant now: it has listened, and hears from enough of
 // the fleet.
 func (q *Quotas) mayCoordinate(now time.Time) (reach float64, ok bool) {
 	_, reach = q.fleetSize(now)
-	return reach, now.Sub(q.started) >= quotaGivesAfter && reach >= quota.LeastReach
+	return reach, now.Sub(q.started) >= quotaGivesAfter && reach >= quota.MinReach
 }
 
 // mayGive reports whether this node may keep a tenant's quota now, and knows the tenant.
@@ -307,7 +307,7 @@
 	defer q.mutex.Unlock()
 	for _, tenant := range snapshot.Tenants() {
 		if isJudge && tenant.Quota.IsLimited() {
-			q.coordinator.Keep(now, tenant.Name, tenant.Quota, reach)
+			q.coordinator.OpenAccount(now, tenant.Name, tenant.Quota, reach)
 		}
 	}
 	isDeclared := func(name string) bool {
@@ -361,7 +361,7 @@
 			return false
 		}
 		q.mutex.Lock()
-		q.coordinator.Used(now, tenant.Name, tenant.Quota, reach, use.GetCost())
+		q.coordinator.RecordUse(now, tenant.Name, tenant.Quota, reach, use.GetCost())
 		q.mutex.Unlock()
 	}
 	return true
--- a/internal/node/shells.go
+++ b/internal/node/shells.go
@@ -77,6 +77,6 @@
 		Adapters:        snapshot.Adapters(),
 		ColdStartWeight: snapshot.Preferences().ColdStartWeight,
 		Evacuations:     snapshot.Evacuations(),
-		Places:          snapshot.Places(),
+		Topology:        snapshot.Topology(),
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -29,10 +29,10 @@
 func (t *tableAges) follow(published *views.Views) {
 	t.received = make(map[fleet.Zone]time.Time)
 	t.seen = make(map[fleet.Zone]uint64)
-	published.Tables.Watch(t.note)
+	published.RouteTables.Watch(t.note)
 }
 
-func (t *tableAges) note(tables views.Tables) {
+func (t *tableAges) note(tables views.RouteTables) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for zone, table := range tables {
@@ -61,7 +61,7 @@
 func (s source) Status() operator.Status {
 	node := s.node
 	now := time.Now()
-	tables, _ := node.views.Tables.Get()
+	tables, _ := node.views.RouteTables.Get()
 	members, _ := node.views.Members.Get()
 	queues := node.queues()
 	return operator.Status{
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -50,8 +50,8 @@
 	any atomic.Bool
 
 	mutex sync.Mutex
-	tally *poison.Tally
-	good  poison.GoodEnds
+	tally *poison.Tracker
+	good  poison.RecentSuccesses
 }
 
 var _ gateway.Suspects = (*Suspects)(nil)
@@ -59,7 +59,7 @@
 // StartSuspects starts the exchange with peers; Stop ends it.
 func StartSuspects(dependencies SuspectsDependencies) *Suspects {
 	lifetime, end := context.WithCancel(context.Background())
-	started := &Suspects{dependencies: dependencies, lifetime: lifetime, end: end, tally: poison.NewTally()}
+	started := &Suspects{dependencies: dependencies, lifetime: lifetime, end: end, tally: poison.NewTracker()}
 	met := make(chan struct{}, 1)
 	dependencies.Views.Members.Watch(func([]fleet.Member) {
 		select {
@@ -78,13 +78,13 @@
 }
 
 // Standing implements gateway.Suspects.
-func (s *Suspects) Standing(fingerprint poison.Fingerprint) poison.Standing {
+func (s *Suspects) Standing(fingerprint poison.Fingerprint) poison.Status {
 	if !s.any.Load() {
-		return poison.StandingSound
+		return poison.StatusClear
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.tally.Standing(time.Now(), fingerprint)
+	return s.tally.Status(time.Now(), fingerprint)
 }
 
 // Blame implements gateway.Suspects. Where such a request ended well here lately, that
@@ -102,7 +102,7 @@
 	now := time.Now()
 	s.mutex.Lock()
 	s.good.Add(now, fingerprint)
-	isSound := s.tally.Standing(now, fingerprint) == poison.StandingSound
+	isSound := s.tally.Status(now, fingerprint) == poison.StatusClear
 	s.mutex.Unlock()
 	if !isSound {
 		s.tell(s.take(s.dependencies.Self.Name, []poison.Report{{Fingerprint: fingerprint, Acquitted: true}}))
@@ -113,7 +113,7 @@
 func (s *Suspects) Refused(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Refused(fingerprint)
+	s.tally.RecordRefusal(fingerprint)
 }
 
 // ClaimTrial implements gateway.Suspects: the first of the judges that answers decides
@@ -157,7 +157,7 @@
 	defer s.mutex.Unlock()
 	granted = s.tally.ClaimTrial(now, fingerprint)
 	s.any.Store(s.tally.Size() > 0)
-	return granted, s.tally.BarLeft(now, fingerprint)
+	return granted, s.tally.BarRemaining(now, fingerprint)
 }
 
 // vouch returns a word for each of the requests that are reported and that ended well
@@ -166,7 +166,7 @@
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.good.Vouch(now, s.tally, reports)
+	return s.good.Acquittals(now, s.tally, reports)
 }
 
 // take takes reports and returns those that were news.
@@ -176,24 +176,24 @@
 	defer s.mutex.Unlock()
 	var news []poison.Report
 	for _, report := range reports {
-		if !s.tally.Take(now, report) {
+		if !s.tally.Record(now, report) {
 			continue
 		}
-		report.BarredFor = max(report.BarredFor, s.tally.BarLeft(now, report.Fingerprint))
+		report.BarredFor = max(report.BarredFor, s.tally.BarRemaining(now, report.Fingerprint))
 		news = append(news, report)
-		s.log(report, from, s.tally.Standing(now, report.Fingerprint), s.tally.Ended(report.Fingerprint))
+		s.log(report, from, s.tally.Status(now, report.Fingerprint), s.tally.CrashCount(report.Fingerprint))
 	}
 	s.any.Store(s.tally.Size() > 0)
 	return news
 }
 
-func (s *Suspects) log(report poison.Report, from fleet.NodeName, standing poison.Standing, ended int) {
+func (s *Suspects) log(report poison.Report, from fleet.NodeName, standing poison.Status, ended int) {
 	entry := s.dependencies.Logger.Info().Str("fingerprint", report.Fingerprint.String()).Str("server", report.ServerID).
 		Str("from", string(from)).Int("servers_ended", ended)
 	switch {
 	case report.Acquitted:
 		entry.Msg("request_acquitted")
-	case standing == poison.StandingBarred:
+	case standing == poison.StatusBarred:
 		entry.Dur("barred", report.BarredFor).Msg("request_barred")
 	default:
 		entry.Msg("request_suspected")
--- a/internal/node/suspects_server.go
+++ b/internal/node/suspects_server.go
@@ -37,7 +37,7 @@
 
 // Try implements peerpb.Suspects.
 func (s suspectsServer) Try(_ context.Context, trial *peerpb.SuspectTrial) (*peerpb.SuspectTrialAnswer, error) {
-	fingerprint, ok := poison.FingerprintOf(trial.GetFingerprint())
+	fingerprint, ok := poison.DecodeFingerprint(trial.GetFingerprint())
 	if !ok {
 		return nil, twirp.InvalidArgumentError("fingerprint", "is none")
 	}
--- a/internal/node/suspects_test.go
+++ b/internal/node/suspects_test.go
@@ -82,7 +82,7 @@
 }
 
 // await waits until the request stands so at all nodes.
-func (f *suspectsFleet) await(fingerprint poison.Fingerprint, want poison.Standing) {
+func (f *suspectsFleet) await(fingerprint poison.Fingerprint, want poison.Status) {
 	f.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for name, node := range f.nodes {
@@ -96,7 +96,7 @@
 }
 
 func fingerprintOf(name string) poison.Fingerprint {
-	return poison.Of(poison.Identity{Body: []byte(name)})
+	return poison.NewFingerprint(poison.Identity{Body: []byte(name)})
 }
 
 // endUnder lets servers end under the request, each blamed at another node, apart from
@@ -111,24 +111,24 @@
 func TestThreeServersAtThreeNodesBarARequestEverywhere(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "a-1", "b-0", "b-1", "b-2", "b-3", "c-0", "c-1")
 	f.endUnder(fingerprintOf("p"), "a-1", "b-3")
-	f.await(fingerprintOf("p"), poison.StandingSuspect)
+	f.await(fingerprintOf("p"), poison.StatusSuspect)
 	f.endUnder(fingerprintOf("q"), "b-1")
 	f.nodes["c-1"].Blame(fingerprintOf("p"), "server-2")
-	f.await(fingerprintOf("p"), poison.StandingBarred)
-	f.await(fingerprintOf("q"), poison.StandingSuspect)
+	f.await(fingerprintOf("p"), poison.StatusBarred)
+	f.await(fingerprintOf("q"), poison.StatusSuspect)
 	f.nodes["c-1"].EndedWell(fingerprintOf("q"))
-	f.await(fingerprintOf("q"), poison.StandingSound)
+	f.await(fingerprintOf("q"), poison.StatusClear)
 }
 
 // TestNodeThatStartsHearsWhatIsBarred at once, from the first peer that it meets.
 func TestNodeThatStartsHearsWhatIsBarred(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "a-1")
 	f.endUnder(fingerprintOf("p"), "a-0", "a-1", "a-0")
-	f.await(fingerprintOf("p"), poison.StandingBarred)
+	f.await(fingerprintOf("p"), poison.StatusBarred)
 	f.start("a-2")
 	begun := time.Now()
 	f.meet()
-	f.await(fingerprintOf("p"), poison.StandingBarred)
+	f.await(fingerprintOf("p"), poison.StatusBarred)
 	if took := time.Since(begun); took >= exchangeInterval {
 		t.Errorf("it took %v", took)
 	}
@@ -142,7 +142,7 @@
 	f := startSuspectsFleet(t, "a-0", "b-0", "b-1")
 	f.nodes["b-1"].EndedWell(fingerprintOf("ping"))
 	f.endUnder(fingerprintOf("ping"), "a-0", "a-0", "a-0")
-	f.await(fingerprintOf("ping"), poison.StandingSound)
+	f.await(fingerprintOf("ping"), poison.StatusClear)
 }
 
 // TestTrialIsGrantedOnce although nodes of all zones ask at the same moment, and one of
@@ -171,6 +171,6 @@
 		if granted != 1 {
 			t.Errorf("%d trials granted where %q is gone", granted, gone)
 		}
-		f.await(fingerprint, poison.StandingBarred)
+		f.await(fingerprint, poison.StatusBarred)
 	}
 }
--- a/internal/objectstore/client.go
+++ b/internal/objectstore/client.go
@@ -57,8 +57,8 @@
 }
 
 // CountTraffic counts the calls from now on; it goes before the first call.
-func (c *Client) CountTraffic(channel *traffic.Channel) {
-	channel.CountClient(c.http)
+func (c *Client) CountTraffic(channel *traffic.ChannelCounters) {
+	channel.InstrumentClient(c.http)
 }
 
 // Close ends idle connections.
@@ -167,7 +167,7 @@
 	text := strings.TrimSpace(string(raw))
 	switch {
 	case response.StatusCode == http.StatusConflict:
-		var conflict Conflict
+		var conflict ConflictResponse
 		if err := json.Unmarshal(raw, &conflict); err != nil {
 			return Unavailable.Wrap(err, "conflict cannot be read")
 		}
--- a/internal/objectstore/client_test.go
+++ b/internal/objectstore/client_test.go
@@ -23,7 +23,7 @@
 	writes  int
 	zones   map[string]bool
 	// fault is applied to the next write.
-	fault func(store *fakeStore, writer http.ResponseWriter, apply func() (Object, *Conflict))
+	fault func(store *fakeStore, writer http.ResponseWriter, apply func() (Object, *ConflictResponse))
 	// unreadable makes reads fail.
 	unreadable bool
 }
@@ -55,7 +55,7 @@
 	case http.MethodDelete:
 		query := request.URL.Query()
 		expected, _ := strconv.ParseUint(query.Get("expected"), 10, 64)
-		s.write(writer, WriteRequest{Expected: expected, Object: Object{
+		s.write(writer, WriteRequest{ExpectedVersion: expected, Object: Object{
 			Kind: key.Kind, Name: key.Name, ChangeID: query.Get("changeId"), ChangedBy: query.Get("changedBy"), Deleted: true,
 		}})
 	}
@@ -75,7 +75,7 @@
 
 func (s *fakeStore) write(writer http.ResponseWriter, write WriteRequest) {
 	s.writes++
-	apply := func() (Object, *Conflict) { return s.apply(write) }
+	apply := func() (Object, *ConflictResponse) { return s.apply(write) }
 	if fault := s.fault; fault != nil {
 		s.fault = nil
 		fault(s, writer, apply)
@@ -90,11 +90,11 @@
 	_ = json.NewEncoder(writer).Encode(written)
 }
 
-func (s *fakeStore) apply(write WriteRequest) (Object, *Conflict) {
+func (s *fakeStore) apply(write WriteRequest) (Object, *ConflictResponse) {
 	current := s.objects[write.Object.Key()]
-	stands := current.Version == write.Expected || write.Expected == 0 && current.Deleted
+	stands := current.Version == write.ExpectedVersion || write.ExpectedVersion == 0 && current.Deleted
 	if !stands {
-		return Object{}, &Conflict{Current: current}
+		return Object{}, &ConflictResponse{Current: current}
 	}
 	s.version++
 	write.Object.Version = s.version
@@ -103,32 +103,32 @@
 }
 
 // loseAnswer applies the write and breaks the connection.
-func loseAnswer(_ *fakeStore, _ http.ResponseWriter, apply func() (Object, *Conflict)) {
+func loseAnswer(_ *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	apply()
 	panic(http.ErrAbortHandler)
 }
 
 // loseRequest breaks the connection before the write.
-func loseRequest(*fakeStore, http.ResponseWriter, func() (Object, *Conflict)) {
+func loseRequest(*fakeStore, http.ResponseWriter, func() (Object, *ConflictResponse)) {
 	panic(http.ErrAbortHandler)
 }
 
 // loseAnswerAndOverwrite lets another writer come after the lost answer.
-func loseAnswerAndOverwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *Conflict)) {
+func loseAnswerAndOverwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	written, _ := apply()
-	_, _ = store.apply(WriteRequest{Expected: written.Version, Object: model("other")})
+	_, _ = store.apply(WriteRequest{ExpectedVersion: written.Version, Object: model("other")})
 	panic(http.ErrAbortHandler)
 }
 
 // overwrite lets another writer come first and loses the answer.
-func overwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *Conflict)) {
+func overwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	standing := store.objects[model("").Key()]
-	_, _ = store.apply(WriteRequest{Expected: standing.Version, Object: model("other")})
+	_, _ = store.apply(WriteRequest{ExpectedVersion: standing.Version, Object: model("other")})
 	apply()
 	panic(http.ErrAbortHandler)
 }
 
-func sayUnavailable(_ *fakeStore, writer http.ResponseWriter, apply func() (Object, *Conflict)) {
+func sayUnavailable(_ *fakeStore, writer http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	apply()
 	writer.WriteHeader(http.StatusBadGateway)
 }
@@ -146,7 +146,7 @@
 	)
 	cases := []struct {
 		name       string
-		fault      func(*fakeStore, http.ResponseWriter, func() (Object, *Conflict))
+		fault      func(*fakeStore, http.ResponseWriter, func() (Object, *ConflictResponse))
 		unreadable bool
 		expected   uint64
 		want       outcome
@@ -227,7 +227,7 @@
 func TestWriteIsReadBackWhenItsTimeRunsOut(t *testing.T) {
 	store, client := startStore(t)
 	release := make(chan struct{})
-	store.fault = func(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *Conflict)) {
+	store.fault = func(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 		apply()
 		store.mutex.Unlock()
 		<-release
--- a/internal/objectstore/wire.go
+++ b/internal/objectstore/wire.go
@@ -67,12 +67,12 @@
 // tombstone).
 type WriteRequest struct {
 	Object Object `json:"object"`
-	// Expected is the version that the object must have; 0 for none.
-	Expected uint64 `json:"expected"`
+	// ExpectedVersion is the version that the object must have; 0 for none.
+	ExpectedVersion uint64 `json:"expected"`
 }
 
-// Conflict is the 409 answer to a write: the object that stands.
-type Conflict struct {
+// ConflictResponse is the 409 answer to a write: the object that stands.
+type ConflictResponse struct {
 	Current Object `json:"current"`
 }
 
--- a/internal/objectstore/write.go
+++ b/internal/objectstore/write.go
@@ -30,7 +30,7 @@
 		return Object{}, Rejected.New("a write needs a change id")
 	}
 	var written Object
-	request := WriteRequest{Object: object, Expected: expected}
+	request := WriteRequest{Object: object, ExpectedVersion: expected}
 	writeCtx, cancel := firstHalf(ctx)
 	defer cancel()
 	err := c.call(writeCtx, http.MethodPut, objectPath(object.Key()), nil, request, &written)
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -33,7 +33,7 @@
 
 func largeStatus() Status {
 	long := strings.Repeat("long-name-", 12)
-	tables := views.Tables{
+	tables := views.RouteTables{
 		"vest-b": {Zone: "vest-b", Leader: "n2", Fence: fleet.NewFence(1, 2, 3)},
 		"vest-a": {Zone: "vest-a", Leader: fleet.NodeName(long), Sequence: 9, Engines: []fleet.EngineState{
 			{Backend: fleet.Backend{Leaving: true}, Models: []fleet.LoadedModel{
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -74,7 +74,7 @@
 }
 
 // ZonesOf summarizes route tables; received says when each came in.
-func ZonesOf(tables views.Tables, received map[fleet.Zone]time.Time, now time.Time) []ZoneStatus {
+func ZonesOf(tables views.RouteTables, received map[fleet.Zone]time.Time, now time.Time) []ZoneStatus {
 	zones := make([]ZoneStatus, 0, len(tables))
 	for _, zone := range slices.Sorted(maps.Keys(tables)) {
 		table := tables[zone]
@@ -117,7 +117,7 @@
 
 // ModelsOf counts replicas by the route tables, beside what was decided and
 // what waits here. Models without any of these are left out.
-func ModelsOf(tables views.Tables, decided map[fleet.ModelVersion]int, queues []QueueStatus) []ModelStatus {
+func ModelsOf(tables views.RouteTables, decided map[fleet.ModelVersion]int, queues []QueueStatus) []ModelStatus {
 	byModel := make(map[fleet.ModelVersion]*ModelStatus)
 	entry := func(model fleet.ModelVersion) *ModelStatus {
 		if byModel[model] == nil {
--- a/internal/peer/crashreports.go
+++ b/internal/peer/crashreports.go
@@ -11,14 +11,14 @@
 func CrashReportsOf(encoded []*peerpb.CrashReport) []poison.Report {
 	reports := make([]poison.Report, 0, len(encoded))
 	for _, told := range encoded {
-		fingerprint, ok := poison.FingerprintOf(told.GetFingerprint())
+		fingerprint, ok := poison.DecodeFingerprint(told.GetFingerprint())
 		if !ok {
 			continue
 		}
 		reports = append(reports, poison.Report{
 			Fingerprint: fingerprint, ServerID: told.GetServer(), Acquitted: told.GetAcquitted(), Lifted: told.GetLifted(),
 			Age:       time.Duration(told.GetAgeMs()) * time.Millisecond,
-			Ran:       time.Duration(told.GetRanMs()) * time.Millisecond,
+			RanFor:    time.Duration(told.GetRanMs()) * time.Millisecond,
 			BarredFor: time.Duration(told.GetBarredMs()) * time.Millisecond,
 		})
 	}
@@ -31,7 +31,7 @@
 	for _, report := range reports {
 		encoded = append(encoded, &peerpb.CrashReport{
 			Fingerprint: report.Fingerprint[:], Server: report.ServerID, Acquitted: report.Acquitted, Lifted: report.Lifted,
-			AgeMs: uint32(max(0, report.Age.Milliseconds())), RanMs: uint32(max(0, report.Ran.Milliseconds())),
+			AgeMs: uint32(max(0, report.Age.Milliseconds())), RanMs: uint32(max(0, report.RanFor.Milliseconds())),
 			BarredMs: uint32(report.BarredFor.Milliseconds()),
 		})
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -73,8 +73,8 @@
 }
 
 // CountTraffic counts the calls from now on; it goes before the first call.
-func (p *Pool) CountTraffic(channel *traffic.Channel) {
-	channel.CountClient(p.client)
+func (p *Pool) CountTraffic(channel *traffic.ChannelCounters) {
+	channel.InstrumentClient(p.client)
 }
 
 // To returns the clients of the peer that listens at the address (IP:port).
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -40,7 +40,7 @@
 }
 
 // choose picks the engine where the load costs least.
-func (c *Core) choose(now time.Time, facts catalog.ModelFacts) (choice, bool) {
+func (c *Core) choose(now time.Time, facts catalog.ModelInfo) (choice, bool) {
 	racks := c.racksWith(facts.Model)
 	var choices []choice
 	for _, name := range c.engineNames() {
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -19,22 +19,22 @@
 	Policy Policy
 	// PreloadEvicts lets models that are loaded ahead evict others.
 	PreloadEvicts bool
-	// Without turns mechanisms off; only tests and the laboratory set it.
-	Without Without
+	// Disabled turns mechanisms off; only tests and the laboratory set it.
+	Disabled DisabledMechanisms
 }
 
 // Core places the models of one zone. It is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	policy   Policy
-	without  Without
+	without  DisabledMechanisms
 	// preloadEvicts is from the options.
 	preloadEvicts bool
 
-	models map[fleet.ModelVersion]catalog.ModelFacts
+	models map[fleet.ModelVersion]catalog.ModelInfo
 	// names are those of the models in order.
 	names    []fleet.ModelVersion
-	adapters map[fleet.AdapterName]catalog.AdapterFacts
+	adapters map[fleet.AdapterName]catalog.AdapterInfo
 	// adapterRoom is what a load leaves free for adapters, by model name.
 	adapterRoom     map[string]int64
 	coldStartWeight float64
@@ -116,7 +116,7 @@
 	core := &Core{
 		settings: options.Settings,
 		policy:   options.Policy,
-		without:  options.Without,
+		without:  options.Disabled,
 		zones:    1,
 
 		preloadEvicts: options.PreloadEvicts,
@@ -166,21 +166,21 @@
 	case LimitsChanged:
 		c.limits, c.standing = message.Limits, message.Standing
 		c.zones, c.zoneIndex = max(1, message.Zones), message.ZoneIndex
-	case StoreUsed:
+	case StoreUsage:
 		c.store.others = message
-	case HeldElsewhere:
+	case ReplicasElsewhere:
 		c.elsewhere = message.Models
-	case Displaced:
+	case ModelsDisplaced:
 		c.displaced = message.Models
 	case EnginesGone:
 		c.dropGone(message.Engines)
 	case EnginesLeaving:
 		c.markLeaving(message.Engines)
-	case EngineSilent:
+	case EngineUnresponsive:
 		if held := c.engines[message.Engine]; held != nil {
-			held.silent = message.Silent
+			held.silent = message.Unresponsive
 		}
-	case StateSeen:
+	case EngineStateReceived:
 		c.see(now, message)
 	case WantsReported:
 		c.takeWants(now, message.Wants)
@@ -198,7 +198,7 @@
 // and wants do so only where they bring news.
 func changesDecisions(message Message) bool {
 	switch message.(type) {
-	case CatalogChanged, RoundBegan, LimitsChanged, Displaced, EnginesGone, EnginesLeaving:
+	case CatalogChanged, RoundBegan, LimitsChanged, ModelsDisplaced, EnginesGone, EnginesLeaving:
 		return true
 	default:
 		return false
@@ -213,12 +213,12 @@
 const mostAdapterRoom = 1 << 30
 
 func (c *Core) setCatalog(changed CatalogChanged) {
-	c.models = make(map[fleet.ModelVersion]catalog.ModelFacts, len(changed.Models))
+	c.models = make(map[fleet.ModelVersion]catalog.ModelInfo, len(changed.Models))
 	for _, facts := range changed.Models {
 		c.models[facts.Model] = facts
 	}
 	c.names = slices.SortedFunc(maps.Keys(c.models), fleet.ModelVersion.Compare)
-	c.adapters = make(map[fleet.AdapterName]catalog.AdapterFacts, len(changed.Adapters))
+	c.adapters = make(map[fleet.AdapterName]catalog.AdapterInfo, len(changed.Adapters))
 	c.adapterRoom = make(map[string]int64)
 	for _, facts := range changed.Adapters {
 		c.adapters[facts.Adapter] = facts
@@ -241,7 +241,7 @@
 		c.engines[name] = held
 		c.adopt(now, held, state)
 	}
-	for _, name := range began.Full {
+	for _, name := range began.AssumedFull {
 		c.full[name] = true
 	}
 }
@@ -276,12 +276,12 @@
 }
 
 // see takes a newer state of a held engine.
-func (c *Core) see(now time.Time, seen StateSeen) {
+func (c *Core) see(now time.Time, seen EngineStateReceived) {
 	held := c.engines[seen.State.Name]
-	if held == nil || seen.Asked < held.asked || seen.State.Fence != c.fence {
+	if held == nil || seen.QuerySequence < held.asked || seen.State.Fence != c.fence {
 		return
 	}
-	held.asked = seen.Asked
+	held.asked = seen.QuerySequence
 	held.leaving = held.leaving || seen.State.Leaving
 	c.adopt(now, held, seen.State)
 	for id, order := range c.orders {
@@ -295,9 +295,9 @@
 // for after the order was taken, or it shows the effect. A state does not show
 // an adapter that still loads: its order stays, else it would be sent again and
 // again until then.
-func orderShown(now time.Time, order *order, seen StateSeen) bool {
+func orderShown(now time.Time, order *order, seen EngineStateReceived) bool {
 	if order.answered && (order.Action != backend.ActionLoadAdapter || now.Sub(order.sent) >= adapterPatience) {
-		return seen.Asked > order.visibleAfter
+		return seen.QuerySequence > order.visibleAfter
 	}
 	loaded := seen.State.Find(order.Model)
 	switch order.Action {
@@ -307,7 +307,7 @@
 		return loaded == nil || loaded.State == fleet.LoadUnloading
 	case backend.ActionLoadAdapter:
 		return loaded != nil && slices.Contains(loaded.Adapters, order.Adapter) ||
-			order.answered && (loaded == nil || loaded.State != fleet.LoadReady) && seen.Asked > order.visibleAfter
+			order.answered && (loaded == nil || loaded.State != fleet.LoadReady) && seen.QuerySequence > order.visibleAfter
 	default:
 		return false
 	}
@@ -341,14 +341,14 @@
 	switch answer.Result {
 	case OrderAccepted:
 		order.answered = true
-		order.visibleAfter = answer.Asked
+		order.visibleAfter = answer.QuerySequence
 		c.timings.taken(now, order)
 	case OrderRefused:
 		c.dropOrder(answer.ID)
 		c.timings.dropped(order.engine, order.Model)
 		c.dirty = true
 		c.avoid[placementKey{order.engine, order.Model}] = now.Add(avoidAfterRefusal)
-	case OrderLost:
+	case OrderUnanswered:
 	}
 }
 
--- a/internal/placement/count.go
+++ b/internal/placement/count.go
@@ -72,5 +72,5 @@
 	return slices.Sorted(maps.Keys(c.engines))
 }
 
-// Count is the most replicas of the model that the zone may hold now.
-func (c *Core) Count(model fleet.ModelVersion) int { return c.count(model) }
+// ReplicaUpperBound is the most replicas of the model that the zone may hold now.
+func (c *Core) ReplicaUpperBound(model fleet.ModelVersion) int { return c.count(model) }
--- a/internal/placement/keepalive.go
+++ b/internal/placement/keepalive.go
@@ -76,15 +76,15 @@
 	if loaded.State != fleet.LoadReady || !c.mayEvict(now, loaded) {
 		return false
 	}
-	return c.policy.Expired(now, c.idleSince(loaded), loaded.Model)
+	return c.policy.ShouldUnload(now, c.idleSince(loaded), loaded.Model)
 }
 
 // ownPolicy goes by each model's own idle times.
 type ownPolicy struct{ core *Core }
 
-func (ownPolicy) Arrived(time.Time, fleet.ModelVersion) {}
+func (ownPolicy) RequestsArrived(time.Time, fleet.ModelVersion) {}
 
-func (p ownPolicy) Expired(now, idleSince time.Time, model fleet.ModelVersion) bool {
+func (p ownPolicy) ShouldUnload(now, idleSince time.Time, model fleet.ModelVersion) bool {
 	c := p.core
 	idle := now.Sub(idleSince)
 	if c.without.IdleTimes {
@@ -151,7 +151,7 @@
 }
 
 // reloadSeconds is how long a load takes from the nearest tier of the zone.
-func (c *Core) reloadSeconds(facts catalog.ModelFacts) float64 {
+func (c *Core) reloadSeconds(facts catalog.ModelInfo) float64 {
 	best := costRemote
 	for _, held := range c.engines {
 		if held.serving() {
@@ -169,7 +169,7 @@
 )
 
 // sizeCost is the size of a checkpoint against that of the reference.
-func sizeCost(facts catalog.ModelFacts) float64 {
+func sizeCost(facts catalog.ModelInfo) float64 {
 	return float64(facts.CheckpointBytes) / referenceBytes
 }
 
--- a/internal/placement/messages.go
+++ b/internal/placement/messages.go
@@ -16,8 +16,8 @@
 
 // CatalogChanged gives what is declared.
 type CatalogChanged struct {
-	Models   []catalog.ModelFacts
-	Adapters []catalog.AdapterFacts
+	Models   []catalog.ModelInfo
+	Adapters []catalog.AdapterInfo
 	// ColdStartWeight is from 0 (only idle hours count) to 1 (only the tail).
 	ColdStartWeight float64
 	// Evacuated is set while the zone is out of service: nothing is loaded.
@@ -28,8 +28,8 @@
 type RoundBegan struct {
 	Fence fleet.Fence
 	Held  map[fleet.BackendName]fleet.EngineState
-	// Full are engines that count as holding every model.
-	Full []fleet.BackendName
+	// AssumedFull are engines that count as holding every model.
+	AssumedFull []fleet.BackendName
 }
 
 // RoundEnded says that no order may be sent any more.
@@ -47,20 +47,20 @@
 	ZoneIndex int
 }
 
-// StoreUsed gives what the other zones take of the weight store.
-type StoreUsed struct {
+// StoreUsage gives what the other zones take of the weight store.
+type StoreUsage struct {
 	// Loading counts the loads that run, Waiting those that wait for their turn.
 	Loading, Waiting int
-	// Silent counts zones of which neither is known.
-	Silent int
+	// UnknownZones counts zones of which neither is known.
+	UnknownZones int
 }
 
-// HeldElsewhere names the models that other zones hold ready or load.
-type HeldElsewhere struct{ Models map[fleet.ModelVersion]bool }
+// ReplicasElsewhere names the models that other zones hold ready or load.
+type ReplicasElsewhere struct{ Models map[fleet.ModelVersion]bool }
 
-// Displaced names the models to load ahead of their next request, since they stood
+// ModelsDisplaced names the models to load ahead of their next request, since they stood
 // only in zones that are evacuated.
-type Displaced struct{ Models map[fleet.ModelVersion]bool }
+type ModelsDisplaced struct{ Models map[fleet.ModelVersion]bool }
 
 // EnginesGone names engines whose machines are gone for good.
 type EnginesGone struct{ Engines []fleet.BackendName }
@@ -68,18 +68,18 @@
 // EnginesLeaving names engines that go away: they get no further load.
 type EnginesLeaving struct{ Engines []fleet.BackendName }
 
-// EngineSilent says whether an engine has stopped to answer: its replicas are
+// EngineUnresponsive says whether an engine has stopped to answer: its replicas are
 // counted but serve nobody.
-type EngineSilent struct {
-	Engine fleet.BackendName
-	Silent bool
+type EngineUnresponsive struct {
+	Engine       fleet.BackendName
+	Unresponsive bool
 }
 
-// StateSeen gives a state that was asked for after the point in the sequence
+// EngineStateReceived gives a state that was asked for after the point in the sequence
 // of questions that Asked names.
-type StateSeen struct {
-	Asked uint64
-	State fleet.EngineState
+type EngineStateReceived struct {
+	QuerySequence uint64
+	State         fleet.EngineState
 }
 
 // WantsReported gives what waits at one node; it replaces what the node
@@ -93,9 +93,9 @@
 	// Reason is set where the engine refused it for another cause than its
 	// fence.
 	Reason string
-	// Asked is the point in the sequence of questions at the answer: states
+	// QuerySequence is the point in the sequence of questions at the answer: states
 	// asked for later show the order's effect.
-	Asked uint64
+	QuerySequence uint64
 }
 
 // OrderResult is how an order ended.
@@ -103,27 +103,27 @@
 
 // The ends of an order.
 const (
-	// OrderLost means that no answer came: it may take effect at any time
+	// OrderUnanswered means that no answer came: it may take effect at any time
 	// until the round ends.
-	OrderLost OrderResult = iota
+	OrderUnanswered OrderResult = iota
 	OrderAccepted
 	OrderRefused
 )
 
-func (Tick) message()           {}
-func (CatalogChanged) message() {}
-func (RoundBegan) message()     {}
-func (RoundEnded) message()     {}
-func (LimitsChanged) message()  {}
-func (StoreUsed) message()      {}
-func (HeldElsewhere) message()  {}
-func (Displaced) message()      {}
-func (EnginesGone) message()    {}
-func (EnginesLeaving) message() {}
-func (EngineSilent) message()   {}
-func (StateSeen) message()      {}
-func (WantsReported) message()  {}
-func (OrderAnswered) message()  {}
+func (Tick) message()                {}
+func (CatalogChanged) message()      {}
+func (RoundBegan) message()          {}
+func (RoundEnded) message()          {}
+func (LimitsChanged) message()       {}
+func (StoreUsage) message()          {}
+func (ReplicasElsewhere) message()   {}
+func (ModelsDisplaced) message()     {}
+func (EnginesGone) message()         {}
+func (EnginesLeaving) message()      {}
+func (EngineUnresponsive) message()  {}
+func (EngineStateReceived) message() {}
+func (WantsReported) message()       {}
+func (OrderAnswered) message()       {}
 
 // Effect is what is to be done.
 type Effect interface{ effect() }
@@ -139,18 +139,18 @@
 // Refuse tells nodes that models cannot be loaded in this zone now.
 type Refuse struct {
 	Refusal fleet.LoadRefusal
-	// Elsewhere is set where another zone may be able to.
-	Elsewhere bool
+	// PossibleElsewhere is set where another zone may be able to.
+	PossibleElsewhere bool
 	// Since is when the model was first wanted in vain.
 	Since time.Time
-	// Never is set where no engine of the zone could ever hold the model.
-	Never bool
+	// Permanent is set where no engine of the zone could ever hold the model.
+	Permanent bool
 }
 
-// NeedRound asks for a new round, so that a lost order can no longer take
+// RequestNewRound asks for a new round, so that a lost order can no longer take
 // effect.
-type NeedRound struct{}
+type RequestNewRound struct{}
 
-func (SendOrder) effect() {}
-func (Refuse) effect()    {}
-func (NeedRound) effect() {}
+func (SendOrder) effect()       {}
+func (Refuse) effect()          {}
+func (RequestNewRound) effect() {}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -25,17 +25,17 @@
 	now    time.Time
 	states map[fleet.BackendName]fleet.EngineState
 	asked  uint64
-	facts  []catalog.ModelFacts
+	facts  []catalog.ModelInfo
 	limits map[fleet.ModelVersion]int
 }
 
-func newRig(t *testing.T, engines int, models ...catalog.ModelFacts) *rig {
+func newRig(t *testing.T, engines int, models ...catalog.ModelInfo) *rig {
 	settings := DefaultSettings()
 	settings.StoreLoadsPerSecond, settings.StoreConcurrency = 1000, 1000
 	return newRigWith(t, settings, engines, models...)
 }
 
-func newRigWith(t *testing.T, settings Settings, engines int, models ...catalog.ModelFacts) *rig {
+func newRigWith(t *testing.T, settings Settings, engines int, models ...catalog.ModelInfo) *rig {
 	r := &rig{
 		t: t, core: New(Options{Settings: settings}), now: start,
 		states: make(map[fleet.BackendName]fleet.EngineState),
@@ -77,15 +77,15 @@
 	state.Models = models
 	r.states[name] = state
 	r.asked++
-	return r.core.Step(r.now, StateSeen{Asked: r.asked, State: state})
+	return r.core.Step(r.now, EngineStateReceived{QuerySequence: r.asked, State: state})
 }
 
 func ready(name string, since time.Time) fleet.LoadedModel {
 	return fleet.LoadedModel{Model: model(name), State: fleet.LoadReady, Bytes: 14 * gib, ReadySince: since}
 }
 
-func facts(name string, most int) catalog.ModelFacts {
-	return catalog.ModelFacts{Model: model(name), MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
+func facts(name string, most int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: model(name), MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
 }
 
 // orders lists "action model engine" of the orders sent.
@@ -125,7 +125,7 @@
 
 func TestEngineNotHeldCountsAsFull(t *testing.T) {
 	r := newRig(t, 2, facts("a", 1))
-	r.core.Step(r.now, RoundBegan{Fence: 1, Held: r.states, Full: []fleet.BackendName{"e9"}})
+	r.core.Step(r.now, RoundBegan{Fence: 1, Held: r.states, AssumedFull: []fleet.BackendName{"e9"}})
 	r.expect(r.want("a", 1, 0))
 	r.expect(r.core.Step(r.now, EnginesGone{Engines: []fleet.BackendName{"e9"}}), "load a e0")
 }
@@ -139,7 +139,7 @@
 	for range 8 {
 		r.want("a", 1, 0)
 		for _, effect := range r.wait(500 * time.Millisecond) {
-			if _, found := effect.(NeedRound); found {
+			if _, found := effect.(RequestNewRound); found {
 				asks = true
 			}
 		}
@@ -160,7 +160,7 @@
 			id = order.Order.ID
 		}
 	}
-	r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, Asked: 5})
+	r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, QuerySequence: 5})
 	r.asked = 2
 	r.expect(r.show("e0"))
 	r.expect(r.want("a", 1, 0))
@@ -257,7 +257,7 @@
 				if sent.Order.Action == backend.ActionLoad {
 					loads++
 				}
-				r.core.Step(r.now, OrderAnswered{ID: sent.Order.ID, Result: OrderAccepted, Asked: r.asked})
+				r.core.Step(r.now, OrderAnswered{ID: sent.Order.ID, Result: OrderAccepted, QuerySequence: r.asked})
 				r.show("e0", r.apply(sent.Order)...)
 			}
 			r.now = r.now.Add(time.Second)
@@ -295,7 +295,7 @@
 
 func TestAdapterIsLoadedBesideItsModel(t *testing.T) {
 	r := newRig(t, 1, facts("a", 1))
-	r.core.Step(r.now, CatalogChanged{Models: r.facts, Adapters: []catalog.AdapterFacts{{Adapter: "x", Model: "a", MemoryBytes: gib}}})
+	r.core.Step(r.now, CatalogChanged{Models: r.facts, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: gib}}})
 	r.begin()
 	r.show("e0", ready("a", r.now))
 	effects := r.core.Step(r.now, WantsReported{Wants: []fleet.Want{{Model: model("a"), Adapter: "x", Node: "n", Waiting: 1}}})
@@ -332,7 +332,7 @@
 func newAdapterRig(t *testing.T) *rig {
 	r := newRig(t, 1, facts("a", 1), facts("b", 1))
 	r.core.Step(r.now, CatalogChanged{
-		Models: r.facts, Adapters: []catalog.AdapterFacts{{Adapter: "x", Model: "a", MemoryBytes: 14 * gib}},
+		Models: r.facts, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: 14 * gib}},
 	})
 	r.begin()
 	return r
@@ -353,7 +353,7 @@
 	r.expect(effects, "load-adapter a e0")
 	id := effects[0].(SendOrder).Order.ID
 	r.asked++
-	r.expect(r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, Asked: r.asked}))
+	r.expect(r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, QuerySequence: r.asked}))
 	r.expect(r.show("e0", ready("a", start)))
 	r.now = r.now.Add(adapterPatience)
 	r.expect(r.wantAdapter("a", "x"))
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -136,8 +136,8 @@
 // only then is it sure that it does not take effect later.
 func (c *Core) askForRound(now time.Time) {
 	for _, order := range c.orders {
-		if !order.answered && now.Sub(order.sent) >= c.settings.LostOrderAge {
-			c.emit(NeedRound{})
+		if !order.answered && now.Sub(order.sent) >= c.settings.UnansweredOrderTimeout {
+			c.emit(RequestNewRound{})
 			return
 		}
 	}
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -9,10 +9,10 @@
 // Policy judges how long models stay and which are loaded ahead. The core's
 // own is used where Options name none; others serve to compare with it.
 type Policy interface {
-	// Arrived says that requests for the model came since it was last said.
-	Arrived(now time.Time, model fleet.ModelVersion)
-	// Expired reports whether a replica that has been idle since then goes.
-	Expired(now, idleSince time.Time, model fleet.ModelVersion) bool
+	// RequestsArrived says that requests for the model came since it was last said.
+	RequestsArrived(now time.Time, model fleet.ModelVersion)
+	// ShouldUnload reports whether a replica that has been idle since then goes.
+	ShouldUnload(now, idleSince time.Time, model fleet.ModelVersion) bool
 	// EvictionCost ranks what goes first under need of memory, and weighs it
 	// against the cost of a slower tier, where 1 is a read from the weight store.
 	EvictionCost(now, idleSince time.Time, model fleet.ModelVersion) float64
@@ -21,9 +21,9 @@
 	LikelyToWake(now time.Time, model fleet.ModelVersion) bool
 }
 
-// Without turns single mechanisms off, so that the worth of each can be
+// DisabledMechanisms turns single mechanisms off, so that the worth of each can be
 // measured. Only tests and the laboratory set it.
-type Without struct {
+type DisabledMechanisms struct {
 	// Preload loads nothing ahead.
 	Preload bool
 	// IdleTimes keeps every model for Settings.KeepAlive.
--- a/internal/placement/refuse.go
+++ b/internal/placement/refuse.go
@@ -32,9 +32,9 @@
 		return
 	}
 	refusal := Refuse{
-		Refusal:   fleet.LoadRefusal{Model: demand.model, Reason: cause.reason, RetryAfter: cause.wait},
-		Elsewhere: true,
-		Never:     cause.never,
+		Refusal:           fleet.LoadRefusal{Model: demand.model, Reason: cause.reason, RetryAfter: cause.wait},
+		PossibleElsewhere: true,
+		Permanent:         cause.never,
 	}
 	if wait := c.timings.waits[demand.model]; wait != nil {
 		refusal.Since = wait.since
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -19,8 +19,8 @@
 	// load of the model within ThrashWindow.
 	MinResidence time.Duration
 	ThrashWindow time.Duration
-	// LostOrderAge is when an order without an answer asks for a new round.
-	LostOrderAge time.Duration
+	// UnansweredOrderTimeout is when an order without an answer asks for a new round.
+	UnansweredOrderTimeout time.Duration
 	// WaitingPerReplica is the queue at which one more replica is wanted.
 	WaitingPerReplica int
 }
@@ -28,14 +28,14 @@
 // DefaultSettings returns the settings used where none are declared.
 func DefaultSettings() Settings {
 	return Settings{
-		StoreLoadsPerSecond: 3,
-		StoreConcurrency:    6,
-		LoadTimeout:         2 * time.Minute,
-		WantLifetime:        3 * time.Second,
-		KeepAlive:           10 * time.Minute,
-		MinResidence:        20 * time.Second,
-		ThrashWindow:        10 * time.Minute,
-		LostOrderAge:        3 * time.Second,
-		WaitingPerReplica:   8,
+		StoreLoadsPerSecond:    3,
+		StoreConcurrency:       6,
+		LoadTimeout:            2 * time.Minute,
+		WantLifetime:           3 * time.Second,
+		KeepAlive:              10 * time.Minute,
+		MinResidence:           20 * time.Second,
+		ThrashWindow:           10 * time.Minute,
+		UnansweredOrderTimeout: 3 * time.Second,
+		WaitingPerReplica:      8,
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -12,7 +12,7 @@
 // keeps its limits itself; a load that has to wait waits here, where it can
 // still be put behind one that is more urgent.
 type storeShare struct {
-	others StoreUsed
+	others StoreUsage
 	// tokens are the loads that may begin now.
 	tokens float64
 	asOf   time.Time
@@ -40,7 +40,7 @@
 		return equal / float64(1+others)
 	}
 	own = max(1, own)
-	heard := max(1, c.zones-c.store.others.Silent)
+	heard := max(1, c.zones-c.store.others.UnknownZones)
 	return equal * float64(heard) * float64(own) / float64(own+others)
 }
 
@@ -78,7 +78,7 @@
 // and at least its equal part; what does not divide goes to the first zones.
 func (c *Core) storeSlots() int {
 	equal := c.settings.StoreConcurrency / c.zones
-	left := c.settings.StoreConcurrency - c.store.others.Loading - c.store.others.Silent*max(1, equal)
+	left := c.settings.StoreConcurrency - c.store.others.Loading - c.store.others.UnknownZones*max(1, equal)
 	if c.zoneIndex < c.settings.StoreConcurrency%c.zones {
 		equal++
 	}
--- a/internal/placement/store_test.go
+++ b/internal/placement/store_test.go
@@ -9,20 +9,20 @@
 	cases := map[string]struct {
 		zones, waiting int
 		further        int
-		others         StoreUsed
+		others         StoreUsage
 		rate           float64
 		slots          int
 	}{
-		"alone wanting":          {4, 3, 0, StoreUsed{}, 12, 8},
-		"others load":            {4, 1, 0, StoreUsed{Loading: 5}, 12, 3},
-		"others took all":        {4, 1, 0, StoreUsed{Loading: 9}, 12, 2},
-		"others wait as well":    {4, 2, 0, StoreUsed{Waiting: 4}, 4, 8},
-		"nothing is heard":       {4, 3, 0, StoreUsed{Silent: 3}, 3, 2},
-		"one zone is not heard":  {4, 2, 0, StoreUsed{Waiting: 1, Silent: 1}, 6, 6},
-		"further replicas only":  {4, 0, 2, StoreUsed{}, 3, 8},
-		"further after others":   {4, 0, 2, StoreUsed{Waiting: 2}, 1, 8},
-		"a zone by itself":       {1, 1, 0, StoreUsed{}, 12, 8},
-		"more zones than a load": {16, 1, 0, StoreUsed{Loading: 8, Waiting: 11}, 1, 1},
+		"alone wanting":          {4, 3, 0, StoreUsage{}, 12, 8},
+		"others load":            {4, 1, 0, StoreUsage{Loading: 5}, 12, 3},
+		"others took all":        {4, 1, 0, StoreUsage{Loading: 9}, 12, 2},
+		"others wait as well":    {4, 2, 0, StoreUsage{Waiting: 4}, 4, 8},
+		"nothing is heard":       {4, 3, 0, StoreUsage{UnknownZones: 3}, 3, 2},
+		"one zone is not heard":  {4, 2, 0, StoreUsage{Waiting: 1, UnknownZones: 1}, 6, 6},
+		"further replicas only":  {4, 0, 2, StoreUsage{}, 3, 8},
+		"further after others":   {4, 0, 2, StoreUsage{Waiting: 2}, 1, 8},
+		"a zone by itself":       {1, 1, 0, StoreUsage{}, 12, 8},
+		"more zones than a load": {16, 1, 0, StoreUsage{Loading: 8, Waiting: 11}, 1, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/timing.go
+++ b/internal/placement/timing.go
@@ -13,20 +13,20 @@
 	Engine fleet.BackendName
 	Model  fleet.ModelVersion
 	Tier   fleet.Tier
-	// Wanted is when the first want was heard; zero for a load that nothing
+	// RequestedAt is when the first want was heard; zero for a load that nothing
 	// waited for.
-	Wanted time.Time
-	// Ordered is when the order was sent, Taken when the engine's answer came,
-	// Begun when a state first showed the load, Seen when one showed it ready.
-	Ordered, Taken, Begun, Seen time.Time
+	RequestedAt time.Time
+	// Ordered is when the order was sent, Accepted when the engine's answer came,
+	// Started when a state first showed the load, ReadySeen when one showed it ready.
+	Ordered, Accepted, Started, ReadySeen time.Time
 	// Ready is when the model was ready by the engine's own clock.
 	Ready time.Time
-	// Held is how long the load was held back before it was ordered, by cause.
-	Held Held
+	// HoldTimes is how long the load was held back before it was ordered, by cause.
+	HoldTimes HoldTimes
 }
 
-// Held are the times for which wants could not be served, by cause.
-type Held struct {
+// HoldTimes are the times for which wants could not be served, by cause.
+type HoldTimes struct {
 	// Allotment is for want of allotment, Memory for want of an engine with
 	// room, Eviction while room was made, Store for the weight store's limits.
 	Allotment, Memory, Eviction, Store time.Duration
@@ -39,7 +39,7 @@
 	since time.Time
 	// marked is the time up to which held is counted.
 	marked time.Time
-	held   Held
+	held   HoldTimes
 }
 
 // timings follow what is waited for and what is loading; what is loaded does
@@ -64,23 +64,23 @@
 }
 
 // heldBy adds the time since the last plan to a cause.
-func (t *timings) heldBy(now time.Time, model fleet.ModelVersion, cause func(*Held) *time.Duration) {
+func (t *timings) heldBy(now time.Time, model fleet.ModelVersion, cause func(*HoldTimes) *time.Duration) {
 	if wait := t.waits[model]; wait != nil {
 		*cause(&wait.held) += now.Sub(wait.marked)
 		wait.marked = now
 	}
 }
 
-func byAllotment(held *Held) *time.Duration { return &held.Allotment }
-func byMemory(held *Held) *time.Duration    { return &held.Memory }
-func byEviction(held *Held) *time.Duration  { return &held.Eviction }
-func byStore(held *Held) *time.Duration     { return &held.Store }
+func byAllotment(held *HoldTimes) *time.Duration { return &held.Allotment }
+func byMemory(held *HoldTimes) *time.Duration    { return &held.Memory }
+func byEviction(held *HoldTimes) *time.Duration  { return &held.Eviction }
+func byStore(held *HoldTimes) *time.Duration     { return &held.Store }
 
 // ordered begins the record of a load.
 func (t *timings) ordered(now time.Time, engine fleet.BackendName, model fleet.ModelVersion, tier fleet.Tier) {
 	flight := &LoadFinished{Engine: engine, Model: model, Tier: tier, Ordered: now}
 	if wait := t.waits[model]; wait != nil {
-		flight.Wanted, flight.Held = wait.since, wait.held
+		flight.RequestedAt, flight.HoldTimes = wait.since, wait.held
 		delete(t.waits, model)
 	}
 	t.flights[placementKey{engine, model}] = flight
@@ -89,7 +89,7 @@
 // taken notes the engine's answer to the order of a load.
 func (t *timings) taken(now time.Time, order *order) {
 	if flight := t.flights[placementKey{order.engine, order.Model}]; flight != nil && order.Action == backend.ActionLoad {
-		flight.Taken = now
+		flight.Accepted = now
 	}
 }
 
@@ -106,17 +106,17 @@
 		if flight == nil {
 			continue
 		}
-		if flight.Begun.IsZero() {
-			flight.Begun = now
+		if flight.Started.IsZero() {
+			flight.Started = now
 		}
 		if loaded.State == fleet.LoadReady {
-			flight.Ready, flight.Seen = loaded.ReadySince, now
+			flight.Ready, flight.ReadySeen = loaded.ReadySince, now
 			c.emit(*flight)
 			delete(c.timings.flights, key)
 		}
 	}
 	for key, flight := range c.timings.flights {
-		if key.engine == state.Name && !flight.Begun.IsZero() && state.Find(key.model) == nil {
+		if key.engine == state.Name && !flight.Started.IsZero() && state.Find(key.model) == nil {
 			delete(c.timings.flights, key)
 		}
 	}
--- a/internal/placement/wants.go
+++ b/internal/placement/wants.go
@@ -29,7 +29,7 @@
 		if want.Arrivals > 0 || want.Waiting > 0 {
 			c.historyOf(want.Model).arrive(now)
 			c.historyOf(want.Model).here = want.Waiting > 0 || c.count(want.Model) > 0
-			c.policy.Arrived(now, want.Model)
+			c.policy.RequestsArrived(now, want.Model)
 		}
 		key := wantKey{want.Node, want.Adapter, want.Regions}
 		if want.Waiting == 0 {
--- a/internal/placer/adapters.go
+++ b/internal/placer/adapters.go
@@ -22,7 +22,7 @@
 )
 
 type adapterWant struct {
-	wanted  dispatch.Wanted
+	wanted  dispatch.Requirements
 	waiting int
 	rate    float64
 	copies  int
@@ -64,7 +64,7 @@
 	return wants
 }
 
-func (r *round) adapterCopies(wanted dispatch.Wanted) int {
+func (r *round) adapterCopies(wanted dispatch.Requirements) int {
 	count := 0
 	for _, s := range r.servers {
 		if !s.takesOrders() || !r.isIn(s, wanted.Regions) {
@@ -79,7 +79,7 @@
 
 // isBringing reports whether an order for the adapter has no answer yet. Nobody
 // is told of it before: the order may be lost.
-func (s *server) isBringing(wanted dispatch.Wanted) bool {
+func (s *server) isBringing(wanted dispatch.Requirements) bool {
 	order := s.ordering
 	return order != nil && order.Operation == Load && order.Model == wanted.Model && order.Adapter == wanted.Adapter
 }
@@ -107,11 +107,11 @@
 
 // dropAdapter makes room by the adapter that was asked for longest ago.
 func (r *round) dropAdapter(s *server, wanted adapterWant) {
-	var oldest dispatch.Wanted
+	var oldest dispatch.Requirements
 	var oldestAsk time.Time
 	for modelName, model := range s.held {
 		for name, known := range model.adapters {
-			candidate := dispatch.Wanted{Service: s.info.Service, Model: modelName, Adapter: name}
+			candidate := dispatch.Requirements{Service: s.info.Service, Model: modelName, Adapter: name}
 			asked := known.lastUse
 			if last := r.lastAsk(candidate); last.After(asked) {
 				asked = last
--- a/internal/placer/again_test.go
+++ b/internal/placer/again_test.go
@@ -16,7 +16,7 @@
 	core.servers["s"].setCopies(nil, []string{"m08"})
 	wantModel(core, begin, "m08")
 	unload := core.Step(begin.Add(tick), true).Orders[0]
-	core.OrderAnswered(begin.Add(2*tick), unload, ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), unload, ResultTaken)
 	given := make(map[Order]int)
 	for now := begin.Add(3 * tick); now.Sub(begin) < lasts; now = now.Add(5 * time.Millisecond) {
 		wantModel(core, now, "m08")
@@ -24,10 +24,10 @@
 		for _, order := range effects.Orders {
 			given[order]++
 			same = max(same, given[order])
-			core.OrderAnswered(now, order, result)
+			core.HandleOrderResult(now, order, result)
 		}
-		for range effects.Reports {
-			core.TakeReport(now, "s", Report{
+		for range effects.ReportRequests {
+			core.HandleReport(now, "s", Report{
 				Models: []inventory.HeldModel{{Name: "m02"}}, OnDisk: []string{"m08"}, Busy: result == ResultBusy, Sequence: 1,
 			}, result == ResultBusy)
 		}
@@ -55,20 +55,20 @@
 	for id := range held {
 		core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: id, Service: serviceName, OnDisk: []string{"m08"}}}})
 	}
-	core.Reserved()
+	core.ConfirmReservation()
 	core.Step(begin, true)
 	for id, models := range held {
-		core.TakeReport(begin, id, Report{Models: models, OnDisk: []string{"m08"}}, true)
+		core.HandleReport(begin, id, Report{Models: models, OnDisk: []string{"m08"}}, true)
 	}
 	loaded := time.Duration(0)
 	for now := begin.Add(tick); now.Sub(begin) < 2*time.Second && loaded == 0; now = now.Add(5 * time.Millisecond) {
-		core.demand.SetCounts(now, "node", 1, []Count{{Wanted: dispatch.Wanted{Service: serviceName, Model: "m08"}, Asked: 3, Waiting: 3}})
+		core.demand.SetCounts(now, "node", 1, []RequestCount{{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 3, Waiting: 3}})
 		for _, order := range core.Step(now, true).Orders {
 			switch {
 			case order.ServerID == "s1":
-				core.OrderAnswered(now, order, ResultNotSent)
+				core.HandleOrderResult(now, order, ResultNotSent)
 			default:
-				core.OrderAnswered(now, order, ResultTaken)
+				core.HandleOrderResult(now, order, ResultTaken)
 				if order.Operation == Load && order.Model == "m08" {
 					loaded = now.Sub(begin)
 				}
--- a/internal/placer/answers.go
+++ b/internal/placer/answers.go
@@ -6,8 +6,8 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// TakeReport takes a server's report; ok is false where none came.
-func (c *Core) TakeReport(now time.Time, id string, report Report, ok bool) {
+// HandleReport takes a server's report; ok is false where none came.
+func (c *Core) HandleReport(now time.Time, id string, report Report, ok bool) {
 	s, known := c.servers[id]
 	if !known {
 		return
@@ -17,7 +17,7 @@
 		s.askReport(now.Add(reportRetry))
 		return
 	}
-	if start := (inventory.Start{ID: id, Born: report.Born}); report.Born != 0 && start != s.info.Start() {
+	if start := (inventory.Start{ID: id, StartedAtMs: report.StartedAtMs}); report.StartedAtMs != 0 && start != s.info.Start() {
 		if s = c.startReported(now, s, start); s == nil {
 			return
 		}
@@ -46,7 +46,7 @@
 		return nil
 	}
 	again := known.info
-	again.Born, again.Models, again.InMemory = start.Born, nil, nil
+	again.StartedAtMs, again.Models, again.InMemory = start.StartedAtMs, nil, nil
 	started := c.startsAgain(now, known, again)
 	started.isTold = true
 	return started
@@ -66,7 +66,7 @@
 	}
 	s.held = fresh
 	s.setCopies(report.InMemory, report.OnDisk)
-	c.effects.Changed = true
+	c.effects.ViewsChanged = true
 	s.busy = report.Busy
 	if report.Busy {
 		s.synced = s.loading != nil || s.unloading != ""
@@ -97,10 +97,10 @@
 	return fresh
 }
 
-// OrderAnswered takes the answer to an order.
-func (c *Core) OrderAnswered(now time.Time, order Order, result Result) {
+// HandleOrderResult takes the answer to an order.
+func (c *Core) HandleOrderResult(now time.Time, order Order, result Result) {
 	s, ok := c.servers[order.ServerID]
-	if !ok || s.ordering == nil || order.Born != s.info.Born {
+	if !ok || s.ordering == nil || order.StartedAtMs != s.info.StartedAtMs {
 		return
 	}
 	s.ordering = nil
@@ -109,7 +109,7 @@
 	}
 	switch result {
 	case ResultTaken:
-		s.sequence = order.Expected + 1
+		s.sequence = order.ExpectedSequence + 1
 		s.unsure = nil
 		s.lastTaken = &order
 		s.busySince = time.Time{}
@@ -140,7 +140,7 @@
 		s.synced = false
 		s.askReport(now.Add(busyPause))
 	}
-	c.effects.Changed = true
+	c.effects.ViewsChanged = true
 }
 
 // foundBusy tries again soon at a server that is still carrying out this
--- a/internal/placer/badload_test.go
+++ b/internal/placer/badload_test.go
@@ -23,21 +23,21 @@
 	for range 4 * servers {
 		now = now.Add(gap)
 		wantModel(core, now, "m08")
-		core.Reserved()
+		core.ConfirmReservation()
 		effects := core.Step(now, true)
-		for _, call := range effects.Reports {
-			core.TakeReport(now, call.ServerID, Report{}, true)
+		for _, call := range effects.ReportRequests {
+			core.HandleReport(now, call.ServerID, Report{}, true)
 		}
 		for _, order := range effects.Orders {
 			if order.Operation != Load {
 				continue
 			}
 			loads++
-			core.OrderAnswered(now, order, ResultTaken)
+			core.HandleOrderResult(now, order, ResultTaken)
 			ended := inventory.Change{Server: inventory.Server{ID: order.ServerID, Service: serviceName}, Gone: true}
 			for _, well := range endWell {
 				if loads == well {
-					core.TakeReport(now.Add(time.Second), order.ServerID, Report{Sequence: order.Expected + 1, Models: []inventory.HeldModel{{Name: order.Model}}}, true)
+					core.HandleReport(now.Add(time.Second), order.ServerID, Report{Sequence: order.ExpectedSequence + 1, Models: []inventory.HeldModel{{Name: order.Model}}}, true)
 				}
 			}
 			core.SetServers(now.Add(gap/2), []inventory.Change{ended})
--- a/internal/placer/copies.go
+++ b/internal/placer/copies.go
@@ -46,7 +46,7 @@
 // copiesForAdapters is the number of copies that have places for the adapters
 // that are asked for.
 func (r *round) copiesForAdapters(model string) int {
-	variety := r.core.demand.variety[dispatch.Wanted{Service: r.service, Model: model}]
+	variety := r.core.demand.variety[dispatch.Requirements{Service: r.service, Model: model}]
 	if variety == 0 || r.engine.AdapterSlots == 0 {
 		return 0
 	}
