--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -55,10 +55,10 @@
 // between two writes of the lease. The lease says so before they begin.
 const reservedLoads = 6
 
-// Reserve returns the loads from each weight store that began within the last
+// ReserveLoads returns the loads from each weight store that began within the last
 // window or may begin until the next call, as the times since. What it returns
 // must stand in the lease before Reserved is called.
-func (c *Core) Reserve(now time.Time) map[string][]time.Duration {
+func (c *Core) ReserveLoads(now time.Time) map[string][]time.Duration {
 	if c.table == nil {
 		return nil
 	}
@@ -77,15 +77,15 @@
 	return reserve
 }
 
-// Reserved tells that the lease says what Reserve returned.
-func (c *Core) Reserved() {
+// ConfirmReservation tells that the lease says what Reserve returned.
+func (c *Core) ConfirmReservation() {
 	for name := range c.table.Services {
 		c.reserved[name] = reservedLoads
 	}
 }
 
-// AssumeLoads counts the loads that earlier leaders may have begun.
-func (c *Core) AssumeLoads(loads map[string][]time.Time) {
+// AddPriorLoads counts the loads that earlier leaders may have begun.
+func (c *Core) AddPriorLoads(loads map[string][]time.Time) {
 	for name, begun := range loads {
 		c.storeLoads[name] = append(c.storeLoads[name], begun...)
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// SetRunning takes the requests of all nodes at each server.
-func (c *Core) SetRunning(running map[string]int) {
+// SetRunningRequests takes the requests of all nodes at each server.
+func (c *Core) SetRunningRequests(running map[string]int) {
 	for id, s := range c.servers {
 		s.running = running[id]
 	}
@@ -182,7 +182,7 @@
 		}
 		s.reportAt = time.Time{}
 		s.reporting = true
-		c.effects.Reports = append(c.effects.Reports, ReportCall{ServerID: s.info.ID, Born: s.info.Born, Address: s.info.Address})
+		c.effects.ReportRequests = append(c.effects.ReportRequests, ReportRequest{ServerID: s.info.ID, StartedAtMs: s.info.StartedAtMs, Address: s.info.Address})
 	}
 }
 
--- a/internal/placer/core_test.go
+++ b/internal/placer/core_test.go
@@ -16,17 +16,17 @@
 	core := New(Options{Window: window, Overage: overage})
 	core.SetTable(simTable())
 	core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", Service: serviceName}}})
-	core.Reserved()
-	if effects := core.Step(begin, true); len(effects.Reports) != 1 || len(effects.Orders) != 0 {
+	core.ConfirmReservation()
+	if effects := core.Step(begin, true); len(effects.ReportRequests) != 1 || len(effects.Orders) != 0 {
 		t.Fatalf("effects %+v, want a question for the server's report before any order", effects)
 	}
-	core.TakeReport(begin, "s", Report{Models: []inventory.HeldModel{{Name: "m02"}, {Name: "m05"}}}, true)
+	core.HandleReport(begin, "s", Report{Models: []inventory.HeldModel{{Name: "m02"}, {Name: "m05"}}}, true)
 	return core
 }
 
 func wantModel(core *Core, now time.Time, model string) {
-	core.demand.SetCounts(now, "node", 1, []Count{{
-		Wanted: dispatch.Wanted{Service: serviceName, Model: model}, Asked: 1, Waiting: 1,
+	core.demand.SetCounts(now, "node", 1, []RequestCount{{
+		Requirements: dispatch.Requirements{Service: serviceName, Model: model}, Requests: 1, Waiting: 1,
 	}})
 }
 
@@ -40,7 +40,7 @@
 	if len(effects.Orders) != 1 || effects.Orders[0].Operation != Unload {
 		t.Fatalf("orders %+v, want an unload", effects.Orders)
 	}
-	core.OrderAnswered(begin.Add(2*tick), effects.Orders[0], ResultNotSent)
+	core.HandleOrderResult(begin.Add(2*tick), effects.Orders[0], ResultNotSent)
 	for step := range 100 {
 		now := begin.Add(time.Duration(3+step) * tick)
 		wantModel(core, now, "m08")
@@ -48,7 +48,7 @@
 			if order.Operation == Load {
 				t.Fatalf("loads %s into memory that nothing left", order.Model)
 			}
-			core.OrderAnswered(now, order, ResultNotSent)
+			core.HandleOrderResult(now, order, ResultNotSent)
 		}
 	}
 }
@@ -57,9 +57,9 @@
 	core := fullServer(t)
 	wantModel(core, begin, "m08")
 	unload := core.Step(begin.Add(tick), true).Orders[0]
-	core.OrderAnswered(begin.Add(2*tick), unload, ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), unload, ResultTaken)
 	orders := core.Step(begin.Add(3*tick), true).Orders
-	if len(orders) != 1 || orders[0].Operation != Load || orders[0].Model != "m08" || orders[0].Expected != unload.Expected+1 {
+	if len(orders) != 1 || orders[0].Operation != Load || orders[0].Model != "m08" || orders[0].ExpectedSequence != unload.ExpectedSequence+1 {
 		t.Errorf("orders %+v, want the load of m08 with the next count", orders)
 	}
 }
@@ -74,7 +74,7 @@
 	fresh.SetTable(simTable())
 	fresh.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", Service: serviceName}}})
 	fresh.Step(begin, true)
-	fresh.TakeReport(begin, "s", Report{}, true)
+	fresh.HandleReport(begin, "s", Report{}, true)
 	wantModel(fresh, begin, "m08")
 	if orders := fresh.Step(begin.Add(tick), true).Orders; len(orders) != 0 {
 		t.Errorf("orders %+v before the lease says which loads may begin", orders)
@@ -97,13 +97,13 @@
 func TestLooseModelsMakeWayFirst(t *testing.T) {
 	core := fullServer(t)
 	now := begin
-	core.demand.SetCounts(now, "node", 1, []Count{
-		{Wanted: dispatch.Wanted{Service: serviceName, Model: "m02"}, Asked: 1, Goal: 800 * time.Millisecond},
-		{Wanted: dispatch.Wanted{Service: serviceName, Model: "m05"}, Asked: 1, Goal: 6 * time.Second},
+	core.demand.SetCounts(now, "node", 1, []RequestCount{
+		{Requirements: dispatch.Requirements{Service: serviceName, Model: "m02"}, Requests: 1, LatencyGoal: 800 * time.Millisecond},
+		{Requirements: dispatch.Requirements{Service: serviceName, Model: "m05"}, Requests: 1, LatencyGoal: 6 * time.Second},
 	})
 	now = now.Add(5 * time.Second)
-	core.Reserved()
-	core.demand.SetCounts(now, "node", 1, []Count{{Wanted: dispatch.Wanted{Service: serviceName, Model: "m08"}, Asked: 1, Waiting: 1}})
+	core.ConfirmReservation()
+	core.demand.SetCounts(now, "node", 1, []RequestCount{{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 1, Waiting: 1}})
 	orders := core.Step(now, true).Orders
 	if len(orders) != 1 || orders[0].Operation != Unload || orders[0].Model != "m05" {
 		t.Errorf("orders %+v, want the unload of m05, whose callers bear a load", orders)
@@ -114,8 +114,8 @@
 // had been lost.
 func TestAdapterIsToldOnceItsOrderIsTaken(t *testing.T) {
 	core := fullServer(t)
-	wanted := dispatch.Wanted{Service: serviceName, Model: "m02", Adapter: "a1"}
-	core.demand.SetCounts(begin, "node", 1, []Count{{Wanted: wanted, Asked: 1, Waiting: 1}})
+	wanted := dispatch.Requirements{Service: serviceName, Model: "m02", Adapter: "a1"}
+	core.demand.SetCounts(begin, "node", 1, []RequestCount{{Requirements: wanted, Requests: 1, Waiting: 1}})
 	orders := core.Step(begin.Add(tick), true).Orders
 	if len(orders) != 1 || orders[0].Adapter != "a1" {
 		t.Fatalf("orders %+v, want the adapter", orders)
@@ -126,7 +126,7 @@
 	if again := core.Step(begin.Add(2*tick), true).Orders; len(again) != 0 {
 		t.Errorf("ordered again before the answer: %+v", again)
 	}
-	core.OrderAnswered(begin.Add(2*tick), orders[0], ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), orders[0], ResultTaken)
 	if view := core.Views(begin.Add(2 * tick))[0]; len(view.Loading) != 1 {
 		t.Errorf("not told after the answer: %+v", view)
 	}
@@ -135,9 +135,9 @@
 // TestOldCountsAreNoBurst: counts rise from a node's start, and a new leader took
 // them all for requests of now.
 func TestOldCountsAreNoBurst(t *testing.T) {
-	wanted := dispatch.Wanted{Service: serviceName, Model: "m02"}
-	counts := func(asked uint64) []Count {
-		return []Count{{Wanted: wanted, Asked: asked, PromptTokens: asked * 1000}}
+	wanted := dispatch.Requirements{Service: serviceName, Model: "m02"}
+	counts := func(asked uint64) []RequestCount {
+		return []RequestCount{{Requirements: wanted, Requests: asked, PromptTokens: asked * 1000}}
 	}
 	cases := []struct {
 		name string
@@ -175,11 +175,11 @@
 // models in its first second.
 func TestNewLeaderKnowsWhatWasWanted(t *testing.T) {
 	demand := NewDemand()
-	wanted := dispatch.Wanted{Service: serviceName, Model: "m02"}
+	wanted := dispatch.Requirements{Service: serviceName, Model: "m02"}
 	now := begin
 	for step := range 60 {
 		now = now.Add(200 * time.Millisecond)
-		demand.SetCounts(now, "node", 1, []Count{{Wanted: wanted, Asked: uint64(step), PromptTokens: uint64(step) * 9000}})
+		demand.SetCounts(now, "node", 1, []RequestCount{{Requirements: wanted, Requests: uint64(step), PromptTokens: uint64(step) * 9000}})
 	}
 	core := New(Options{Window: window, Overage: overage, Demand: demand})
 	core.SetTable(simTable())
@@ -205,19 +205,19 @@
 	core := fullServer(t)
 	wantModel(core, begin, "m08")
 	unload := core.Step(begin.Add(tick), true).Orders[0]
-	core.OrderAnswered(begin.Add(2*tick), unload, ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), unload, ResultTaken)
 	dropped := unload.Model
 	now := begin.Add(3 * tick)
 	for range 40 {
-		core.demand.SetCounts(now, "node", 1, []Count{
-			{Wanted: dispatch.Wanted{Service: serviceName, Model: "m08"}, Asked: 1, Waiting: 1},
-			{Wanted: dispatch.Wanted{Service: serviceName, Model: dropped}, Asked: 5, Waiting: 5},
+		core.demand.SetCounts(now, "node", 1, []RequestCount{
+			{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 1, Waiting: 1},
+			{Requirements: dispatch.Requirements{Service: serviceName, Model: dropped}, Requests: 5, Waiting: 5},
 		})
 		for _, order := range core.Step(now, true).Orders {
 			if order.Model != "m08" {
 				t.Fatalf("%v after the unload: %s %s into the room made for m08", now.Sub(begin), order.Operation, order.Model)
 			}
-			core.OrderAnswered(now, order, ResultBusy)
+			core.HandleOrderResult(now, order, ResultBusy)
 		}
 		now = now.Add(tick)
 	}
@@ -234,9 +234,9 @@
 		changes = append(changes, inventory.Change{Server: inventory.Server{ID: fmt.Sprint("s", i), Service: serviceName}})
 	}
 	core.SetServers(begin, changes)
-	var counts []Count
+	var counts []RequestCount
 	for i := range 3 * engine.AdapterSlots {
-		counts = append(counts, Count{Wanted: dispatch.Wanted{Service: serviceName, Model: "m02", Adapter: fmt.Sprint("a", i)}, Asked: 1, PromptTokens: 100})
+		counts = append(counts, RequestCount{Requirements: dispatch.Requirements{Service: serviceName, Model: "m02", Adapter: fmt.Sprint("a", i)}, Requests: 1, PromptTokens: 100})
 	}
 	core.demand.SetCounts(begin, "node", 1, counts)
 	r := &round{core: core, now: begin, service: serviceName, engine: engine, servers: core.serversOf(serviceName)}
@@ -257,7 +257,7 @@
 	core := fullServer(t)
 	wantModel(core, begin, "m08")
 	unload := core.Step(begin.Add(tick), true).Orders[0]
-	core.OrderAnswered(begin.Add(2*tick), unload, ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), unload, ResultTaken)
 	views := core.Views(begin.Add(2 * tick))
 	if left, ok := views[0].Loading["m08"]; !ok || left <= 0 {
 		t.Errorf("view %+v, want a time until m08 is there", views[0])
@@ -268,13 +268,13 @@
 // turns for ever, and adapters starved behind the swaps.
 func TestNobodyWaitsSoNoLastCopyGoes(t *testing.T) {
 	core := fullServer(t)
-	core.demand.SetCounts(begin, "node", 1, []Count{
-		{Wanted: dispatch.Wanted{Service: serviceName, Model: "m02"}, Asked: 1, Goal: 6 * time.Second},
-		{Wanted: dispatch.Wanted{Service: serviceName, Model: "m05"}, Asked: 1, Goal: 6 * time.Second},
-		{Wanted: dispatch.Wanted{Service: serviceName, Model: "m08"}, Asked: 1, Goal: 6 * time.Second},
+	core.demand.SetCounts(begin, "node", 1, []RequestCount{
+		{Requirements: dispatch.Requirements{Service: serviceName, Model: "m02"}, Requests: 1, LatencyGoal: 6 * time.Second},
+		{Requirements: dispatch.Requirements{Service: serviceName, Model: "m05"}, Requests: 1, LatencyGoal: 6 * time.Second},
+		{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 1, LatencyGoal: 6 * time.Second},
 	})
 	for second := range 15 {
-		core.Reserved()
+		core.ConfirmReservation()
 		if orders := core.Step(begin.Add(time.Duration(second)*time.Second), true).Orders; len(orders) != 0 {
 			t.Fatalf("orders %+v though nobody waits", orders)
 		}
@@ -292,17 +292,17 @@
 	core.SetServers(begin, changes)
 	core.Step(begin, true)
 	for _, id := range []string{"t", "u", "v"} {
-		core.TakeReport(begin, id, Report{}, true)
+		core.HandleReport(begin, id, Report{}, true)
 	}
-	core.demand.SetCounts(begin, "node", 1, []Count{{
-		Wanted: dispatch.Wanted{Service: serviceName, Model: "m02"}, Asked: 1, PromptTokens: 100,
+	core.demand.SetCounts(begin, "node", 1, []RequestCount{{
+		Requirements: dispatch.Requirements{Service: serviceName, Model: "m02"}, Requests: 1, PromptTokens: 100,
 	}})
-	core.SetRunning(map[string]int{"s": 6})
+	core.SetRunningRequests(map[string]int{"s": 6})
 	if orders := core.Step(begin.Add(tick), true).Orders; len(orders) != 0 {
 		t.Fatalf("orders %+v though the server has room", orders)
 	}
-	core.SetRunning(map[string]int{"s": 10})
-	core.Reserved()
+	core.SetRunningRequests(map[string]int{"s": 10})
+	core.ConfirmReservation()
 	orders := core.Step(begin.Add(2*tick), true).Orders
 	if len(orders) != 1 || orders[0].ServerID == "s" || orders[0].Model != "m02" {
 		t.Errorf("orders %+v, want a copy of m02 at another server", orders)
@@ -319,8 +319,8 @@
 		s := core.servers["s"]
 		order.ServerID = "s"
 		s.ordering = &order
-		core.OrderAnswered(begin, order, ResultTaken)
-		core.TakeReport(begin.Add(time.Second), "s", Report{Sequence: sequence, Busy: true}, true)
+		core.HandleOrderResult(begin, order, ResultTaken)
+		core.HandleReport(begin.Add(time.Second), "s", Report{Sequence: sequence, Busy: true}, true)
 		return s.mayLoadFromStore()
 	}
 	cases := []struct {
@@ -340,7 +340,7 @@
 		}
 	}
 	core := fullServer(t)
-	core.TakeReport(begin.Add(time.Second), "s", Report{Busy: true}, true)
+	core.HandleReport(begin.Add(time.Second), "s", Report{Busy: true}, true)
 	if !core.servers["s"].mayLoadFromStore() {
 		t.Error("a server that an earlier leader left busy cannot be loading")
 	}
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -10,19 +10,19 @@
 // node keeps one, so that a new leader knows what was wanted before its term. It
 // is not safe for concurrent use.
 type Demand struct {
-	interests map[dispatch.Wanted]*interest
+	interests map[dispatch.Requirements]*interest
 	nodes     map[string]*nodeCounts
 	// waits are the requests that wait for each model in the same regions, as of the last
 	// step.
-	waits map[dispatch.Wanted]int
+	waits map[dispatch.Requirements]int
 	// variety is the number of adapters of each model that are asked for in the same
 	// regions, as of the last step.
-	variety map[dispatch.Wanted]int
+	variety map[dispatch.Requirements]int
 }
 
 // NewDemand returns the demand of nobody.
 func NewDemand() *Demand {
-	return &Demand{interests: make(map[dispatch.Wanted]*interest), nodes: make(map[string]*nodeCounts)}
+	return &Demand{interests: make(map[dispatch.Requirements]*interest), nodes: make(map[string]*nodeCounts)}
 }
 
 type nodeCounts struct {
@@ -56,12 +56,12 @@
 
 // added are the requests and prompt tokens that a node counted since it was last
 // heard.
-func (n *nodeCounts) added(wanted *interest, count Count) (requests, tokens float64) {
+func (n *nodeCounts) added(wanted *interest, count RequestCount) (requests, tokens float64) {
 	previous, heard := n.asked[wanted]
-	if count.Asked <= previous.requests {
+	if count.Requests <= previous.requests {
 		return 0, 0
 	}
-	requests = float64(count.Asked - previous.requests)
+	requests = float64(count.Requests - previous.requests)
 	tokens = float64(count.PromptTokens - min(previous.tokens, count.PromptTokens))
 	isNew := requests
 	switch {
@@ -75,7 +75,7 @@
 }
 
 // SetCounts takes the counts of a node; life is another after a restart.
-func (d *Demand) SetCounts(now time.Time, node string, life uint64, counts []Count) {
+func (d *Demand) SetCounts(now time.Time, node string, life uint64, counts []RequestCount) {
 	known := d.nodeOf(node, life)
 	known.heardAt = now
 	for _, wanted := range known.waits {
@@ -101,10 +101,10 @@
 	return fresh
 }
 
-func (d *Demand) take(now time.Time, node string, known *nodeCounts, count Count) {
-	wanted := d.interestIn(count.Wanted)
+func (d *Demand) take(now time.Time, node string, known *nodeCounts, count RequestCount) {
+	wanted := d.interestIn(count.Requirements)
 	added, tokens := known.added(wanted, count)
-	known.asked[wanted] = counted{requests: count.Asked, tokens: count.PromptTokens}
+	known.asked[wanted] = counted{requests: count.Requests, tokens: count.PromptTokens}
 	if count.Waiting > 0 {
 		wanted.waiting[node] = waiting{count: count.Waiting, at: now}
 		known.waits = append(known.waits, wanted)
@@ -112,19 +112,19 @@
 	if added == 0 {
 		return
 	}
-	wanted.add(now, added, tokens, count.Goal, count.Region)
-	if count.Wanted.Adapter != "" {
-		d.modelOf(count.Wanted).add(now, added, tokens, count.Goal, count.Region)
+	wanted.add(now, added, tokens, count.LatencyGoal, count.Region)
+	if count.Requirements.Adapter != "" {
+		d.modelOf(count.Requirements).add(now, added, tokens, count.LatencyGoal, count.Region)
 	}
 }
 
 // modelOf is the interest in an adapter's model.
-func (d *Demand) modelOf(wanted dispatch.Wanted) *interest {
+func (d *Demand) modelOf(wanted dispatch.Requirements) *interest {
 	wanted.Adapter = ""
 	return d.interestIn(wanted)
 }
 
-func (d *Demand) interestIn(wanted dispatch.Wanted) *interest {
+func (d *Demand) interestIn(wanted dispatch.Requirements) *interest {
 	known, ok := d.interests[wanted]
 	if !ok {
 		known = &interest{waiting: make(map[string]waiting)}
@@ -164,11 +164,11 @@
 // countWaits counts once for a step what waits for each model, adapters
 // included, and since when something does; and how many adapters are asked for.
 func (d *Demand) countWaits(now time.Time) {
-	d.waits = make(map[dispatch.Wanted]int)
-	d.variety = make(map[dispatch.Wanted]int)
+	d.waits = make(map[dispatch.Requirements]int)
+	d.variety = make(map[dispatch.Requirements]int)
 	for wanted, known := range d.interests {
 		if wanted.Adapter != "" && now.Sub(known.lastAsk) < adapterInterest {
-			d.variety[dispatch.Wanted{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}]++
+			d.variety[dispatch.Requirements{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}]++
 		}
 		waits := known.waits(now)
 		if waits == 0 {
@@ -178,10 +178,10 @@
 		if known.waitingSince.IsZero() {
 			known.waitingSince = now
 		}
-		d.waits[dispatch.Wanted{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}] += waits
+		d.waits[dispatch.Requirements{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}] += waits
 	}
 }
 
 func (d *Demand) waitsFor(service, model string) int {
-	return d.waits[dispatch.Wanted{Service: service, Model: model}]
+	return d.waits[dispatch.Requirements{Service: service, Model: model}]
 }
--- a/internal/placer/evacuate.go
+++ b/internal/placer/evacuate.go
@@ -18,12 +18,12 @@
 	for _, s := range c.servers {
 		c.closeOrOpen(now, s)
 	}
-	c.effects.Changed = true
+	c.effects.ViewsChanged = true
 }
 
-// SetAway closes the servers that said that they leave, or that they want nothing for a while,
+// SetUnavailable closes the servers that said that they leave, or that they want nothing for a while,
 // likewise, and opens those that are not among them any more.
-func (c *Core) SetAway(now time.Time, starts []inventory.Start) {
+func (c *Core) SetUnavailable(now time.Time, starts []inventory.Start) {
 	if len(starts) == 0 && len(c.away) == 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 	for _, changed := range []map[inventory.Start]bool{before, away} {
 		for start := range changed {
 			if s, ok := c.servers[start.ID]; ok && c.closeOrOpen(now, s) {
-				c.effects.Changed = true
+				c.effects.ViewsChanged = true
 			}
 		}
 	}
--- a/internal/placer/evacuate_test.go
+++ b/internal/placer/evacuate_test.go
@@ -24,24 +24,24 @@
 		}
 	}
 	core.SetServers(begin, changes)
-	core.Reserved()
+	core.ConfirmReservation()
 	core.Step(begin, false)
 	for i := range each {
-		core.TakeReport(begin, fmt.Sprint("a", i), Report{Models: []inventory.HeldModel{{Name: fmt.Sprintf("m%02d", 2*i)}, {Name: fmt.Sprintf("m%02d", 2*i+1)}}}, true)
+		core.HandleReport(begin, fmt.Sprint("a", i), Report{Models: []inventory.HeldModel{{Name: fmt.Sprintf("m%02d", 2*i)}, {Name: fmt.Sprintf("m%02d", 2*i+1)}}}, true)
 		report := Report{}
 		if i == 0 {
 			report.Models = []inventory.HeldModel{{Name: "m00"}}
 		}
-		core.TakeReport(begin, fmt.Sprint("b", i), report, true)
+		core.HandleReport(begin, fmt.Sprint("b", i), report, true)
 	}
 	return core
 }
 
 // asked counts requests for the models from m00 on, as many in the last seconds as told.
 func asked(core *Core, now time.Time, requests ...uint64) {
-	var counts []Count
+	var counts []RequestCount
 	for i, count := range requests {
-		counts = append(counts, Count{Wanted: dispatch.Wanted{Service: serviceName, Model: fmt.Sprintf("m%02d", i)}, Asked: count, Goal: time.Second})
+		counts = append(counts, RequestCount{Requirements: dispatch.Requirements{Service: serviceName, Model: fmt.Sprintf("m%02d", i)}, Requests: count, LatencyGoal: time.Second})
 	}
 	core.demand.SetCounts(begin, "node", 1, nil)
 	core.demand.SetCounts(now, "node", 1, counts)
@@ -50,7 +50,7 @@
 // answer carries out an order at once.
 func answer(core *Core, now time.Time, orders []Order) {
 	for _, order := range orders {
-		core.OrderAnswered(now, order, ResultTaken)
+		core.HandleOrderResult(now, order, ResultTaken)
 	}
 }
 
@@ -70,7 +70,7 @@
 				t.Errorf("order %+v", order)
 			}
 		}
-		for _, call := range effects.Reports {
+		for _, call := range effects.ReportRequests {
 			if call.ServerID[0] == 'a' {
 				t.Errorf("the report of %s is asked for", call.ServerID)
 			}
@@ -95,7 +95,7 @@
 	loads := 0
 	for step := range 100 {
 		now := begin.Add(time.Duration(1+step) * tick)
-		core.Reserved()
+		core.ConfirmReservation()
 		orders := core.Step(now, true).Orders
 		loads += len(orders)
 		answer(core, now, orders)
@@ -117,8 +117,8 @@
 	if len(effects.Orders) != 0 {
 		t.Errorf("orders %+v though every model stands again", effects.Orders)
 	}
-	if len(effects.Reports) != 2 {
-		t.Errorf("reports %+v asked for, want those of the zone", effects.Reports)
+	if len(effects.ReportRequests) != 2 {
+		t.Errorf("reports %+v asked for, want those of the zone", effects.ReportRequests)
 	}
 }
 
@@ -126,7 +126,7 @@
 // once for as long as the evacuation lasted.
 func TestLoadUnderWayInAnEvacuatedZoneEndsByItsEntry(t *testing.T) {
 	core := zonedCore(t, 1)
-	core.demand.SetCounts(begin, "node", 1, []Count{{Wanted: dispatch.Wanted{Service: serviceName, Model: "m08"}, Asked: 1, Waiting: 1}})
+	core.demand.SetCounts(begin, "node", 1, []RequestCount{{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 1, Waiting: 1}})
 	core.SetEvacuated(begin, []string{"b"})
 	orders := core.Step(begin.Add(tick), true).Orders
 	if len(orders) != 1 || orders[0].ServerID != "a0" {
--- a/internal/placer/loads.go
+++ b/internal/placer/loads.go
@@ -28,9 +28,9 @@
 	return learned
 }
 
-// LoadsAllowed is the number of loads that the weight store behind a server is
+// LoadLimit is the number of loads that the weight store behind a server is
 // taken to bear at once; 0 where the server is not known.
-func (c *Core) LoadsAllowed(serverID string) int {
+func (c *Core) LoadLimit(serverID string) int {
 	s, ok := c.servers[serverID]
 	if !ok {
 		return 0
@@ -52,7 +52,7 @@
 // one. An unload, of an adapter too, waits for the runs that use it.
 func (s *server) isBusyWithOther() bool {
 	last := s.lastTaken
-	if last == nil || s.unsure != nil || s.sequence != last.Expected+1 {
+	if last == nil || s.unsure != nil || s.sequence != last.ExpectedSequence+1 {
 		return false
 	}
 	return last.Operation != Load || last.Adapter != "" || last.Source != SourceStore
@@ -119,7 +119,7 @@
 		s.loading.ready = now.Add(limit.left(s.loading.run, beside) + loadMargin)
 		if moved := s.loading.ready.Sub(s.loading.told); moved > retellTime || moved < -retellTime {
 			s.loading.told = s.loading.ready
-			c.effects.Changed = true
+			c.effects.ViewsChanged = true
 		}
 	}
 	for service, runs := range overdue {
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -29,21 +29,23 @@
 // Order is one order to a server.
 type Order struct {
 	ServerID string
-	// Born is that of the start of the server that is meant.
-	Born      int64
-	Address   string
-	Operation Operation
-	Model     string
-	Adapter   string
-	// Expected is the number of orders that the server must have taken.
-	Expected int64
+	// StartedAtMs is that of the start of the server that is meant.
+	StartedAtMs int64
+	Address     string
+	Operation   Operation
+	Model       string
+	Adapter     string
+	// ExpectedSequence is the number of orders that the server must have taken.
+	ExpectedSequence int64
 	// Source is where the weights come from, for logs.
 	Source Source
 	Reason string
 }
 
 // Start is the start of the server that is ordered.
-func (o Order) Start() inventory.Start { return inventory.Start{ID: o.ServerID, Born: o.Born} }
+func (o Order) Start() inventory.Start {
+	return inventory.Start{ID: o.ServerID, StartedAtMs: o.StartedAtMs}
+}
 
 // Source is where weights are loaded from.
 type Source int
@@ -93,11 +95,11 @@
 // Report is what a server says of itself when asked.
 type Report struct {
 	Models  []inventory.HeldModel
-	Pending []dispatch.Wanted
+	Pending []dispatch.Requirements
 	Busy    bool
-	// Born is that of the start of the server; 0 where it is not told.
-	Born     int64
-	Sequence int64
+	// StartedAtMs is that of the start of the server; 0 where it is not told.
+	StartedAtMs int64
+	Sequence    int64
 	// InMemory and OnDisk are the weights kept beside those held.
 	InMemory []string
 	OnDisk   []string
@@ -110,35 +112,37 @@
 	return [...]string{"none", "store", "disk", "memory"}[s]
 }
 
-// ReportCall asks for a server's report.
-type ReportCall struct {
+// ReportRequest asks for a server's report.
+type ReportRequest struct {
 	ServerID string
-	// Born is that of the start of the server that is meant.
-	Born    int64
-	Address string
+	// StartedAtMs is that of the start of the server that is meant.
+	StartedAtMs int64
+	Address     string
 }
 
 // Start is the start of the server that is asked.
-func (c ReportCall) Start() inventory.Start { return inventory.Start{ID: c.ServerID, Born: c.Born} }
+func (c ReportRequest) Start() inventory.Start {
+	return inventory.Start{ID: c.ServerID, StartedAtMs: c.StartedAtMs}
+}
 
-// Count is what one node counted of the requests for one thing wanted.
-type Count struct {
-	Wanted       dispatch.Wanted
-	Asked        uint64
+// RequestCount is what one node counted of the requests for one thing wanted.
+type RequestCount struct {
+	Requirements dispatch.Requirements
+	Requests     uint64
 	Waiting      int
 	PromptTokens uint64
 	// Region is where the node stands; empty where that is not known.
 	Region string
-	// Goal is the tightest objective of those requests.
-	Goal time.Duration
+	// LatencyGoal is the tightest objective of those requests.
+	LatencyGoal time.Duration
 }
 
 // Effects are what the core wants done.
 type Effects struct {
-	Orders  []Order
-	Reports []ReportCall
-	// Changed is set where Views returns something new.
-	Changed bool
+	Orders         []Order
+	ReportRequests []ReportRequest
+	// ViewsChanged is set where Views returns something new.
+	ViewsChanged bool
 }
 
 // Options set up a Core.
@@ -152,6 +156,6 @@
 	LoadsAtOnce map[string]float64
 	// Demand is what was wanted so far; nil is nothing.
 	Demand *Demand
-	// Places are the zones and regions of the deployment.
-	Places locality.Map
+	// Topology are the zones and regions of the deployment.
+	Topology locality.Map
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -24,7 +24,7 @@
 	switch {
 	case placed.zones[at.info.Zone] > 0:
 		cost = sameZoneCost
-	case r.core.options.Places.HasRegions() && placed.regions[region] > 0:
+	case r.core.options.Topology.HasMultipleRegions() && placed.regions[region] > 0:
 		cost = sameRegionCost
 	}
 	if known := r.interest(model); known != nil {
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -30,7 +30,7 @@
 
 // interest is what is wanted of a model, or nil.
 func (r *round) interest(model string) *interest {
-	return r.core.demand.interests[dispatch.Wanted{Service: r.service, Model: model}]
+	return r.core.demand.interests[dispatch.Requirements{Service: r.service, Model: model}]
 }
 
 func (c *Core) plan(now time.Time) {
@@ -235,10 +235,10 @@
 
 // give books the order and hands it out.
 func (c *Core) give(s *server, order Order) {
-	order.ServerID, order.Born = s.info.ID, s.info.Born
+	order.ServerID, order.StartedAtMs = s.info.ID, s.info.StartedAtMs
 	order.Address = s.info.Address
-	order.Expected = s.sequence
+	order.ExpectedSequence = s.sequence
 	s.ordering = &order
 	c.effects.Orders = append(c.effects.Orders, order)
-	c.effects.Changed = true
+	c.effects.ViewsChanged = true
 }
--- a/internal/placer/plan_bench_test.go
+++ b/internal/placer/plan_bench_test.go
@@ -32,11 +32,11 @@
 		for j := range 3 {
 			held = append(held, inventory.HeldModel{Name: fmt.Sprintf("m%03d", (3*i+j)%120)})
 		}
-		core.TakeReport(begin, fmt.Sprintf("s%02d", i), Report{Models: held}, true)
+		core.HandleReport(begin, fmt.Sprintf("s%02d", i), Report{Models: held}, true)
 	}
-	var counts []Count
+	var counts []RequestCount
 	for i := range models {
-		count := Count{Wanted: dispatch.Wanted{Service: serviceName, Model: fmt.Sprintf("m%03d", i)}, Asked: 1, Goal: 2500 * time.Millisecond}
+		count := RequestCount{Requirements: dispatch.Requirements{Service: serviceName, Model: fmt.Sprintf("m%03d", i)}, Requests: 1, LatencyGoal: 2500 * time.Millisecond}
 		if i >= 120 {
 			count.Waiting = 1
 		}
--- a/internal/placer/regions.go
+++ b/internal/placer/regions.go
@@ -19,7 +19,7 @@
 }
 
 // regionOf is the region that the server stands in.
-func (r *round) regionOf(s *server) string { return r.core.options.Places.Region(s.info.Zone) }
+func (r *round) regionOf(s *server) string { return r.core.options.Topology.Region(s.info.Zone) }
 
 // isIn reports whether the server stands in one of the regions.
 func (r *round) isIn(s *server, regions locality.Regions) bool {
@@ -48,7 +48,7 @@
 			if wanted.Service != r.service || !wanted.Regions.IsBounded() {
 				continue
 			}
-			ofModel := dispatch.Wanted{Service: r.service, Model: wanted.Model, Regions: wanted.Regions}
+			ofModel := dispatch.Requirements{Service: r.service, Model: wanted.Model, Regions: wanted.Regions}
 			r.bounded[wanted.Model] = append(r.bounded[wanted.Model], boundedInterest{
 				model: wanted.Model, adapter: wanted.Adapter, regions: wanted.Regions, known: known, waits: r.core.demand.waits[ofModel],
 			})
@@ -130,7 +130,7 @@
 }
 
 // lastAsk is when an adapter was last asked for, wherever it may run.
-func (r *round) lastAsk(adapter dispatch.Wanted) time.Time {
+func (r *round) lastAsk(adapter dispatch.Requirements) time.Time {
 	var last time.Time
 	if known, ok := r.core.demand.interests[adapter]; ok {
 		last = known.lastAsk
--- a/internal/placer/regions_test.go
+++ b/internal/placer/regions_test.go
@@ -12,7 +12,7 @@
 // regionCore has two servers in each of two regions; those of the south hold the models.
 func regionCore(t *testing.T, models ...string) *Core {
 	t.Helper()
-	core := New(Options{Window: window, Overage: overage, Places: locality.NewMap(map[string]string{"n": "north", "s": "south"})})
+	core := New(Options{Window: window, Overage: overage, Topology: locality.NewMap(map[string]string{"n": "north", "s": "south"})})
 	core.SetTable(simTable())
 	zones := map[string]string{"n1": "n", "n2": "n", "s1": "s", "s2": "s"}
 	var changes []inventory.Change
@@ -20,7 +20,7 @@
 		changes = append(changes, inventory.Change{Server: inventory.Server{ID: id, Service: serviceName, Zone: zone}})
 	}
 	core.SetServers(begin, changes)
-	core.Reserved()
+	core.ConfirmReservation()
 	core.Step(begin, true)
 	for id, zone := range zones {
 		report := Report{}
@@ -29,15 +29,15 @@
 				report.Models = append(report.Models, inventory.HeldModel{Name: model})
 			}
 		}
-		core.TakeReport(begin, id, report, true)
+		core.HandleReport(begin, id, report, true)
 	}
 	return core
 }
 
 // askIn tells that requests for a model wait which may run in the regions only.
 func askIn(core *Core, now time.Time, model, adapter string, regions locality.Regions, asked uint64) {
-	core.demand.SetCounts(now, "node", 1, []Count{{
-		Wanted: dispatch.Wanted{Service: serviceName, Model: model, Adapter: adapter, Regions: regions}, Asked: asked, Waiting: 1,
+	core.demand.SetCounts(now, "node", 1, []RequestCount{{
+		Requirements: dispatch.Requirements{Service: serviceName, Model: model, Adapter: adapter, Regions: regions}, Requests: asked, Waiting: 1,
 	}})
 }
 
@@ -50,7 +50,7 @@
 	if len(orders) != 1 || orders[0].Operation != Load || orders[0].Model != "m02" || orders[0].ServerID[0] != 'n' {
 		t.Fatalf("orders %+v, want one load of m02 in the north", orders)
 	}
-	core.OrderAnswered(begin.Add(2*tick), orders[0], ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), orders[0], ResultTaken)
 	askIn(core, begin.Add(3*tick), "m02", "", locality.Only("north"), 1)
 	if again := core.Step(begin.Add(3*tick), true).Orders; len(again) != 0 {
 		t.Errorf("orders %+v while the model is on its way", again)
@@ -76,9 +76,9 @@
 	if len(orders) != 1 || orders[0].Adapter != "" || orders[0].ServerID[0] != 'n' {
 		t.Fatalf("orders %+v, want the load of the model in the north first", orders)
 	}
-	core.OrderAnswered(begin.Add(2*tick), orders[0], ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), orders[0], ResultTaken)
 	now := begin.Add(2 * time.Second)
-	core.TakeReport(now, orders[0].ServerID, Report{Models: []inventory.HeldModel{{Name: "m02"}}, Sequence: orders[0].Expected + 1}, true)
+	core.HandleReport(now, orders[0].ServerID, Report{Models: []inventory.HeldModel{{Name: "m02"}}, Sequence: orders[0].ExpectedSequence + 1}, true)
 	askIn(core, now, "m02", "a1", locality.Only("north"), 1)
 	loaded := orders[0].ServerID
 	orders = core.Step(now.Add(tick), true).Orders
@@ -96,7 +96,7 @@
 			report.Models[0].Name = "m02"
 		}
 		core.servers[id].reporting = true
-		core.TakeReport(begin, id, report, true)
+		core.HandleReport(begin, id, report, true)
 	}
 	askIn(core, begin, "m02", "", locality.Only("north"), 1)
 	core.demand.countWaits(begin)
@@ -109,25 +109,25 @@
 // TestCopiesFollowTheirRequests: the first copy goes to the region that they come from,
 // the second to another region before another zone.
 func TestCopiesFollowTheirRequests(t *testing.T) {
-	core := New(Options{Window: window, Overage: overage, Places: locality.NewMap(map[string]string{"n1": "north", "n2": "north", "s1": "south"})})
+	core := New(Options{Window: window, Overage: overage, Topology: locality.NewMap(map[string]string{"n1": "north", "n2": "north", "s1": "south"})})
 	core.SetTable(simTable())
 	for _, zone := range []string{"n1", "n2", "s1"} {
 		core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: zone, Service: serviceName, Zone: zone}}})
 	}
-	core.Reserved()
+	core.ConfirmReservation()
 	core.Step(begin, true)
 	for _, zone := range []string{"n1", "n2", "s1"} {
-		core.TakeReport(begin, zone, Report{}, true)
+		core.HandleReport(begin, zone, Report{}, true)
 	}
 	ask := func(now time.Time, asked uint64, waiting int) {
-		core.demand.SetCounts(now, "node", 1, []Count{{Wanted: dispatch.Wanted{Service: serviceName, Model: "m02"}, Asked: asked, Waiting: waiting, Region: "south"}})
+		core.demand.SetCounts(now, "node", 1, []RequestCount{{Requirements: dispatch.Requirements{Service: serviceName, Model: "m02"}, Requests: asked, Waiting: waiting, Region: "south"}})
 	}
 	ask(begin, 1, 1)
 	orders := core.Step(begin.Add(tick), true).Orders
 	if len(orders) != 1 || orders[0].ServerID != "s1" {
 		t.Fatalf("orders %+v, want the load in the south, from where it is asked for", orders)
 	}
-	core.OrderAnswered(begin.Add(2*tick), orders[0], ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), orders[0], ResultTaken)
 	if r := (&round{core: core, service: serviceName, servers: core.serversOf(serviceName), engine: core.table.Services[serviceName].Engine}); r.placeCost(core.servers["n1"], "m02") <= 0 {
 		t.Error("a region without requests costs nothing")
 	}
--- a/internal/placer/simulation_test.go
+++ b/internal/placer/simulation_test.go
@@ -63,7 +63,7 @@
 	servers []*simServer
 	core    *Core
 	todo    []simEvent
-	asked   map[dispatch.Wanted]Count
+	asked   map[dispatch.Requirements]RequestCount
 	begun   []time.Time
 	taken   int
 	changes int
@@ -83,7 +83,7 @@
 func newSimWorld(t *testing.T, seed uint64, lossy bool) *simWorld {
 	w := &simWorld{
 		t: t, random: rand.New(rand.NewPCG(seed, 3)), now: begin, table: simTable(),
-		asked: make(map[dispatch.Wanted]Count), lossy: lossy,
+		asked: make(map[dispatch.Requirements]RequestCount), lossy: lossy,
 	}
 	for i := range serverCount {
 		w.servers = append(w.servers, &simServer{id: fmt.Sprintf("s%d", i), models: map[string]map[string]bool{
@@ -109,16 +109,16 @@
 			past[service] = append(past[service], w.wroteAt.Add(-age))
 		}
 	}
-	w.core.AssumeLoads(past)
+	w.core.AddPriorLoads(past)
 	w.write()
 	w.changes++
 }
 
 // write is a write of the lease, which reserves loads.
 func (w *simWorld) write() {
-	w.record = w.core.Reserve(w.now)
+	w.record = w.core.ReserveLoads(w.now)
 	w.wroteAt = w.now
-	w.core.Reserved()
+	w.core.ConfirmReservation()
 }
 
 func (w *simWorld) after(pause time.Duration, do func()) {
@@ -141,7 +141,7 @@
 		for _, order := range effects.Orders {
 			w.order(core, order)
 		}
-		for _, call := range effects.Reports {
+		for _, call := range effects.ReportRequests {
 			w.report(core, call)
 		}
 	}
@@ -169,18 +169,18 @@
 	if w.random.IntN(6) != 0 {
 		return
 	}
-	wanted := dispatch.Wanted{Service: serviceName, Model: fmt.Sprintf("m%02d", w.random.IntN(modelCount))}
+	wanted := dispatch.Requirements{Service: serviceName, Model: fmt.Sprintf("m%02d", w.random.IntN(modelCount))}
 	if w.random.IntN(2) == 0 {
 		wanted.Adapter = fmt.Sprintf("a%d", w.random.IntN(6))
 	}
 	count := w.asked[wanted]
-	count.Wanted = wanted
-	count.Asked++
+	count.Requirements = wanted
+	count.Requests++
 	count.PromptTokens += 3000
 	count.Waiting = w.random.IntN(3)
-	count.Goal = 800 * time.Millisecond
+	count.LatencyGoal = 800 * time.Millisecond
 	w.asked[wanted] = count
-	counts := make([]Count, 0, len(w.asked))
+	counts := make([]RequestCount, 0, len(w.asked))
 	for _, known := range w.asked {
 		counts = append(counts, known)
 	}
@@ -201,24 +201,24 @@
 	travel := time.Duration(1+w.random.IntN(6)) * time.Millisecond
 	switch {
 	case w.lossy && w.random.IntN(10) == 0:
-		w.after(500*time.Millisecond, func() { core.OrderAnswered(w.now, order, ResultNotSent) })
+		w.after(500*time.Millisecond, func() { core.HandleOrderResult(w.now, order, ResultNotSent) })
 	case w.lossy && w.random.IntN(8) == 0:
 		w.after(time.Duration(2+w.random.IntN(10))*time.Second, func() { w.take(s, order) })
-		w.after(800*time.Millisecond, func() { core.OrderAnswered(w.now, order, ResultUnknown) })
+		w.after(800*time.Millisecond, func() { core.HandleOrderResult(w.now, order, ResultUnknown) })
 	case w.lossy && w.random.IntN(8) == 0:
 		w.after(travel, func() { w.take(s, order) })
-		w.after(800*time.Millisecond, func() { core.OrderAnswered(w.now, order, ResultUnknown) })
+		w.after(800*time.Millisecond, func() { core.HandleOrderResult(w.now, order, ResultUnknown) })
 	default:
 		w.after(travel, func() {
 			result := w.take(s, order)
-			w.after(travel, func() { core.OrderAnswered(w.now, order, result) })
+			w.after(travel, func() { core.HandleOrderResult(w.now, order, result) })
 		})
 	}
 }
 
 // take carries an order out, and notes where a rule is broken.
 func (w *simWorld) take(s *simServer, order Order) Result {
-	if (order.Expected != s.sequence && !w.ignoresCount) || (s.loading != "" && order.Adapter == "") {
+	if (order.ExpectedSequence != s.sequence && !w.ignoresCount) || (s.loading != "" && order.Adapter == "") {
 		return ResultBusy
 	}
 	w.taken++
@@ -289,7 +289,7 @@
 	return ResultTaken
 }
 
-func (w *simWorld) report(core *Core, call ReportCall) {
+func (w *simWorld) report(core *Core, call ReportRequest) {
 	s := w.serverOf(call.ServerID)
 	report := Report{Sequence: s.sequence, Busy: s.loading != ""}
 	for model, adapters := range s.models {
@@ -300,7 +300,7 @@
 		report.Models = append(report.Models, held)
 	}
 	ok := !w.lossy || w.random.IntN(10) != 0
-	w.after(time.Duration(2+w.random.IntN(120))*time.Millisecond, func() { core.TakeReport(w.now, call.ServerID, report, ok) })
+	w.after(time.Duration(2+w.random.IntN(120))*time.Millisecond, func() { core.HandleReport(w.now, call.ServerID, report, ok) })
 }
 
 // TestRulesOfOrdersHold draws lost, late and unsent orders, and changes of the
@@ -324,12 +324,12 @@
 // TestWantedModelsGetLoaded is a run without troubles: what waits is loaded.
 func TestWantedModelsGetLoaded(t *testing.T) {
 	w := newSimWorld(t, 1, false)
-	wanted := dispatch.Wanted{Service: serviceName, Model: "m13", Adapter: "a3"}
-	w.asked[wanted] = Count{Wanted: wanted, Asked: 1, Waiting: 1}
+	wanted := dispatch.Requirements{Service: serviceName, Model: "m13", Adapter: "a3"}
+	w.asked[wanted] = RequestCount{Requirements: wanted, Requests: 1, Waiting: 1}
 	for range 200 {
 		w.now = w.now.Add(tick)
 		w.happen()
-		w.core.demand.SetCounts(w.now, "node", 1, []Count{{Wanted: wanted, Asked: 1, Waiting: 1}})
+		w.core.demand.SetCounts(w.now, "node", 1, []RequestCount{{Requirements: wanted, Requests: 1, Waiting: 1}})
 		if w.now.Sub(w.wroteAt) > 700*time.Millisecond {
 			w.write()
 		}
@@ -337,7 +337,7 @@
 		for _, order := range effects.Orders {
 			w.order(w.core, order)
 		}
-		for _, call := range effects.Reports {
+		for _, call := range effects.ReportRequests {
 			w.report(w.core, call)
 		}
 	}
--- a/internal/placer/starts.go
+++ b/internal/placer/starts.go
@@ -44,7 +44,7 @@
 	c.close(started)
 	c.servers[again.ID] = started
 	c.ordered = nil
-	c.effects.Changed = true
+	c.effects.ViewsChanged = true
 	return started
 }
 
@@ -52,7 +52,7 @@
 // server took one at their count.
 func (s *server) dropStrays(now time.Time) {
 	s.strays = slices.DeleteFunc(s.strays, func(stray stray) bool {
-		return !now.Before(stray.until) || s.sequence > stray.order.Expected
+		return !now.Before(stray.until) || s.sequence > stray.order.ExpectedSequence
 	})
 }
 
--- a/internal/placer/starts_drawn_test.go
+++ b/internal/placer/starts_drawn_test.go
@@ -40,19 +40,19 @@
 	w.core.SetTable(simTable())
 	w.startAgain()
 	w.hearEntry(w.entries[0])
-	w.core.Reserved()
+	w.core.ConfirmReservation()
 	return w
 }
 
 func (w *startsWorld) startAgain() {
-	w.present = Report{Born: w.present.Born + 1}
+	w.present = Report{StartedAtMs: w.present.StartedAtMs + 1}
 	w.write()
 }
 
 // write lets the server write its entry and answer a question for its report.
 func (w *startsWorld) write() {
 	w.revision++
-	w.entries = append(w.entries, inventory.Server{ID: "s", Born: w.present.Born, Service: serviceName, Position: storepos.At(0, w.revision)})
+	w.entries = append(w.entries, inventory.Server{ID: "s", StartedAtMs: w.present.StartedAtMs, Service: serviceName, Position: storepos.At(0, w.revision)})
 	w.reports = append(w.reports, w.present)
 }
 
@@ -63,16 +63,16 @@
 		entry.Position, known.isTold = storepos.At(0, known.info.Position.Revision+1), false
 	}
 	if known := w.known(); known == nil || entry.Position.IsAfter(known.info.Position) {
-		w.newest = max(w.newest, entry.Born)
+		w.newest = max(w.newest, entry.StartedAtMs)
 	}
 	w.core.SetServers(begin, []inventory.Change{{Server: entry}})
 }
 
 func (w *startsWorld) hearReport(report Report) {
-	before, count := w.known().info.Born, w.known().sequence
-	w.newest = max(w.newest, report.Born)
-	w.core.TakeReport(begin, "s", report, true)
-	if w.planted == keepsSequence && w.known().info.Born != before {
+	before, count := w.known().info.StartedAtMs, w.known().sequence
+	w.newest = max(w.newest, report.StartedAtMs)
+	w.core.HandleReport(begin, "s", report, true)
+	if w.planted == keepsSequence && w.known().info.StartedAtMs != before {
 		w.known().sequence = max(count, w.known().sequence)
 	}
 }
@@ -94,12 +94,12 @@
 	case 4:
 		w.heard = len(w.reports) - 1
 		w.hearReport(w.present)
-		if known := w.known(); known.info.Born != w.present.Born || known.sequence != w.present.Sequence {
+		if known := w.known(); known.info.StartedAtMs != w.present.StartedAtMs || known.sequence != w.present.Sequence {
 			return fmt.Sprintf("start %d with count %d is believed after the report of start %d with count %d",
-				known.info.Born, known.sequence, w.present.Born, w.present.Sequence)
+				known.info.StartedAtMs, known.sequence, w.present.StartedAtMs, w.present.Sequence)
 		}
 	}
-	if born := w.known().info.Born; born < w.newest {
+	if born := w.known().info.StartedAtMs; born < w.newest {
 		return fmt.Sprintf("start %d is believed though %d was told", born, w.newest)
 	}
 	return ""
--- a/internal/placer/starts_test.go
+++ b/internal/placer/starts_test.go
@@ -14,10 +14,10 @@
 	t.Helper()
 	core := New(Options{Window: window, Overage: overage})
 	core.SetTable(simTable())
-	core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", Born: 2, Service: serviceName, Position: storepos.At(0, 4)}}})
-	core.Reserved()
+	core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: 2, Service: serviceName, Position: storepos.At(0, 4)}}})
+	core.ConfirmReservation()
 	core.Step(begin, true)
-	core.TakeReport(begin, "s", Report{Born: 2, Sequence: 7, Models: []inventory.HeldModel{{Name: "m02"}, {Name: "m05"}}}, true)
+	core.HandleReport(begin, "s", Report{StartedAtMs: 2, Sequence: 7, Models: []inventory.HeldModel{{Name: "m02"}, {Name: "m05"}}}, true)
 	return core
 }
 
@@ -25,8 +25,8 @@
 func TestLaterStartIsToldByWhatever(t *testing.T) {
 	entry := func(born, revision int64) func(*Core) {
 		return func(core *Core) {
-			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", Born: born, Service: serviceName, Position: storepos.At(0, revision)}}})
-			core.TakeReport(begin, "s", Report{Born: born, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: born, Service: serviceName, Position: storepos.At(0, revision)}}})
+			core.HandleReport(begin, "s", Report{StartedAtMs: born, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}
 	}
 	cases := []struct {
@@ -36,31 +36,31 @@
 		want string
 	}{
 		{"its report, whose count is lower", func(core *Core) {
-			core.TakeReport(begin, "s", Report{Born: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 3, "m08"},
 		{"its entry", entry(3, 5), 3, "m08"},
 		{"an entry of the start before, told late", entry(1, 3), 2, "m02"},
 		{"another of the same revision", entry(1, 4), 2, "m02"},
 		{"a report of the start before", func(core *Core) {
-			core.TakeReport(begin, "s", Report{Born: 1, Sequence: 99, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.HandleReport(begin, "s", Report{StartedAtMs: 1, Sequence: 99, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 2, "m02"},
 		{"the last entry of the start before its report's", func(core *Core) {
-			core.TakeReport(begin, "s", Report{Born: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
-			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", Born: 2, Service: serviceName, Position: storepos.At(0, 5)}}})
+			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: 2, Service: serviceName, Position: storepos.At(0, 5)}}})
 		}, 3, "m08"},
 		{"a start whose clock went back, by entry and report", func(core *Core) {
-			core.TakeReport(begin, "s", Report{Born: 3, Models: []inventory.HeldModel{{Name: "m02"}}}, true)
+			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m02"}}}, true)
 			entry(1, 5)(core)
 		}, 1, "m08"},
 		{"a report that does not say of which, and counts less", func(core *Core) {
-			core.TakeReport(begin, "s", Report{Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.HandleReport(begin, "s", Report{Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 2, "m02"},
 	}
 	for _, c := range cases {
 		core := startedServer(t)
 		c.tell(core)
 		views := core.Views(begin)
-		if len(views) != 1 || views[0].Born != c.born {
+		if len(views) != 1 || views[0].StartedAtMs != c.born {
 			t.Errorf("%s: views %+v, want one of start %d", c.name, views, c.born)
 			continue
 		}
@@ -75,16 +75,16 @@
 	core := startedServer(t)
 	wantModel(core, begin, "m08")
 	before := core.Step(begin.Add(tick), true).Orders[0]
-	core.TakeReport(begin.Add(tick), "s", Report{Born: 3}, true)
+	core.HandleReport(begin.Add(tick), "s", Report{StartedAtMs: 3}, true)
 	if s := core.servers["s"]; s.ordering != nil || s.sequence != 0 {
 		t.Fatalf("the new start has %+v under way, count %d", s.ordering, s.sequence)
 	}
 	wantModel(core, begin.Add(2*tick), "m08")
 	own := core.Step(begin.Add(2*tick), true).Orders
-	if len(own) != 1 || own[0].Born != 3 || own[0].Expected != 0 {
+	if len(own) != 1 || own[0].StartedAtMs != 3 || own[0].ExpectedSequence != 0 {
 		t.Fatalf("orders %+v, want one of the new start", own)
 	}
-	core.OrderAnswered(begin.Add(2*tick), before, ResultTaken)
+	core.HandleOrderResult(begin.Add(2*tick), before, ResultTaken)
 	if core.servers["s"].ordering == nil {
 		t.Error("an answer of the start before settled the order of this one")
 	}
@@ -94,15 +94,15 @@
 // until the count has passed, or its time has.
 func TestLostOrderOfTheStartBeforeTakesRoom(t *testing.T) {
 	core := startedServer(t)
-	core.TakeReport(begin, "s", Report{Born: 3}, true)
+	core.HandleReport(begin, "s", Report{StartedAtMs: 3}, true)
 	engine := core.engineOf(serviceName)
 	free := core.servers["s"].usedMB(engine)
 	wantModel(core, begin, "m08")
 	lost := core.Step(begin.Add(tick), true).Orders[0]
-	if lost.Operation != Load || lost.Expected != 0 {
+	if lost.Operation != Load || lost.ExpectedSequence != 0 {
 		t.Fatalf("order %+v, want a load at count 0", lost)
 	}
-	core.OrderAnswered(begin.Add(tick), lost, ResultUnknown)
+	core.HandleOrderResult(begin.Add(tick), lost, ResultUnknown)
 	again := begin.Add(2 * tick)
 	for name, c := range map[string]struct {
 		after    time.Duration
@@ -113,9 +113,9 @@
 		"behind its count":   {time.Second, 1, false},
 		"when its time over": {strayTime, 0, false},
 	} {
-		started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", Born: 4, Service: serviceName, Position: storepos.At(0, 9)})
+		started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 4, Service: serviceName, Position: storepos.At(0, 9)})
 		started.strays = []stray{{order: lost, until: again.Add(strayTime)}}
-		core.applyReport(again.Add(c.after), started, Report{Born: 4, Sequence: c.sequence})
+		core.applyReport(again.Add(c.after), started, Report{StartedAtMs: 4, Sequence: c.sequence})
 		want := free
 		if c.isKept {
 			want += engine.Models["m08"].WeightsMB
@@ -124,7 +124,7 @@
 			t.Errorf("%s: %v MB are taken, want %v", name, got, want)
 		}
 	}
-	if started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", Born: 5, Service: serviceName, Position: storepos.At(0, 10)}); len(started.strays) != len(core.servers["s"].strays) {
+	if started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 5, Service: serviceName, Position: storepos.At(0, 10)}); len(started.strays) != len(core.servers["s"].strays) {
 		t.Error("strays are lost with a further start")
 	}
 }
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -7,8 +7,8 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// Knows reports whether there is such a server.
-func (c *Core) Knows(serverID string) bool {
+// HasServer reports whether there is such a server.
+func (c *Core) HasServer(serverID string) bool {
 	_, ok := c.servers[serverID]
 	return ok
 }
@@ -34,11 +34,11 @@
 
 func (s *server) view(now time.Time) dispatch.View {
 	view := dispatch.View{
-		ServerID: s.info.ID,
-		Born:     s.info.Born,
-		Sequence: s.sequence,
-		Held:     make(map[string][]string, len(s.held)),
-		Loading:  make(map[string]time.Duration),
+		ServerID:    s.info.ID,
+		StartedAtMs: s.info.StartedAtMs,
+		Sequence:    s.sequence,
+		Held:        make(map[string][]string, len(s.held)),
+		Loading:     make(map[string]time.Duration),
 	}
 	for name, source := range s.copies {
 		switch source {
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -15,20 +15,20 @@
 			identity := Identity{Method: "POST", Host: "host.example", Target: "/chat/x", Caller: "key", Model: "m1", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for range b.N {
-				Of(identity)
+				NewFingerprint(identity)
 			}
 		})
 	}
 }
 
 func BenchmarkStanding(b *testing.B) {
-	tally := NewTally()
+	tally := NewTracker()
 	for i := range mostSuspects {
-		tally.Take(start, Report{Fingerprint: named(fmt.Sprint(i)), ServerID: "a"})
+		tally.Record(start, Report{Fingerprint: named(fmt.Sprint(i)), ServerID: "a"})
 	}
 	fingerprint, now := named("7"), start.Add(time.Second)
 	b.ReportAllocs()
 	for range b.N {
-		tally.Standing(now, fingerprint)
+		tally.Status(now, fingerprint)
 	}
 }
--- a/internal/poison/early.go
+++ b/internal/poison/early.go
@@ -14,7 +14,7 @@
 // be refused with the poison request beside it. Whether such a trial ends a server says little, since
 // others run there that may be to blame: it acquits, or changes nothing. One that was granted makes
 // the bar longer, also at the nodes that hear of it, and so is the only one.
-func (t *Tally) mayTryEarly(now time.Time, known *suspect) bool {
+func (t *Tracker) mayTryEarly(now time.Time, known *suspect) bool {
 	return len(known.ends) >= CrashLimit && t.isExplained(known) && known.awaitsEarlyTrial(now)
 }
 
@@ -27,7 +27,7 @@
 }
 
 // isExplained reports whether one other request ended all servers that this one did.
-func (t *Tally) isExplained(known *suspect) bool {
+func (t *Tracker) isExplained(known *suspect) bool {
 	for _, other := range t.suspects {
 		isElsewhere := func(e end) bool { return !other.has(e.serverID) }
 		if other != known && !slices.ContainsFunc(known.ends, isElsewhere) {
@@ -39,7 +39,7 @@
 
 // claimEarly takes that a request is about to be tried within its first bar, if it may be. Who has
 // not heard of all the servers, as it started since, goes by who asks.
-func (t *Tally) claimEarly(now time.Time, known *suspect) bool {
+func (t *Tracker) claimEarly(now time.Time, known *suspect) bool {
 	hasAll := len(known.ends) >= CrashLimit
 	if !known.awaitsEarlyTrial(now) || hasAll && !t.isExplained(known) {
 		return false
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Refused takes that a copy of a barred request was refused at this node.
-func (t *Tally) Refused(fingerprint Fingerprint) {
+// RecordRefusal takes that a copy of a barred request was refused at this node.
+func (t *Tracker) RecordRefusal(fingerprint Fingerprint) {
 	if known, ok := t.suspects[fingerprint]; ok {
 		known.refused++
 	}
--- a/internal/poison/early_test.go
+++ b/internal/poison/early_test.go
@@ -8,7 +8,7 @@
 // alikeBesidePoison is a tally in which callers send alike ("alike") on each server that a poison
 // request ended, and never ended well before: their request is barred first, as its report of the
 // third server came first. It returns when the last server ended.
-func alikeBesidePoison() (*Tally, time.Time) {
+func alikeBesidePoison() (*Tracker, time.Time) {
 	tally := taken(
 		crash{"p", "a", 0, false}, crash{"alike", "a", 1, false},
 		crash{"alike", "b", 400, false}, crash{"p", "b", 401, false},
@@ -16,8 +16,8 @@
 		crash{"p", "d", 2450, false}, crash{"alike", "d", 2451, false},
 	)
 	for range earlyCopies {
-		tally.Refused(named("alike"))
-		tally.Refused(named("p"))
+		tally.RecordRefusal(named("alike"))
+		tally.RecordRefusal(named("p"))
 	}
 	return tally, start.Add(2451 * time.Millisecond)
 }
@@ -26,12 +26,12 @@
 // on shows by one send of each, not by twenty seconds in which neither is served.
 func TestAlikeBesideAPoisonRequestAreTriedSoon(t *testing.T) {
 	tally, last := alikeBesidePoison()
-	if got := tally.Standing(last.Add(earlyTrial/2), named("alike")); got != StandingBarred {
+	if got := tally.Status(last.Add(earlyTrial/2), named("alike")); got != StatusBarred {
 		t.Errorf("standing %d before the repeats under way are over, want barred", got)
 	}
 	due := last.Add(earlyTrial)
 	for _, request := range []string{"alike", "p"} {
-		if got := tally.Standing(due, named(request)); got != StandingOnTrial {
+		if got := tally.Status(due, named(request)); got != StatusOnTrial {
 			t.Errorf("standing %d of %s a second after the last server, want on trial", got, request)
 		}
 	}
@@ -42,11 +42,11 @@
 		t.Error("the poison request was tried beside the trial of the other: one would be blamed for both")
 	}
 	ended := due.Add(1500 * time.Millisecond)
-	tally.Take(ended, Report{Fingerprint: named("alike"), Acquitted: true})
-	if got := tally.Standing(ended, named("alike")); got != StandingSound {
+	tally.Record(ended, Report{Fingerprint: named("alike"), Acquitted: true})
+	if got := tally.Status(ended, named("alike")); got != StatusClear {
 		t.Errorf("standing %d after its trial ended well, want sound", got)
 	}
-	if got := tally.Standing(ended, named("p")); got != StandingBarred {
+	if got := tally.Status(ended, named("p")); got != StatusBarred {
 		t.Errorf("standing %d of the poison request once the other is acquitted, want barred", got)
 	}
 }
@@ -60,14 +60,14 @@
 		t.Fatal("no trial was granted")
 	}
 	ended := due.Add(50 * time.Millisecond)
-	tally.Take(ended, Report{Fingerprint: named("p"), ServerID: "e"})
-	if left := tally.BarLeft(due, named("p")); left != firstBar {
+	tally.Record(ended, Report{Fingerprint: named("p"), ServerID: "e"})
+	if left := tally.BarRemaining(due, named("p")); left != firstBar {
 		t.Errorf("barred for %v from the trial on, want %v", left, firstBar)
 	}
 	if !tally.ClaimTrial(ended, named("alike")) {
 		t.Error("the other request is not tried though the trial before is over")
 	}
-	tally.Take(ended.Add(time.Second), Report{Fingerprint: named("alike"), Acquitted: true})
+	tally.Record(ended.Add(time.Second), Report{Fingerprint: named("alike"), Acquitted: true})
 	for _, after := range []time.Duration{0, 5 * time.Second, firstBar - time.Second} {
 		if tally.ClaimTrial(ended.Add(after), named("p")) {
 			t.Errorf("a second trial within the first bar, after %v", after)
@@ -77,8 +77,8 @@
 	if !tally.ClaimTrial(over, named("p")) {
 		t.Fatal("no trial after the bar")
 	}
-	tally.Take(over.Add(50*time.Millisecond), Report{Fingerprint: named("p"), ServerID: "f"})
-	if left := tally.BarLeft(over.Add(50*time.Millisecond), named("p")); left != barTime {
+	tally.Record(over.Add(50*time.Millisecond), Report{Fingerprint: named("p"), ServerID: "f"})
+	if left := tally.BarRemaining(over.Add(50*time.Millisecond), named("p")); left != barTime {
 		t.Errorf("barred for %v after the second trial, want %v", left, barTime)
 	}
 }
@@ -86,8 +86,8 @@
 // TestCoordinatorThatMissedServersGoesByTheAsker: one that started when the first servers had ended
 // knows of the last and of the bar alone.
 func TestCoordinatorThatMissedServersGoesByTheAsker(t *testing.T) {
-	tally := NewTally()
-	tally.Take(start, Report{Fingerprint: named("alike"), ServerID: "c", BarredFor: firstBar})
+	tally := NewTracker()
+	tally.Record(start, Report{Fingerprint: named("alike"), ServerID: "c", BarredFor: firstBar})
 	if tally.ClaimTrial(start.Add(earlyTrial/2), named("alike")) {
 		t.Error("a trial beside copies that are under way was granted")
 	}
@@ -110,12 +110,12 @@
 	)
 	soon := start.Add(901*time.Millisecond + earlyTrial)
 	for copies := range earlyCopies {
-		if got := tally.Standing(soon, named("q")); got != StandingBarred {
+		if got := tally.Status(soon, named("q")); got != StatusBarred {
 			t.Errorf("standing %d after %d copies were refused, want barred", got, copies)
 		}
-		tally.Refused(named("q"))
+		tally.RecordRefusal(named("q"))
 	}
-	if got := tally.Standing(soon, named("q")); got != StandingOnTrial {
+	if got := tally.Status(soon, named("q")); got != StatusOnTrial {
 		t.Errorf("standing %d after %d copies were refused, want on trial", got, earlyCopies)
 	}
 }
@@ -127,10 +127,10 @@
 		crash{"p", "c", 900, false},
 	)
 	for range earlyCopies {
-		tally.Refused(named("p"))
+		tally.RecordRefusal(named("p"))
 	}
 	soon := start.Add(900*time.Millisecond + earlyTrial)
-	if got := tally.Standing(soon, named("p")); got != StandingBarred {
+	if got := tally.Status(soon, named("p")); got != StatusBarred {
 		t.Errorf("standing %d, want barred: one server ended under it alone", got)
 	}
 	if tally.ClaimTrial(soon, named("p")) {
@@ -145,9 +145,9 @@
 	hearing, _ := alikeBesidePoison()
 	due := last.Add(earlyTrial)
 	granting.ClaimTrial(due, named("alike"))
-	hearing.Take(due, Report{Fingerprint: named("alike"), BarredFor: granting.BarLeft(due, named("alike"))})
+	hearing.Record(due, Report{Fingerprint: named("alike"), BarredFor: granting.BarRemaining(due, named("alike"))})
 	for _, after := range []time.Duration{0, time.Second, 10 * time.Second} {
-		if got := hearing.Standing(due.Add(after), named("alike")); got != StandingBarred {
+		if got := hearing.Status(due.Add(after), named("alike")); got != StatusBarred {
 			t.Errorf("standing %d at %v after the grant, want barred", got, after)
 		}
 	}
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -26,9 +26,9 @@
 	Body    []byte
 }
 
-// Of is the fingerprint of a request. Every part goes in with its length, so that none
+// NewFingerprint is the fingerprint of a request. Every part goes in with its length, so that none
 // can take the place of another.
-func Of(identity Identity) Fingerprint {
+func NewFingerprint(identity Identity) Fingerprint {
 	digest := sha256.New()
 	var length [8]byte
 	for _, part := range []string{
@@ -43,21 +43,21 @@
 	return Fingerprint(digest.Sum(sum[:0])[:len(Fingerprint{})])
 }
 
-// FingerprintOf reads a fingerprint as nodes send it; ok is false where it is none.
-func FingerprintOf(encoded []byte) (fingerprint Fingerprint, ok bool) {
+// DecodeFingerprint reads a fingerprint as nodes send it; ok is false where it is none.
+func DecodeFingerprint(encoded []byte) (fingerprint Fingerprint, ok bool) {
 	if len(encoded) != len(fingerprint) {
 		return fingerprint, false
 	}
 	return Fingerprint(encoded), true
 }
 
-// Named is the fingerprint of a name as String gives it; ok is false where it is none.
-func Named(name string) (fingerprint Fingerprint, ok bool) {
+// ParseFingerprint is the fingerprint of a name as String gives it; ok is false where it is none.
+func ParseFingerprint(name string) (fingerprint Fingerprint, ok bool) {
 	decoded, err := hex.DecodeString(name)
 	if err != nil {
 		return fingerprint, false
 	}
-	return FingerprintOf(decoded)
+	return DecodeFingerprint(decoded)
 }
 
 // Key is a number that stands for the fingerprint where chance decides; it is not 0.
--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -46,19 +46,19 @@
 	mostEnds = 8
 )
 
-// Standing is what is known of a request.
-type Standing int
+// Status is what is known of a request.
+type Status int
 
 const (
-	// StandingSound requests have ended no server.
-	StandingSound Standing = iota
-	// StandingSuspect ones ran on servers that ended.
-	StandingSuspect
-	// StandingOnTrial ones were barred until lately: one node may send them once, after it
+	// StatusClear requests have ended no server.
+	StatusClear Status = iota
+	// StatusSuspect ones ran on servers that ended.
+	StatusSuspect
+	// StatusOnTrial ones were barred until lately: one node may send them once, after it
 	// claimed that (Tally.ClaimTrial).
-	StandingOnTrial
-	// StandingBarred ones ended CrashLimit servers and are sent to none.
-	StandingBarred
+	StatusOnTrial
+	// StatusBarred ones ended CrashLimit servers and are sent to none.
+	StatusBarred
 )
 
 // Report is one server that ended under a request, or, where Acquitted is set, that a
@@ -69,9 +69,9 @@
 	ServerID string
 	// Age is the time since then.
 	Age time.Duration
-	// Ran is for how long the server had the request when it ended; 0 where that is not
+	// RanFor is for how long the server had the request when it ended; 0 where that is not
 	// known. One that got it after a server of its ID had ended is another start of it.
-	Ran       time.Duration
+	RanFor    time.Duration
 	Acquitted bool
 	// BarredFor is how long the request is barred yet; 0 where it is not. A node that did
 	// not see the servers end goes by it.
@@ -125,38 +125,38 @@
 	liftedAt time.Time
 }
 
-// Tally is what a node knows of the requests under which servers ended, by its own
+// Tracker is what a node knows of the requests under which servers ended, by its own
 // requests and by what other nodes report. Reports may come often and in any order: a
 // server counts once for each request. It is not safe for concurrent use.
-type Tally struct {
+type Tracker struct {
 	suspects map[Fingerprint]*suspect
 }
 
-// NewTally returns a tally that suspects nobody.
-func NewTally() *Tally { return &Tally{suspects: make(map[Fingerprint]*suspect)} }
+// NewTracker returns a tally that suspects nobody.
+func NewTracker() *Tracker { return &Tracker{suspects: make(map[Fingerprint]*suspect)} }
 
 // Size is the number of requests remembered.
-func (t *Tally) Size() int { return len(t.suspects) }
+func (t *Tracker) Size() int { return len(t.suspects) }
 
-// Standing is what is known of a request.
-func (t *Tally) Standing(now time.Time, fingerprint Fingerprint) Standing {
+// Status is what is known of a request.
+func (t *Tracker) Status(now time.Time, fingerprint Fingerprint) Status {
 	known, ok := t.suspects[fingerprint]
 	switch {
 	case !ok || known.isForgotten(now) || known.isVouched(now):
-		return StandingSound
+		return StatusClear
 	case now.Before(known.barredUntil) && (known.refused < earlyCopies || !t.mayTryEarly(now, known)):
-		return StandingBarred
+		return StatusBarred
 	case known.barred > 0:
-		return StandingOnTrial
+		return StatusOnTrial
 	case known.points() > 0:
-		return StandingSuspect
+		return StatusSuspect
 	default:
-		return StandingSound
+		return StatusClear
 	}
 }
 
-// Take takes a report. It returns false where it says nothing new.
-func (t *Tally) Take(now time.Time, report Report) bool {
+// Record takes a report. It returns false where it says nothing new.
+func (t *Tracker) Record(now time.Time, report Report) bool {
 	at := now.Add(-report.Age)
 	switch {
 	case report.Lifted:
@@ -169,7 +169,7 @@
 	}
 	known := t.entry(now, report.Fingerprint)
 	wasBarred := now.Before(known.barredUntil)
-	isNew := report.ServerID != "" && known.add(end{serverID: report.ServerID, at: at, ran: report.Ran, isShared: t.isShared(report.Fingerprint, report.ServerID)})
+	isNew := report.ServerID != "" && known.add(end{serverID: report.ServerID, at: at, ran: report.RanFor, isShared: t.isShared(report.Fingerprint, report.ServerID)})
 	if at.After(known.forgivenAt()) {
 		known.hearBar(now, report.BarredFor)
 	}
@@ -181,7 +181,7 @@
 }
 
 // entry is what is remembered of the request, from now on.
-func (t *Tally) entry(now time.Time, fingerprint Fingerprint) *suspect {
+func (t *Tracker) entry(now time.Time, fingerprint Fingerprint) *suspect {
 	known, ok := t.suspects[fingerprint]
 	if ok && !known.isForgotten(now) {
 		return known
@@ -271,7 +271,7 @@
 // judge bars a suspect that ended too many servers, the last one heard of at endedAt; for
 // those that ran there beside it these count less from then on. A server that ended before
 // the last bar was over says nothing of a trial after it.
-func (t *Tally) judge(now, endedAt time.Time, known *suspect) {
+func (t *Tracker) judge(now, endedAt time.Time, known *suspect) {
 	if known.isVouched(now) {
 		return
 	}
@@ -303,7 +303,7 @@
 }
 
 // isShared reports whether the server ended under another request that is barred.
-func (t *Tally) isShared(fingerprint Fingerprint, serverID string) bool {
+func (t *Tracker) isShared(fingerprint Fingerprint, serverID string) bool {
 	for other, known := range t.suspects {
 		if known.barred > 0 && other != fingerprint && known.has(serverID) {
 			return true
@@ -314,7 +314,7 @@
 
 // acquit takes it that a request ended well at that time. It returns false where that was
 // known, about.
-func (t *Tally) acquit(now, at time.Time, fingerprint Fingerprint) bool {
+func (t *Tracker) acquit(now, at time.Time, fingerprint Fingerprint) bool {
 	if now.Sub(at) >= vouchTime {
 		return false
 	}
@@ -328,8 +328,8 @@
 	return true
 }
 
-// IsVouched reports whether the request is known to have ended well lately.
-func (t *Tally) IsVouched(now time.Time, fingerprint Fingerprint) bool {
+// SucceededRecently reports whether the request is known to have ended well lately.
+func (t *Tracker) SucceededRecently(now time.Time, fingerprint Fingerprint) bool {
 	known, ok := t.suspects[fingerprint]
 	return ok && known.isVouched(now)
 }
@@ -353,7 +353,7 @@
 }
 
 // makeRoom forgets what is over and, where the table is full, who counts least.
-func (t *Tally) makeRoom(now time.Time) {
+func (t *Tracker) makeRoom(now time.Time) {
 	if len(t.suspects) < mostSuspects {
 		return
 	}
@@ -378,7 +378,7 @@
 }
 
 // Sweep forgets what is over.
-func (t *Tally) Sweep(now time.Time) {
+func (t *Tracker) Sweep(now time.Time) {
 	for fingerprint, known := range t.suspects {
 		if known.isForgotten(now) {
 			delete(t.suspects, fingerprint)
@@ -387,7 +387,7 @@
 }
 
 // Reports are those of the request, which bring another node to the same standing.
-func (t *Tally) Reports(now time.Time, fingerprint Fingerprint) []Report {
+func (t *Tracker) Reports(now time.Time, fingerprint Fingerprint) []Report {
 	known, ok := t.suspects[fingerprint]
 	if !ok {
 		return nil
@@ -395,7 +395,7 @@
 	var reports []Report
 	for _, e := range known.ends {
 		reports = append(reports, Report{
-			Fingerprint: fingerprint, ServerID: e.serverID, Age: now.Sub(e.at), Ran: e.ran, BarredFor: t.BarLeft(now, fingerprint),
+			Fingerprint: fingerprint, ServerID: e.serverID, Age: now.Sub(e.at), RanFor: e.ran, BarredFor: t.BarRemaining(now, fingerprint),
 		})
 	}
 	return reports
@@ -403,24 +403,24 @@
 
 // LastReport is the last of the request's reports, which bars it at a node that hears it
 // where it is barred here.
-func (t *Tally) LastReport(now time.Time, fingerprint Fingerprint) Report {
+func (t *Tracker) LastReport(now time.Time, fingerprint Fingerprint) Report {
 	reports := t.Reports(now, fingerprint)
 	if len(reports) == 0 {
-		return Report{Fingerprint: fingerprint, BarredFor: t.BarLeft(now, fingerprint)}
+		return Report{Fingerprint: fingerprint, BarredFor: t.BarRemaining(now, fingerprint)}
 	}
 	return reports[len(reports)-1]
 }
 
-// Ended is the number of servers that ended under a request.
-func (t *Tally) Ended(fingerprint Fingerprint) int {
+// CrashCount is the number of servers that ended under a request.
+func (t *Tracker) CrashCount(fingerprint Fingerprint) int {
 	if known, ok := t.suspects[fingerprint]; ok {
 		return len(known.ends)
 	}
 	return 0
 }
 
-// BarLeft is for how long the request is barred yet.
-func (t *Tally) BarLeft(now time.Time, fingerprint Fingerprint) time.Duration {
+// BarRemaining is for how long the request is barred yet.
+func (t *Tracker) BarRemaining(now time.Time, fingerprint Fingerprint) time.Duration {
 	if known, ok := t.suspects[fingerprint]; ok {
 		return max(0, known.barredUntil.Sub(now))
 	}
@@ -428,7 +428,7 @@
 }
 
 // Barred are the requests that are barred now, in order.
-func (t *Tally) Barred(now time.Time) []Fingerprint {
+func (t *Tracker) Barred(now time.Time) []Fingerprint {
 	var barred []Fingerprint
 	for fingerprint, known := range t.suspects {
 		if now.Before(known.barredUntil) {
--- a/internal/poison/tally_test.go
+++ b/internal/poison/tally_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func named(name string) Fingerprint { return Of(Identity{Target: name}) }
+func named(name string) Fingerprint { return NewFingerprint(Identity{Target: name}) }
 
 // crash is that a server ended under a request, so many milliseconds after the start.
 type crash struct {
@@ -20,10 +20,10 @@
 	acquitted       bool
 }
 
-func taken(crashes ...crash) *Tally {
-	tally := NewTally()
+func taken(crashes ...crash) *Tracker {
+	tally := NewTracker()
 	for _, c := range crashes {
-		tally.Take(start.Add(time.Duration(c.at)*time.Millisecond), Report{Fingerprint: named(c.request), ServerID: c.server, Acquitted: c.acquitted})
+		tally.Record(start.Add(time.Duration(c.at)*time.Millisecond), Report{Fingerprint: named(c.request), ServerID: c.server, Acquitted: c.acquitted})
 	}
 	return tally
 }
@@ -32,28 +32,28 @@
 	tests := []struct {
 		name    string
 		crashes []crash
-		want    Standing
+		want    Status
 	}{
-		{"nothing known", nil, StandingSound},
-		{"two servers", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}}, StandingSuspect},
-		{"three servers", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}, {"p", "c", 900, false}}, StandingBarred},
-		{"one server, told by three nodes", []crash{{"p", "a", 0, false}, {"p", "a", 400, false}, {"p", "a", 900, false}}, StandingSuspect},
-		{"a rack that fails", []crash{{"p", "a", 0, false}, {"p", "b", 3, false}, {"p", "c", 6, false}}, StandingSuspect},
-		{"ended well between", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}, {"p", "", 700, true}, {"p", "c", 900, false}}, StandingSound},
-		{"ended well before", []crash{{"p", "", 0, true}, {"p", "a", 100, false}, {"p", "b", 500, false}, {"p", "c", 900, false}}, StandingSound},
-		{"ended well last", []crash{{"p", "a", 0, false}, {"p", "", 700, true}}, StandingSound},
-		{"another request", []crash{{"q", "a", 0, false}, {"q", "b", 500, false}, {"q", "c", 900, false}}, StandingSound},
+		{"nothing known", nil, StatusClear},
+		{"two servers", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}}, StatusSuspect},
+		{"three servers", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}, {"p", "c", 900, false}}, StatusBarred},
+		{"one server, told by three nodes", []crash{{"p", "a", 0, false}, {"p", "a", 400, false}, {"p", "a", 900, false}}, StatusSuspect},
+		{"a rack that fails", []crash{{"p", "a", 0, false}, {"p", "b", 3, false}, {"p", "c", 6, false}}, StatusSuspect},
+		{"ended well between", []crash{{"p", "a", 0, false}, {"p", "b", 500, false}, {"p", "", 700, true}, {"p", "c", 900, false}}, StatusClear},
+		{"ended well before", []crash{{"p", "", 0, true}, {"p", "a", 100, false}, {"p", "b", 500, false}, {"p", "c", 900, false}}, StatusClear},
+		{"ended well last", []crash{{"p", "a", 0, false}, {"p", "", 700, true}}, StatusClear},
+		{"another request", []crash{{"q", "a", 0, false}, {"q", "b", 500, false}, {"q", "c", 900, false}}, StatusClear},
 		{"beside one that is barred later", []crash{
 			{"p", "a", 0, false}, {"q", "a", 1, false}, {"p", "b", 500, false}, {"q", "b", 501, false}, {"q", "c", 900, false}, {"p", "c", 901, false},
-		}, StandingSuspect},
+		}, StatusSuspect},
 		{"beside one that is barred, and then alone", []crash{
 			{"q", "a", 0, false}, {"q", "b", 500, false}, {"q", "c", 900, false},
 			{"p", "a", 1, false}, {"p", "b", 501, false}, {"p", "d", 910, false}, {"p", "e", 950, false},
-		}, StandingBarred},
+		}, StatusBarred},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := taken(test.crashes...).Standing(start.Add(time.Second), named("p")); got != test.want {
+			if got := taken(test.crashes...).Status(start.Add(time.Second), named("p")); got != test.want {
 				t.Errorf("standing %d, want %d", got, test.want)
 			}
 		})
@@ -65,21 +65,21 @@
 func TestBarEnds(t *testing.T) {
 	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
 	over := start.Add(900*time.Millisecond + firstBar + time.Second)
-	if got := tally.Standing(over, named("p")); got != StandingOnTrial {
+	if got := tally.Status(over, named("p")); got != StatusOnTrial {
 		t.Fatalf("standing %d after the time of the bar, want on trial", got)
 	}
 	for i, bar := range []time.Duration{barTime, 2 * barTime} {
-		tally.Take(over, Report{Fingerprint: named("p"), ServerID: fmt.Sprint("d", i)})
-		if got := tally.Standing(over.Add(bar-time.Second), named("p")); got != StandingBarred {
+		tally.Record(over, Report{Fingerprint: named("p"), ServerID: fmt.Sprint("d", i)})
+		if got := tally.Status(over.Add(bar-time.Second), named("p")); got != StatusBarred {
 			t.Errorf("standing %d after %d more servers, want barred for %v", got, i+1, bar)
 		}
 		over = over.Add(bar + time.Second)
-		if got := tally.Standing(over, named("p")); got != StandingOnTrial {
+		if got := tally.Status(over, named("p")); got != StatusOnTrial {
 			t.Errorf("standing %d after %v, want on trial", got, bar)
 		}
 	}
-	tally.Take(over.Add(time.Second), Report{Fingerprint: named("p"), Acquitted: true})
-	if got := tally.Standing(over.Add(2*time.Second), named("p")); got != StandingSound {
+	tally.Record(over.Add(time.Second), Report{Fingerprint: named("p"), Acquitted: true})
+	if got := tally.Status(over.Add(2*time.Second), named("p")); got != StatusClear {
 		t.Errorf("standing %d after a good end, want sound", got)
 	}
 	if tally.Sweep(over.Add(time.Hour)); tally.Size() != 0 {
@@ -92,19 +92,19 @@
 func TestVouchEnds(t *testing.T) {
 	tally := taken(crash{"p", "", 0, true})
 	for i, at := range []time.Duration{50 * time.Second, 61 * time.Second, 62 * time.Second} {
-		if got := tally.Standing(start.Add(at), named("p")); got == StandingBarred {
+		if got := tally.Status(start.Add(at), named("p")); got == StatusBarred {
 			t.Errorf("barred after %d servers", i)
 		}
-		tally.Take(start.Add(at), Report{Fingerprint: named("p"), ServerID: fmt.Sprint("s", i)})
+		tally.Record(start.Add(at), Report{Fingerprint: named("p"), ServerID: fmt.Sprint("s", i)})
 	}
-	if got := tally.Standing(start.Add(64*time.Second), named("p")); got != StandingBarred {
+	if got := tally.Status(start.Add(64*time.Second), named("p")); got != StatusBarred {
 		t.Errorf("standing %d, want barred", got)
 	}
 }
 
 // TestGoodEnds are remembered for a minute, and as many as there is room for.
 func TestGoodEnds(t *testing.T) {
-	var good GoodEnds
+	var good RecentSuccesses
 	good.Add(start, named("p"))
 	if age, ok := good.Age(start.Add(time.Second), named("p")); !ok || age != time.Second {
 		t.Errorf("%v, %v for a good end a second ago", age, ok)
@@ -128,15 +128,15 @@
 func TestBarIsHeard(t *testing.T) {
 	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
 	retried := start.Add(firstBar + time.Second)
-	tally.Take(retried, Report{Fingerprint: named("p"), ServerID: "d"})
-	now, late := retried.Add(barTime-time.Minute), NewTally()
+	tally.Record(retried, Report{Fingerprint: named("p"), ServerID: "d"})
+	now, late := retried.Add(barTime-time.Minute), NewTracker()
 	for _, report := range tally.Reports(now, named("p")) {
-		late.Take(now, report)
+		late.Record(now, report)
 	}
-	if got := late.Standing(now.Add(30*time.Second), named("p")); got != StandingBarred {
+	if got := late.Status(now.Add(30*time.Second), named("p")); got != StatusBarred {
 		t.Errorf("standing %d, want barred", got)
 	}
-	if got := late.Standing(now.Add(2*time.Minute), named("p")); got == StandingBarred {
+	if got := late.Status(now.Add(2*time.Minute), named("p")); got == StatusBarred {
 		t.Error("barred for longer than at the node that told")
 	}
 }
@@ -145,12 +145,12 @@
 func TestTableIsBounded(t *testing.T) {
 	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
 	for i := range 4 * mostSuspects {
-		tally.Take(start.Add(time.Duration(1000+i)*time.Millisecond), Report{Fingerprint: named(fmt.Sprint(i)), ServerID: fmt.Sprint("s", i)})
+		tally.Record(start.Add(time.Duration(1000+i)*time.Millisecond), Report{Fingerprint: named(fmt.Sprint(i)), ServerID: fmt.Sprint("s", i)})
 	}
 	if tally.Size() > mostSuspects {
 		t.Errorf("%d remembered, want %d at most", tally.Size(), mostSuspects)
 	}
-	if got := tally.Standing(start.Add(10*time.Second), named("p")); got != StandingBarred {
+	if got := tally.Status(start.Add(10*time.Second), named("p")); got != StatusBarred {
 		t.Errorf("standing %d of the barred one, want barred", got)
 	}
 }
@@ -164,22 +164,22 @@
 	}
 	seen := make(map[Fingerprint]int)
 	for i, identity := range all {
-		if other, ok := seen[Of(identity)]; ok {
+		if other, ok := seen[NewFingerprint(identity)]; ok {
 			t.Errorf("%+v and %+v are one", all[other], identity)
 		}
-		seen[Of(identity)] = i
+		seen[NewFingerprint(identity)] = i
 	}
-	encoded := Of(all[0])
-	if got, ok := FingerprintOf(encoded[:]); !ok || got != encoded {
+	encoded := NewFingerprint(all[0])
+	if got, ok := DecodeFingerprint(encoded[:]); !ok || got != encoded {
 		t.Errorf("%v became %v", encoded, got)
 	}
-	if got, ok := Named(encoded.String()); !ok || got != encoded {
+	if got, ok := ParseFingerprint(encoded.String()); !ok || got != encoded {
 		t.Errorf("%v became %v", encoded, got)
 	}
-	if _, ok := Named("no fingerprint"); ok {
+	if _, ok := ParseFingerprint("no fingerprint"); ok {
 		t.Error("a name of nothing was read")
 	}
-	if _, ok := FingerprintOf(encoded[:5]); ok {
+	if _, ok := DecodeFingerprint(encoded[:5]); ok {
 		t.Error("a short fingerprint was read")
 	}
 }
@@ -198,15 +198,15 @@
 				Age:         time.Minute - time.Duration(i)*100*time.Millisecond,
 			})
 		}
-		standings := func(reports []Report) []Standing {
-			tally := NewTally()
+		standings := func(reports []Report) []Status {
+			tally := NewTracker()
 			for _, report := range reports {
-				tally.Take(now, report)
-				tally.Take(now, report)
+				tally.Record(now, report)
+				tally.Record(now, report)
 			}
-			var all []Standing
+			var all []Status
 			for _, request := range requests {
-				all = append(all, tally.Standing(now, named(request)))
+				all = append(all, tally.Status(now, named(request)))
 			}
 			return all
 		}
@@ -221,7 +221,7 @@
 		shuffled := standings(rapid.Permutation(reports).Draw(t, "order"))
 		for i, request := range requests {
 			servers := len(byRequest[named(request)])
-			if got[i] == StandingBarred && servers < CrashLimit || shuffled[i] == StandingBarred && servers < CrashLimit {
+			if got[i] == StatusBarred && servers < CrashLimit || shuffled[i] == StatusBarred && servers < CrashLimit {
 				t.Fatalf("%s is barred for %d servers", request, servers)
 			}
 		}
@@ -243,12 +243,12 @@
 	}
 	tally := taken(crashes...)
 	over := start.Add(firstBar + 2*time.Second)
-	tally.Take(over, Report{Fingerprint: named("p"), ServerID: "late", Age: over.Sub(start) - time.Second})
-	if got := tally.Standing(over, named("p")); got != StandingOnTrial {
+	tally.Record(over, Report{Fingerprint: named("p"), ServerID: "late", Age: over.Sub(start) - time.Second})
+	if got := tally.Status(over, named("p")); got != StatusOnTrial {
 		t.Errorf("standing %d after the bar and a late word on a server from before, want on trial", got)
 	}
-	tally.Take(over, Report{Fingerprint: named("p"), ServerID: "new"})
-	if got := tally.Standing(over.Add(time.Minute), named("p")); got != StandingBarred {
+	tally.Record(over, Report{Fingerprint: named("p"), ServerID: "new"})
+	if got := tally.Status(over.Add(time.Minute), named("p")); got != StatusBarred {
 		t.Errorf("standing %d after one more server, want barred", got)
 	}
 }
@@ -256,8 +256,8 @@
 // TestVouchGoesBeforeABarFromElsewhere, as of the lease or of a node that heard no vouch.
 func TestVouchGoesBeforeABarFromElsewhere(t *testing.T) {
 	tally := taken(crash{"p", "", 0, true})
-	tally.Take(start.Add(time.Second), Report{Fingerprint: named("p"), BarredFor: barTime})
-	if got := tally.Standing(start.Add(2*time.Minute), named("p")); got == StandingBarred {
+	tally.Record(start.Add(time.Second), Report{Fingerprint: named("p"), BarredFor: barTime})
+	if got := tally.Status(start.Add(2*time.Minute), named("p")); got == StatusBarred {
 		t.Error("barred by a word that a good end had refuted")
 	}
 }
@@ -267,14 +267,14 @@
 func TestBarOfTheLeaseIsNoServer(t *testing.T) {
 	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
 	over := start.Add(firstBar + 2*time.Second)
-	tally.Take(over, Report{Fingerprint: named("p"), BarredFor: time.Second})
-	if got := tally.Ended(named("p")); got != 3 {
+	tally.Record(over, Report{Fingerprint: named("p"), BarredFor: time.Second})
+	if got := tally.CrashCount(named("p")); got != 3 {
 		t.Errorf("%d servers ended by a word that names none, want 3", got)
 	}
-	if got := tally.Standing(over.Add(2*time.Second), named("p")); got != StandingOnTrial {
+	if got := tally.Status(over.Add(2*time.Second), named("p")); got != StatusOnTrial {
 		t.Errorf("standing %d once that bar is over, want on trial", got)
 	}
-	if fresh := NewTally(); !fresh.Take(start, Report{Fingerprint: named("p"), BarredFor: time.Minute}) || fresh.Standing(start, named("p")) != StandingBarred {
+	if fresh := NewTracker(); !fresh.Record(start, Report{Fingerprint: named("p"), BarredFor: time.Minute}) || fresh.Status(start, named("p")) != StatusBarred {
 		t.Error("a bar that only the lease tells is no news, or does not bar")
 	}
 }
@@ -283,10 +283,10 @@
 // after a server of that ID had ended is another start; reports that come again, or later than
 // others of the same end, are not.
 func TestEachStartOfAServerCounts(t *testing.T) {
-	fingerprint := Of(Identity{Target: "/p"})
+	fingerprint := NewFingerprint(Identity{Target: "/p"})
 	at := func(after time.Duration) time.Time { return start.Add(after) }
 	report := func(age, ran time.Duration) Report {
-		return Report{Fingerprint: fingerprint, ServerID: "a", Age: age, Ran: ran}
+		return Report{Fingerprint: fingerprint, ServerID: "a", Age: age, RanFor: ran}
 	}
 	steps := []struct {
 		name   string
@@ -303,14 +303,14 @@
 		{"the first is told again", 7 * time.Second, report(7*time.Second, 50*time.Millisecond), 2},
 		{"the third start ends", 9 * time.Second, report(0, 30*time.Millisecond), 3},
 	}
-	tally := NewTally()
+	tally := NewTracker()
 	for _, step := range steps {
-		tally.Take(at(step.now), step.report)
-		if got := tally.Ended(fingerprint); got != step.want {
+		tally.Record(at(step.now), step.report)
+		if got := tally.CrashCount(fingerprint); got != step.want {
 			t.Errorf("%s: %d ends, want %d", step.name, got, step.want)
 		}
 	}
-	if tally.Standing(at(9*time.Second), fingerprint) != StandingBarred {
+	if tally.Status(at(9*time.Second), fingerprint) != StatusBarred {
 		t.Error("three starts ended, and the request is not barred")
 	}
 }
--- a/internal/poison/trial.go
+++ b/internal/poison/trial.go
@@ -19,7 +19,7 @@
 // trial, no second one begins beside it, and where nothing is heard of it (the way to its
 // server was cut) the next one waits twice as long. A node that was not told of the bar grants
 // the trial as one after a first bar. Within its first bar a request may be tried early.
-func (t *Tally) ClaimTrial(now time.Time, fingerprint Fingerprint) bool {
+func (t *Tracker) ClaimTrial(now time.Time, fingerprint Fingerprint) bool {
 	known := t.entry(now, fingerprint)
 	switch {
 	case known.isVouched(now):
@@ -44,7 +44,7 @@
 }
 
 // isTrialBeside reports whether a request that ended a server of this one's is being tried.
-func (t *Tally) isTrialBeside(now time.Time, known *suspect) bool {
+func (t *Tracker) isTrialBeside(now time.Time, known *suspect) bool {
 	for _, other := range t.suspects {
 		if other != known && now.Before(other.triedUntil) && slices.ContainsFunc(known.ends, func(e end) bool { return other.has(e.serverID) }) {
 			return true
@@ -61,7 +61,7 @@
 
 // lift takes an operator's word that the request is barred no more. It returns false where
 // that was known.
-func (t *Tally) lift(now, at time.Time, fingerprint Fingerprint) bool {
+func (t *Tracker) lift(now, at time.Time, fingerprint Fingerprint) bool {
 	if now.Sub(at) >= vouchTime {
 		return false
 	}
--- a/internal/poison/trial_test.go
+++ b/internal/poison/trial_test.go
@@ -6,7 +6,7 @@
 )
 
 // barredTally is a tally in which p was barred, and the moment after its first bar.
-func barredTally() (*Tally, time.Time) {
+func barredTally() (*Tracker, time.Time) {
 	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
 	return tally, start.Add(900*time.Millisecond + firstBar + time.Millisecond)
 }
@@ -26,7 +26,7 @@
 	if granted != 1 {
 		t.Errorf("%d of 5 copies were granted a trial, want 1", granted)
 	}
-	if got := tally.Standing(over.Add(time.Second), named("p")); got != StandingBarred {
+	if got := tally.Status(over.Add(time.Second), named("p")); got != StatusBarred {
 		t.Errorf("standing %d beside the trial, want barred", got)
 	}
 }
@@ -36,15 +36,15 @@
 	tally, over := barredTally()
 	tally.ClaimTrial(over, named("p"))
 	ended := over.Add(50 * time.Millisecond)
-	tally.Take(ended, Report{Fingerprint: named("p"), ServerID: "d"})
-	if left := tally.BarLeft(ended, named("p")); left != barTime {
+	tally.Record(ended, Report{Fingerprint: named("p"), ServerID: "d"})
+	if left := tally.BarRemaining(ended, named("p")); left != barTime {
 		t.Errorf("barred for %v after a trial that ended a server, want %v", left, barTime)
 	}
 	other, _ := barredTally()
 	for _, report := range tally.Reports(ended, named("p")) {
-		other.Take(ended, report)
+		other.Record(ended, report)
 	}
-	if left := other.BarLeft(ended, named("p")); left != barTime {
+	if left := other.BarRemaining(ended, named("p")); left != barTime {
 		t.Errorf("barred for %v at a node that was told, want %v", left, barTime)
 	}
 }
@@ -53,8 +53,8 @@
 func TestTrialThatEndsWell(t *testing.T) {
 	tally, over := barredTally()
 	tally.ClaimTrial(over, named("p"))
-	tally.Take(over.Add(time.Second), Report{Fingerprint: named("p"), Acquitted: true})
-	if got := tally.Standing(over.Add(2*time.Second), named("p")); got != StandingSound {
+	tally.Record(over.Add(time.Second), Report{Fingerprint: named("p"), Acquitted: true})
+	if got := tally.Status(over.Add(2*time.Second), named("p")); got != StatusClear {
 		t.Errorf("standing %d after a trial that ended well, want sound", got)
 	}
 }
@@ -76,7 +76,7 @@
 
 // TestTrialOfAnUnknownBar: a coordinator that has just started knows of no bar.
 func TestTrialOfAnUnknownBar(t *testing.T) {
-	tally := NewTally()
+	tally := NewTracker()
 	if !tally.ClaimTrial(start, named("p")) || tally.ClaimTrial(start.Add(time.Second), named("p")) {
 		t.Error("want one trial")
 	}
@@ -87,18 +87,18 @@
 func TestLiftedBar(t *testing.T) {
 	tally, _ := barredTally()
 	lifted := start.Add(5 * time.Second)
-	if !tally.Take(lifted, Report{Fingerprint: named("p"), Lifted: true}) || tally.Take(lifted, Report{Fingerprint: named("p"), Lifted: true}) {
+	if !tally.Record(lifted, Report{Fingerprint: named("p"), Lifted: true}) || tally.Record(lifted, Report{Fingerprint: named("p"), Lifted: true}) {
 		t.Error("a lift is news once")
 	}
-	tally.Take(lifted.Add(time.Second), Report{Fingerprint: named("p"), ServerID: "a", Age: 5 * time.Second, BarredFor: 10 * time.Second})
-	tally.Take(lifted.Add(time.Second), Report{Fingerprint: named("p"), BarredFor: 10 * time.Second})
-	if got := tally.Standing(lifted.Add(time.Second), named("p")); got != StandingSound {
+	tally.Record(lifted.Add(time.Second), Report{Fingerprint: named("p"), ServerID: "a", Age: 5 * time.Second, BarredFor: 10 * time.Second})
+	tally.Record(lifted.Add(time.Second), Report{Fingerprint: named("p"), BarredFor: 10 * time.Second})
+	if got := tally.Status(lifted.Add(time.Second), named("p")); got != StatusClear {
 		t.Errorf("standing %d after the bar was lifted, want sound", got)
 	}
 	for i, server := range []string{"x", "y", "z"} {
-		tally.Take(lifted.Add(time.Duration(2+i)*time.Second), Report{Fingerprint: named("p"), ServerID: server})
+		tally.Record(lifted.Add(time.Duration(2+i)*time.Second), Report{Fingerprint: named("p"), ServerID: server})
 	}
-	if got := tally.Standing(lifted.Add(5*time.Second), named("p")); got != StandingBarred {
+	if got := tally.Status(lifted.Add(5*time.Second), named("p")); got != StatusBarred {
 		t.Errorf("standing %d after three more servers, want barred", got)
 	}
 }
--- a/internal/queue/admit.go
+++ b/internal/queue/admit.go
@@ -11,23 +11,23 @@
 
 func (c *Core) arrive(now time.Time, item Item) {
 	line := c.line(item.line())
-	if !item.Again {
+	if !item.Requeued {
 		line.arrivals++
 		c.arrived = true
 	}
-	if item.Since.IsZero() {
-		item.Since = now
+	if item.ArrivedAt.IsZero() {
+		item.ArrivedAt = now
 	}
 	if c.closed != nil {
 		c.refuse(item, c.closed.Reason, c.closed.RetryAfter)
 		return
 	}
 	if !item.Deadline.After(now) {
-		c.refuse(item, ReasonDeadline, 0)
+		c.refuse(item, ReasonDeadlineExceeded, 0)
 		return
 	}
 	entry := &waiting{Item: item, cold: line.ready == 0, rank: c.rank(item)}
-	if low, likely := line.expectedWait(now, entry, c.options.AgingStep); !item.Again && now.Add(low).After(item.Deadline) {
+	if low, likely := line.expectedWait(now, entry, c.options.AgingStep); !item.Requeued && now.Add(low).After(item.Deadline) {
 		c.miss(now, line, item, likely)
 		return
 	}
@@ -36,7 +36,7 @@
 		return
 	}
 	c.insert(line, entry)
-	if !item.Again {
+	if !item.Requeued {
 		line.inflow.note(now, item.Priority)
 	}
 	if entry.cold && line.coldFrom.IsZero() {
@@ -52,13 +52,13 @@
 	if c.options.Defects.NoAging {
 		return -int64(item.Priority)
 	}
-	return item.Since.UnixNano()/int64(c.options.AgingStep) - int64(item.Priority)
+	return item.ArrivedAt.UnixNano()/int64(c.options.AgingStep) - int64(item.Priority)
 }
 
 // miss refuses at once what cannot make its deadline. The wish for the model
 // is reported all the same, or a model that loads slowly would never be loaded.
 func (c *Core) miss(now time.Time, line *line, item Item, likely time.Duration) {
-	c.refuse(item, ReasonTooLate, likely)
+	c.refuse(item, ReasonDeadlineUnreachable, likely)
 	if line.ready > 0 {
 		return
 	}
@@ -133,7 +133,7 @@
 	for len(c.deadlines) > 0 && !c.deadlines[0].Deadline.After(now) {
 		item := c.deadlines[0].Item
 		c.remove(item.Ticket)
-		c.refuse(item, ReasonDeadline, 0)
+		c.refuse(item, ReasonDeadlineExceeded, 0)
 	}
 }
 
--- a/internal/queue/inflow_test.go
+++ b/internal/queue/inflow_test.go
@@ -32,7 +32,7 @@
 		if diff := cmp.Diff(test.want, got); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		core.Step(at(10), Leave{test.item.Ticket})
+		core.Step(at(10), Cancel{test.item.Ticket})
 	}
 }
 
--- a/internal/queue/message.go
+++ b/internal/queue/message.go
@@ -23,12 +23,12 @@
 	Deadline time.Time
 	// Bytes is the memory that the item holds while it waits.
 	Bytes int64
-	// Since is when the request came to the node; zero for now. A request
+	// ArrivedAt is when the request came to the node; zero for now. A request
 	// that is put back keeps its place.
-	Since time.Time
-	// Again is set for a request that was released before: it is not
+	ArrivedAt time.Time
+	// Requeued is set for a request that was released before: it is not
 	// estimated again and is no new arrival.
-	Again bool
+	Requeued bool
 }
 
 // Message is an input of the core.
@@ -37,30 +37,30 @@
 // Arrive hands in a request.
 type Arrive struct{ Item Item }
 
-// Leave takes a request out whose caller has gone.
-type Leave struct{ Ticket Ticket }
+// Cancel takes a request out whose caller has gone.
+type Cancel struct{ Ticket Ticket }
 
 // Replica is one ready replica of a model with room for Free more requests.
 type Replica struct {
-	Name     fleet.BackendName
-	Free     int
-	Adapters []fleet.AdapterName
+	Name      fleet.BackendName
+	FreeSlots int
+	Adapters  []fleet.AdapterName
 }
 
-// Line names what waits together: requests for one model that may run in the same
+// Key names what waits together: requests for one model that may run in the same
 // regions.
-type Line struct {
+type Key struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
 }
 
-func compareLines(a, b Line) int {
+func compareLines(a, b Key) int {
 	return cmp.Or(a.Model.Compare(b.Model), cmp.Compare(a.Regions, b.Regions))
 }
 
-// Offer tells the room of the replicas that a line's requests may go to; it replaces
+// CapacityChanged tells the room of the replicas that a line's requests may go to; it replaces
 // the offer before.
-type Offer struct {
+type CapacityChanged struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
 	// Ready counts the replicas that have the model loaded and do not leave,
@@ -72,19 +72,19 @@
 	Slots int
 }
 
-// Began tells how long a released request waited for its first token.
-type Began struct {
+// FirstTokenReceived tells how long a released request waited for its first token.
+type FirstTokenReceived struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
-	After   time.Duration
+	Latency time.Duration
 }
 
-// Served tells how long a released request took from its release to its end,
+// Completed tells how long a released request took from its release to its end,
 // so that later waits can be estimated.
-type Served struct {
-	Model   fleet.ModelVersion
-	Regions fleet.Regions
-	Service time.Duration
+type Completed struct {
+	Model       fleet.ModelVersion
+	Regions     fleet.Regions
+	ServiceTime time.Duration
 }
 
 // LoadRefused says that a model cannot be loaded now.
@@ -103,15 +103,15 @@
 // Tick is wanted at NextWake.
 type Tick struct{}
 
-func (Arrive) isMessage()      {}
-func (Leave) isMessage()       {}
-func (Offer) isMessage()       {}
-func (Began) isMessage()       {}
-func (Served) isMessage()      {}
-func (LoadRefused) isMessage() {}
-func (Close) isMessage()       {}
-func (Open) isMessage()        {}
-func (Tick) isMessage()        {}
+func (Arrive) isMessage()             {}
+func (Cancel) isMessage()             {}
+func (CapacityChanged) isMessage()    {}
+func (FirstTokenReceived) isMessage() {}
+func (Completed) isMessage()          {}
+func (LoadRefused) isMessage()        {}
+func (Close) isMessage()              {}
+func (Open) isMessage()               {}
+func (Tick) isMessage()               {}
 
 // Effect is an output of the core.
 type Effect interface{ isEffect() }
@@ -121,8 +121,8 @@
 	Item Item
 	// Waited is the time from arrival to release.
 	Waited time.Duration
-	// Cold is set when the request waited for a load.
-	Cold bool
+	// ColdStart is set when the request waited for a load.
+	ColdStart bool
 }
 
 // Reason says why a request was refused.
@@ -130,13 +130,13 @@
 
 // The reasons of a refusal.
 const (
-	ReasonFull       Reason = "queue-full"
-	ReasonTooLate    Reason = "deadline-cannot-be-met"
-	ReasonDeadline   Reason = "deadline-reached"
-	ReasonCannotLoad Reason = "model-cannot-be-loaded"
-	ReasonShed       Reason = "shed-for-higher-priority"
-	ReasonStopping   Reason = "node-stopping"
-	ReasonEvacuated  Reason = "all-zones-evacuated"
+	ReasonFull                Reason = "queue-full"
+	ReasonDeadlineUnreachable Reason = "deadline-cannot-be-met"
+	ReasonDeadlineExceeded    Reason = "deadline-reached"
+	ReasonCannotLoad          Reason = "model-cannot-be-loaded"
+	ReasonShed                Reason = "shed-for-higher-priority"
+	ReasonStopping            Reason = "node-stopping"
+	ReasonEvacuated           Reason = "all-zones-evacuated"
 )
 
 // Refuse is the final answer to a request that never ran.
--- a/internal/queue/overload_test.go
+++ b/internal/queue/overload_test.go
@@ -43,7 +43,7 @@
 		switch effect := effect.(type) {
 		case Release:
 			o.start(effect.Item)
-			o.core.Step(o.now, Began{Model: notes, After: overloadFirst})
+			o.core.Step(o.now, FirstTokenReceived{Model: notes, Latency: overloadFirst})
 		case Refuse:
 			if o.now.After(effect.Item.Deadline) {
 				o.late++
@@ -60,8 +60,8 @@
 		}
 		return
 	}
-	offer := Offer{Model: notes, Ready: 1, Slots: overloadSlots,
-		Replicas: []Replica{{Name: "e1", Free: overloadSlots - len(o.ends)}}}
+	offer := CapacityChanged{Model: notes, Ready: 1, Slots: overloadSlots,
+		Replicas: []Replica{{Name: "e1", FreeSlots: overloadSlots - len(o.ends)}}}
 	o.take(slices.Clone(o.core.Step(o.now, offer)))
 }
 
@@ -89,7 +89,7 @@
 			o.now = o.ends[0]
 			o.ends = o.ends[1:]
 			if !o.useFIFO {
-				o.take(slices.Clone(o.core.Step(o.now, Served{Model: notes, Service: time.Second})))
+				o.take(slices.Clone(o.core.Step(o.now, Completed{Model: notes, ServiceTime: time.Second})))
 			}
 			o.offer()
 		case !wake.IsZero() && !wake.After(next):
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -64,7 +64,7 @@
 
 // line is what waits for one model version in the same regions.
 type line struct {
-	key      Line
+	key      Key
 	items    []*waiting
 	replicas []Replica
 	ready    int
@@ -91,8 +91,8 @@
 // Core is the queue of one node.
 type Core struct {
 	options   Options
-	lines     map[Line]*line
-	order     []Line
+	lines     map[Key]*line
+	order     []Key
 	byTicket  map[Ticket]*waiting
 	deadlines deadlines
 	bytes     int64
@@ -108,7 +108,7 @@
 func New(options Options) *Core {
 	return &Core{
 		options:  options.withDefaults(),
-		lines:    make(map[Line]*line),
+		lines:    make(map[Key]*line),
 		byTicket: make(map[Ticket]*waiting),
 	}
 }
@@ -121,14 +121,14 @@
 	switch message := message.(type) {
 	case Arrive:
 		c.arrive(now, message.Item)
-	case Leave:
+	case Cancel:
 		c.remove(message.Ticket)
-	case Offer:
+	case CapacityChanged:
 		c.offer(now, message)
-	case Began:
-		c.line(Line{message.Model, message.Regions}).firstToken.add(message.After)
-	case Served:
-		c.line(Line{message.Model, message.Regions}).service.add(message.Service)
+	case FirstTokenReceived:
+		c.line(Key{message.Model, message.Regions}).firstToken.add(message.Latency)
+	case Completed:
+		c.line(Key{message.Model, message.Regions}).service.add(message.ServiceTime)
 	case LoadRefused:
 		c.loadRefused(now, message.Refusals)
 	case Close:
@@ -155,37 +155,37 @@
 	return len(c.byTicket), c.bytes
 }
 
-// LineInfo describes what waits in one line.
-type LineInfo struct {
-	Line
+// QueueInfo describes what waits in one line.
+type QueueInfo struct {
+	Key
 	Waiting  int
 	Replicas int
 	// Oldest is when the oldest of the waiting requests came.
 	Oldest time.Time
 }
 
-// Lines describes the lines in which something waits, in order.
-func (c *Core) Lines() []LineInfo {
-	var infos []LineInfo
+// Queues describes the lines in which something waits, in order.
+func (c *Core) Queues() []QueueInfo {
+	var infos []QueueInfo
 	for _, key := range c.order {
 		if line := c.lines[key]; len(line.items) > 0 {
-			infos = append(infos, LineInfo{Line: key, Waiting: len(line.items), Replicas: line.ready, Oldest: line.oldest()})
+			infos = append(infos, QueueInfo{Key: key, Waiting: len(line.items), Replicas: line.ready, Oldest: line.oldest()})
 		}
 	}
 	return infos
 }
 
 func (l *line) oldest() time.Time {
-	oldest := l.items[0].Since
+	oldest := l.items[0].ArrivedAt
 	for _, item := range l.items[1:] {
-		if item.Since.Before(oldest) {
-			oldest = item.Since
+		if item.ArrivedAt.Before(oldest) {
+			oldest = item.ArrivedAt
 		}
 	}
 	return oldest
 }
 
-func (c *Core) line(key Line) *line {
+func (c *Core) line(key Key) *line {
 	if known, found := c.lines[key]; found {
 		return known
 	}
@@ -197,7 +197,7 @@
 }
 
 // line is the one that the item waits in.
-func (i Item) line() Line { return Line{Model: i.Model, Regions: i.Regions} }
+func (i Item) line() Key { return Key{Model: i.Model, Regions: i.Regions} }
 
 func (c *Core) emit(effect Effect) {
 	c.effects = append(c.effects, effect)
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -29,14 +29,14 @@
 	return bound
 }
 
-func roomIn(regions fleet.Regions) Offer {
+func roomIn(regions fleet.Regions) CapacityChanged {
 	bound := room(1)
 	bound.Regions = regions
 	return bound
 }
 
-func room(free int) Offer {
-	return Offer{Model: notes, Ready: 1, Slots: 4, Replicas: []Replica{{Name: "e1", Free: free}}}
+func room(free int) CapacityChanged {
+	return CapacityChanged{Model: notes, Ready: 1, Slots: 4, Replicas: []Replica{{Name: "e1", FreeSlots: free}}}
 }
 
 func refusedFor(wait time.Duration) LoadRefused {
@@ -142,7 +142,7 @@
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{1, refusedFor(time.Second), nil},
 			{2, room(1), []string{"+1"}},
-			{3, Offer{Model: notes}, nil},
+			{3, CapacityChanged{Model: notes}, nil},
 			{4, Arrive{item(2, 0, 30)}, nil},
 			{4.5, refusedFor(time.Second), nil},
 		}},
@@ -153,7 +153,7 @@
 		"the load that follows a refusal counts against the deadline": {steps: []scheduled{
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{10, room(1), []string{"+1"}},
-			{11, Offer{Model: notes}, nil},
+			{11, CapacityChanged{Model: notes}, nil},
 			{11, Arrive{item(2, 0, 22)}, nil},
 			{11, Arrive{item(3, 0, 25)}, nil},
 			{12, refusedFor(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
@@ -167,7 +167,7 @@
 		"what cannot be loaded before its deadline is refused at once": {steps: []scheduled{
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{20, room(1), []string{"+1"}},
-			{21, Offer{Model: notes}, nil},
+			{21, CapacityChanged{Model: notes}, nil},
 			{22, Arrive{item(2, 0, 27)}, []string{"-2:deadline-cannot-be-met"}},
 			{22, Arrive{item(3, 0, 60)}, nil},
 			{36, Arrive{item(4, 0, 45)}, nil},
@@ -186,12 +186,12 @@
 		}},
 		"a request put back keeps its place and is not estimated": {steps: []scheduled{
 			{0, Arrive{item(1, 0, 90)}, nil},
-			{7, Arrive{Item{Ticket: 2, Model: notes, Deadline: at(8), Since: at(0), Again: true}}, nil},
+			{7, Arrive{Item{Ticket: 2, Model: notes, Deadline: at(8), ArrivedAt: at(0), Requeued: true}}, nil},
 			{7, room(1), []string{"+2"}},
 		}},
 		"the caller went away": {steps: []scheduled{
 			{0, Arrive{item(1, 0, 9)}, nil},
-			{1, Leave{1}, nil},
+			{1, Cancel{1}, nil},
 			{1, room(1), nil},
 		}},
 		"close refuses all at once": {steps: []scheduled{
@@ -220,7 +220,7 @@
 			{0, Arrive{Item{Ticket: 1, Model: notes, Adapter: "danish", Priority: 9, Deadline: at(9)}}, nil},
 			{0, Arrive{item(2, 0, 9)}, nil},
 			{1, room(1), []string{"+2"}},
-			{2, Offer{Model: notes, Ready: 1, Replicas: []Replica{{Name: "e1", Free: 1, Adapters: []fleet.AdapterName{"danish"}}}}, []string{"+1"}},
+			{2, CapacityChanged{Model: notes, Ready: 1, Replicas: []Replica{{Name: "e1", FreeSlots: 1, Adapters: []fleet.AdapterName{"danish"}}}}, []string{"+1"}},
 		}},
 	}
 	for name, test := range tests {
@@ -232,7 +232,7 @@
 	core := New(Options{})
 	core.Step(at(0), Arrive{item(1, 0, 60)})
 	core.Step(at(20), room(1))
-	core.Step(at(21), Offer{Model: notes})
+	core.Step(at(21), CapacityChanged{Model: notes})
 	effects := core.Step(at(22), Arrive{item(2, 0, 27)})
 	if refuse, isRefuse := effects[0].(Refuse); !isRefuse || refuse.RetryAfter != 20*time.Second {
 		t.Fatalf("got %+v", effects)
--- a/internal/queue/refusal.go
+++ b/internal/queue/refusal.go
@@ -35,7 +35,7 @@
 // those that wait for an adapter.
 func (c *Core) loadRefused(now time.Time, refused []fleet.LoadRefusal) {
 	for _, refusal := range refused {
-		line := c.line(Line{refusal.Model, refusal.Regions})
+		line := c.line(Key{refusal.Model, refusal.Regions})
 		mayPass := line.refusals.note(now) < refusalPatience &&
 			refusal.RetryAfter > 0 && refusal.RetryAfter <= refusalPatience
 		served := now.Add(refusal.RetryAfter + line.load.low + line.firstToken.low)
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -7,8 +7,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-func (c *Core) offer(now time.Time, offer Offer) {
-	line := c.line(Line{offer.Model, offer.Regions})
+func (c *Core) offer(now time.Time, offer CapacityChanged) {
+	line := c.line(Key{offer.Model, offer.Regions})
 	switch {
 	case offer.Ready > 0 && !line.coldFrom.IsZero():
 		line.load.add(now.Sub(line.coldFrom))
@@ -38,14 +38,14 @@
 			continue
 		}
 		c.remove(item.Ticket)
-		if now.Add(line.firstToken.low).After(item.Deadline) && !item.Again {
+		if now.Add(line.firstToken.low).After(item.Deadline) && !item.Requeued {
 			// Its first token would come too late: the room is better used.
-			c.refuse(item.Item, ReasonTooLate, line.firstToken.value)
+			c.refuse(item.Item, ReasonDeadlineUnreachable, line.firstToken.value)
 			continue
 		}
-		replica.Free--
+		replica.FreeSlots--
 		line.notePace(now, item)
-		c.emit(Release{Item: item.Item, Waited: now.Sub(item.Since), Cold: item.cold})
+		c.emit(Release{Item: item.Item, Waited: now.Sub(item.ArrivedAt), ColdStart: item.cold})
 	}
 }
 
@@ -55,7 +55,7 @@
 
 // notePace learns the mean time between releases while requests wait.
 func (l *line) notePace(now time.Time, item *waiting) {
-	if item.cold || !item.Since.Before(l.lastRelease) {
+	if item.cold || !item.ArrivedAt.Before(l.lastRelease) {
 		l.paceFrom, l.paced = now, 0
 	} else {
 		l.paced++
@@ -78,13 +78,13 @@
 	var best *Replica
 	for index := range l.replicas {
 		replica := &l.replicas[index]
-		if replica.Free <= 0 {
+		if replica.FreeSlots <= 0 {
 			continue
 		}
 		if adapter != "" && !slices.Contains(replica.Adapters, adapter) {
 			continue
 		}
-		if best == nil || replica.Free > best.Free {
+		if best == nil || replica.FreeSlots > best.FreeSlots {
 			best = replica
 		}
 	}
--- a/internal/queue/schedule_test.go
+++ b/internal/queue/schedule_test.go
@@ -101,22 +101,22 @@
 			c.step(Arrive{arrived})
 		case "offer":
 			ready := rapid.IntRange(0, 2).Draw(t, "ready")
-			offer := Offer{Model: model, Ready: ready, Slots: ready}
+			offer := CapacityChanged{Model: model, Ready: ready, Slots: ready}
 			for index := range ready {
-				offer.Replicas = append(offer.Replicas, Replica{Name: fleet.BackendName(fmt.Sprint(index)), Free: rapid.IntRange(0, 2).Draw(t, "free")})
+				offer.Replicas = append(offer.Replicas, Replica{Name: fleet.BackendName(fmt.Sprint(index)), FreeSlots: rapid.IntRange(0, 2).Draw(t, "free")})
 			}
 			c.step(offer)
 		case "leave":
 			if tickets := sortedTickets(c.waiting); len(tickets) > 0 {
 				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
 				delete(c.waiting, ticket)
-				c.step(Leave{ticket})
+				c.step(Cancel{ticket})
 			}
 		case "refuse":
 			c.step(LoadRefused{[]fleet.LoadRefusal{{Model: model}}})
 		case "served":
-			c.step(Served{Model: model, Service: time.Duration(rapid.IntRange(0, 3).Draw(t, "service")) * time.Second})
-			c.step(Began{Model: model, After: time.Duration(rapid.IntRange(0, 3).Draw(t, "began")) * time.Second})
+			c.step(Completed{Model: model, ServiceTime: time.Duration(rapid.IntRange(0, 3).Draw(t, "service")) * time.Second})
+			c.step(FirstTokenReceived{Model: model, Latency: time.Duration(rapid.IntRange(0, 3).Draw(t, "began")) * time.Second})
 		case "wait":
 			c.advance(c.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * 200 * time.Millisecond))
 		}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -28,7 +28,7 @@
 		pace:      paceShare * quota.Burst / seconds * part,
 		length:    t.Window,
 	}
-	if t.IsSteady {
+	if t.StrictRate {
 		allowed.pace = 0
 	}
 	allowed.window = allowed.perSecond*seconds + allowed.burst
--- a/internal/quota/advisory.go
+++ b/internal/quota/advisory.go
@@ -8,8 +8,8 @@
 	// that it is closed, what is left bears what it may send meanwhile.
 	closeShare = 0.5
 	openShare  = 0.75
-	// AdvisoryAge is how long a coordinator's advisory is believed.
-	AdvisoryAge = 500 * time.Millisecond
+	// AdvisoryLifetime is how long a coordinator's advisory is believed.
+	AdvisoryLifetime = 500 * time.Millisecond
 )
 
 // Advisories are what coordinators told lately: which tenants are near their quota. All others
@@ -26,8 +26,8 @@
 // NewAdvisories returns those of a node that has heard none.
 func NewAdvisories() *Advisories { return &Advisories{coordinators: make(map[string]advisory)} }
 
-// Hear takes a coordinator's advisory.
-func (w *Advisories) Hear(now time.Time, coordinator string, closed []string) {
+// Observe takes a coordinator's advisory.
+func (w *Advisories) Observe(now time.Time, coordinator string, closed []string) {
 	heard := advisory{closed: make(map[string]bool, len(closed)), at: now}
 	for _, tenant := range closed {
 		heard.closed[tenant] = true
@@ -35,13 +35,13 @@
 	w.coordinators[coordinator] = heard
 }
 
-// IsOpen reports whether the tenant is far below its quota by all advisories that are fresh,
+// IsFarBelowQuota reports whether the tenant is far below its quota by all advisories that are fresh,
 // of which there is one at the least. Two coordinators may speak for a moment after a fault.
-func (w *Advisories) IsOpen(now time.Time, tenant string) bool {
+func (w *Advisories) IsFarBelowQuota(now time.Time, tenant string) bool {
 	fresh := false
 	for coordinator, heard := range w.coordinators {
 		switch {
-		case now.Sub(heard.at) > AdvisoryAge:
+		case now.Sub(heard.at) > AdvisoryLifetime:
 			delete(w.coordinators, coordinator)
 		case heard.closed[tenant]:
 			return false
@@ -52,8 +52,8 @@
 	return fresh
 }
 
-// Closed are the tenants near their quota, by a coordinator that has kept their accounts.
-func (g *Coordinator) Closed() []string {
+// NearQuota are the tenants near their quota, by a coordinator that has kept their accounts.
+func (g *Coordinator) NearQuota() []string {
 	var closed []string
 	for tenant, known := range g.accounts {
 		if known.closed {
@@ -63,8 +63,8 @@
 	return closed
 }
 
-// IsClosed reports whether the tenant is near its quota.
-func (g *Coordinator) IsClosed(tenant string) bool {
+// IsNearQuota reports whether the tenant is near its quota.
+func (g *Coordinator) IsNearQuota(tenant string) bool {
 	known, ok := g.accounts[tenant]
 	return ok && known.closed
 }
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -16,7 +16,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		coordinator.Ask(now, "t", quota, 1, 900, 1)
+		coordinator.Acquire(now, "t", quota, 1, 900, 1)
 	}
 }
 
@@ -29,11 +29,11 @@
 	for i := range 4 {
 		closed = append(closed, fmt.Sprint("busy", i))
 	}
-	advisories.Hear(begin, "coordinator", closed)
+	advisories.Observe(begin, "coordinator", closed)
 	b.ReportAllocs()
 	for b.Loop() {
-		if advisories.IsOpen(begin, "t") {
-			share.Granted(begin, "t", quota, 84, 900)
+		if advisories.IsFarBelowQuota(begin, "t") {
+			share.RecordGrant(begin, "t", quota, 84, 900)
 		}
 	}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -11,8 +11,8 @@
 	Overage float64
 	// Slack is in the unit of the quota.
 	Slack float64
-	// IsSteady grants nothing beyond the rate and the burst, however evenly it would come.
-	IsSteady bool
+	// StrictRate grants nothing beyond the rate and the burst, however evenly it would come.
+	StrictRate bool
 }
 
 const (
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -25,13 +25,13 @@
 	newcomer float64
 }
 
-// Verdict is a coordinator's answer.
-type Verdict struct {
+// Decision is a coordinator's answer.
+type Decision struct {
 	Granted bool
-	// Left is what the tenant had left before this request.
-	Left float64
-	// RetryIn is when the request should come back, behind those refused before it.
-	RetryIn time.Duration
+	// Remaining is what the tenant had left before this request.
+	Remaining float64
+	// RetryAfter is when the request should come back, behind those refused before it.
+	RetryAfter time.Duration
 }
 
 // NewCoordinator returns a coordinator that knows nothing of the past.
@@ -39,17 +39,17 @@
 	return &Coordinator{tolerance: tolerance, accounts: make(map[string]*account), newcomer: newcomerShare * tolerance.Slack}
 }
 
-// Ask draws cost from what the tenant may use, or nothing. Reach is the part
+// Acquire draws cost from what the tenant may use, or nothing. Reach is the part
 // of all nodes that this one hears from; requests of a priority other than 0, the
 // highest, leave some for the more urgent ones.
-func (g *Coordinator) Ask(now time.Time, tenant string, quota routetable.Quota, reach, cost float64, priority int) Verdict {
+func (g *Coordinator) Acquire(now time.Time, tenant string, quota routetable.Quota, reach, cost float64, priority int) Decision {
 	now = g.notBefore(now)
 	known, allowance := g.filled(now, tenant, quota, reach)
-	verdict := Verdict{Left: known.left(now, allowance)}
+	verdict := Decision{Remaining: known.left(now, allowance)}
 	// One that is larger than the bucket ever is was never within the quota.
-	missing := known.needed(allowance, cost, reach, priority) - verdict.Left
+	missing := known.needed(allowance, cost, reach, priority) - verdict.Remaining
 	if missing > 0 || cost > allowance.burst {
-		verdict.RetryIn = known.refuse(now, allowance, missing, cost)
+		verdict.RetryAfter = known.refuse(now, allowance, missing, cost)
 		return verdict
 	}
 	known.use(now, allowance, cost)
@@ -57,10 +57,10 @@
 	return verdict
 }
 
-// LeastReach is the part of the nodes that a coordinator has to hear from. On an island that
+// MinReach is the part of the nodes that a coordinator has to hear from. On an island that
 // is smaller each node lives on its share alone: what such a coordinator may give at once is
 // less than one request.
-const LeastReach = 0.25
+const MinReach = 0.25
 
 // almostAll is the part of the nodes from which a coordinator takes it that no other gives.
 const almostAll = 0.9
@@ -77,17 +77,17 @@
 	mostReserved  = 0.45
 )
 
-// Used takes that a node used cost of its own share; a cost below 0 is given back.
-func (g *Coordinator) Used(now time.Time, tenant string, quota routetable.Quota, reach, cost float64) {
+// RecordUse takes that a node used cost of its own share; a cost below 0 is given back.
+func (g *Coordinator) RecordUse(now time.Time, tenant string, quota routetable.Quota, reach, cost float64) {
 	now = g.notBefore(now)
 	known, allowance := g.filled(now, tenant, quota, reach)
 	known.use(now, allowance, cost)
 	known.note(now, allowance)
 }
 
-// GiveBack returns a grant of one that was not used, where this coordinator granted as much within the
+// Refund returns a grant of one that was not used, where this coordinator granted as much within the
 // window: what another one granted before it is not given once more.
-func (g *Coordinator) GiveBack(now time.Time, tenant string, quota routetable.Quota, reach float64) {
+func (g *Coordinator) Refund(now time.Time, tenant string, quota routetable.Quota, reach float64) {
 	now = g.notBefore(now)
 	known, allowance := g.filled(now, tenant, quota, reach)
 	if known.used(now, allowance) >= 1 {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Keep opens the account of a tenant that has not asked yet: it begins low, and is to
+// OpenAccount opens the account of a tenant that has not asked yet: it begins low, and is to
 // be full when the tenant comes.
-func (g *Coordinator) Keep(now time.Time, tenant string, quota routetable.Quota, reach float64) {
+func (g *Coordinator) OpenAccount(now time.Time, tenant string, quota routetable.Quota, reach float64) {
 	g.filled(g.notBefore(now), tenant, quota, reach)
 }
 
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -12,16 +12,16 @@
 	rememberFor = time.Hour
 )
 
-// Fleet is the size of the fleet, as one node can tell it. A node that loses sight of
+// FleetSize is the size of the fleet, as one node can tell it. A node that loses sight of
 // others does not take what is left for the whole fleet.
-type Fleet struct {
+type FleetSize struct {
 	size int
 	// at is when as many were last known.
 	at time.Time
 }
 
-// Told takes a size that was kept elsewhere, as by the holder of the lease.
-func (f *Fleet) Told(now time.Time, size int) {
+// RaiseTo takes a size that was kept elsewhere, as by the holder of the lease.
+func (f *FleetSize) RaiseTo(now time.Time, size int) {
 	if size > f.size {
 		f.size, f.at = size, now
 	}
@@ -30,7 +30,7 @@
 // Observe takes how many nodes were known within the last half minute and heard from
 // within the last second or two, this one included. It returns the number to share
 // quotas by, and the part of it that is heard from.
-func (f *Fleet) Observe(now time.Time, counted, fresh int) (nodes int, reach float64) {
+func (f *FleetSize) Observe(now time.Time, counted, fresh int) (nodes int, reach float64) {
 	counted = max(1, counted, fresh)
 	held := now.Sub(f.at)
 	if counted >= f.size || (2*fresh > f.size && held > shrinkAfter) || held > rememberFor {
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -60,7 +60,7 @@
 	down time.Time
 	// heard is when the node last heard from each other.
 	heard      []time.Time
-	fleet      Fleet
+	fleet      FleetSize
 	advisories *Advisories
 	closed     bool
 }
@@ -98,12 +98,12 @@
 
 func (f *simFleet) restart(i int) {
 	node := f.nodes[i]
-	node.coordinator, node.share, node.fleet, node.advisories = NewCoordinator(tolerance), NewShare(tolerance, f.now.Equal(begin)), Fleet{}, NewAdvisories()
+	node.coordinator, node.share, node.fleet, node.advisories = NewCoordinator(tolerance), NewShare(tolerance, f.now.Equal(begin)), FleetSize{}, NewAdvisories()
 	if f.defect == defectFull {
 		node.coordinator.newcomer = tolerance.allowance(f.quota, 1).burst
 	}
 	// The store tells how many there were.
-	node.fleet.Told(f.now, len(f.nodes))
+	node.fleet.RaiseTo(f.now, len(f.nodes))
 	node.heard = make([]time.Time, len(f.nodes))
 }
 
@@ -154,7 +154,7 @@
 		other, ok := f.better(asked)
 		_, reach := f.count(asked)
 		switch {
-		case !ok && reach < LeastReach:
+		case !ok && reach < MinReach:
 		case !ok:
 			return asked, true
 		case f.reaches(asked, other):
@@ -173,11 +173,11 @@
 		count = 1
 	}
 	coordinator, found := f.coordinatorFor(i)
-	if node.advisories.IsOpen(f.now, "t") {
-		node.share.Granted(f.now, "t", f.quota, count, cost)
+	if node.advisories.IsFarBelowQuota(f.now, "t") {
+		node.share.RecordGrant(f.now, "t", f.quota, count, cost)
 		if found && f.defect != defectUntold {
 			_, reach := f.count(coordinator)
-			f.nodes[coordinator].coordinator.Used(f.now, "t", f.quota, reach, cost)
+			f.nodes[coordinator].coordinator.RecordUse(f.now, "t", f.quota, reach, cost)
 			f.speak(coordinator)
 		}
 		return f.granted(cost)
@@ -185,19 +185,19 @@
 	if node.share.Take(f.now, "t", f.quota, count, cost) {
 		if found {
 			_, reach := f.count(coordinator)
-			f.nodes[coordinator].coordinator.Used(f.now, "t", f.quota, reach, cost)
+			f.nodes[coordinator].coordinator.RecordUse(f.now, "t", f.quota, reach, cost)
 		}
 		return f.granted(cost)
 	}
 	if found {
 		_, reach := f.count(coordinator)
-		if !f.nodes[coordinator].coordinator.Ask(f.now, "t", f.quota, reach, cost, 0).Granted {
+		if !f.nodes[coordinator].coordinator.Acquire(f.now, "t", f.quota, reach, cost, 0).Granted {
 			return false
 		}
-		node.share.Granted(f.now, "t", f.quota, count, cost)
+		node.share.RecordGrant(f.now, "t", f.quota, count, cost)
 		return f.granted(cost)
 	}
-	if f.defect == defectAlone || node.share.TakeAlone(f.now, "t", f.quota, count, cost) {
+	if f.defect == defectAlone || node.share.TakeWithoutCoordinator(f.now, "t", f.quota, count, cost) {
 		return f.granted(cost)
 	}
 	return false
@@ -229,9 +229,9 @@
 			continue
 		}
 		_, reach := f.count(i)
-		node.coordinator.Keep(f.now, "t", f.quota, reach)
-		node.closed = node.coordinator.IsClosed("t")
-		if reach >= LeastReach {
+		node.coordinator.OpenAccount(f.now, "t", f.quota, reach)
+		node.closed = node.coordinator.IsNearQuota("t")
+		if reach >= MinReach {
 			f.tell(i)
 		}
 	}
@@ -241,14 +241,14 @@
 func (f *simFleet) tell(coordinator int) {
 	for other := range f.nodes {
 		if other == coordinator || f.reaches(coordinator, other) {
-			f.nodes[other].advisories.Hear(f.now, fmt.Sprint(coordinator), f.nodes[coordinator].coordinator.Closed())
+			f.nodes[other].advisories.Observe(f.now, fmt.Sprint(coordinator), f.nodes[coordinator].coordinator.NearQuota())
 		}
 	}
 }
 
 func (f *simFleet) speak(coordinator int) {
 	node := f.nodes[coordinator]
-	if closed := node.coordinator.IsClosed("t"); closed != node.closed {
+	if closed := node.coordinator.IsNearQuota("t"); closed != node.closed {
 		node.closed = closed
 		f.tell(coordinator)
 	}
@@ -410,13 +410,13 @@
 	high := routetable.Quota{PerSecond: 1000, Burst: 100_000}
 	low := routetable.Quota{PerSecond: 10, Burst: 100}
 	now := begin
-	coordinator.Ask(now, "t", high, 1, 1, 0)
+	coordinator.Acquire(now, "t", high, 1, 1, 0)
 	now = now.Add(time.Minute)
-	verdict := coordinator.Ask(now, "t", low, 1, 60_000, 0)
-	if verdict.Granted || verdict.Left > 100+burstShare*tolerance.Slack {
+	verdict := coordinator.Acquire(now, "t", low, 1, 60_000, 0)
+	if verdict.Granted || verdict.Remaining > 100+burstShare*tolerance.Slack {
 		t.Errorf("%+v under the lower limit", verdict)
 	}
-	if verdict.RetryIn == 0 {
+	if verdict.RetryAfter == 0 {
 		t.Error("it does not say when to come back")
 	}
 }
@@ -425,20 +425,20 @@
 func TestWhoIsRefusedStandsInALine(t *testing.T) {
 	quota := routetable.Quota{PerSecond: 1000, Burst: 1000}
 	coordinator := NewCoordinator(Tolerance{Window: window})
-	coordinator.Ask(begin, "t", quota, 1, 0, 0)
+	coordinator.Acquire(begin, "t", quota, 1, 0, 0)
 	var before time.Duration
-	for coordinator.Ask(begin, "t", quota, 1, 500, 0).Granted {
+	for coordinator.Acquire(begin, "t", quota, 1, 500, 0).Granted {
 		t.Log("granted from what a coordinator begins with")
 	}
 	for range 5 {
-		verdict := coordinator.Ask(begin, "t", quota, 1, 500, 0)
-		if verdict.Granted || verdict.RetryIn < before+400*time.Millisecond {
+		verdict := coordinator.Acquire(begin, "t", quota, 1, 500, 0)
+		if verdict.Granted || verdict.RetryAfter < before+400*time.Millisecond {
 			t.Errorf("%+v, the one before comes back in %v", verdict, before)
 		}
-		before = verdict.RetryIn
+		before = verdict.RetryAfter
 	}
 	for range 100 {
-		before = coordinator.Ask(begin, "t", quota, 1, 500, 0).RetryIn
+		before = coordinator.Acquire(begin, "t", quota, 1, 500, 0).RetryAfter
 	}
 	if before > window {
 		t.Errorf("the last comes back in %v", before)
@@ -453,7 +453,7 @@
 	granted := [3]int{}
 	for elapsed := time.Duration(0); elapsed < 20*time.Second; elapsed += 100 * time.Millisecond {
 		for priority := range granted {
-			if coordinator.Ask(begin.Add(elapsed), "t", quota, 1, 900, priority).Granted {
+			if coordinator.Acquire(begin.Add(elapsed), "t", quota, 1, 900, priority).Granted {
 				granted[priority]++
 			}
 		}
@@ -473,7 +473,7 @@
 	for elapsed := time.Duration(0); elapsed < 60*time.Second; elapsed += 50 * time.Millisecond {
 		size := random.IntN(2)
 		asked[size]++
-		if coordinator.Ask(begin.Add(elapsed), "t", quota, 1, float64(1000+3000*size), 0).Granted {
+		if coordinator.Acquire(begin.Add(elapsed), "t", quota, 1, float64(1000+3000*size), 0).Granted {
 			granted[size]++
 		}
 	}
@@ -489,8 +489,8 @@
 	coordinator := NewCoordinator(Tolerance{Window: window})
 	for elapsed := time.Duration(0); elapsed < 30*time.Second; elapsed += 100 * time.Millisecond {
 		now := begin.Add(elapsed)
-		coordinator.Ask(now, "t", quota, 1, 9000, 1)
-		if verdict := coordinator.Ask(now, "t", quota, 1, 200, 2); !verdict.Granted && elapsed > 5*time.Second {
+		coordinator.Acquire(now, "t", quota, 1, 9000, 1)
+		if verdict := coordinator.Acquire(now, "t", quota, 1, 200, 2); !verdict.Granted && elapsed > 5*time.Second {
 			t.Fatalf("after %v a short command is refused: %+v", elapsed, verdict)
 		}
 	}
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -50,9 +50,9 @@
 	return true
 }
 
-// TakeAlone grants a request that Take did not, though no coordinator can be asked, where the
+// TakeWithoutCoordinator grants a request that Take did not, though no coordinator can be asked, where the
 // share is not overdrawn yet: it may be far larger than what a node's share ever holds.
-func (s *Share) TakeAlone(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) bool {
+func (s *Share) TakeWithoutCoordinator(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) bool {
 	known := s.filled(now, tenant, quota, nodes)
 	if known.level < 0 {
 		return false
@@ -61,17 +61,17 @@
 	return true
 }
 
-// Granted takes that the coordinator granted a request of this node: it lives on the share,
+// RecordGrant takes that the coordinator granted a request of this node: it lives on the share,
 // too, so that a node which then loses its coordinator does not grant as much once more. A
 // cost below 0 is given back.
-func (s *Share) Granted(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) {
+func (s *Share) RecordGrant(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) {
 	known := s.filled(now, tenant, quota, nodes)
 	debt := quota.PerSecond / float64(max(1, nodes)) * longestDebt.Seconds()
 	known.level = max(min(known.level, -debt), known.level-cost)
 }
 
-// Left is the share's level, below 0 where it is overdrawn.
-func (s *Share) Left(now time.Time, tenant string, quota routetable.Quota, nodes int) float64 {
+// Level is the share's level, below 0 where it is overdrawn.
+func (s *Share) Level(now time.Time, tenant string, quota routetable.Quota, nodes int) float64 {
 	return s.filled(now, tenant, quota, nodes).level
 }
 
--- a/internal/quota/stale_test.go
+++ b/internal/quota/stale_test.go
@@ -15,21 +15,21 @@
 	coordinator := NewCoordinator(Tolerance{Window: window})
 	coordinator.Observe(begin)
 	now := begin.Add(3 * time.Second)
-	coordinator.Keep(now, "t", quota, 1)
-	coordinator.Used(begin, "t", quota, 1, 10)
+	coordinator.OpenAccount(now, "t", quota, 1)
+	coordinator.RecordUse(begin, "t", quota, 1, 10)
 	for range 100 {
 		now = now.Add(longestPause / 4)
 		coordinator.Observe(now)
 	}
-	left := func() float64 { return coordinator.Ask(now, "t", quota, 1, 0, 0).Left }
+	left := func() float64 { return coordinator.Acquire(now, "t", quota, 1, 0, 0).Remaining }
 	before := left()
 	for _, late := range []time.Duration{time.Millisecond, time.Second, 3 * time.Second} {
-		coordinator.Used(now.Add(-late), "t", quota, 1, 10)
+		coordinator.RecordUse(now.Add(-late), "t", quota, 1, 10)
 	}
 	if got := left(); before < 100 || got > before-30 {
 		t.Errorf("%v left after uses of 30, %v before", got, before)
 	}
-	coordinator.Ask(begin, "t", quota, 1, 10, 0)
+	coordinator.Acquire(begin, "t", quota, 1, 10, 0)
 	if got := left(); got > before-40 || got < before-50 {
 		t.Errorf("%v left of %v: a time that went back let the coordinator forget what it gave", got, before)
 	}
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -22,24 +22,24 @@
 	asked []string
 	// givenBack are the servers whose grants were not used.
 	givenBack []string
-	answer    func(serverID string, times int) AdmissionVerdict
+	answer    func(serverID string, times int) AdmissionDecision
 }
 
-func (s *scriptedCold) Admit(_ context.Context, start inventory.Start, _ int) AdmissionVerdict {
+func (s *scriptedCold) Admit(_ context.Context, start inventory.Start, _ int) AdmissionDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked = append(s.asked, start.ID)
 	return s.answer(start.ID, len(s.asked))
 }
 
-func (s *scriptedCold) GiveBack(start inventory.Start, _ AdmissionVerdict) {
+func (s *scriptedCold) ReturnGrant(start inventory.Start, _ AdmissionDecision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.givenBack = append(s.givenBack, start.ID)
 }
 
 // newColdFixture has cold servers of an engine, all with model m.
-func newColdFixture(t *testing.T, answer func(serverID string, times int) AdmissionVerdict, servers ...*standinServer) (*fixture, *scriptedCold) {
+func newColdFixture(t *testing.T, answer func(serverID string, times int) AdmissionDecision, servers ...*standinServer) (*fixture, *scriptedCold) {
 	t.Helper()
 	f := newFixture(t, servers...)
 	cold := &scriptedCold{answer: answer}
@@ -50,25 +50,25 @@
 		for i, server := range servers {
 			told := inventory.Server{
 				ID: "s" + string(rune('0'+i)), Service: "svc", Address: server.address, Zone: "z", Slots: 8, Position: storepos.At(0, 2),
-				Models: []inventory.HeldModel{{Name: "m"}}, ColdLeft: 3 * time.Second, TellsCold: true,
+				Models: []inventory.HeldModel{{Name: "m"}}, ColdRemaining: 3 * time.Second, ReportsCold: true,
 			}
 			core.SetServers([]inventory.Change{{Server: told}})
-			core.TellCold(time.Now(), told)
+			core.UpdateColdFromEntry(time.Now(), told)
 		}
 	})
 	return f, cold
 }
 
-func granted() AdmissionVerdict {
-	return AdmissionVerdict{Granted: true, Until: time.Now().Add(time.Second)}
+func granted() AdmissionDecision {
+	return AdmissionDecision{Granted: true, ValidUntil: time.Now().Add(time.Second)}
 }
 
 // TestNotAdmittedSendGoesToAnotherServer, and nothing reaches the first.
 func TestNotAdmittedSendGoesToAnotherServer(t *testing.T) {
 	servers := []*standinServer{newStandin(t, answering(http.StatusOK, "0")), newStandin(t, answering(http.StatusOK, "1"))}
-	f, _ := newColdFixture(t, func(serverID string, _ int) AdmissionVerdict {
+	f, _ := newColdFixture(t, func(serverID string, _ int) AdmissionDecision {
 		if serverID == "s0" {
-			return AdmissionVerdict{RetryIn: time.Second}
+			return AdmissionDecision{RetryAfter: time.Second}
 		}
 		return granted()
 	}, servers...)
@@ -85,16 +85,16 @@
 // TestNotAdmittedSendWaits where no other server has the model, and is sent once.
 func TestNotAdmittedSendWaits(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "done"))
-	f, cold := newColdFixture(t, func(_ string, times int) AdmissionVerdict {
+	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		if times < 4 {
-			return AdmissionVerdict{RetryIn: 30 * time.Millisecond}
+			return AdmissionDecision{RetryAfter: 30 * time.Millisecond}
 		}
 		return granted()
 	}, server)
 	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || server.count() != 1 {
 		t.Errorf("%d %s, %d sent", got.status, got.body, server.count())
 	}
-	if len(cold.asked) != 4 || f.handler.Metrics.ColdHeld.Load() != 3 || f.handler.Metrics.DialFails.Load() != 0 {
+	if len(cold.asked) != 4 || f.handler.Metrics.ColdHeld.Load() != 3 || f.handler.Metrics.DialFailures.Load() != 0 {
 		t.Errorf("asked %d times, held back %d", len(cold.asked), f.handler.Metrics.ColdHeld.Load())
 	}
 }
@@ -102,7 +102,7 @@
 // TestRequestThatColdServersServeTooLateIsRefusedAtOnce by the time foretold, with the reason.
 func TestRequestThatColdServersServeTooLateIsRefusedAtOnce(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "done"))
-	f, _ := newColdFixture(t, func(string, int) AdmissionVerdict { return AdmissionVerdict{RetryIn: 3 * time.Second} }, server)
+	f, _ := newColdFixture(t, func(string, int) AdmissionDecision { return AdmissionDecision{RetryAfter: 3 * time.Second} }, server)
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m", "X-Wait", "2s")
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, reasonColdServers) || got.header.Get("Retry-After") == "" {
@@ -116,12 +116,12 @@
 // TestGrantIsCheckedRightBeforeTheSend: opening the connection took longer than it holds.
 func TestGrantIsCheckedRightBeforeTheSend(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "done"))
-	f, cold := newColdFixture(t, func(_ string, times int) AdmissionVerdict {
+	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		switch times {
 		case 1:
-			return AdmissionVerdict{Granted: true, Until: time.Now().Add(20 * time.Millisecond)}
+			return AdmissionDecision{Granted: true, ValidUntil: time.Now().Add(20 * time.Millisecond)}
 		case 2:
-			return AdmissionVerdict{RetryIn: 10 * time.Millisecond}
+			return AdmissionDecision{RetryAfter: 10 * time.Millisecond}
 		default:
 			return granted()
 		}
@@ -141,9 +141,9 @@
 // TestServerThatTurnsColdWhileAConnectionOpensIsAskedFor: it was warm when it was chosen.
 func TestServerThatTurnsColdWhileAConnectionOpensIsAskedFor(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "done"))
-	f, cold := newColdFixture(t, func(_ string, times int) AdmissionVerdict {
+	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		if times == 1 {
-			return AdmissionVerdict{Granted: true}
+			return AdmissionDecision{Granted: true}
 		}
 		return granted()
 	}, server)
@@ -158,9 +158,9 @@
 	phaseAfter := func(end func(server *standinServer) script) admission.Phase {
 		var server *standinServer
 		server = newStandin(t, func(conn net.Conn, request *http.Request) bool { return end(server)(conn, request) })
-		f, _ := newColdFixture(t, func(string, int) AdmissionVerdict { return granted() }, server)
-		warm := inventory.Server{ID: "s0", TellsCold: true, Position: storepos.At(0, 3)}
-		f.dispatch.Do(func(core *dispatch.Core) { core.TellCold(time.Now().Add(-time.Minute), warm) })
+		f, _ := newColdFixture(t, func(string, int) AdmissionDecision { return granted() }, server)
+		warm := inventory.Server{ID: "s0", ReportsCold: true, Position: storepos.At(0, 3)}
+		f.dispatch.Do(func(core *dispatch.Core) { core.UpdateColdFromEntry(time.Now().Add(-time.Minute), warm) })
 		f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m", "X-Wait", "500ms")
 		var phase admission.Phase
 		f.dispatch.Do(func(core *dispatch.Core) { phase, _ = core.ColdPhase(time.Now(), "s0") })
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -33,7 +33,7 @@
 	x.estimate = choice.Estimate
 	admitted := x.admitsServer(choice)
 	if !admitted.Granted {
-		x.release(choice, dispatch.OutcomeLeft)
+		x.release(choice, dispatch.OutcomeAbandoned)
 		return verdictNotSent
 	}
 	conn, ended, ok := x.connect(choice, &admitted)
@@ -49,7 +49,7 @@
 	answer, err := conn.RoundTrip(x.ctx, x.outgoing(choice))
 	if err != nil && conn.Reused {
 		// The others that were kept may be as silent or as dead; new ones may work.
-		x.handler.options.Pool.Forget(choice.Address)
+		x.handler.options.Pool.CloseIdle(choice.Address)
 	}
 	if err != nil {
 		return x.noAnswer(choice, err)
@@ -59,7 +59,7 @@
 
 // connect takes a connection to the chosen server, and looks whether the request may still leave.
 // Where ok is false nothing was sent, and ended says how the attempt ended.
-func (x *exchange) connect(choice dispatch.Choice, admitted *AdmissionVerdict) (conn *backendconn.Conn, ended verdict, ok bool) {
+func (x *exchange) connect(choice dispatch.Choice, admitted *AdmissionDecision) (conn *backendconn.Conn, ended verdict, ok bool) {
 	conn, err := x.handler.options.Pool.Get(x.ctx, choice.Address)
 	if err != nil {
 		x.noteUnreachable(choice)
@@ -74,7 +74,7 @@
 // ended. What asks another node comes before what may change meanwhile; a trial is claimed for a
 // server that was reached and takes work, since one claimed and not sent bars the request as long
 // again.
-func (x *exchange) maySend(choice dispatch.Choice, conn *backendconn.Conn, admitted *AdmissionVerdict) (ended verdict, ok bool) {
+func (x *exchange) maySend(choice dispatch.Choice, conn *backendconn.Conn, admitted *AdmissionDecision) (ended verdict, ok bool) {
 	switch {
 	case !x.isStillAdmitted(choice, admitted):
 		x.withdraw(choice, conn)
@@ -83,7 +83,7 @@
 		x.withdraw(choice, conn)
 		x.answerBarred()
 		return verdictDone, false
-	case clock.Until(x.deadline) <= waiting.FinishMargin:
+	case clock.Until(x.deadline) <= waiting.ResponseMargin:
 		x.withdraw(choice, conn)
 		x.giveUp(reasonDeadline)
 		return verdictDone, false
@@ -105,7 +105,7 @@
 
 // withdraw gives up a send before it leaves.
 func (x *exchange) withdraw(choice dispatch.Choice, conn *backendconn.Conn) {
-	x.release(choice, dispatch.OutcomeLeft)
+	x.release(choice, dispatch.OutcomeAbandoned)
 	_ = conn.Close()
 }
 
@@ -114,7 +114,7 @@
 func (x *exchange) isStillGood(choice dispatch.Choice) bool {
 	good := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		good = core.MayTake(clock.Now(), choice.Flight, x.regions())
+		good = core.MayStillSend(clock.Now(), choice.Attempt, x.regions())
 	})
 	return good
 }
@@ -126,12 +126,12 @@
 
 func (x *exchange) outgoing(choice dispatch.Choice) backendconn.Request {
 	header := x.header.Clone()
-	x.handler.options.Dialect.SetSend(header, Send{
-		ServerID:  choice.ServerID,
-		Left:      clock.Until(x.deadline),
-		Urgency:   x.urgency(),
-		LastEvent: x.lastEvent,
-		Tenant:    x.tenantName(),
+	x.handler.options.Dialect.SetNodeHeaders(header, NodeHeaders{
+		ServerID:    choice.ServerID,
+		TimeLeft:    clock.Until(x.deadline),
+		Urgency:     x.urgency(),
+		LastEventID: x.lastEvent,
+		Tenant:      x.tenantName(),
 	})
 	return backendconn.Request{
 		Method:   x.request.Method,
@@ -144,7 +144,7 @@
 		Matches: func(answer http.Header) bool {
 			return x.handler.options.Dialect.BelongsTo(answer, x.head.RequestID)
 		},
-		Heard: func(status int, answer http.Header) { x.receiveHint(choice, status, answer) },
+		OnResponse: func(status int, answer http.Header) { x.receiveHint(choice, status, answer) },
 	}
 }
 
@@ -156,17 +156,17 @@
 		return -1
 	}
 	if x.tenant != nil && x.tenant.HasPriority {
-		return waiting.RankOfTenant(x.tenant.Priority, x.route.Priority)
+		return waiting.TenantRank(x.tenant.Priority, x.route.Priority)
 	}
 	return waiting.Rank(x.route.Priority, x.returned)
 }
 
 func (x *exchange) notSent(choice dispatch.Choice) verdict {
 	if x.hasLeft() {
-		x.release(choice, dispatch.OutcomeLeft)
+		x.release(choice, dispatch.OutcomeAbandoned)
 		x.leave()
 	}
-	x.handler.Metrics.DialFails.Add(1)
+	x.handler.Metrics.DialFailures.Add(1)
 	x.release(choice, dispatch.OutcomeFailed)
 	x.failed = append(x.failed, choice.ServerID)
 	return verdictNotSent
@@ -184,7 +184,7 @@
 
 // again says whether a request that may have run is sent once more.
 func (x *exchange) again(reason string) verdict {
-	expired := clock.Until(x.deadline) <= waiting.FinishMargin
+	expired := clock.Until(x.deadline) <= waiting.ResponseMargin
 	if expired || !x.isRepeatable() || len(x.sent) >= x.route.MaxAttempts {
 		x.giveUp(reason)
 		return verdictDone
@@ -193,9 +193,9 @@
 }
 
 // answered goes by the status of an answer.
-func (x *exchange) answered(choice dispatch.Choice, answer *backendconn.Answer) verdict {
+func (x *exchange) answered(choice dispatch.Choice, answer *backendconn.Response) verdict {
 	defer answer.Close()
-	told := x.handler.options.Dialect.ReadAnswer(answer.Status, answer.Header)
+	told := x.handler.options.Dialect.ReadResponseHead(answer.Status, answer.Header)
 	x.note(choice, told)
 	switch {
 	case told.NotRun:
@@ -218,10 +218,10 @@
 // anything of it goes to the caller: what binds later choices must not wait for it. Heads of
 // answers to earlier requests, which come late, count as well.
 func (x *exchange) receiveHint(choice dispatch.Choice, status int, header http.Header) {
-	if field := x.handler.options.Dialect.Unread(header); field != "" {
-		x.handler.options.Unread(choice.ServerID, field)
+	if field := x.handler.options.Dialect.UnreadField(header); field != "" {
+		x.handler.options.OnUnreadField(choice.ServerID, field)
 	}
-	told := x.handler.options.Dialect.ReadAnswer(status, header)
+	told := x.handler.options.Dialect.ReadResponseHead(status, header)
 	x.hint = told.Hint
 	if x.handler.options.Dialect.BelongsTo(header, x.head.RequestID) {
 		x.hint.SentAt = x.sentAt
@@ -233,43 +233,43 @@
 	if x.hint.IsEmpty() {
 		return
 	}
-	start, news := choice.Flight.Start(), false
+	start, news := choice.Attempt.Start(), false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { news = core.ReceiveHint(clock.Now(), start, x.hint) })
 	if news {
-		x.handler.options.ReceivedHint(start, x.hint)
+		x.handler.options.OnHint(start, x.hint)
 	}
 }
 
-func (x *exchange) note(choice dispatch.Choice, told AnswerHead) {
-	start, news := choice.Flight.Start(), false
+func (x *exchange) note(choice dispatch.Choice, told ResponseHead) {
+	start, news := choice.Attempt.Start(), false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		now := clock.Now()
 		if x.hint.IsEmpty() {
 			// An answer that names no rate limit ends the one before.
 			news = core.ReceiveHint(now, start, x.hint)
 		}
-		core.Begun(now, choice.Flight)
+		core.RecordFirstByte(now, choice.Attempt)
 		if told.Load != nil {
-			core.SetReported(now, choice.ServerID, *told.Load)
+			core.SetReportedLoad(now, choice.ServerID, *told.Load)
 		}
-		if told.ColdLeft != nil {
-			core.TellColdAnswer(now, choice.ServerID, *told.ColdLeft)
+		if told.ColdRemaining != nil {
+			core.UpdateColdFromResponse(now, choice.ServerID, *told.ColdRemaining)
 		}
 	})
 	if news {
-		x.handler.options.ReceivedHint(start, x.hint)
+		x.handler.options.OnHint(start, x.hint)
 	}
 }
 
 // rejected takes a server's word that it did not run the request.
-func (x *exchange) rejected(choice dispatch.Choice, answer *backendconn.Answer) verdict {
+func (x *exchange) rejected(choice dispatch.Choice, answer *backendconn.Response) verdict {
 	x.handler.Metrics.Rejected.Add(1)
 	_, _ = io.Copy(io.Discard, answer)
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		now := clock.Now()
-		core.End(now, choice.Flight, dispatch.OutcomeRejected)
+		core.End(now, choice.Attempt, dispatch.OutcomeRejected)
 		if x.engine && x.hint.Backoff <= 0 {
-			core.Absent(now, choice.ServerID, x.head.Model, x.head.Adapter)
+			core.MarkModelAbsent(now, choice.ServerID, x.head.Model, x.head.Adapter)
 		}
 	})
 	x.log("request_rejected", answer.Status, choice.ServerID)
@@ -293,7 +293,7 @@
 func (x *exchange) comesSoon(serverID string) bool {
 	soon := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		left, ok := core.ReadyAt(clock.Now(), serverID, x.wanted())
+		left, ok := core.ServerReadyIn(clock.Now(), serverID, x.wanted())
 		soon = ok && left < soonTime
 	})
 	return soon
@@ -304,7 +304,7 @@
 const maxWholeBytes = 64 << 10
 
 // whole passes on an answer that is no stream.
-func (x *exchange) whole(choice dispatch.Choice, answer *backendconn.Answer) verdict {
+func (x *exchange) whole(choice dispatch.Choice, answer *backendconn.Response) verdict {
 	failed := answer.Status >= http.StatusInternalServerError
 	content, err := io.ReadAll(io.LimitReader(answer, maxWholeBytes))
 	x.countBytes(choice, len(content))
@@ -339,7 +339,7 @@
 
 // canAskAnother reports whether a server's own failure may be tried elsewhere.
 func (x *exchange) canAskAnother() bool {
-	if !x.isRepeatable() || len(x.sent) >= x.route.MaxAttempts || clock.Until(x.deadline) <= waiting.FinishMargin {
+	if !x.isRepeatable() || len(x.sent) >= x.route.MaxAttempts || clock.Until(x.deadline) <= waiting.ResponseMargin {
 		return false
 	}
 	found := false
@@ -354,11 +354,11 @@
 func (x *exchange) hasRepeat() bool {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
-	return x.handler.budget.Left(clock.Since(x.handler.started), x.service) >= 1
+	return x.handler.budget.Remaining(clock.Since(x.handler.started), x.service) >= 1
 }
 
 // writeHead passes the head of a server's answer on.
-func (x *exchange) writeHead(answer *backendconn.Answer, isWhole bool, length int) {
+func (x *exchange) writeHead(answer *backendconn.Response, isWhole bool, length int) {
 	header := x.writer.Header()
 	for name, values := range forwarded(answer.Header, x.handler.options.Dialect.IsEndToEnd) {
 		header[name] = values
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -15,7 +15,7 @@
 func (x *exchange) comeBack(ready time.Duration) time.Duration {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
-	return x.handler.lines.Place(clock.Now(), x.wantedName(), x.priority(), ready)
+	return x.handler.lines.RetryAfter(clock.Now(), x.wantedName(), x.priority(), ready)
 }
 
 // comeBackSoon is when the caller of a request is to come back that nothing better is
@@ -23,7 +23,7 @@
 func (x *exchange) comeBackSoon() time.Duration {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
-	return x.handler.lines.PlaceSoon(clock.Now(), x.wantedName(), x.priority(), clock.Until(x.deadline))
+	return x.handler.lines.DefaultRetryAfter(clock.Now(), x.wantedName(), x.priority(), clock.Until(x.deadline))
 }
 
 // comeBackRested is the same where all servers that have what is wanted may want nothing from
@@ -41,11 +41,11 @@
 
 // restsFor is when a server may be sent to again that has what is wanted; ok is false where one
 // may be sent to now, or none rests.
-func (h *Handler) restsFor(ask dispatch.Ask, wanted dispatch.Wanted) (ready time.Duration, ok bool) {
-	ask.Exclude, ask.Only = nil, nil
+func (h *Handler) restsFor(ask dispatch.Request, wanted dispatch.Requirements) (ready time.Duration, ok bool) {
+	ask.Exclude, ask.AllowedServers = nil, nil
 	h.options.Dispatch.Do(func(core *dispatch.Core) {
 		if !core.CanPick(clock.Now(), ask) {
-			ready, _, ok = core.BackoffEnds(clock.Now(), wanted)
+			ready, _, ok = core.BackoffEndsIn(clock.Now(), wanted)
 		}
 	})
 	return ready, ok
--- a/internal/relay/comeback_test.go
+++ b/internal/relay/comeback_test.go
@@ -24,7 +24,7 @@
 		started := time.Now()
 		got := f.send(t, http.MethodPost, "/once/", "body", "X-Wait", wait)
 		back, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-		if got.status != http.StatusServiceUnavailable || err != nil || back < waiting.ServerReturnTime.Seconds() {
+		if got.status != http.StatusServiceUnavailable || err != nil || back < waiting.ServerRegistrationTime.Seconds() {
 			t.Errorf("%s: %+v, want 503 with when a server is expected", wait, got)
 		}
 		if took := time.Since(started); took > 500*time.Millisecond {
@@ -45,8 +45,8 @@
 			t.Errorf("ranks %v do not rise at %d", order, i)
 		}
 	}
-	if got := rank(9, false); got != waiting.LeastRank {
-		t.Errorf("the least urgent rank is %d, want %d", got, waiting.LeastRank)
+	if got := rank(9, false); got != waiting.LowestRank {
+		t.Errorf("the least urgent rank is %d, want %d", got, waiting.LowestRank)
 	}
 	if got := (&exchange{route: &routetable.Route{}}).urgency(); got >= 0 {
 		t.Errorf("a plain request has the rank %d, want none", got)
@@ -59,12 +59,12 @@
 	f := newFixture(t, newStandin(t, answering(http.StatusOK, "ok")))
 	table := f.handler.Table()
 	f.handler.table.Store(nil)
-	f.handler.options.Knows = func() bool { return f.handler.Table() != nil }
-	f.handler.options.AwaitKnowledge = func(ctx context.Context) { <-ctx.Done() }
+	f.handler.options.IsReady = func() bool { return f.handler.Table() != nil }
+	f.handler.options.AwaitReady = func(ctx context.Context) { <-ctx.Done() }
 	if got := f.send(t, http.MethodPost, "/once/", "body"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("%+v, want 503 with when to come back", got)
 	}
-	f.handler.options.AwaitKnowledge = func(context.Context) { f.handler.SetTable(table) }
+	f.handler.options.AwaitReady = func(context.Context) { f.handler.SetTable(table) }
 	if got := f.send(t, http.MethodPost, "/once/", "body"); got.status != http.StatusOK {
 		t.Errorf("status %d, want the answer once the node knows enough", got.status)
 	}
--- a/internal/relay/evacuate.go
+++ b/internal/relay/evacuate.go
@@ -20,5 +20,5 @@
 		x.giveUp(reasonEvacuated)
 		return
 	}
-	x.refuse(reasonEvacuated, x.comeBack(min(evacuatedTime, waiting.LongestReturn(clock.Until(x.deadline)))))
+	x.refuse(reasonEvacuated, x.comeBack(min(evacuatedTime, waiting.MaxRetryDelay(clock.Until(x.deadline)))))
 }
--- a/internal/relay/evacuate_test.go
+++ b/internal/relay/evacuate_test.go
@@ -107,8 +107,8 @@
 func TestNodeThatDoesNotKnowEnoughSendsNothing(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "ok"))
 	f := newFixture(t, server)
-	f.handler.options.Knows = func() bool { return false }
-	f.handler.options.AwaitKnowledge = func(context.Context) {}
+	f.handler.options.IsReady = func() bool { return false }
+	f.handler.options.AwaitReady = func(context.Context) {}
 	got := f.send(t, http.MethodPost, "/once/", "body")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || server.count() != 0 {
 		t.Errorf("%+v after %d sends, want 503 with when to come back after none", got, server.count())
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -59,7 +59,7 @@
 	waitsSince time.Time
 	serverID   string
 	// watch follows when what the request waits for is expected.
-	watch waiting.Watch
+	watch waiting.OverdueTracker
 	// estimate is the time to the first byte that was expected of the server.
 	estimate time.Duration
 	// hint is what the last answer told of its server, and sentAt when its request left.
@@ -70,7 +70,7 @@
 	// isTrial is set from the claim of a trial until its one send is over.
 	isTrial bool
 	// asked is what it was last counted as demand for.
-	asked dispatch.Wanted
+	asked dispatch.Requirements
 	// allowed are the regions in which it may run, by the table allowedBy.
 	allowed   locality.Regions
 	allowedBy *routetable.Table
@@ -207,7 +207,7 @@
 		return
 	}
 	x.countDemand()
-	x.lastEvent = x.head.LastEvent
+	x.lastEvent = x.head.LastEventID
 	hasRepeat := false
 	for sends := 0; ; sends++ {
 		choice, ok := x.pick()
@@ -218,8 +218,8 @@
 		// back at cold servers many times.
 		hasRepeat = hasRepeat || sends > 0 && x.mayRepeat()
 		if sends > 0 && !hasRepeat {
-			x.release(choice, dispatch.OutcomeLeft)
-			x.handler.Metrics.NoBudget.Add(1)
+			x.release(choice, dispatch.OutcomeAbandoned)
+			x.handler.Metrics.BudgetEmpty.Add(1)
 			x.giveUp("no_budget")
 			return
 		}
@@ -246,22 +246,22 @@
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { x.countAsked(core, x.wanted()) })
 }
 
-func (x *exchange) wanted() dispatch.Wanted {
-	return dispatch.Wanted{Service: x.service, Model: x.head.Model, Adapter: x.head.Adapter, Regions: x.regions()}
+func (x *exchange) wanted() dispatch.Requirements {
+	return dispatch.Requirements{Service: x.service, Model: x.head.Model, Adapter: x.head.Adapter, Regions: x.regions()}
 }
 
-func (x *exchange) ask() dispatch.Ask {
-	ask := dispatch.Ask{Service: x.service, Exclude: x.failed, Regions: x.regions()}
+func (x *exchange) ask() dispatch.Request {
+	ask := dispatch.Request{Service: x.service, Exclude: x.failed, Regions: x.regions()}
 	if x.engine {
 		ask.Model, ask.Adapter = x.head.Model, x.head.Adapter
-		ask.Parts = x.head.Parts
+		ask.Parts = x.head.PromptParts
 		ask.PromptTokens = x.head.PromptTokens
 	}
 	if len(x.sent) >= x.route.MaxAttempts {
-		ask.Only = x.sent
+		ask.AllowedServers = x.sent
 	}
-	if x.standing() == poison.StandingSuspect {
-		ask.Together = x.fingerprint().Key()
+	if x.standing() == poison.StatusSuspect {
+		ask.ColocationKey = x.fingerprint().Key()
 	}
 	return ask
 }
@@ -271,18 +271,18 @@
 	if !x.handler.takeRepeat(x.service) {
 		return false
 	}
-	x.handler.Metrics.Repeats.Add(1)
+	x.handler.Metrics.Retries.Add(1)
 	return true
 }
 
 func (x *exchange) release(choice dispatch.Choice, outcome dispatch.Outcome) {
-	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.End(clock.Now(), choice.Flight, outcome) })
+	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.End(clock.Now(), choice.Attempt, outcome) })
 }
 
 // isRepeatable reports whether the request may be sent again though it may
 // have run.
 func (x *exchange) isRepeatable() bool {
-	return x.route.Repeat == routetable.RepeatSafe || x.route.Repeat == routetable.RepeatResume
+	return x.route.RetryPolicy == routetable.RetrySafe || x.route.RetryPolicy == routetable.RetryResume
 }
 
 func (x *exchange) hasSent(serverID string) bool { return slices.Contains(x.sent, serverID) }
@@ -294,8 +294,8 @@
 
 // finish notes the final answer.
 func (x *exchange) finish(outcome string, status int, reason string) {
-	if x.handler.Finished != nil {
-		x.handler.Finished(x.routeKind(), outcome, clock.Since(x.arrived))
+	if x.handler.OnFinished != nil {
+		x.handler.OnFinished(x.routeKind(), outcome, clock.Since(x.arrived))
 	}
 	x.log("request_"+outcome, status, reason)
 }
@@ -308,7 +308,7 @@
 		return "none"
 	case x.route.Stream:
 		return "stream"
-	case x.route.Repeat == routetable.RepeatSafe:
+	case x.route.RetryPolicy == routetable.RetrySafe:
 		return "safe"
 	default:
 		return "unsafe"
@@ -323,11 +323,11 @@
 		if x.tenant != nil {
 			entry.Str("tenant", x.tenant.Name)
 		}
-		if x.route.Goal > 0 {
-			entry.Int64("goal_ms", x.route.Goal.Milliseconds())
+		if x.route.LatencyGoal > 0 {
+			entry.Int64("goal_ms", x.route.LatencyGoal.Milliseconds())
 		}
-		if x.route.GapGoal > 0 {
-			entry.Int64("gap_goal_ms", x.route.GapGoal.Milliseconds())
+		if x.route.EventGapGoal > 0 {
+			entry.Int64("gap_goal_ms", x.route.EventGapGoal.Milliseconds())
 		}
 	}
 	if x.table != nil {
@@ -356,17 +356,17 @@
 	if x.hint.Backoff > 0 {
 		entry.Str("rest_ms", milliseconds(x.hint.Backoff))
 	}
-	if x.hint.Limit.IsNamed() {
+	if x.hint.Limit.IsSet() {
 		entry.Float64("server_limit", x.hint.Limit.PerSecond)
 	}
 	if x.serverEnd != "" {
 		entry.Str("fingerprint", x.fingerprint().String()).Str("server_end", string(x.serverEnd))
 	}
 	if event == "request_"+outcomeRefused && x.route != nil {
-		var supply dispatch.Supply
-		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { supply = core.Supply(clock.Now(), x.service) })
-		entry.Int("servers", supply.Known).Int("servers_going", supply.Going).Int("servers_closed", supply.Closed).
-			Int("servers_resting", supply.Resting).Int("servers_limited", supply.Limited)
+		var supply dispatch.ServerCounts
+		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { supply = core.ServerCounts(clock.Now(), x.service) })
+		entry.Int("servers", supply.Known).Int("servers_going", supply.Draining).Int("servers_closed", supply.Evacuated).
+			Int("servers_resting", supply.BackingOff).Int("servers_limited", supply.RateLimited)
 	}
 	entry.Int("events", x.events).Msg(event)
 }
--- a/internal/relay/hints_test.go
+++ b/internal/relay/hints_test.go
@@ -55,7 +55,7 @@
 	}
 	f := newFixture(t, servers...)
 	heard := make(chan inventory.Start, 1)
-	f.handler.options.ReceivedHint = func(start inventory.Start, _ inventory.Hint) { heard <- start }
+	f.handler.options.OnHint = func(start inventory.Start, _ inventory.Hint) { heard <- start }
 	ended := make(chan result, 40)
 	sent := 0
 	for servers[0].count() == 0 {
@@ -162,7 +162,7 @@
 	server := newStandin(t, answering(http.StatusMisdirectedRequest, "", "X-By: another", "X-Rest: 60s"))
 	f := newFixture(t, server)
 	var heard []inventory.Hint
-	f.handler.options.ReceivedHint = func(start inventory.Start, hint inventory.Hint) {
+	f.handler.options.OnHint = func(start inventory.Start, hint inventory.Hint) {
 		if start == leavingStart {
 			heard = append(heard, hint)
 		}
@@ -174,7 +174,7 @@
 		t.Errorf("sent %d times, heard %v: its start is over", server.count(), heard)
 	}
 	f.dispatch.Do(func(core *dispatch.Core) {
-		core.SetServers([]inventory.Change{{Server: inventory.Server{ID: "s0", Born: 2, Service: "svc", Address: server.address, Zone: "z", Slots: 8, Position: storepos.At(0, 2)}}})
+		core.SetServers([]inventory.Change{{Server: inventory.Server{ID: "s0", StartedAtMs: 2, Service: "svc", Address: server.address, Zone: "z", Slots: 8, Position: storepos.At(0, 2)}}})
 	})
 	if f.send(t, http.MethodPost, "/once/", ""); server.count() != 2 {
 		t.Error("its next start is not sent to")
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -24,16 +24,16 @@
 
 // Metrics counts what led to final answers.
 type Metrics struct {
-	Repeats   atomic.Int64
-	Resumed   atomic.Int64
-	Rejected  atomic.Int64
-	NoBudget  atomic.Int64
-	DialFails atomic.Int64
-	Barred    atomic.Int64
-	// NoPlace counts requests that may run in no region where a server is.
-	NoPlace atomic.Int64
+	Retries       atomic.Int64
+	Resumed       atomic.Int64
+	Rejected      atomic.Int64
+	BudgetEmpty   atomic.Int64
+	DialFailures  atomic.Int64
+	BarredRefused atomic.Int64
+	// RegionRefused counts requests that may run in no region where a server is.
+	RegionRefused atomic.Int64
 	// ServerBytes are those of bodies to and from servers, by how far these are.
-	ServerBytes [locality.Distances]atomic.Int64
+	ServerBytes [locality.DistanceCount]atomic.Int64
 	// ColdHeld are sends that were not granted at a cold server.
 	ColdHeld atomic.Int64
 }
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -17,16 +17,16 @@
 type Suspects interface {
 	// Any reports whether anything is remembered.
 	Any() bool
-	// Standing is what is known of a request.
-	Standing(fingerprint poison.Fingerprint) poison.Standing
-	// Blame takes that a server ended as it had the request, for a time.
-	Blame(fingerprint poison.Fingerprint, serverID string, ran time.Duration)
-	// EndedWell takes that a request ended well.
-	EndedWell(fingerprint poison.Fingerprint)
+	// Status is what is known of a request.
+	Status(fingerprint poison.Fingerprint) poison.Status
+	// ReportCrash takes that a server ended as it had the request, for a time.
+	ReportCrash(fingerprint poison.Fingerprint, serverID string, ran time.Duration)
+	// ReportSuccess takes that a request ended well.
+	ReportSuccess(fingerprint poison.Fingerprint)
 	// ClaimTrial asks whether this node may send a request on trial once, for all nodes.
 	ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool
-	// Refused takes that a copy of a barred request was refused.
-	Refused(fingerprint poison.Fingerprint)
+	// ReportRefusal takes that a copy of a barred request was refused.
+	ReportRefusal(fingerprint poison.Fingerprint)
 }
 
 // reasonPoison is the reason of refusals of requests that ended too many servers.
@@ -36,8 +36,8 @@
 // once.
 func (x *exchange) fingerprint() poison.Fingerprint {
 	if x.identity == nil {
-		fingerprint := poison.Of(poison.Identity{
-			Method: x.request.Method, Host: x.request.Host, Target: x.request.RequestURI, Caller: x.head.Key,
+		fingerprint := poison.NewFingerprint(poison.Identity{
+			Method: x.request.Method, Host: x.request.Host, Target: x.request.RequestURI, Caller: x.head.APIKey,
 			Model: x.head.Model, Adapter: x.head.Adapter, Body: x.body,
 		})
 		x.identity = &fingerprint
@@ -46,23 +46,23 @@
 }
 
 // standing is what is known of the request now.
-func (x *exchange) standing() poison.Standing {
+func (x *exchange) standing() poison.Status {
 	suspects := x.handler.options.Suspects
 	if suspects == nil || !suspects.Any() {
-		return poison.StandingSound
+		return poison.StatusClear
 	}
-	return suspects.Standing(x.fingerprint())
+	return suspects.Status(x.fingerprint())
 }
 
 // isBarred reports whether the request has ended too many servers. The send of a trial that
 // this node claimed goes out all the same.
 func (x *exchange) isBarred() bool {
-	return !x.isTrial && x.standing() == poison.StandingBarred
+	return !x.isTrial && x.standing() == poison.StatusBarred
 }
 
 // mayTry claims the trial of a request on trial for the send that follows.
 func (x *exchange) mayTry() bool {
-	if x.standing() != poison.StandingOnTrial {
+	if x.standing() != poison.StatusOnTrial {
 		return true
 	}
 	x.isTrial = x.handler.options.Suspects.ClaimTrial(x.ctx, x.fingerprint())
@@ -72,8 +72,8 @@
 // answerBarred gives a barred request its final answer: at once, and without a time to
 // come back at.
 func (x *exchange) answerBarred() {
-	x.handler.Metrics.Barred.Add(1)
-	x.handler.options.Suspects.Refused(x.fingerprint())
+	x.handler.Metrics.BarredRefused.Add(1)
+	x.handler.options.Suspects.ReportRefusal(x.fingerprint())
 	if x.ran {
 		x.fail(http.StatusBadGateway, reasonPoison)
 		return
@@ -85,7 +85,7 @@
 // left, the request ends here.
 func (x *exchange) brokeOff(choice dispatch.Choice) {
 	if x.hasLeft() {
-		x.release(choice, dispatch.OutcomeLeft)
+		x.release(choice, dispatch.OutcomeAbandoned)
 		x.leave()
 	}
 	x.suspect(choice)
@@ -97,7 +97,7 @@
 // a way that was cut or a connection that was reset looks the same. Where the server ended,
 // and nobody had said that it would, the request is suspected.
 func (x *exchange) suspect(choice dispatch.Choice) {
-	if clock.Until(x.deadline) <= waiting.FinishMargin {
+	if clock.Until(x.deadline) <= waiting.ResponseMargin {
 		return
 	}
 	x.serverEnd = x.handler.options.Pool.Probe(choice.Address)
@@ -106,12 +106,12 @@
 	}
 	suspects := x.handler.options.Suspects
 	if suspects != nil && x.serverEnd == backendconn.LivenessEnded && x.endedUnannounced(choice) {
-		suspects.Blame(x.fingerprint(), choice.ServerID, choice.Flight.Age(clock.Now()))
+		suspects.ReportCrash(x.fingerprint(), choice.ServerID, choice.Attempt.Age(clock.Now()))
 	}
 }
 
 func (x *exchange) endedUnannounced(choice dispatch.Choice) (unannounced bool) {
-	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { unannounced = core.EndedUnannounced(choice.Flight) })
+	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { unannounced = core.EndedUnexpectedly(choice.Attempt) })
 	return unannounced
 }
 
@@ -119,6 +119,6 @@
 // it, and neither do others that are the same.
 func (x *exchange) endedWell() {
 	if suspects := x.handler.options.Suspects; suspects != nil {
-		suspects.EndedWell(x.fingerprint())
+		suspects.ReportSuccess(x.fingerprint())
 	}
 }
--- a/internal/relay/poison_test.go
+++ b/internal/relay/poison_test.go
@@ -17,7 +17,7 @@
 // fakeSuspects says the same of every request, and books what it is told.
 type fakeSuspects struct {
 	mu        sync.Mutex
-	standing  poison.Standing
+	standing  poison.Status
 	blamed    []string
 	endedWell int
 	// grants is the number of trials that are granted, and claimed those asked for.
@@ -26,19 +26,19 @@
 
 func (s *fakeSuspects) Any() bool { return true }
 
-func (s *fakeSuspects) Standing(poison.Fingerprint) poison.Standing {
+func (s *fakeSuspects) Status(poison.Fingerprint) poison.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.standing
 }
 
-func (s *fakeSuspects) Blame(_ poison.Fingerprint, serverID string, _ time.Duration) {
+func (s *fakeSuspects) ReportCrash(_ poison.Fingerprint, serverID string, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.blamed = append(s.blamed, serverID)
 }
 
-func (s *fakeSuspects) EndedWell(poison.Fingerprint) {
+func (s *fakeSuspects) ReportSuccess(poison.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endedWell++
@@ -49,20 +49,20 @@
 	defer s.mu.Unlock()
 	s.claimed++
 	if s.claimed <= s.grants {
-		s.standing = poison.StandingBarred
+		s.standing = poison.StatusBarred
 		return true
 	}
 	return false
 }
 
-func (s *fakeSuspects) Refused(poison.Fingerprint) {}
+func (s *fakeSuspects) ReportRefusal(poison.Fingerprint) {}
 
 // TestTrialIsOneSend: of the copies of a request on trial one is sent, and it is sent once,
 // also where it may be repeated; the others are refused as not run.
 func TestTrialIsOneSend(t *testing.T) {
 	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool { return reset(conn) })
 	f := newFixture(t, server)
-	f.handler.options.Suspects = &fakeSuspects{standing: poison.StandingOnTrial, grants: 1}
+	f.handler.options.Suspects = &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
 	statuses := make(map[int]int)
 	for range 4 {
 		statuses[f.send(t, http.MethodPost, "/often/x", "body").status]++
@@ -77,11 +77,11 @@
 	gone := &standinServer{address: freeAddress(t)}
 	server := newStandin(t, answering(http.StatusOK, "done"))
 	f := newFixture(t, gone, server)
-	suspects := &fakeSuspects{standing: poison.StandingOnTrial, grants: 1}
+	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	for range 20 {
 		suspects.mu.Lock()
-		suspects.standing, suspects.claimed = poison.StandingOnTrial, 0
+		suspects.standing, suspects.claimed = poison.StatusOnTrial, 0
 		suspects.mu.Unlock()
 		if got := f.send(t, http.MethodPost, "/once/x", "body"); got.status != http.StatusOK || suspects.claimed != 1 {
 			t.Fatalf("status %d after %d claims, want 200 after one", got.status, suspects.claimed)
@@ -93,7 +93,7 @@
 // stay barred for as long again.
 func TestServerThatIsNotReachedTakesNoTrial(t *testing.T) {
 	f := newFixture(t, &standinServer{address: freeAddress(t)})
-	suspects := &fakeSuspects{standing: poison.StandingOnTrial, grants: 1}
+	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	got := f.send(t, http.MethodPost, "/once/x", "body")
 	if got.status != http.StatusServiceUnavailable || suspects.claimed != 0 {
@@ -116,7 +116,7 @@
 func TestTrialDoesNotWait(t *testing.T) {
 	f := newFixture(t, newStandin(t, answering(http.StatusOK, "done")))
 	f.handler.SetTable(engineTable(5 * time.Second))
-	suspects := &fakeSuspects{standing: poison.StandingOnTrial, grants: 1}
+	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/x", "body", "X-Model", "m")
@@ -133,7 +133,7 @@
 func TestBarredRequestIsRefusedAtOnce(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "done"))
 	f := newFixture(t, server)
-	f.handler.options.Suspects = &fakeSuspects{standing: poison.StandingBarred}
+	f.handler.options.Suspects = &fakeSuspects{standing: poison.StatusBarred}
 	for _, path := range []string{"/once/x", "/often/x", "/stream/x", "/resume/x"} {
 		got := f.send(t, http.MethodPost, path, "body")
 		if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "" || server.count() > 0 {
@@ -146,12 +146,12 @@
 func TestBarredRequestWaitsNoMore(t *testing.T) {
 	f := newFixture(t, newStandin(t, answering(http.StatusOK, "done")))
 	f.handler.SetTable(engineTable(5 * time.Second))
-	suspects := &fakeSuspects{standing: poison.StandingSound}
+	suspects := &fakeSuspects{standing: poison.StatusClear}
 	f.handler.options.Suspects = suspects
 	time.AfterFunc(50*time.Millisecond, func() {
 		suspects.mu.Lock()
 		defer suspects.mu.Unlock()
-		suspects.standing = poison.StandingBarred
+		suspects.standing = poison.StatusBarred
 	})
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/x", "body", "X-Model", "m")
@@ -181,7 +181,7 @@
 			defer listener.Close()
 			server := &standinServer{address: listener.Addr().String()}
 			f := newFixture(t, server)
-			suspects := &fakeSuspects{standing: poison.StandingSound}
+			suspects := &fakeSuspects{standing: poison.StatusClear}
 			f.handler.options.Suspects = suspects
 			go func() {
 				conn, err := listener.Accept()
@@ -217,7 +217,7 @@
 func TestAnsweredRequestsEndedWell(t *testing.T) {
 	for status, want := range map[int]int{http.StatusOK: 1, http.StatusInternalServerError: 0} {
 		f := newFixture(t, newStandin(t, answering(status, "done")))
-		suspects := &fakeSuspects{standing: poison.StandingSound}
+		suspects := &fakeSuspects{standing: poison.StatusClear}
 		f.handler.options.Suspects = suspects
 		f.send(t, http.MethodPost, "/once/x", "body")
 		if suspects.endedWell != want {
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -80,7 +80,7 @@
 		x.leave()
 	case x.headSent:
 		x.cut(reason)
-	case x.ran && !clock.Now().Before(x.deadline.Add(-waiting.FinishMargin)):
+	case x.ran && !clock.Now().Before(x.deadline.Add(-waiting.ResponseMargin)):
 		x.fail(http.StatusGatewayTimeout, reason)
 	case x.ran:
 		x.fail(http.StatusBadGateway, reason)
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -21,7 +21,7 @@
 func (x *exchange) regions() locality.Regions {
 	newest := x.handler.table.Load()
 	if newest != nil && newest != x.allowedBy {
-		x.allowed, x.allowedBy = newest.RegionsNow(x.route, x.tenant), newest
+		x.allowed, x.allowedBy = newest.CurrentRegions(x.route, x.tenant), newest
 	}
 	return x.allowed
 }
@@ -33,7 +33,7 @@
 	if !regions.IsBounded() {
 		return true
 	}
-	if regions.IsNone() {
+	if regions.IsEmpty() {
 		x.endWithoutPlace(reasonNoRegion)
 		return false
 	}
@@ -47,37 +47,37 @@
 
 // endWithoutPlace answers a request that may run nowhere: as not run, where that is so.
 func (x *exchange) endWithoutPlace(reason string) {
-	x.handler.Metrics.NoPlace.Add(1)
+	x.handler.Metrics.RegionRefused.Add(1)
 	switch {
 	case x.hasLeft() || x.headSent || x.ran:
 		x.giveUp(reason)
 	case reason == reasonNoRegion:
 		x.refuseForGood(reason)
 	default:
-		x.refuse(reason, x.comeBack(waiting.ServerReturnTime))
+		x.refuse(reason, x.comeBack(waiting.ServerRegistrationTime))
 	}
 }
 
 // countWaiting counts the request among those that wait, and returns what for. Where its
 // regions changed since it was last counted it waits for something else, which the leader
 // has to hear of.
-func (x *exchange) countWaiting(core *dispatch.Core, counted dispatch.Wanted, waits bool) dispatch.Wanted {
+func (x *exchange) countWaiting(core *dispatch.Core, counted dispatch.Requirements, waits bool) dispatch.Requirements {
 	wanted := x.wanted()
 	if wanted == counted && waits {
 		return wanted
 	}
 	if waits {
-		core.Waits(counted, -1)
+		core.AddWaiting(counted, -1)
 	}
-	core.Waits(wanted, 1)
+	core.AddWaiting(wanted, 1)
 	x.countAsked(core, wanted)
 	return wanted
 }
 
 // countAsked counts the request as demand, once for each regions that it was in.
-func (x *exchange) countAsked(core *dispatch.Core, wanted dispatch.Wanted) {
-	if x.engine && wanted != x.asked && !wanted.Regions.IsNone() {
+func (x *exchange) countAsked(core *dispatch.Core, wanted dispatch.Requirements) {
+	if x.engine && wanted != x.asked && !wanted.Regions.IsEmpty() {
 		x.asked = wanted
-		core.Asked(clock.Now(), wanted, x.head.PromptTokens, x.route.Goal)
+		core.CountRequest(clock.Now(), wanted, x.head.PromptTokens, x.route.LatencyGoal)
 	}
 }
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	f := newFixture(t, north, south)
 	places := locality.NewMap(map[string]string{"n": "north", "s": "south"})
-	shared := dispatch.NewShared(dispatch.Options{Zone: "n", Places: places, Seed: 1})
+	shared := dispatch.NewShared(dispatch.Options{Zone: "n", Topology: places, Seed: 1})
 	shared.Do(func(core *dispatch.Core) {
 		core.SetServers([]inventory.Change{
 			{Server: inventory.Server{ID: "s0", Service: "svc", Address: north.address, Zone: "n", Slots: 8, Models: []inventory.HeldModel{{Name: "m"}}}},
@@ -35,11 +35,11 @@
 
 // regionTable has all kinds of routes, whose requests may run in the regions.
 func regionTable(version int64, regions locality.Regions, ofTenant locality.Regions) *routetable.Table {
-	parts := []routetable.Part{{Service: "svc", Weight: 1}}
+	parts := []routetable.WeightedService{{Service: "svc", Weight: 1}}
 	routes := []routetable.Route{
-		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Parts: parts},
-		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", Repeat: routetable.RepeatSafe, MaxAttempts: 2, Parts: parts},
-		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, Repeat: routetable.RepeatResume, MaxAttempts: 2, Parts: parts},
+		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Services: parts},
+		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", RetryPolicy: routetable.RetrySafe, MaxAttempts: 2, Services: parts},
+		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, RetryPolicy: routetable.RetryResume, MaxAttempts: 2, Services: parts},
 	}
 	for i := range routes {
 		routes[i].Regions = regions
@@ -78,11 +78,11 @@
 			continue
 		}
 		took := time.Since(started)
-		if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "not-run") || north.count()+south.count() != sent || took > waiting.NewsTime {
+		if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "not-run") || north.count()+south.count() != sent || took > waiting.AnnouncementGracePeriod {
 			t.Errorf("%s: %d %q after %v, want a refusal at once as not run", c.name, got.status, got.body, took)
 		}
 	}
-	if got := f.handler.Metrics.NoPlace.Load(); got != 2 {
+	if got := f.handler.Metrics.RegionRefused.Load(); got != 2 {
 		t.Errorf("%d refusals for want of a place counted, want 2", got)
 	}
 }
@@ -144,8 +144,8 @@
 	table := func(version int64, regions locality.Regions) *routetable.Table {
 		engine := &routetable.Engine{Models: map[string]routetable.Model{"x": {Name: "x", Load: time.Second}}}
 		return routetable.New(version, []routetable.Route{{
-			Name: "llm", Host: "127.0.0.1", Prefix: "/llm/", Goal: 5 * time.Second, MaxAttempts: 1, Regions: regions,
-			Parts: []routetable.Part{{Service: "svc", Weight: 1}},
+			Name: "llm", Host: "127.0.0.1", Prefix: "/llm/", LatencyGoal: 5 * time.Second, MaxAttempts: 1, Regions: regions,
+			Services: []routetable.WeightedService{{Service: "svc", Weight: 1}},
 		}}, []routetable.Service{{Name: "svc", Engine: engine}}, routetable.Limits{})
 	}
 	f.handler.SetTable(table(1, locality.Only("north")))
@@ -156,7 +156,7 @@
 		waits := false
 		f.dispatch.Do(func(core *dispatch.Core) {
 			for _, count := range core.Demand(clock.Now().Add(-time.Minute)) {
-				waits = waits || count.Wanted.Regions == regions && count.Waiting == 1 && count.Asked == 1
+				waits = waits || count.Requirements.Regions == regions && count.Waiting == 1 && count.Requests == 1
 			}
 		})
 		return waits
@@ -168,7 +168,7 @@
 		return inventory.Change{Server: inventory.Server{ID: id, Service: "svc", Address: address, Zone: zone, Models: []inventory.HeldModel{{Name: "x"}}}}
 	}
 	f.dispatch.Do(func(core *dispatch.Core) { core.SetServers([]inventory.Change{held("s0", "n", north.address)}) })
-	time.Sleep(waiting.RecheckTime / 2)
+	time.Sleep(waiting.RecheckInterval / 2)
 	f.dispatch.Do(func(core *dispatch.Core) { core.SetServers([]inventory.Change{held("s1", "s", south.address)}) })
 	if got := <-answer; got.body != "south" || north.count() != 0 {
 		t.Errorf("got %d %q, %d requests reached the north", got.status, got.body, north.count())
@@ -176,7 +176,7 @@
 	await(t, "nothing waits", func() bool { return !waitsFor(locality.Only("north")) && !waitsFor(locality.Only("south")) })
 	// One that waits as its last region is taken away is refused at once, as not run.
 	go func() { answer <- f.send(t, http.MethodPost, "/llm/", "b", "X-Model", "y") }()
-	time.Sleep(waiting.NewsTime / 2)
+	time.Sleep(waiting.AnnouncementGracePeriod / 2)
 	f.handler.SetTable(table(3, locality.Only()))
 	if got := <-answer; got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, reasonNoRegion) || !strings.Contains(got.body, "not-run") {
 		t.Errorf("got %d %q, want a refusal as not run", got.status, got.body)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,36 +29,36 @@
 	Adapter      string
 	PromptTokens int
 	OutputTokens int
-	// TellsTokens is set where the request tells both numbers.
-	TellsTokens bool
-	Parts       []dispatch.PromptPart
-	// LastEvent is the event behind which a stream goes on.
-	LastEvent string
-	// Key is the caller's API key; empty where it gives none, or several.
-	Key string
+	// HasTokenCounts is set where the request tells both numbers.
+	HasTokenCounts bool
+	PromptParts    []dispatch.PromptPart
+	// LastEventID is the event behind which a stream goes on.
+	LastEventID string
+	// APIKey is the caller's API key; empty where it gives none, or several.
+	APIKey string
 }
 
-// Send is what the node adds to a request for a server.
-type Send struct {
+// NodeHeaders is what the node adds to a request for a server.
+type NodeHeaders struct {
 	ServerID string
-	// Left is the time that is left for the request.
-	Left time.Duration
+	// TimeLeft is the time that is left for the request.
+	TimeLeft time.Duration
 	// Urgency is 0 to 9, 0 first; below 0 it is not said.
 	Urgency int
-	// LastEvent is the event behind which a stream goes on; empty from the start.
-	LastEvent string
+	// LastEventID is the event behind which a stream goes on; empty from the start.
+	LastEventID string
 	// Tenant is the owner of the caller's key; empty where none was needed.
 	Tenant string
 }
 
-// AnswerHead is what the headers of a server's answer say.
-type AnswerHead struct {
+// ResponseHead is what the headers of a server's answer say.
+type ResponseHead struct {
 	// NotRun is set where the server did not run the request.
 	NotRun bool
 	// Load is nil where the server does not tell its load.
 	Load *dispatch.Load
-	// ColdLeft is for how long the server is cold yet; nil where it does not tell.
-	ColdLeft *time.Duration
+	// ColdRemaining is for how long the server is cold yet; nil where it does not tell.
+	ColdRemaining *time.Duration
 	// Hint is what the server tells of its own future.
 	Hint inventory.Hint
 	// ServerID is who answers; empty where the server does not say.
@@ -75,13 +75,13 @@
 	// IsEndToEnd reports whether a field is meant for the other end, whatever the
 	// sender says of its connection; the name is in canonical form.
 	IsEndToEnd(name string) bool
-	// SetSend sets the headers that the node adds.
-	SetSend(header http.Header, send Send)
-	// ReadAnswer reads the headers of an answer.
-	ReadAnswer(status int, header http.Header) AnswerHead
-	// Unread is the first field of an answer by which servers tell of themselves and which nodes do
+	// SetNodeHeaders sets the headers that the node adds.
+	SetNodeHeaders(header http.Header, send NodeHeaders)
+	// ReadResponseHead reads the headers of an answer.
+	ReadResponseHead(status int, header http.Header) ResponseHead
+	// UnreadField is the first field of an answer by which servers tell of themselves and which nodes do
 	// not read; empty where there is none.
-	Unread(header http.Header) string
+	UnreadField(header http.Header) string
 	// BelongsTo reports whether the answer is to the request of that identity.
 	BelongsTo(header http.Header, requestID string) bool
 }
@@ -99,16 +99,16 @@
 	// Suspects remembers requests under which servers ended; nil suspects none.
 	Suspects Suspects
 	Logger   *log.Logger
-	// Knows reports whether the node knows enough to send requests, and
+	// IsReady reports whether the node knows enough to send requests, and
 	// AwaitKnowledge waits until it does, or ctx ends; nil is that it always does.
-	Knows          func() bool
-	AwaitKnowledge func(ctx context.Context)
-	// Wanted is told when a request waits for something that is on no server.
-	Wanted func()
-	// ReceivedHint is told what a start of a server told of its own future, where that is news.
-	ReceivedHint func(start inventory.Start, hint inventory.Hint)
-	// Unread is told of a field by which a server tells of itself and which nodes do not read.
-	Unread func(serverID, field string)
+	IsReady    func() bool
+	AwaitReady func(ctx context.Context)
+	// OnWaiting is told when a request waits for something that is on no server.
+	OnWaiting func()
+	// OnHint is told what a start of a server told of its own future, where that is news.
+	OnHint func(start inventory.Start, hint inventory.Hint)
+	// OnUnreadField is told of a field by which a server tells of itself and which nodes do not read.
+	OnUnreadField func(serverID, field string)
 	// MaxWaiting bounds the requests that wait for a server at a time.
 	MaxWaiting int
 }
@@ -125,14 +125,14 @@
 	waiting    atomic.Int64
 	// Metrics counts what led to answers.
 	Metrics Metrics
-	// Finished is told of each final answer, by the kind of its route; nil is
+	// OnFinished is told of each final answer, by the kind of its route; nil is
 	// nobody.
-	Finished func(route, outcome string, took time.Duration)
+	OnFinished func(route, outcome string, took time.Duration)
 
 	mu       sync.Mutex
 	splitter routetable.Splitter
 	budget   *retrybudget.Budget
-	lines    *waiting.Lines
+	lines    *waiting.RetrySchedule
 	// longest is the longest deadline seen on a route: a caller that comes back
 	// has less time left.
 	longest map[string]time.Duration
@@ -146,20 +146,20 @@
 	if options.MaxWaiting == 0 {
 		options.MaxWaiting = DefaultMaxWaiting
 	}
-	if options.Wanted == nil {
-		options.Wanted = func() {}
+	if options.OnWaiting == nil {
+		options.OnWaiting = func() {}
 	}
-	if options.ReceivedHint == nil {
-		options.ReceivedHint = func(inventory.Start, inventory.Hint) {}
+	if options.OnHint == nil {
+		options.OnHint = func(inventory.Start, inventory.Hint) {}
 	}
-	if options.Unread == nil {
-		options.Unread = func(string, string) {}
+	if options.OnUnreadField == nil {
+		options.OnUnreadField = func(string, string) {}
 	}
 	return &Handler{
 		options: options,
 		started: clock.Now(),
 		budget:  retrybudget.New(options.Budget),
-		lines:   waiting.NewLines(),
+		lines:   waiting.NewRetrySchedule(),
 		longest: make(map[string]time.Duration),
 	}
 }
@@ -183,8 +183,8 @@
 // Waiting is the number of requests that wait for a server.
 func (h *Handler) Waiting() int64 { return h.waiting.Load() }
 
-// RepeatsLeft is the least number of repeats that a service has left.
-func (h *Handler) RepeatsLeft() float64 {
+// MinRetriesRemaining is the least number of repeats that a service has left.
+func (h *Handler) MinRetriesRemaining() float64 {
 	table := h.table.Load()
 	if table == nil {
 		return 0
@@ -193,7 +193,7 @@
 	defer h.mu.Unlock()
 	least := math.Inf(1)
 	for service := range table.Services {
-		least = min(least, h.budget.Left(clock.Since(h.started), service))
+		least = min(least, h.budget.Remaining(clock.Since(h.started), service))
 	}
 	return least
 }
@@ -215,7 +215,7 @@
 func (h *Handler) countRequest(service string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.budget.Request(clock.Since(h.started), service)
+	h.budget.CountRequest(clock.Since(h.started), service)
 }
 
 func (h *Handler) takeRepeat(service string) bool {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -167,7 +167,7 @@
 func TestServerThatLeavesWhileItIsDialledGetsNothing(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "ok"))
 	f := newFixture(t, server)
-	f.onDial = func() { f.dispatch.Do(func(core *dispatch.Core) { core.SetGoing("s0", storepos.At(0, 5)) }) }
+	f.onDial = func() { f.dispatch.Do(func(core *dispatch.Core) { core.SetDraining("s0", storepos.At(0, 5)) }) }
 	got := f.send(t, http.MethodPost, "/once/", "", "X-Wait", "200ms")
 	if got.status != http.StatusServiceUnavailable || server.count() != 0 {
 		t.Errorf("status %d after %d sends, want 503 after none", got.status, server.count())
@@ -430,7 +430,7 @@
 func TestServerThatLeavesGetsNoNewWork(t *testing.T) {
 	server := newStandin(t, answering(http.StatusOK, "ok"))
 	f := newFixture(t, server)
-	f.dispatch.Do(func(core *dispatch.Core) { core.SetGoing("s0", storepos.At(0, 5)) })
+	f.dispatch.Do(func(core *dispatch.Core) { core.SetDraining("s0", storepos.At(0, 5)) })
 	if got := f.send(t, http.MethodPost, "/once/", "", "X-Wait", "200ms"); got.status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", got.status)
 	}
--- a/internal/relay/standin_test.go
+++ b/internal/relay/standin_test.go
@@ -28,7 +28,7 @@
 type testDialect struct{}
 
 func (testDialect) ReadHead(header http.Header) (Head, error) {
-	head := Head{RequestID: header.Get("X-Id"), LastEvent: header.Get("X-Last"), Model: header.Get("X-Model"), Key: header.Get("X-Key")}
+	head := Head{RequestID: header.Get("X-Id"), LastEventID: header.Get("X-Last"), Model: header.Get("X-Model"), APIKey: header.Get("X-Key")}
 	if head.RequestID == "" {
 		return head, errNoID
 	}
@@ -38,27 +38,27 @@
 	return head, nil
 }
 
-func (testDialect) SetSend(header http.Header, send Send) {
+func (testDialect) SetNodeHeaders(header http.Header, send NodeHeaders) {
 	header.Set("X-Server", send.ServerID)
-	header.Set("X-Left", send.Left.String())
+	header.Set("X-Left", send.TimeLeft.String())
 	if send.Tenant != "" {
 		header.Set("X-Tenant", send.Tenant)
 	}
-	if send.LastEvent != "" {
-		header.Set("X-Last", send.LastEvent)
+	if send.LastEventID != "" {
+		header.Set("X-Last", send.LastEventID)
 	}
 }
 
-func (testDialect) ReadAnswer(status int, header http.Header) AnswerHead {
+func (testDialect) ReadResponseHead(status int, header http.Header) ResponseHead {
 	rest, _ := time.ParseDuration(header.Get("X-Rest"))
-	return AnswerHead{
+	return ResponseHead{
 		NotRun:   status == http.StatusMisdirectedRequest || header.Get("X-Not-Run") != "",
 		ServerID: header.Get("X-By"),
 		Hint:     inventory.Hint{Draining: header.Get("X-Leaving") != "", Backoff: rest},
 	}
 }
 
-func (testDialect) Unread(http.Header) string { return "" }
+func (testDialect) UnreadField(http.Header) string { return "" }
 
 func (testDialect) BelongsTo(header http.Header, id string) bool { return header.Get("X-Id") == id }
 
@@ -192,16 +192,16 @@
 }
 
 func testTable() *routetable.Table {
-	parts := []routetable.Part{{Service: "svc", Weight: 1}}
+	parts := []routetable.WeightedService{{Service: "svc", Weight: 1}}
 	return routetable.New(1, []routetable.Route{
-		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Parts: parts},
-		{Name: "command", Host: "127.0.0.1", Prefix: "/command/", MaxAttempts: 3, Parts: parts},
-		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", Repeat: routetable.RepeatSafe, MaxAttempts: 2, Parts: parts},
-		{Name: "brief", Host: "127.0.0.1", Prefix: "/brief/", Timeout: 150 * time.Millisecond, MaxAttempts: 1, Parts: parts},
-		{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Stream: true, MaxAttempts: 1, Parts: parts},
-		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, Repeat: routetable.RepeatResume, MaxAttempts: 2, Parts: parts},
-		{Name: "nowhere", Host: "127.0.0.1", Prefix: "/nowhere/", Goal: 100 * time.Millisecond, MaxAttempts: 1,
-			Parts: []routetable.Part{{Service: "none", Weight: 1}}},
+		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Services: parts},
+		{Name: "command", Host: "127.0.0.1", Prefix: "/command/", MaxAttempts: 3, Services: parts},
+		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", RetryPolicy: routetable.RetrySafe, MaxAttempts: 2, Services: parts},
+		{Name: "brief", Host: "127.0.0.1", Prefix: "/brief/", Timeout: 150 * time.Millisecond, MaxAttempts: 1, Services: parts},
+		{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Stream: true, MaxAttempts: 1, Services: parts},
+		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, RetryPolicy: routetable.RetryResume, MaxAttempts: 2, Services: parts},
+		{Name: "nowhere", Host: "127.0.0.1", Prefix: "/nowhere/", LatencyGoal: 100 * time.Millisecond, MaxAttempts: 1,
+			Services: []routetable.WeightedService{{Service: "none", Weight: 1}}},
 	}, []routetable.Service{{Name: "svc"}, {Name: "none"}}, routetable.Limits{MaxBodyBytes: 1000})
 }
 
@@ -242,8 +242,8 @@
 func engineTable(goal time.Duration) *routetable.Table {
 	engine := &routetable.Engine{Models: map[string]routetable.Model{"m": {Name: "m", Load: time.Second}}}
 	return routetable.New(2, []routetable.Route{{
-		Name: "llm", Host: "127.0.0.1", Prefix: "/llm/", Goal: goal, MaxAttempts: 1,
-		Parts: []routetable.Part{{Service: "svc", Weight: 1}},
+		Name: "llm", Host: "127.0.0.1", Prefix: "/llm/", LatencyGoal: goal, MaxAttempts: 1,
+		Services: []routetable.WeightedService{{Service: "svc", Weight: 1}},
 	}}, []routetable.Service{{Name: "svc", Engine: engine}}, routetable.Limits{})
 }
 
@@ -251,8 +251,8 @@
 func resumeTable() *routetable.Table {
 	engine := &routetable.Engine{Models: map[string]routetable.Model{"m": {Name: "m", Load: time.Second}}}
 	return routetable.New(2, []routetable.Route{{
-		Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, Repeat: routetable.RepeatResume, MaxAttempts: 2,
-		Parts: []routetable.Part{{Service: "svc", Weight: 1}},
+		Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, RetryPolicy: routetable.RetryResume, MaxAttempts: 2,
+		Services: []routetable.WeightedService{{Service: "svc", Weight: 1}},
 	}}, []routetable.Service{{Name: "svc", Engine: engine}}, routetable.Limits{})
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -25,7 +25,7 @@
 }}
 
 // stream passes an event stream on, each event whole and as it comes.
-func (x *exchange) stream(choice dispatch.Choice, answer *backendconn.Answer) verdict {
+func (x *exchange) stream(choice dispatch.Choice, answer *backendconn.Response) verdict {
 	pooled := streamBuffers.Get().(*[]byte)
 	buffer := (*pooled)[:0]
 	defer func() {
@@ -70,7 +70,7 @@
 }
 
 // passOn writes whole events to the caller.
-func (x *exchange) passOn(answer *backendconn.Answer, events []byte) {
+func (x *exchange) passOn(answer *backendconn.Response, events []byte) {
 	if !x.headSent {
 		x.writeHead(answer, false, 0)
 	}
@@ -114,7 +114,7 @@
 	return ""
 }
 
-func (x *exchange) streamEnded(choice dispatch.Choice, answer *backendconn.Answer) verdict {
+func (x *exchange) streamEnded(choice dispatch.Choice, answer *backendconn.Response) verdict {
 	if !x.headSent {
 		x.writeHead(answer, true, 0)
 	}
@@ -127,7 +127,7 @@
 // streamBroke goes on at another server where the route allows it.
 func (x *exchange) streamBroke(choice dispatch.Choice) verdict {
 	x.brokeOff(choice)
-	if x.route.Repeat != routetable.RepeatResume {
+	if x.route.RetryPolicy != routetable.RetryResume {
 		x.giveUp("broken_stream")
 		return verdictDone
 	}
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -31,8 +31,8 @@
 	for f.handler.takeRepeat("svc") {
 		continue
 	}
-	clock.Suspend(time.Minute)
-	defer clock.Suspend(-time.Minute)
+	clock.SimulateSuspend(time.Minute)
+	defer clock.SimulateSuspend(-time.Minute)
 	if !f.handler.takeRepeat("svc") {
 		t.Error("no repeat a minute after those of before")
 	}
@@ -41,8 +41,8 @@
 // suspendingPool opens connections during which the machine is suspended.
 func suspendingPool(d time.Duration, t *testing.T) *backendconn.Pool {
 	return backendconn.New(backendconn.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
-		clock.Suspend(d)
-		t.Cleanup(func() { clock.Suspend(-d) })
+		clock.SimulateSuspend(d)
+		t.Cleanup(func() { clock.SimulateSuspend(-d) })
 		return new(net.Dialer).DialContext(ctx, "tcp", address)
 	}})
 }
--- a/internal/relay/tenant.go
+++ b/internal/relay/tenant.go
@@ -13,22 +13,22 @@
 type Quotas interface {
 	// Admit counts a request of the tenant that counts cost, unless that is beyond the
 	// quota; of those near it the urgent ones go first, priority 0 before all.
-	Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) QuotaVerdict
-	// GiveBack takes back what was counted for a request that did not run.
-	GiveBack(tenant *routetable.Tenant, cost float64)
+	Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) QuotaDecision
+	// Refund takes back what was counted for a request that did not run.
+	Refund(tenant *routetable.Tenant, cost float64)
 }
 
-// QuotaVerdict says whether a request is within its tenant's quota.
-type QuotaVerdict struct {
+// QuotaDecision says whether a request is within its tenant's quota.
+type QuotaDecision struct {
 	Granted bool
-	// By is who decided: the address of a node, or "share" or "alone" for this one.
-	By string
+	// DecidedBy is who decided: the address of a node, or "share" or "alone" for this one.
+	DecidedBy string
 	// IsUnknown is set where no node could say whether the request is within the quota.
 	IsUnknown bool
-	// Left is what the tenant had left, in the unit of its quota.
-	Left float64
-	// RetryIn is when the request would be within the quota.
-	RetryIn time.Duration
+	// Remaining is what the tenant had left, in the unit of its quota.
+	Remaining float64
+	// RetryAfter is when the request would be within the quota.
+	RetryAfter time.Duration
 }
 
 // Reasons of refusals: what is beyond the tenant's quota, and what nobody can tell of
@@ -48,7 +48,7 @@
 	if !x.table.HasTenants() || x.route.Public {
 		return true
 	}
-	tenant, ok := x.table.TenantOf(x.head.Key)
+	tenant, ok := x.table.TenantByKey(x.head.APIKey)
 	if !ok {
 		x.deny(http.StatusUnauthorized, reasonUnknownKey)
 		return false
@@ -79,7 +79,7 @@
 	if quotas == nil || x.tenant == nil || !x.tenant.Quota.IsLimited() {
 		return true
 	}
-	cost := x.tenant.Quota.Cost(x.head.PromptTokens+x.head.OutputTokens, x.head.TellsTokens)
+	cost := x.tenant.Quota.Cost(x.head.PromptTokens+x.head.OutputTokens, x.head.HasTokenCounts)
 	verdict := quotas.Admit(x.ctx, x.tenant, cost, x.route.Priority)
 	if verdict.Granted {
 		x.counted = cost
@@ -89,14 +89,14 @@
 		x.leave()
 	}
 	x.handler.options.Logger.Info().Str("request", x.head.RequestID).Str("tenant", x.tenant.Name).
-		Float64("cost", cost).Float64("left", verdict.Left).Float64("per_second", x.tenant.Quota.PerSecond).
-		Float64("burst", x.tenant.Quota.Burst).Str("by", verdict.By).Str("asked_ms", milliseconds(clock.Since(x.arrived))).
-		Str("retry_ms", milliseconds(verdict.RetryIn)).Msg("quota_refused")
+		Float64("cost", cost).Float64("left", verdict.Remaining).Float64("per_second", x.tenant.Quota.PerSecond).
+		Float64("burst", x.tenant.Quota.Burst).Str("by", verdict.DecidedBy).Str("asked_ms", milliseconds(clock.Since(x.arrived))).
+		Str("retry_ms", milliseconds(verdict.RetryAfter)).Msg("quota_refused")
 	if verdict.IsUnknown {
-		x.refuse(reasonQuotaUnknown, verdict.RetryIn)
+		x.refuse(reasonQuotaUnknown, verdict.RetryAfter)
 		return false
 	}
-	x.writer.Header().Set("Retry-After", retryAfter(verdict.RetryIn))
+	x.writer.Header().Set("Retry-After", retryAfter(verdict.RetryAfter))
 	x.answer(http.StatusTooManyRequests, "not-run", reasonOverQuota)
 	x.finish(outcomeRefused, http.StatusTooManyRequests, reasonOverQuota)
 	return false
@@ -105,7 +105,7 @@
 // giveBack takes back what was counted for a request that has not run.
 func (x *exchange) giveBack() {
 	if x.counted > 0 && !x.ran {
-		x.handler.options.Quotas.GiveBack(x.tenant, x.counted)
+		x.handler.options.Quotas.Refund(x.tenant, x.counted)
 		x.counted = 0
 	}
 }
