--- a/internal/relay/tenant_test.go
+++ b/internal/relay/tenant_test.go
@@ -11,10 +11,10 @@
 
 // tenantTable has two tenants, and a route that needs no key.
 func tenantTable() *routetable.Table {
-	parts := []routetable.Part{{Service: "svc", Weight: 1}}
+	parts := []routetable.WeightedService{{Service: "svc", Weight: 1}}
 	table := routetable.New(3, []routetable.Route{
-		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Parts: parts},
-		{Name: "open", Host: "127.0.0.1", Prefix: "/open/", MaxAttempts: 1, Public: true, Parts: parts},
+		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Services: parts},
+		{Name: "open", Host: "127.0.0.1", Prefix: "/open/", MaxAttempts: 1, Public: true, Services: parts},
 	}, []routetable.Service{{Name: "svc"}}, routetable.Limits{})
 	table.SetTenants([]routetable.Tenant{
 		{Name: "north", Keys: []routetable.KeyHash{routetable.HashKey("key-n")}},
@@ -126,7 +126,7 @@
 		{"the least urgent route of the first tenants", tenant(0), 7, 2},
 		{"the most urgent route of the next ones", tenant(1), 0, 3},
 		{"another of theirs", tenant(1), 1, 4},
-		{"beyond what can be said", tenant(5), 2, waiting.LeastRank},
+		{"beyond what can be said", tenant(5), 2, waiting.LowestRank},
 	}
 	for _, c := range cases {
 		x := &exchange{engine: true, tenant: c.tenant, route: &routetable.Route{Priority: c.route}}
--- a/internal/relay/wait.go
+++ b/internal/relay/wait.go
@@ -17,13 +17,13 @@
 	started := clock.Now()
 	x.waitsSince = started
 	waits := false
-	var counted dispatch.Wanted
+	var counted dispatch.Requirements
 	defer func() {
 		x.waited += clock.Since(started)
 		x.waitsSince = time.Time{}
 		if waits {
 			x.handler.waiting.Add(-1)
-			core.Do(func(c *dispatch.Core) { c.Waits(counted, -1) })
+			core.Do(func(c *dispatch.Core) { c.AddWaiting(counted, -1) })
 		}
 	}()
 	for {
@@ -39,7 +39,7 @@
 			changed = c.Changed()
 			readyIn, known = c.ReadyIn(now, x.wanted())
 			ordersIn = c.OrdersIn(now)
-			rest.left, rest.elsewhere, rest.found = c.BackoffEnds(now, x.wanted())
+			rest.left, rest.elsewhere, rest.found = c.BackoffEndsIn(now, x.wanted())
 			isEvacuated = c.IsEvacuated(x.service)
 			counted = x.countWaiting(c, counted, waits)
 		})
@@ -52,7 +52,7 @@
 				x.refuse(reasonQueueFull, time.Second)
 				return choice, false
 			}
-			x.handler.options.Wanted()
+			x.handler.options.OnWaiting()
 		}
 		if isEvacuated {
 			x.refuseEvacuated()
@@ -89,33 +89,33 @@
 }
 
 // expect is when what the request waits for is expected.
-func (x *exchange) expect(readyIn time.Duration, announced bool) waiting.Expectation {
-	return x.watch.Expect(clock.Now(), readyIn, announced)
+func (x *exchange) expect(readyIn time.Duration, announced bool) waiting.ReadinessEstimate {
+	return x.watch.Estimate(clock.Now(), readyIn, announced)
 }
 
 // keepsWaiting decides on a request that has no server now. Where it is false
 // the final answer was given.
-func (x *exchange) keepsWaiting(expected waiting.Expectation) bool {
+func (x *exchange) keepsWaiting(expected waiting.ReadinessEstimate) bool {
 	decision := waiting.Decide(clock.Now(), x.toDecide(), x.standsHow(), expected)
 	switch decision.Verdict {
-	case waiting.Keep:
+	case waiting.KeepWaiting:
 		return true
-	case waiting.Leave:
+	case waiting.CallerGone:
 		x.leave()
-	case waiting.GiveUpDeadline:
+	case waiting.FailDeadline:
 		x.giveUp(reasonDeadline)
 	case waiting.RefuseBarred:
 		x.answerBarred()
 	case waiting.RefuseOnTrial:
-		x.refuse(reasonPoison, x.comeBack(decision.Ready))
-	case waiting.GiveUpStops:
+		x.refuse(reasonPoison, x.comeBack(decision.ReadyIn))
+	case waiting.FailNodeStopping:
 		x.giveUp(reasonStops)
-	case waiting.GiveUpTried:
+	case waiting.FailAllServersTried:
 		x.giveUp(reasonRejected)
 	case waiting.RefuseNoServer:
-		x.refuse(reasonNoServer, x.comeBack(decision.Ready))
-	case waiting.RefuseTooLate:
-		x.refuse(x.reasonLate(), x.comeBack(decision.Ready))
+		x.refuse(reasonNoServer, x.comeBack(decision.ReadyIn))
+	case waiting.RefuseLoadTooSlow:
+		x.refuse(x.reasonLate(), x.comeBack(decision.ReadyIn))
 	}
 	return false
 }
@@ -123,8 +123,8 @@
 // toDecide is the request as decisions go by it.
 func (x *exchange) toDecide() waiting.Request {
 	return waiting.Request{
-		Arrived: x.arrived, Deadline: x.deadline, Stream: x.route.Stream, Goal: x.route.Goal, GapGoal: x.route.GapGoal,
-		NeedsModel: x.engine, Returned: x.returned,
+		Arrived: x.arrived, Deadline: x.deadline, Stream: x.route.Stream, LatencyGoal: x.route.LatencyGoal, EventGapGoal: x.route.EventGapGoal,
+		NeedsModel: x.engine, IsRetry: x.returned,
 	}
 }
 
@@ -133,12 +133,12 @@
 	until := x.handler.drainUntil.Load()
 	standing := x.standing()
 	return waiting.State{
-		CallerLeft: x.hasLeft(),
-		IsBarred:   !x.isTrial && standing == poison.StandingBarred,
-		IsOnTrial:  x.isTrial || standing == poison.StandingOnTrial,
-		NodeStops:  until != nil && !clock.Now().Before(*until),
-		AllTried:   !x.engine && len(x.failed) > 0,
-		HasBegun:   x.headSent || x.ran,
+		CallerGone:      x.hasLeft(),
+		IsBarred:        !x.isTrial && standing == poison.StatusBarred,
+		IsOnTrial:       x.isTrial || standing == poison.StatusOnTrial,
+		NodeStopping:    until != nil && !clock.Now().Before(*until),
+		AllServersTried: !x.engine && len(x.failed) > 0,
+		MayHaveRun:      x.headSent || x.ran,
 	}
 }
 
@@ -147,7 +147,7 @@
 func (x *exchange) usualLoad(ordersIn time.Duration) time.Duration {
 	service := x.table.Services[x.service]
 	if service.Engine == nil {
-		return waiting.ServerReturnTime
+		return waiting.ServerRegistrationTime
 	}
 	model := service.Engine.Models[x.head.Model]
 	nearest := waiting.CopyInStore
@@ -159,12 +159,12 @@
 			nearest = waiting.CopyOnDisk
 		}
 	})
-	return waiting.Guess(ordersIn, nearest, waiting.LoadTimes{Store: model.Load, Disk: model.DiskLoad, Memory: model.MemoryLoad})
+	return waiting.EstimateLoad(ordersIn, nearest, waiting.LoadTimes{Store: model.Load, Disk: model.DiskLoad, Memory: model.MemoryLoad})
 }
 
 // sleep waits for news, or until the next decision is due.
-func (x *exchange) sleep(changed <-chan struct{}, since time.Time, expected waiting.Expectation) {
-	timer := time.NewTimer(waiting.NextLook(clock.Now(), since, x.toDecide(), expected))
+func (x *exchange) sleep(changed <-chan struct{}, since time.Time, expected waiting.ReadinessEstimate) {
+	timer := time.NewTimer(waiting.RecheckDelay(clock.Now(), since, x.toDecide(), expected))
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -180,7 +180,7 @@
 
 // knows reports whether the node knows enough to send requests: a configuration, servers
 // and, where zones are evacuated, which of them are.
-func (h *Handler) knows() bool { return h.options.Knows == nil || h.options.Knows() }
+func (h *Handler) knows() bool { return h.options.IsReady == nil || h.options.IsReady() }
 
 func (h *Handler) awaitKnowledge(ctx context.Context) {
 	if h.knows() || h.waiting.Load() >= int64(h.options.MaxWaiting) {
@@ -190,5 +190,5 @@
 	defer cancel()
 	h.waiting.Add(1)
 	defer h.waiting.Add(-1)
-	h.options.AwaitKnowledge(ctx)
+	h.options.AwaitReady(ctx)
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -57,22 +57,22 @@
 	b.nodes = max(1, nodes)
 }
 
-// Request counts a caller's request for the service.
-func (b *Budget) Request(now time.Duration, service string) {
+// CountRequest counts a caller's request for the service.
+func (b *Budget) CountRequest(now time.Duration, service string) {
 	b.slotOf(now, service).requests++
 }
 
 // Take draws one repeat, and reports whether there was one.
 func (b *Budget) Take(now time.Duration, service string) bool {
-	if b.Left(now, service) < 1 {
+	if b.Remaining(now, service) < 1 {
 		return false
 	}
 	b.slotOf(now, service).repeats++
 	return true
 }
 
-// Left is the number of repeats that may be sent now.
-func (b *Budget) Left(now time.Duration, service string) float64 {
+// Remaining is the number of repeats that may be sent now.
+func (b *Budget) Remaining(now time.Duration, service string) float64 {
 	requests, repeats := b.sums(now, service)
 	share := b.options.Extra * restartShare / float64(b.nodes)
 	return b.options.Ratio*requests + share - repeats
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -23,7 +23,7 @@
 		asked, again := 0, 0
 		for i := range budgets {
 			for range random.IntN(3) {
-				budgets[i].Request(now, "s")
+				budgets[i].CountRequest(now, "s")
 				asked++
 			}
 			for range 4 {
--- a/internal/routetable/regions.go
+++ b/internal/routetable/regions.go
@@ -11,10 +11,10 @@
 	return route.Regions.Intersect(tenant.Regions)
 }
 
-// RegionsNow are the regions in which a request may run by this table, which may be
+// CurrentRegions are the regions in which a request may run by this table, which may be
 // newer than the one that its route and tenant are of. A route or tenant that the table
 // does not have any more keeps the regions that it had.
-func (t *Table) RegionsNow(route *Route, tenant *Tenant) locality.Regions {
+func (t *Table) CurrentRegions(route *Route, tenant *Tenant) locality.Regions {
 	if known, ok := t.routeNamed(route); ok {
 		route = known
 	}
@@ -37,25 +37,25 @@
 	return nil, false
 }
 
-// BoundedPart is a service of a route whose requests may run in some regions only.
-type BoundedPart struct {
+// RegionRestriction is a service of a route whose requests may run in some regions only.
+type RegionRestriction struct {
 	Route   string
 	Service string
 	Regions locality.Regions
 }
 
-// BoundedParts are the services of all routes that name regions.
-func (t *Table) BoundedParts() []BoundedPart { return t.bounded }
+// RegionRestrictions are the services of all routes that name regions.
+func (t *Table) RegionRestrictions() []RegionRestriction { return t.bounded }
 
 // findBounded lists the services of routes that name regions, once for a table.
-func findBounded(routes []Route) []BoundedPart {
-	var bounded []BoundedPart
+func findBounded(routes []Route) []RegionRestriction {
+	var bounded []RegionRestriction
 	for _, route := range routes {
 		if !route.Regions.IsBounded() {
 			continue
 		}
-		for _, part := range route.Parts {
-			bounded = append(bounded, BoundedPart{Route: route.Name, Service: part.Service, Regions: route.Regions})
+		for _, part := range route.Services {
+			bounded = append(bounded, RegionRestriction{Route: route.Name, Service: part.Service, Regions: route.Regions})
 		}
 	}
 	return bounded
--- a/internal/routetable/regions_test.go
+++ b/internal/routetable/regions_test.go
@@ -33,14 +33,14 @@
 	tenant, _ := old.Tenant("t")
 	for _, c := range cases {
 		table := tableWithRegions(c.ofRoute, c.ofTenant)
-		if got := table.RegionsNow(route, tenant); got.String() != c.want {
+		if got := table.CurrentRegions(route, tenant); got.String() != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
-	if got := tableWithRegions(north, south).RegionsNow(route, nil); got != north {
+	if got := tableWithRegions(north, south).CurrentRegions(route, nil); got != north {
 		t.Errorf("without a tenant: %s, want north", got)
 	}
-	if got := New(2, nil, nil, Limits{}).RegionsNow(route, tenant); got != both {
+	if got := New(2, nil, nil, Limits{}).CurrentRegions(route, tenant); got != both {
 		t.Errorf("in a table that has neither: %s, want those of before", got)
 	}
 }
--- a/internal/routetable/split.go
+++ b/internal/routetable/split.go
@@ -9,15 +9,15 @@
 
 // Next returns the part that the route's next request belongs to.
 func (s *Splitter) Next(route *Route) string {
-	if len(route.Parts) == 1 {
-		return route.Parts[0].Service
+	if len(route.Services) == 1 {
+		return route.Services[0].Service
 	}
-	if len(route.Parts) == 0 {
+	if len(route.Services) == 0 {
 		return ""
 	}
 	credit := s.creditOf(route)
 	total, best := 0.0, 0
-	for i, part := range route.Parts {
+	for i, part := range route.Services {
 		credit[i] += part.Weight
 		total += part.Weight
 		if credit[i] > credit[best] {
@@ -25,7 +25,7 @@
 		}
 	}
 	credit[best] -= total
-	return route.Parts[best].Service
+	return route.Services[best].Service
 }
 
 func (s *Splitter) creditOf(route *Route) []float64 {
@@ -33,8 +33,8 @@
 		s.credit = make(map[string][]float64)
 	}
 	credit, ok := s.credit[route.Name]
-	if !ok || len(credit) != len(route.Parts) {
-		credit = make([]float64, len(route.Parts))
+	if !ok || len(credit) != len(route.Services) {
+		credit = make([]float64, len(route.Services))
 		s.credit[route.Name] = credit
 	}
 	return credit
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -8,50 +8,50 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Repeat says how often a request of a route may run.
-type Repeat int
+// RetryPolicy says how often a request of a route may run.
+type RetryPolicy int
 
 const (
-	// RepeatNever is a request that runs at most once.
-	RepeatNever Repeat = iota
-	// RepeatSafe is a request that may run more than once.
-	RepeatSafe
-	// RepeatResume is a stream that another server may take up behind the last
+	// RetryNever is a request that runs at most once.
+	RetryNever RetryPolicy = iota
+	// RetrySafe is a request that may run more than once.
+	RetrySafe
+	// RetryResume is a stream that another server may take up behind the last
 	// whole event.
-	RepeatResume
+	RetryResume
 )
 
 // Route says where requests of a host below a path prefix go, and how.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Repeat Repeat
+	Name        string
+	Host        string
+	Prefix      string
+	RetryPolicy RetryPolicy
 	// Stream is set where answers are event streams.
 	Stream bool
 	// Sticky is set where requests name a model and the parts of a prompt.
 	Sticky bool
 	// Timeout is how long a request may be held; 0 is without a bound.
 	Timeout time.Duration
-	// Goal is the time within which an answer, or a stream's first event, is
+	// LatencyGoal is the time within which an answer, or a stream's first event, is
 	// in time; 0 where none is given.
-	Goal time.Duration
-	// GapGoal is the longest pause between events that is still in time.
-	GapGoal time.Duration
+	LatencyGoal time.Duration
+	// EventGapGoal is the longest pause between events that is still in time.
+	EventGapGoal time.Duration
 	// Priority is the rank among requests; 0 is the highest.
 	Priority int
 	// MaxAttempts is the greatest number of servers that a request is sent to.
 	MaxAttempts int
 	// Public is set where requests need no key.
 	Public bool
-	// Parts are the services that requests go to; weights are relative.
-	Parts []Part
+	// Services are the services that requests go to; weights are relative.
+	Services []WeightedService
 	// Regions are those in which its requests may run.
 	Regions locality.Regions
 }
 
-// Part is one service of a route.
-type Part struct {
+// WeightedService is one service of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -117,7 +117,7 @@
 	tenants   []Tenant
 	owners    map[KeyHash]int
 	hasQuotas bool
-	bounded   []BoundedPart
+	bounded   []RegionRestriction
 }
 
 // New returns a table of the routes.
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -33,12 +33,12 @@
 }
 
 func TestSplitKeepsItsSharesInAnyRun(t *testing.T) {
-	route := &Route{Name: "r", Parts: []Part{{"a", 90}, {"b", 7}, {"c", 3}}}
+	route := &Route{Name: "r", Services: []WeightedService{{"a", 90}, {"b", 7}, {"c", 3}}}
 	var splitter Splitter
 	counts := make(map[string]int)
 	for sent := 1; sent <= 1000; sent++ {
 		counts[splitter.Next(route)]++
-		for _, part := range route.Parts {
+		for _, part := range route.Services {
 			wanted := float64(sent) * part.Weight / 100
 			if off := float64(counts[part.Service]) - wanted; off > 1.5 || off < -1.5 {
 				t.Fatalf("after %d requests %s has %d, want about %.1f", sent, part.Service, counts[part.Service], wanted)
@@ -49,11 +49,11 @@
 
 func TestSplitOfAChangedRouteStartsAnew(t *testing.T) {
 	var splitter Splitter
-	splitter.Next(&Route{Name: "r", Parts: []Part{{"a", 1}, {"b", 1}}})
-	if got := splitter.Next(&Route{Name: "r", Parts: []Part{{"c", 1}}}); got != "c" {
+	splitter.Next(&Route{Name: "r", Services: []WeightedService{{"a", 1}, {"b", 1}}})
+	if got := splitter.Next(&Route{Name: "r", Services: []WeightedService{{"c", 1}}}); got != "c" {
 		t.Errorf("went to %q, want c", got)
 	}
-	if got := splitter.Next(&Route{Name: "r", Parts: []Part{{"a", 0}, {"b", 1}, {"c", 0}}}); got != "b" {
+	if got := splitter.Next(&Route{Name: "r", Services: []WeightedService{{"a", 0}, {"b", 1}, {"c", 0}}}); got != "b" {
 		t.Errorf("went to %q, want b: the others weigh nothing", got)
 	}
 }
--- a/internal/routetable/tenant.go
+++ b/internal/routetable/tenant.go
@@ -35,8 +35,8 @@
 	PerSecond    float64
 	Burst        float64
 	CountsTokens bool
-	// PlainTokens are counted for a request that tells no number of tokens.
-	PlainTokens int
+	// DefaultTokens are counted for a request that tells no number of tokens.
+	DefaultTokens int
 }
 
 // IsLimited reports whether there is a bound at all.
@@ -50,7 +50,7 @@
 	case tellsTokens:
 		return float64(tokens)
 	default:
-		return float64(q.PlainTokens)
+		return float64(q.DefaultTokens)
 	}
 }
 
@@ -89,9 +89,9 @@
 // Tenants are all tenants, in the order of the configuration.
 func (t *Table) Tenants() []Tenant { return t.tenants }
 
-// TenantOf is the owner of a key. The look-up goes by hash, so that its time tells
+// TenantByKey is the owner of a key. The look-up goes by hash, so that its time tells
 // nothing of the keys there are.
-func (t *Table) TenantOf(key string) (*Tenant, bool) {
+func (t *Table) TenantByKey(key string) (*Tenant, bool) {
 	hash := HashKey(key)
 	index, ok := t.owners[hash]
 	if !ok {
--- a/internal/routetable/tenant_test.go
+++ b/internal/routetable/tenant_test.go
@@ -20,7 +20,7 @@
 	if table.HasTenants() || table.HasQuotas() {
 		t.Error("a table without tenants has some")
 	}
-	if _, ok := table.TenantOf(""); ok {
+	if _, ok := table.TenantByKey(""); ok {
 		t.Error("no key belongs to a tenant where there is none")
 	}
 	tenants := tenantsOf(3)
@@ -32,7 +32,7 @@
 	}
 	for key, want := range map[string]string{"k0": "t0", "l0": "t0", "k2": "t2", "l1": "t1", "k": "", "": "", "K0": ""} {
 		name := ""
-		if tenant, ok := table.TenantOf(key); ok {
+		if tenant, ok := table.TenantByKey(key); ok {
 			name = tenant.Name
 		}
 		if name != want {
@@ -49,8 +49,8 @@
 }
 
 func TestCost(t *testing.T) {
-	tokens := Quota{PerSecond: 1, CountsTokens: true, PlainTokens: 200}
-	requests := Quota{PerSecond: 1, PlainTokens: 200}
+	tokens := Quota{PerSecond: 1, CountsTokens: true, DefaultTokens: 200}
+	requests := Quota{PerSecond: 1, DefaultTokens: 200}
 	cases := []struct {
 		quota  Quota
 		tokens int
@@ -71,7 +71,7 @@
 	table.SetTenants(tenantsOf(1000))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := table.TenantOf("l500"); !ok {
+		if _, ok := table.TenantByKey("l500"); !ok {
 			b.Fatal("not found")
 		}
 	}
--- a/internal/routing/evacuation_test.go
+++ b/internal/routing/evacuation_test.go
@@ -10,7 +10,7 @@
 )
 
 func evacuated(version int64, zones ...string) Evacuations {
-	return Evacuations{Word: evacuation.Word{Zones: zones, Position: storepos.At(0, version)}}
+	return Evacuations{Snapshot: evacuation.Snapshot{Zones: zones, Position: storepos.At(0, version)}}
 }
 
 // twoZones drives a core of zone a that knows an idle engine and a service in
@@ -72,7 +72,7 @@
 			t.Errorf("%s: called %q", step.name, got)
 		}
 		// Hedges and what waits go by the rooms.
-		if rooms := d.core.Rooms(epoch, notes); rooms.Ready != step.ready || len(rooms.Rooms) != step.rooms {
+		if rooms := d.core.Capacity(epoch, notes); rooms.Ready != step.ready || len(rooms.Replicas) != step.rooms {
 			t.Errorf("%s: rooms %+v", step.name, rooms)
 		}
 		if d.core.AllEvacuated() != step.allEvacuated {
@@ -91,7 +91,7 @@
 
 func TestNoAttemptLeavesItsRegions(t *testing.T) {
 	d := twoZones()
-	d.core.Step(epoch, Places{Map: locality.NewMap(map[string]string{"a": "north", "b": "south"})})
+	d.core.Step(epoch, Topology{Map: locality.NewMap(map[string]string{"a": "north", "b": "south"})})
 	for _, test := range []struct {
 		regions locality.Regions
 		first   string
@@ -107,8 +107,8 @@
 		with := func(pick *Pick) { pick.Regions = test.regions }
 		ticket, got := d.pick(epoch, with)
 		d.core.Step(epoch, Ended{Ticket: ticket, Result: ResultAbandoned})
-		if got != test.first || d.core.RoomsIn(epoch, notes, test.regions).Ready != test.ready {
-			t.Errorf("%s: picked %q, rooms %+v", test.regions, got, d.core.RoomsIn(epoch, notes, test.regions))
+		if got != test.first || d.core.CapacityIn(epoch, notes, test.regions).Ready != test.ready {
+			t.Errorf("%s: picked %q, rooms %+v", test.regions, got, d.core.CapacityIn(epoch, notes, test.regions))
 		}
 		if d.core.HasZone(test.regions) != (test.first != "") {
 			t.Errorf("%s: has a zone: %v", test.regions, test.first == "")
--- a/internal/routing/hints_test.go
+++ b/internal/routing/hints_test.go
@@ -51,7 +51,7 @@
 		if wake := d.core.NextWake(); !wake.Equal(epoch.Add(at)) {
 			t.Errorf("wakes at %v, want %v", wake.Sub(epoch), at)
 		}
-		if effects := d.core.Step(epoch.Add(at), Tick{}); len(effects) != 1 || effects[0] != (RoomChanged{Model: notes}) {
+		if effects := d.core.Step(epoch.Add(at), Tick{}); len(effects) != 1 || effects[0] != (CapacityChanged{Model: notes}) {
 			t.Errorf("at %v: %v", at, effects)
 		}
 	}
--- a/internal/routing/message.go
+++ b/internal/routing/message.go
@@ -24,10 +24,10 @@
 
 // Evacuations names the zones that no attempt may go to, as of a version of the
 // configuration.
-type Evacuations struct{ evacuation.Word }
+type Evacuations struct{ evacuation.Snapshot }
 
-// Places tells the region of each zone.
-type Places struct{ locality.Map }
+// Topology tells the region of each zone.
+type Topology struct{ locality.Map }
 
 // Pick asks for an engine that serves the model.
 type Pick struct {
@@ -41,9 +41,9 @@
 	Exclude []fleet.BackendName
 	// Regions are those in which the attempt may run.
 	Regions locality.Regions
-	// Together, where it is not 0, has all picks with this number go to one engine of
+	// ColocationKey, where it is not 0, has all picks with this number go to one engine of
 	// those that may be sent to, whatever their load.
-	Together uint64
+	ColocationKey uint64
 }
 
 // PickService asks for a back end of a declared service.
@@ -52,8 +52,8 @@
 	Service string
 	Exclude []fleet.BackendName
 	// Regions and Together are as in Pick.
-	Regions  locality.Regions
-	Together uint64
+	Regions       locality.Regions
+	ColocationKey uint64
 }
 
 // Result is how an attempt ended, as far as it concerns the back end.
@@ -97,7 +97,7 @@
 func (Tables) isMessage()       {}
 func (Leaving) isMessage()      {}
 func (Evacuations) isMessage()  {}
-func (Places) isMessage()       {}
+func (Topology) isMessage()     {}
 func (Pick) isMessage()         {}
 func (PickService) isMessage()  {}
 func (FirstToken) isMessage()   {}
@@ -126,9 +126,9 @@
 	Known bool
 }
 
-// RoomChanged tells that the room for a model may have grown.
-type RoomChanged struct{ Model fleet.ModelVersion }
+// CapacityChanged tells that the room for a model may have grown.
+type CapacityChanged struct{ Model fleet.ModelVersion }
 
-func (Picked) isEffect()      {}
-func (NonePicked) isEffect()  {}
-func (RoomChanged) isEffect() {}
+func (Picked) isEffect()          {}
+func (NonePicked) isEffect()      {}
+func (CapacityChanged) isEffect() {}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -17,8 +17,8 @@
 	candidates = avoid(candidates, pick.Exclude)
 	scorer := scorer{core: c, now: now, pick: pick, meanLoad: c.meanFreshLoad(now, candidates)}
 	var chosen *target
-	if pick.Together != 0 {
-		chosen = drawnBy(pick.Together, candidates)
+	if pick.ColocationKey != 0 {
+		chosen = drawnBy(pick.ColocationKey, candidates)
 	} else {
 		chosen = best(c.draw(candidates, scorer), scorer.score)
 	}
@@ -32,8 +32,8 @@
 	candidates, known := c.filter(now, fleet.ModelVersion{}, pick.Regions, c.byService[pick.Service])
 	candidates = avoid(candidates, pick.Exclude)
 	var chosen *target
-	if pick.Together != 0 {
-		chosen = drawnBy(pick.Together, candidates)
+	if pick.ColocationKey != 0 {
+		chosen = drawnBy(pick.ColocationKey, candidates)
 	} else {
 		if own, _ := c.byZone(candidates); len(own) > 0 {
 			candidates = own
@@ -50,7 +50,7 @@
 			continue
 		}
 		known = true
-		if allowed, _ := target.circuit.allows(now); allowed && !target.isRefusing(now, model) && target.bounds.CheckCall(now).Admits() {
+		if allowed, _ := target.circuit.allows(now); allowed && !target.isRefusing(now, model) && target.bounds.CheckInternalCall(now).Admits() {
 			candidates = append(candidates, target)
 		}
 	}
--- a/internal/routing/rooms.go
+++ b/internal/routing/rooms.go
@@ -7,30 +7,30 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Room is what one ready replica can take.
-type Room struct {
-	Name     fleet.BackendName
-	Free     int
-	Adapters []fleet.AdapterName
+// ReplicaCapacity is what one ready replica can take.
+type ReplicaCapacity struct {
+	Name      fleet.BackendName
+	FreeSlots int
+	Adapters  []fleet.AdapterName
 }
 
-// Rooms is what the replicas of one model can take.
-type Rooms struct {
+// ModelCapacity is what the replicas of one model can take.
+type ModelCapacity struct {
 	// Ready counts the replicas that attempts may begin at, Slots what those that may
 	// be sent to now run at a time.
-	Ready int
-	Slots int
-	Rooms []Room
+	Ready    int
+	Slots    int
+	Replicas []ReplicaCapacity
 }
 
-// Rooms returns the room at each replica of the model.
-func (c *Core) Rooms(now time.Time, model fleet.ModelVersion) Rooms {
-	return c.RoomsIn(now, model, locality.Regions{})
+// Capacity returns the room at each replica of the model.
+func (c *Core) Capacity(now time.Time, model fleet.ModelVersion) ModelCapacity {
+	return c.CapacityIn(now, model, locality.Regions{})
 }
 
-// RoomsIn returns the room at each replica of the model in the regions.
-func (c *Core) RoomsIn(now time.Time, model fleet.ModelVersion, regions locality.Regions) Rooms {
-	var rooms Rooms
+// CapacityIn returns the room at each replica of the model in the regions.
+func (c *Core) CapacityIn(now time.Time, model fleet.ModelVersion, regions locality.Regions) ModelCapacity {
+	var rooms ModelCapacity
 	for _, target := range c.byModel[model] {
 		if !c.isClosed(target, regions) {
 			rooms.Ready++
@@ -43,7 +43,7 @@
 		if _, probe := target.circuit.allows(now); probe {
 			free = min(free, 1)
 		}
-		rooms.Rooms = append(rooms.Rooms, Room{Name: target.backend.Name, Free: free,
+		rooms.Replicas = append(rooms.Replicas, ReplicaCapacity{Name: target.backend.Name, FreeSlots: free,
 			Adapters: target.engine.Find(model).Adapters})
 	}
 	return rooms
@@ -61,14 +61,14 @@
 	return free
 }
 
-// Weighted is one choice with its share.
-type Weighted struct {
+// WeightedVersion is one choice with its share.
+type WeightedVersion struct {
 	Model  fleet.ModelVersion
 	Weight int
 }
 
 // ChooseVersion draws one of the versions by weight.
-func (c *Core) ChooseVersion(versions []Weighted) fleet.ModelVersion {
+func (c *Core) ChooseVersion(versions []WeightedVersion) fleet.ModelVersion {
 	total := 0
 	for _, version := range versions {
 		total += max(0, version.Weight)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -125,8 +125,8 @@
 	case Leaving:
 		c.takeLeaving(message.Backends)
 	case Evacuations:
-		c.takeEvacuations(now, message.Word)
-	case Places:
+		c.takeEvacuations(now, message.Snapshot)
+	case Topology:
 		c.places = message.Map
 		c.announceAll()
 	case Pick:
@@ -184,7 +184,7 @@
 		model := c.announcements[0].model
 		c.announcements = c.announcements[1:]
 		if !model.IsZero() {
-			c.emit(RoomChanged{Model: model})
+			c.emit(CapacityChanged{Model: model})
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // announceAll has the room of each model asked for anew.
 func (c *Core) announceAll() {
 	for _, model := range c.models() {
-		c.emit(RoomChanged{Model: model})
+		c.emit(CapacityChanged{Model: model})
 	}
 }
 
@@ -280,8 +280,8 @@
 
 // takeEvacuations tells of the room of all models at once: what waits for an
 // engine of an evacuated zone has to wait for another one.
-func (c *Core) takeEvacuations(now time.Time, word evacuation.Word) {
-	if len(c.evacuations.Take(now, word)) > 0 {
+func (c *Core) takeEvacuations(now time.Time, word evacuation.Snapshot) {
+	if len(c.evacuations.ApplyPeerSnapshot(now, word)) > 0 {
 		c.announceAll()
 	}
 }
@@ -343,7 +343,7 @@
 		target.circuit.release()
 	}
 	if !flight.model.IsZero() {
-		c.emit(RoomChanged{Model: flight.model})
+		c.emit(CapacityChanged{Model: flight.model})
 	}
 }
 
@@ -352,7 +352,7 @@
 		for _, target := range c.byModel[model] {
 			circuit := &target.circuit
 			if !circuit.openUntil.IsZero() && !circuit.openUntil.After(now) && !circuit.announced {
-				c.emit(RoomChanged{Model: model})
+				c.emit(CapacityChanged{Model: model})
 			}
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -164,7 +164,7 @@
 				target.health.addResult(epoch, true)
 			}
 		}
-		left := len(d.core.Rooms(epoch, notes).Rooms)
+		left := len(d.core.Capacity(epoch, notes).Replicas)
 		if !defects.NoEjectionCap && left < 4 || defects.NoEjectionCap && left != 0 {
 			t.Errorf("%+v: %d of 6 are left", defects, left)
 		}
@@ -182,17 +182,17 @@
 		d.core.Step(epoch, FirstToken{Ticket: ticket, After: after})
 		d.core.Step(epoch, Ended{Ticket: ticket, Result: ResultOK})
 	}
-	if rooms := d.core.Rooms(epoch, notes); rooms.Ready != 3 || len(rooms.Rooms) != 2 {
-		t.Errorf("%d ready, %d in use", rooms.Ready, len(rooms.Rooms))
+	if rooms := d.core.Capacity(epoch, notes); rooms.Ready != 3 || len(rooms.Replicas) != 2 {
+		t.Errorf("%d ready, %d in use", rooms.Ready, len(rooms.Replicas))
 	}
-	if rooms := d.core.Rooms(epoch.Add(ejectionTime), notes); len(rooms.Rooms) != 3 {
-		t.Errorf("%d in use after the ejection", len(rooms.Rooms))
+	if rooms := d.core.Capacity(epoch.Add(ejectionTime), notes); len(rooms.Replicas) != 3 {
+		t.Errorf("%d in use after the ejection", len(rooms.Replicas))
 	}
 }
 
 func TestRoomFollowsReportsAndOwnRequests(t *testing.T) {
 	d := newDriver(Options{EngineSlots: 8}, epoch, engine("e1", "a", 2))
-	free := func(now time.Time) int { return d.core.Rooms(now, notes).Rooms[0].Free }
+	free := func(now time.Time) int { return d.core.Capacity(now, notes).Replicas[0].FreeSlots }
 	if got := free(epoch); got != 6 {
 		t.Fatalf("free %d", got)
 	}
@@ -213,7 +213,7 @@
 	full := engine("e1", "a", 4)
 	full.Report.AsOf, full.Report.Waiting = at(2), 3
 	d.core.Step(at(2), tables(full))
-	if rooms := d.core.Rooms(at(2), notes); rooms.Slots != 4 || rooms.Rooms[0].Free != 0 {
+	if rooms := d.core.Capacity(at(2), notes); rooms.Slots != 4 || rooms.Replicas[0].FreeSlots != 0 {
 		t.Errorf("an engine with a line of its own is full at what it runs: %+v", rooms)
 	}
 	if got := free(at(9)); got < 1 {
@@ -303,7 +303,7 @@
 
 func TestVersionsByWeight(t *testing.T) {
 	d := newDriver(Options{Seed: 7}, epoch)
-	versions := []Weighted{{Model: notes, Weight: 9}, {Model: fleet.ModelVersion{Model: "notes", Version: "v2"}, Weight: 1}}
+	versions := []WeightedVersion{{Model: notes, Weight: 9}, {Model: fleet.ModelVersion{Model: "notes", Version: "v2"}, Weight: 1}}
 	second := 0
 	for range 1000 {
 		if d.core.ChooseVersion(versions).Version == "v2" {
@@ -364,7 +364,7 @@
 		shown := engine("e1", "a", report.running)
 		shown.Report.AsOf, shown.Report.Waiting = now, report.waiting
 		d.core.Step(now, tables(shown))
-		if got := d.core.Rooms(now, notes).Slots; got != report.slots {
+		if got := d.core.Capacity(now, notes).Slots; got != report.slots {
 			t.Errorf("%d running and %d waiting: %d slots, want %d", report.running, report.waiting, got, report.slots)
 		}
 	}
@@ -393,7 +393,7 @@
 	engines := []fleet.EngineState{engine("e1", "a", 0), engine("e2", "b", 9), engine("e3", "a", 2), engine("e4", "b", 1)}
 	drawn := make(map[string]bool)
 	for number := range uint64(40) {
-		with := func(pick *Pick) { pick.Together = number + 1 }
+		with := func(pick *Pick) { pick.ColocationKey = number + 1 }
 		_, first := newDriver(Options{Seed: 1}, epoch, engines...).pick(epoch, with)
 		for seed := range uint64(5) {
 			d := newDriver(Options{Seed: seed}, epoch, engines...)
@@ -404,7 +404,7 @@
 		}
 		drawn[first] = true
 		without := func(pick *Pick) {
-			pick.Together, pick.Exclude = number+1, []fleet.BackendName{fleet.BackendName(first)}
+			pick.ColocationKey, pick.Exclude = number+1, []fleet.BackendName{fleet.BackendName(first)}
 		}
 		if _, got := newDriver(Options{}, epoch, engines...).pick(epoch, without); got == first || got == "" {
 			t.Errorf("number %d: %q was picked again, or none (%q)", number, first, got)
--- a/internal/sim/world/judge.go
+++ b/internal/sim/world/judge.go
@@ -99,7 +99,7 @@
 	if node.process.State() != sim.ProcessRunning {
 		return
 	}
-	held, found := node.config.core.Holds(object.Key())
+	held, found := node.config.core.Lookup(object.Key())
 	j.world.rules.Check(ruleInForce, found && held.Version >= object.Version,
 		"%s holds %s/%s at version %d; %d by %s was accepted", node.name, object.Kind, object.Name,
 		held.Version, object.Version, object.ChangedBy)
@@ -138,7 +138,7 @@
 // everywhere before.
 func (j *judge) checkNoRevert(node *node) {
 	for key, version := range j.everywhere {
-		held, _ := node.config.core.Holds(key)
+		held, _ := node.config.core.Lookup(key)
 		if held.Version >= version {
 			continue
 		}
@@ -165,7 +165,7 @@
 		if !node.alive() {
 			continue
 		}
-		held, _ := node.config.core.Holds(key)
+		held, _ := node.config.core.Lookup(key)
 		if !known || held.Version < least {
 			least, known = held.Version, true
 		}
--- a/internal/sim/world/judge_replicas.go
+++ b/internal/sim/world/judge_replicas.go
@@ -116,8 +116,8 @@
 		j.world.rules.Check(ruleCeiling, held <= ceiling, "%s: %d replicas in %s, ceiling %d in generation %d: %s",
 			model, held, zone, ceiling, j.record.Generation, cause)
 	}
-	j.world.rules.Check(ruleReplicas, total <= decision.Decided, "%s: %d replicas, decided %d in generation %d: %s",
-		model, total, decision.Decided, j.record.Generation, cause)
+	j.world.rules.Check(ruleReplicas, total <= decision.ReplicaLimit, "%s: %d replicas, decided %d in generation %d: %s",
+		model, total, decision.ReplicaLimit, j.record.Generation, cause)
 }
 
 func (j *judge) replicas(model fleet.ModelVersion, zone fleet.Zone) int {
@@ -146,7 +146,7 @@
 func (j *judge) probeLoads() {
 	for index := range modelCount {
 		model := modelAt(index)
-		if j.record.Models[model].Decided == 0 || !j.mayLoad(model) {
+		if j.record.Models[model].ReplicaLimit == 0 || !j.mayLoad(model) {
 			continue
 		}
 		wanting := j.world.nodes[index%len(j.world.nodes)]
--- a/internal/sim/world/node_attempt.go
+++ b/internal/sim/world/node_attempt.go
@@ -135,14 +135,14 @@
 
 // result is what the gateway tells routing.
 func (r *request) result() routing.Result {
-	return resultOf(r.core.Last(), r.abandoned)
+	return resultOf(r.core.LastFailure(), r.abandoned)
 }
 
-func resultOf(last attempt.Broken, abandoned bool) routing.Result {
+func resultOf(last attempt.Failure, abandoned bool) routing.Result {
 	switch {
 	case abandoned:
 		return routing.ResultAbandoned
-	case last.Evidence == 0 || last.Final:
+	case last.Evidence == 0 || last.Permanent:
 		return routing.ResultOK
 	case last.Evidence == attempt.NeverSent:
 		return routing.ResultUnreachable
--- a/internal/sim/world/node_config.go
+++ b/internal/sim/world/node_config.go
@@ -71,13 +71,13 @@
 		p.reply(effect.Call, effect.Version)
 	case configsync.AnswerDigest:
 		p.reply(effect.Call, effect.Answer)
-	case configsync.Updated:
+	case configsync.ObjectsUpdated:
 		p.node.configChanged(effect.Version, effect.Changed)
 	case configsync.MachinesUpdated:
 		p.node.machinesChanged(effect.List)
 	case configsync.StoreBehind:
 		p.node.world.count("store-behind")
-	case configsync.Diverged:
+	case configsync.PeerDiverged:
 		p.node.world.count("config-diverged")
 	case configsync.ReaderChanged:
 		p.node.world.count("reader-changed")
@@ -97,13 +97,13 @@
 			p.step(configsync.ListFailed(effect))
 			return
 		}
-		p.step(configsync.Listed{Generation: effect.Generation, List: answer.list})
+		p.step(configsync.StoreListed{Generation: effect.Generation, List: answer.list})
 	})
 }
 
 func (p *configPart) startWatch(effect configsync.WatchStore) {
 	take := func(version uint64, objects []objectstore.Object) {
-		p.step(configsync.Watched{Generation: effect.Generation, Version: version, Objects: objects})
+		p.step(configsync.EventsReceived{Generation: effect.Generation, Version: version, Objects: objects})
 	}
 	ended := func(compacted bool) {
 		p.step(configsync.WatchEnded{Generation: effect.Generation, Compacted: compacted})
@@ -114,7 +114,7 @@
 func (p *configPart) listMachines() {
 	p.node.world.machines.list(p.node.process, func(list objectstore.MachineList, outcome sim.CallOutcome) {
 		if outcome != sim.Answered {
-			p.step(configsync.MachinesFailed{})
+			p.step(configsync.ListMachinesFailed{})
 			return
 		}
 		p.step(configsync.MachinesListed{List: list})
--- a/internal/sim/world/node_control.go
+++ b/internal/sim/world/node_control.go
@@ -116,7 +116,7 @@
 		Adapters:        snapshot.Adapters(),
 		ColdStartWeight: snapshot.Preferences().ColdStartWeight,
 		Evacuations:     snapshot.Evacuations(),
-		Places:          snapshot.Places(),
+		Topology:        snapshot.Topology(),
 	})
 }
 
--- a/internal/sim/world/node_control_peers.go
+++ b/internal/sim/world/node_control_peers.go
@@ -39,12 +39,12 @@
 
 func (p *controlPart) broadcastLeaving(effect control.BroadcastLeaving) {
 	for _, member := range effect.To {
-		p.tell(member, "control/leaving", control.LeavingHeard{From: p.node.name, Backends: effect.Backends})
+		p.tell(member, "control/leaving", control.LeavingNoticeReceived{From: p.node.name, Backends: effect.Backends})
 	}
 }
 
 func (p *controlPart) handOver(effect control.HandOver) {
-	p.tell(effect.To, "control/hand-over", control.HandOverAsked{From: p.node.name, Fence: effect.Fence})
+	p.tell(effect.To, "control/hand-over", control.HandOverRequested{From: p.node.name, Fence: effect.Fence})
 }
 
 func (p *controlPart) pullTables(effect control.PullTables) {
--- a/internal/sim/world/node_control_record.go
+++ b/internal/sim/world/node_control_record.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("world: record: %v", err))
 	}
-	request := objectstore.WriteRequest{Expected: effect.Expected, Object: objectstore.Object{
+	request := objectstore.WriteRequest{ExpectedVersion: effect.Expected, Object: objectstore.Object{
 		Kind: recordKey.Kind, Name: recordKey.Name, Spec: body, ChangedBy: string(p.node.name),
 		ChangeID: fmt.Sprintf("%s-%d-%d", p.node.name, p.node.process.Boot(), effect.ID),
 	}}
--- a/internal/sim/world/node_link.go
+++ b/internal/sim/world/node_link.go
@@ -69,7 +69,7 @@
 func (l *link) refused() {
 	l.over = true
 	l.request.part.node.process.Do(l.boot, func() {
-		l.read(attempt.Broken{Connection: l.number, Evidence: attempt.NeverSent, Detail: "no connection"})
+		l.read(attempt.Failure{Connection: l.number, Evidence: attempt.NeverSent, Detail: "no connection"})
 	})
 }
 
@@ -121,7 +121,7 @@
 func (l *link) chunk(chunk backend.Chunk) {
 	l.stream.Send("chunk", uint64(chunk.Sequence), func() {
 		l.read(&attempt.Chunk{Connection: l.number, RequestID: chunk.RequestID, Attempt: chunk.Attempt,
-			Sequence: chunk.Sequence, Text: chunk.Text, Finish: chunk.Finish})
+			Sequence: chunk.Sequence, Text: chunk.Text, FinishReason: chunk.Finish})
 	})
 }
 
@@ -134,19 +134,19 @@
 
 func (l *link) broken() {
 	l.over = true
-	l.read(attempt.Broken{Connection: l.number, Evidence: attempt.MaySent, Detail: "the connection broke"})
+	l.read(attempt.Failure{Connection: l.number, Evidence: attempt.MaybeSent, Detail: "the connection broke"})
 }
 
 // spreadLeaving does as the gateway does: the refusal is a sign of the leaving.
 func (l *link) spreadLeaving() {
-	leaving := control.LeavingHeard{Backends: []fleet.BackendName{l.engine.backend.Name}}
+	leaving := control.LeavingNoticeReceived{Backends: []fleet.BackendName{l.engine.backend.Name}}
 	l.request.part.node.control.step(leaving)
 }
 
 func (l *link) refusal(reason engine.RefusalReason) {
 	l.stream.Close(func() {
 		l.over = true
-		evidence := attempt.AnsweredError
+		evidence := attempt.ErrorStatus
 		if reason == engine.RefusedLeaving {
 			l.spreadLeaving()
 		}
@@ -154,6 +154,6 @@
 		case engine.RefusedNotReady, engine.RefusedLeaving, engine.RefusedOverfull:
 			evidence = attempt.RefusedBeforeRun
 		}
-		l.read(attempt.Broken{Connection: l.number, Evidence: evidence, Detail: string(reason)})
+		l.read(attempt.Failure{Connection: l.number, Evidence: evidence, Detail: string(reason)})
 	})
 }
--- a/internal/sim/world/node_membership.go
+++ b/internal/sim/world/node_membership.go
@@ -67,15 +67,15 @@
 }
 
 func (p *membershipPart) machinesChanged(list objectstore.MachineList) {
-	var hints []membership.Hint
+	var hints []membership.ListedNode
 	for _, machine := range list.Machines {
 		if machine.Role == "node" {
-			hints = append(hints, membership.Hint{
-				Name: machine.Name, Gossip: machine.Node.Gossip, Going: machine.State != objectstore.MachineLive,
+			hints = append(hints, membership.ListedNode{
+				Name: machine.Name, GossipAddress: machine.Node.Gossip, Leaving: machine.State != objectstore.MachineLive,
 			})
 		}
 	}
-	p.step(membership.Hints{Nodes: hints})
+	p.step(membership.NodesListed{Nodes: hints})
 }
 
 func (p *membershipPart) configVersion(version uint64) {
--- a/internal/sim/world/node_requests.go
+++ b/internal/sim/world/node_requests.go
@@ -73,7 +73,7 @@
 func (p *requestsPart) tick() {
 	p.stepRouting(routing.Tick{})
 	p.stepQueue(queue.Tick{})
-	for _, line := range p.queue.Lines() {
+	for _, line := range p.queue.Queues() {
 		p.offer(line.Model)
 	}
 	p.arm()
@@ -95,7 +95,7 @@
 	switch {
 	case !retry:
 		p.budget.Earn()
-	case !reassign.Unspent && !p.budget.Spend():
+	case !reassign.BudgetExempt && !p.budget.Spend():
 		r.step(attempt.Unassigned{Code: "retry-budget-spent"})
 		return
 	}
@@ -111,7 +111,7 @@
 func (p *requestsPart) arrive(r *request, again bool) {
 	p.stepQueue(queue.Arrive{Item: queue.Item{
 		Ticket: queue.Ticket(r.ticket), Model: r.call.model, Priority: r.call.priority, Deadline: r.core.NextWake(),
-		Since: r.arrived, Bytes: requestBytes, Again: again,
+		ArrivedAt: r.arrived, Bytes: requestBytes, Requeued: again,
 	}})
 }
 
@@ -119,7 +119,7 @@
 func (p *requestsPart) abandon(r *request) {
 	if _, found := p.pending[r.ticket]; found {
 		delete(p.pending, r.ticket)
-		p.stepQueue(queue.Leave{Ticket: queue.Ticket(r.ticket)})
+		p.stepQueue(queue.Cancel{Ticket: queue.Ticket(r.ticket)})
 		r.ticket = 0
 	}
 	p.arm()
@@ -128,7 +128,7 @@
 // began tells of an attempt's first token.
 func (p *requestsPart) began(ticket uint64, after time.Duration) {
 	if known, found := p.assigned[ticket]; found {
-		p.stepQueue(queue.Began{Model: known.model, After: after})
+		p.stepQueue(queue.FirstTokenReceived{Model: known.model, Latency: after})
 	}
 	p.stepRouting(routing.FirstToken{Ticket: routing.Ticket(ticket), After: after})
 	p.arm()
@@ -142,7 +142,7 @@
 	}
 	delete(p.assigned, ticket)
 	if result == routing.ResultOK {
-		p.stepQueue(queue.Served{Model: known.model, Service: p.node.process.Now().Sub(known.since)})
+		p.stepQueue(queue.Completed{Model: known.model, ServiceTime: p.node.process.Now().Sub(known.since)})
 	}
 	p.stepRouting(routing.Ended{Ticket: routing.Ticket(ticket), Result: result})
 	p.arm()
--- a/internal/sim/world/node_routing.go
+++ b/internal/sim/world/node_routing.go
@@ -19,7 +19,7 @@
 			p.picked(uint64(effect.Ticket), effect.Backend)
 		case routing.NonePicked:
 			p.nonePicked(uint64(effect.Ticket))
-		case routing.RoomChanged:
+		case routing.CapacityChanged:
 			p.offer(effect.Model)
 		}
 	}
@@ -27,12 +27,12 @@
 
 // offer tells the queue the present room for a model.
 func (p *requestsPart) offer(model fleet.ModelVersion) {
-	rooms := p.routing.Rooms(p.node.process.Now(), model)
-	replicas := make([]queue.Replica, 0, len(rooms.Rooms))
-	for _, room := range rooms.Rooms {
-		replicas = append(replicas, queue.Replica{Name: room.Name, Free: room.Free, Adapters: room.Adapters})
+	rooms := p.routing.Capacity(p.node.process.Now(), model)
+	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
+	for _, room := range rooms.Replicas {
+		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots, Adapters: room.Adapters})
 	}
-	p.stepQueue(queue.Offer{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
+	p.stepQueue(queue.CapacityChanged{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
 }
 
 func (p *requestsPart) picked(ticket uint64, backend fleet.Backend) {
--- a/internal/sim/world/node_service.go
+++ b/internal/sim/world/node_service.go
@@ -135,10 +135,10 @@
 }
 
 func (c *serviceCall) broken(connection int, evidence attempt.Evidence) {
-	c.step(attempt.Broken{Connection: connection, Evidence: evidence, Detail: "no answer"})
+	c.step(attempt.Failure{Connection: connection, Evidence: evidence, Detail: "no answer"})
 }
 
-func (c *serviceCall) reset()   { c.broken(c.connection, attempt.MaySent) }
+func (c *serviceCall) reset()   { c.broken(c.connection, attempt.MaybeSent) }
 func (c *serviceCall) refused() { c.broken(c.connection, attempt.RefusedBeforeRun) }
 
 func (c *serviceCall) answered(answer service.Answer) {
@@ -150,7 +150,7 @@
 	if c.ticket == 0 {
 		return
 	}
-	result := resultOf(c.core.Last(), false)
+	result := resultOf(c.core.LastFailure(), false)
 	c.node.services.step(routing.Ended{Ticket: c.ticket, Result: result})
 	c.ticket = 0
 }
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -51,7 +51,7 @@
 			o.next()
 			return
 		}
-		o.write(objectstore.WriteRequest{Object: declared, Expected: answer.object.Version})
+		o.write(objectstore.WriteRequest{Object: declared, ExpectedVersion: answer.object.Version})
 	})
 }
 
@@ -89,7 +89,7 @@
 			o.next()
 			return
 		}
-		if outcome == sim.Answered && answer.object.Version > request.Expected {
+		if outcome == sim.Answered && answer.object.Version > request.ExpectedVersion {
 			o.world.count("operator-conflict")
 			o.next()
 			return
--- a/internal/sim/world/store.go
+++ b/internal/sim/world/store.go
@@ -63,7 +63,7 @@
 	list     objectstore.ObjectList
 	object   objectstore.Object
 	found    bool
-	conflict *objectstore.Conflict
+	conflict *objectstore.ConflictResponse
 }
 
 // list reads all objects.
--- a/internal/standin/httpdriver/objects.go
+++ b/internal/standin/httpdriver/objects.go
@@ -107,7 +107,7 @@
 		return
 	}
 	var written objectstore.Object
-	var conflict *objectstore.Conflict
+	var conflict *objectstore.ConflictResponse
 	o.change(func(store *objects.Store) {
 		if written, conflict = store.Write(write); conflict == nil {
 			o.journalize(written)
@@ -128,7 +128,7 @@
 	}
 	query := request.URL.Query()
 	var tombstone objectstore.Object
-	var conflict *objectstore.Conflict
+	var conflict *objectstore.ConflictResponse
 	var found bool
 	o.change(func(store *objects.Store) {
 		tombstone, conflict, found = store.Delete(pathKey(request), expected, query.Get("changeId"), query.Get("changedBy"))
--- a/internal/standin/httpdriver/platform_test.go
+++ b/internal/standin/httpdriver/platform_test.go
@@ -24,8 +24,8 @@
 func putObject(t *testing.T, server *httptest.Server, expected uint64, changeID string) (*http.Response, error) {
 	t.Helper()
 	body := encode(t, objectstore.WriteRequest{
-		Object:   objectstore.Object{Kind: "Model", Name: "alarm", ChangeID: changeID},
-		Expected: expected,
+		Object:          objectstore.Object{Kind: "Model", Name: "alarm", ChangeID: changeID},
+		ExpectedVersion: expected,
 	})
 	return try(t, http.MethodPut, server.URL+PathObjects+"/Model/alarm", nil, body)
 }
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	var conflict objectstore.Conflict
+	var conflict objectstore.ConflictResponse
 	if err := json.NewDecoder(response.Body).Decode(&conflict); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -89,10 +89,10 @@
 
 // Write stores the object if the expected version stands; otherwise the
 // conflict holds what stands.
-func (s *Store) Write(request objectstore.WriteRequest) (objectstore.Object, *objectstore.Conflict) {
+func (s *Store) Write(request objectstore.WriteRequest) (objectstore.Object, *objectstore.ConflictResponse) {
 	current := s.objects[request.Object.Key()]
-	if !matches(current, request.Expected) {
-		return objectstore.Object{}, &objectstore.Conflict{Current: current}
+	if !matches(current, request.ExpectedVersion) {
+		return objectstore.Object{}, &objectstore.ConflictResponse{Current: current}
 	}
 	return s.record(request.Object), nil
 }
@@ -108,13 +108,13 @@
 
 // Delete puts a tombstone in place of the object if the expected version
 // stands. Found is false where there has never been an object.
-func (s *Store) Delete(key objectstore.Key, expected uint64, changeID, changedBy string) (tombstone objectstore.Object, conflict *objectstore.Conflict, found bool) {
+func (s *Store) Delete(key objectstore.Key, expected uint64, changeID, changedBy string) (tombstone objectstore.Object, conflict *objectstore.ConflictResponse, found bool) {
 	current, found := s.objects[key]
 	if !found {
 		return objectstore.Object{}, nil, false
 	}
 	if current.Deleted || current.Version != expected {
-		return objectstore.Object{}, &objectstore.Conflict{Current: current}, true
+		return objectstore.Object{}, &objectstore.ConflictResponse{Current: current}, true
 	}
 	return s.record(objectstore.Object{
 		Kind:      key.Kind,
--- a/internal/standin/objects/store_test.go
+++ b/internal/standin/objects/store_test.go
@@ -13,9 +13,9 @@
 
 var alarm = objectstore.Key{Kind: "Model", Name: "alarm"}
 
-func write(store *Store, key objectstore.Key, expected uint64, changeID string) (objectstore.Object, *objectstore.Conflict) {
+func write(store *Store, key objectstore.Key, expected uint64, changeID string) (objectstore.Object, *objectstore.ConflictResponse) {
 	object := objectstore.Object{Kind: key.Kind, Name: key.Name, ChangeID: changeID}
-	return store.Write(objectstore.WriteRequest{Object: object, Expected: expected})
+	return store.Write(objectstore.WriteRequest{Object: object, ExpectedVersion: expected})
 }
 
 func TestWriteTakesEffectOnlyAtTheExpectedVersion(t *testing.T) {
--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -10,14 +10,14 @@
 	Method string
 	Kind   string
 	// Status is 0 where no answer came.
-	Status int
-	Took   time.Duration
+	Status   int
+	Duration time.Duration
 	// Era is what the answer names as the store's era, as it came; empty where it names none.
 	Era string
-	// Doubt is why that is not believed; nil where it is.
-	Doubt error
-	// From is the revision that a watch began at; empty of other calls.
-	From string
-	// At is the revision that the answer is from; 0 where it names none.
-	At int64
+	// EraError is why that is not believed; nil where it is.
+	EraError error
+	// FromRevision is the revision that a watch began at; empty of other calls.
+	FromRevision string
+	// AtRevision is the revision that the answer is from; 0 where it names none.
+	AtRevision int64
 }
--- a/internal/storelease/lease.go
+++ b/internal/storelease/lease.go
@@ -14,13 +14,13 @@
 	Address string
 	// Duration is how long a write keeps the lease.
 	Duration time.Duration
-	// Renewal is the time between writes of the holder.
-	Renewal time.Duration
+	// RenewInterval is the time between writes of the holder.
+	RenewInterval time.Duration
 	// Margin covers clocks that run apart, and writes on their way.
 	Margin time.Duration
-	// Quiet is the time that passes between the last order of one holder and
+	// QuietPeriod is the time that passes between the last order of one holder and
 	// the first of another.
-	Quiet time.Duration
+	QuietPeriod time.Duration
 }
 
 // Record is the object as the store has it.
@@ -28,9 +28,9 @@
 	Holder string
 	// Address is where peers reach the holder.
 	Address string
-	// Quiet is how long after this write the holder gives its first order; a
+	// QuietPeriod is how long after this write the holder gives its first order; a
 	// process that starts anew at the holder goes on to wait for it.
-	Quiet time.Duration
+	QuietPeriod time.Duration
 	// Loads are the loads from each weight store that the holder began or may
 	// begin until its next write, as the times since, when it wrote.
 	Loads map[string][]time.Duration
@@ -106,17 +106,17 @@
 	}
 }
 
-// Heard takes from the holder itself that it wrote the object at the position.
-func (c *Core) Heard(now time.Time, holder string, at storepos.Position) {
-	at = at.In(c.record.Position.Era)
+// ObserveWrite takes from the holder itself that it wrote the object at the position.
+func (c *Core) ObserveWrite(now time.Time, holder string, at storepos.Position) {
+	at = at.WithDefaultEra(c.record.Position.Era)
 	if c.known && !at.IsAfter(c.record.Position) {
 		return
 	}
 	c.observe(now, now, Record{Holder: holder, Position: at, Era: at.Era}, false)
 }
 
-// Absent takes that there was no such object in the era, as a call told that was made at asked.
-func (c *Core) Absent(asked, now time.Time, era int64) {
+// ObserveAbsent takes that there was no such object in the era, as a call told that was made at asked.
+func (c *Core) ObserveAbsent(asked, now time.Time, era int64) {
 	record := Record{Position: storepos.At(era, 0)}
 	if c.observe(asked, now, record, true) {
 		c.learnBase(record, true)
@@ -178,9 +178,9 @@
 // IsKnown reports whether the object was read, written or heard of.
 func (c *Core) IsKnown() bool { return c.known }
 
-// CanTake reports whether a write under the condition of the known position
+// CanAcquire reports whether a write under the condition of the known position
 // may take the lease.
-func (c *Core) CanTake(now time.Time) bool {
+func (c *Core) CanAcquire(now time.Time) bool {
 	isFree := c.record.Holder == "" || c.record.Holder == c.options.Holder
 	switch {
 	case !c.known:
@@ -200,24 +200,24 @@
 	}
 }
 
-// Attempt returns the record to write at now, under the condition of the known
+// NextRecord returns the record to write at now, under the condition of the known
 // position.
-func (c *Core) Attempt(now time.Time) Record {
+func (c *Core) NextRecord(now time.Time) Record {
 	from := c.orderFrom
 	if c.term == 0 {
 		from = c.firstOrder(now)
 		c.attemptFrom = from
 	}
 	return Record{
-		Holder: c.options.Holder, Address: c.options.Address, Quiet: max(0, from.Sub(now)),
+		Holder: c.options.Holder, Address: c.options.Address, QuietPeriod: max(0, from.Sub(now)),
 		Position: c.record.Position, Era: c.record.Position.Era, TokenBase: c.tokenBase,
 	}
 }
 
-// Taken takes the answer to a write of this machine that was sent at sent. It reports whether the
+// WriteSucceeded takes the answer to a write of this machine that was sent at sent. It reports whether the
 // write counts: one that the store did after it had come back from a copy was made under a
 // condition of before, which held by chance.
-func (c *Core) Taken(sent, now time.Time, at storepos.Position) bool {
+func (c *Core) WriteSucceeded(sent, now time.Time, at storepos.Position) bool {
 	if at.Era != c.record.Position.Era {
 		return false
 	}
@@ -242,12 +242,12 @@
 	from := sent
 	switch {
 	case c.isRestored:
-		from = c.seen.Add(c.options.Duration + c.options.Quiet + c.options.Margin)
+		from = c.seen.Add(c.options.Duration + c.options.QuietPeriod + c.options.Margin)
 	case c.record.Holder == "":
 	case c.record.Holder == c.options.Holder:
-		from = c.seen.Add(c.record.Quiet)
+		from = c.seen.Add(c.record.QuietPeriod)
 	default:
-		from = c.seen.Add(c.options.Duration + c.options.Quiet + c.options.Margin)
+		from = c.seen.Add(c.options.Duration + c.options.QuietPeriod + c.options.Margin)
 	}
 	if c.attemptFrom.After(from) {
 		from = c.attemptFrom
@@ -259,13 +259,13 @@
 // by the store's newest word. It rises from holder to holder, also over eras.
 func (c *Core) Term() int64 { return c.term }
 
-// MayOrder reports whether an order may leave now.
-func (c *Core) MayOrder(now time.Time) bool {
+// MayIssueOrders reports whether an order may leave now.
+func (c *Core) MayIssueOrders(now time.Time) bool {
 	return c.term != 0 && now.Before(c.validUntil) && !now.Before(c.orderFrom)
 }
 
-// OrderFrom is when the first order of the term may leave.
-func (c *Core) OrderFrom() time.Time { return c.orderFrom }
+// FirstOrderAt is when the first order of the term may leave.
+func (c *Core) FirstOrderAt() time.Time { return c.orderFrom }
 
 // PastLoads are the loads from each weight store that holders before this term
 // may have begun, by the latest time.
@@ -293,16 +293,16 @@
 	if c.isRestored {
 		return c.seen
 	}
-	return c.validUntil.Add(c.options.Renewal - c.options.Duration)
+	return c.validUntil.Add(c.options.RenewInterval - c.options.Duration)
 }
 
 // ValidUntil is when the lease ends.
 func (c *Core) ValidUntil() time.Time { return c.validUntil }
 
-// Lapsed is how long ago the lease ended, or 0 while it is held.
-func (c *Core) Lapsed(now time.Time) time.Duration {
+// ExpiredFor is how long ago the lease ended, or 0 while it is held.
+func (c *Core) ExpiredFor(now time.Time) time.Duration {
 	return max(0, now.Sub(c.validUntil))
 }
 
-// Lost takes that another write won.
-func (c *Core) Lost() { c.term = 0 }
+// WriteConflicted takes that another write won.
+func (c *Core) WriteConflicted() { c.term = 0 }
--- a/internal/storelease/lease_test.go
+++ b/internal/storelease/lease_test.go
@@ -12,8 +12,8 @@
 
 func options(holder string) Options {
 	return Options{
-		Holder: holder, Duration: 2 * time.Second, Renewal: 700 * time.Millisecond,
-		Margin: 300 * time.Millisecond, Quiet: 3 * time.Second,
+		Holder: holder, Duration: 2 * time.Second, RenewInterval: 700 * time.Millisecond,
+		Margin: 300 * time.Millisecond, QuietPeriod: 3 * time.Second,
 	}
 }
 
@@ -21,19 +21,19 @@
 
 func TestFreeLeaseIsTakenAndOrdersAtOnce(t *testing.T) {
 	core := New(options("a"))
-	if core.CanTake(begin) {
+	if core.CanAcquire(begin) {
 		t.Error("a lease that nobody read can be taken")
 	}
-	core.Absent(begin, begin, 0)
-	if !core.CanTake(begin) {
+	core.ObserveAbsent(begin, begin, 0)
+	if !core.CanAcquire(begin) {
 		t.Fatal("a free lease cannot be taken")
 	}
-	core.Attempt(begin)
-	core.Taken(begin, at(4*time.Millisecond), storepos.At(0, 7))
-	if core.Term() != 7 || !core.MayOrder(at(5*time.Millisecond)) {
-		t.Errorf("term %d, may order %v; want 7 and true", core.Term(), core.MayOrder(at(5*time.Millisecond)))
+	core.NextRecord(begin)
+	core.WriteSucceeded(begin, at(4*time.Millisecond), storepos.At(0, 7))
+	if core.Term() != 7 || !core.MayIssueOrders(at(5*time.Millisecond)) {
+		t.Errorf("term %d, may order %v; want 7 and true", core.Term(), core.MayIssueOrders(at(5*time.Millisecond)))
 	}
-	if core.MayOrder(at(2 * time.Second)) {
+	if core.MayIssueOrders(at(2 * time.Second)) {
 		t.Error("orders after its duration, counted from before the write was sent")
 	}
 }
@@ -42,22 +42,22 @@
 	core := New(options("b"))
 	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 5)})
 	core.Observe(at(2*time.Second), at(2*time.Second), Record{Holder: "a", Position: storepos.At(0, 5)})
-	if core.CanTake(at(2299 * time.Millisecond)) {
+	if core.CanAcquire(at(2299 * time.Millisecond)) {
 		t.Error("taken within duration and margin")
 	}
-	if !core.CanTake(at(2301 * time.Millisecond)) {
+	if !core.CanAcquire(at(2301 * time.Millisecond)) {
 		t.Fatal("not to be taken after duration and margin")
 	}
 	sent := at(2400 * time.Millisecond)
-	core.Attempt(sent)
-	core.Taken(sent, sent, storepos.At(0, 6))
-	if core.MayOrder(at(4 * time.Second)) {
+	core.NextRecord(sent)
+	core.WriteSucceeded(sent, sent, storepos.At(0, 6))
+	if core.MayIssueOrders(at(4 * time.Second)) {
 		t.Error("orders within the quiet time")
 	}
 	for renewed := sent; renewed.Before(at(6 * time.Second)); renewed = renewed.Add(700 * time.Millisecond) {
-		core.Taken(renewed, renewed, storepos.At(0, 7))
+		core.WriteSucceeded(renewed, renewed, storepos.At(0, 7))
 	}
-	if core.MayOrder(at(5299*time.Millisecond)) || !core.MayOrder(at(5301*time.Millisecond)) {
+	if core.MayIssueOrders(at(5299*time.Millisecond)) || !core.MayIssueOrders(at(5301*time.Millisecond)) {
 		t.Error("first order is not duration, margin and quiet after the last sight")
 	}
 }
@@ -65,9 +65,9 @@
 func TestSameMachineGoesOnAtOnce(t *testing.T) {
 	core := New(options("a"))
 	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 9), Loads: map[string][]time.Duration{"llm": {time.Second}}})
-	core.Attempt(begin)
-	core.Taken(begin, begin, storepos.At(0, 10))
-	if !core.MayOrder(at(time.Millisecond)) {
+	core.NextRecord(begin)
+	core.WriteSucceeded(begin, begin, storepos.At(0, 10))
+	if !core.MayIssueOrders(at(time.Millisecond)) {
 		t.Error("a machine waits for itself")
 	}
 	loads := core.PastLoads()["llm"]
@@ -80,22 +80,22 @@
 // died before its first order.
 func TestRestartKeepsTheQuietTime(t *testing.T) {
 	core := New(options("b"))
-	core.Observe(begin, begin, Record{Holder: "b", Position: storepos.At(0, 9), Quiet: 2 * time.Second})
-	core.Attempt(begin)
-	core.Taken(begin, begin, storepos.At(0, 10))
-	if core.MayOrder(at(1900 * time.Millisecond)) {
+	core.Observe(begin, begin, Record{Holder: "b", Position: storepos.At(0, 9), QuietPeriod: 2 * time.Second})
+	core.NextRecord(begin)
+	core.WriteSucceeded(begin, begin, storepos.At(0, 10))
+	if core.MayIssueOrders(at(1900 * time.Millisecond)) {
 		t.Error("a restart cut the quiet time short")
 	}
 }
 
 func TestHeardRevisionStartsTheWait(t *testing.T) {
 	core := New(options("b"))
-	core.Heard(begin, "a", storepos.At(0, 5))
-	if core.CanTake(at(3 * time.Second)) {
+	core.ObserveWrite(begin, "a", storepos.At(0, 5))
+	if core.CanAcquire(at(3 * time.Second)) {
 		t.Error("taken without a read of the store")
 	}
 	core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), Record{Holder: "a", Position: storepos.At(0, 5)})
-	if !core.CanTake(at(2400 * time.Millisecond)) {
+	if !core.CanAcquire(at(2400 * time.Millisecond)) {
 		t.Error("the wait does not count from when the revision was heard")
 	}
 }
@@ -115,8 +115,8 @@
 	learned := map[string]float64{"svc": 4.2}
 	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 5), LoadsAtOnce: learned})
 	core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), Record{Holder: "a", Position: storepos.At(0, 5), LoadsAtOnce: learned})
-	core.Attempt(at(2400 * time.Millisecond))
-	core.Taken(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(0, 6))
+	core.NextRecord(at(2400 * time.Millisecond))
+	core.WriteSucceeded(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(0, 6))
 	if got := core.PastLoadsAtOnce()["svc"]; got != 4.2 {
 		t.Errorf("learned %v handed on, want 4.2", got)
 	}
@@ -128,27 +128,27 @@
 	for name, before := range map[string]func(*Core){
 		"read":                    func(*Core) {},
 		"read in the era before":  func(core *Core) { core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(2, 9), Era: 2}) },
-		"heard of a later holder": func(core *Core) { core.Heard(begin, "a", storepos.At(3, 5)) },
+		"heard of a later holder": func(core *Core) { core.ObserveWrite(begin, "a", storepos.At(3, 5)) },
 		"held, and run out": func(core *Core) {
-			core.Absent(at(-time.Hour), at(-time.Hour), 2)
-			core.Taken(at(-time.Hour), at(-time.Hour), storepos.At(2, 9))
+			core.ObserveAbsent(at(-time.Hour), at(-time.Hour), 2)
+			core.WriteSucceeded(at(-time.Hour), at(-time.Hour), storepos.At(2, 9))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			core := New(options("b"))
 			before(core)
 			core.Observe(begin, begin, restored)
-			if core.CanTake(begin) || core.Term() != 0 {
-				t.Errorf("may be taken at once: %v, term %d", core.CanTake(begin), core.Term())
+			if core.CanAcquire(begin) || core.Term() != 0 {
+				t.Errorf("may be taken at once: %v, term %d", core.CanAcquire(begin), core.Term())
 			}
 			core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), restored)
-			if !core.CanTake(at(2400 * time.Millisecond)) {
+			if !core.CanAcquire(at(2400 * time.Millisecond)) {
 				t.Error("may not be taken after a lease")
 			}
-			core.Attempt(at(2400 * time.Millisecond))
-			core.Taken(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(3, 6))
-			if core.OrderFrom().Before(at(5300 * time.Millisecond)) {
-				t.Errorf("the first order leaves %v after the record was seen", core.OrderFrom().Sub(begin))
+			core.NextRecord(at(2400 * time.Millisecond))
+			core.WriteSucceeded(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(3, 6))
+			if core.FirstOrderAt().Before(at(5300 * time.Millisecond)) {
+				t.Errorf("the first order leaves %v after the record was seen", core.FirstOrderAt().Sub(begin))
 			}
 		})
 	}
@@ -178,13 +178,13 @@
 			for i, record := range c.records {
 				now := at(time.Duration(i) * time.Second)
 				if last = record.Position; record.Holder == "" {
-					core.Absent(now, now, record.Position.Era)
+					core.ObserveAbsent(now, now, record.Position.Era)
 				} else {
 					core.Observe(now, now, record)
 				}
 			}
-			core.Attempt(at(time.Minute))
-			core.Taken(at(time.Minute), at(time.Minute), storepos.At(last.Era, last.Revision+1))
+			core.NextRecord(at(time.Minute))
+			core.WriteSucceeded(at(time.Minute), at(time.Minute), storepos.At(last.Era, last.Revision+1))
 			if token := core.Term(); token <= c.least || token >= c.most {
 				t.Errorf("token %d, want one between %d and %d", token, c.least, c.most)
 			}
--- a/internal/storelease/simulation_test.go
+++ b/internal/storelease/simulation_test.go
@@ -109,7 +109,7 @@
 
 func (w *world) options(index int) Options {
 	result := options(string(rune('a' + index)))
-	result.Quiet = w.quiet
+	result.QuietPeriod = w.quiet
 	return result
 }
 
@@ -145,7 +145,7 @@
 
 // step does what a node does: it renews, takes or reads the lease, and orders.
 func (w *world) step(index int, m *machine) {
-	if m.core.MayOrder(w.now) {
+	if m.core.MayIssueOrders(w.now) {
 		w.orders = append(w.orders, order{at: w.now, holder: m.core.options.Holder, token: m.core.Term()})
 	}
 	if m.calling && w.now.Before(m.callEnd) {
@@ -160,7 +160,7 @@
 	case m.core.Term() != 0 && !w.now.Before(m.core.RenewAt()):
 		w.write(index, m)
 	case m.core.Term() != 0:
-	case m.core.CanTake(w.now):
+	case m.core.CanAcquire(w.now):
 		w.write(index, m)
 	default:
 		w.call(index, m, nil)
@@ -168,7 +168,7 @@
 }
 
 func (w *world) write(index int, m *machine) {
-	record := m.core.Attempt(w.now)
+	record := m.core.NextRecord(w.now)
 	w.call(index, m, &record)
 }
 
@@ -228,9 +228,9 @@
 func (w *world) take(m *machine, call *pendingCall) {
 	switch {
 	case call.won:
-		m.core.Taken(call.sent, w.now, call.answered.Position)
+		m.core.WriteSucceeded(call.sent, w.now, call.answered.Position)
 	case call.answered.Position.Revision == 0:
-		m.core.Absent(call.sent, w.now, call.answered.Position.Era)
+		m.core.ObserveAbsent(call.sent, w.now, call.answered.Position.Era)
 	default:
 		m.core.Observe(call.sent, w.now, call.answered)
 	}
--- a/internal/storepos/storepos.go
+++ b/internal/storepos/storepos.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// RewriteTime is how long after the store came back from a copy its answers may lack what the
+// RestoreRewriteTime is how long after the store came back from a copy its answers may lack what the
 // operator and servers had written: they write it again, and the entries of servers that ended lapse.
-const RewriteTime = 6 * time.Second
+const RestoreRewriteTime = 6 * time.Second
 
 // FirstEra is the era of a store that counts from one and never came back from a copy.
 const FirstEra = 2
 
-// EraOf is the era of a store that names the number: one more, as 0 is one that is not told.
-func EraOf(named int64) int64 { return named + 1 }
+// EraFromStore is the era of a store that names the number: one more, as 0 is one that is not told.
+func EraFromStore(named int64) int64 { return named + 1 }
 
 // Position is a place in the order of the store's changes. The zero value is before all others.
 type Position struct {
@@ -48,9 +48,9 @@
 // IsZero reports whether nothing was told.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// In is the position with the era in place of one that is not told, as by a peer of a build that
+// WithDefaultEra is the position with the era in place of one that is not told, as by a peer of a build that
 // knows no eras.
-func (p Position) In(era int64) Position {
+func (p Position) WithDefaultEra(era int64) Position {
 	if p.Era == 0 {
 		p.Era = era
 	}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -21,8 +21,8 @@
 	LabelDirection = "direction"
 	LabelCall      = "call"
 
-	Sent     = "sent"
-	Received = "received"
+	DirectionSent     = "sent"
+	DirectionReceived = "received"
 )
 
 // Counters are the figures of one node.
@@ -46,8 +46,8 @@
 	return created
 }
 
-// Channel counts what goes to and comes from one kind of partner.
-type Channel struct {
+// ChannelCounters counts what goes to and comes from one kind of partner.
+type ChannelCounters struct {
 	name                           string
 	bytesSent, bytesReceived       prometheus.Counter
 	messagesSent, messagesReceived prometheus.Counter
@@ -55,43 +55,43 @@
 }
 
 // Channel returns the counters of one kind of partner, such as peer or store.
-func (c *Counters) Channel(name string) *Channel {
-	return &Channel{
+func (c *Counters) Channel(name string) *ChannelCounters {
+	return &ChannelCounters{
 		name:             name,
-		bytesSent:        c.bytes.WithLabelValues(name, Sent),
-		bytesReceived:    c.bytes.WithLabelValues(name, Received),
-		messagesSent:     c.messages.WithLabelValues(name, Sent),
-		messagesReceived: c.messages.WithLabelValues(name, Received),
+		bytesSent:        c.bytes.WithLabelValues(name, DirectionSent),
+		bytesReceived:    c.bytes.WithLabelValues(name, DirectionReceived),
+		messagesSent:     c.messages.WithLabelValues(name, DirectionSent),
+		messagesReceived: c.messages.WithLabelValues(name, DirectionReceived),
 		callBytes:        c.callBytes,
 	}
 }
 
-// CountClient counts what the client sends and receives from now on; it must
+// InstrumentClient counts what the client sends and receives from now on; it must
 // not have been used yet. Its transport must be an *http.Transport with a
 // DialContext.
-func (c *Channel) CountClient(client *http.Client) {
+func (c *ChannelCounters) InstrumentClient(client *http.Client) {
 	transport := client.Transport.(*http.Transport)
 	transport.DialContext = c.dialer(transport.DialContext)
 	client.Transport = &roundTripper{channel: c, next: transport}
 }
 
-// Listener counts the bytes of the connections that it accepts.
-func (c *Channel) Listener(listener net.Listener) net.Listener {
+// InstrumentListener counts the bytes of the connections that it accepts.
+func (c *ChannelCounters) InstrumentListener(listener net.Listener) net.Listener {
 	return countedListener{Listener: listener, channel: c}
 }
 
-// PacketConn counts datagrams.
-func (c *Channel) PacketConn(connection net.PacketConn) net.PacketConn {
+// InstrumentPacketConn counts datagrams.
+func (c *ChannelCounters) InstrumentPacketConn(connection net.PacketConn) net.PacketConn {
 	return countedPackets{PacketConn: connection, channel: c}
 }
 
-// Handler counts requests and answers.
-func (c *Channel) Handler(next http.Handler) http.Handler {
+// InstrumentHandler counts requests and answers.
+func (c *ChannelCounters) InstrumentHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		c.messagesReceived.Inc()
 		call := path.Base(request.URL.Path)
-		c.callBytes.WithLabelValues(c.name, call, Received).Add(float64(max(0, request.ContentLength)))
-		next.ServeHTTP(&countedWriter{ResponseWriter: writer, bytes: c.callBytes.WithLabelValues(c.name, call, Sent)}, request)
+		c.callBytes.WithLabelValues(c.name, call, DirectionReceived).Add(float64(max(0, request.ContentLength)))
+		next.ServeHTTP(&countedWriter{ResponseWriter: writer, bytes: c.callBytes.WithLabelValues(c.name, call, DirectionSent)}, request)
 		c.messagesSent.Inc()
 	})
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -15,13 +15,13 @@
 	clientFigures, serverFigures := prometheus.NewRegistry(), prometheus.NewRegistry()
 	clientSide := NewCounters(clientFigures).Channel("peer")
 	serverSide := NewCounters(serverFigures).Channel("peer")
-	server := httptest.NewUnstartedServer(serverSide.Handler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	server := httptest.NewUnstartedServer(serverSide.InstrumentHandler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	})))
-	server.Listener = serverSide.Listener(server.Listener)
+	server.Listener = serverSide.InstrumentListener(server.Listener)
 	server.Start()
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
-	clientSide.CountClient(client)
+	clientSide.InstrumentClient(client)
 	for range 3 {
 		response, err := client.Post(server.URL+"/twirp/service/Publish", "text/plain", strings.NewReader("0123456789"))
 		if err != nil {
@@ -38,7 +38,7 @@
 	atClient, atServer := sums(t, clientFigures), sums(t, serverFigures)
 	want := map[string]float64{MetricMessages: 3, MetricCallBytes: 30}
 	for _, metric := range []string{MetricBytes, MetricMessages, MetricCallBytes} {
-		for direction, opposite := range map[string]string{Sent: Received, Received: Sent} {
+		for direction, opposite := range map[string]string{DirectionSent: DirectionReceived, DirectionReceived: DirectionSent} {
 			one, same := atClient[metric+direction], atServer[metric+opposite]
 			if one != same || one == 0 || want[metric] != 0 && one != want[metric] {
 				t.Errorf("%s %s: %v at the client, %v at the server, want %v", metric, direction, one, same, want[metric])
--- a/internal/traffic/wrap.go
+++ b/internal/traffic/wrap.go
@@ -13,7 +13,7 @@
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-func (c *Channel) dialer(next dialFunc) dialFunc {
+func (c *ChannelCounters) dialer(next dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := next(ctx, network, address)
 		if err != nil {
@@ -26,7 +26,7 @@
 // countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
-	channel *Channel
+	channel *ChannelCounters
 }
 
 func (c countedConn) Read(buffer []byte) (int, error) {
@@ -43,7 +43,7 @@
 
 type countedListener struct {
 	net.Listener
-	channel *Channel
+	channel *ChannelCounters
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -57,7 +57,7 @@
 // countedPackets counts datagrams and their bytes.
 type countedPackets struct {
 	net.PacketConn
-	channel *Channel
+	channel *ChannelCounters
 }
 
 func (p countedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
@@ -81,14 +81,14 @@
 // roundTripper counts requests and answers, and the bytes of their bodies by
 // what is called.
 type roundTripper struct {
-	channel *Channel
+	channel *ChannelCounters
 	next    *http.Transport
 }
 
 func (r *roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
 	call := callName(request.URL.Path)
 	r.channel.messagesSent.Inc()
-	r.channel.callBytes.WithLabelValues(r.channel.name, call, Sent).Add(float64(max(0, request.ContentLength)))
+	r.channel.callBytes.WithLabelValues(r.channel.name, call, DirectionSent).Add(float64(max(0, request.ContentLength)))
 	response, err := r.next.RoundTrip(request)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 	r.channel.messagesReceived.Inc()
 	response.Body = countedBody{
 		ReadCloser: response.Body,
-		bytes:      r.channel.callBytes.WithLabelValues(r.channel.name, call, Received),
+		bytes:      r.channel.callBytes.WithLabelValues(r.channel.name, call, DirectionReceived),
 	}
 	return response, nil
 }
--- a/internal/verify/claim_test.go
+++ b/internal/verify/claim_test.go
@@ -80,7 +80,7 @@
 		// Others learn of it from these, or from askers.
 		joined := w.bounds.changed[len(w.bounds.changed)-1]
 		next.keepers[joined] = deepCopy(next.keepers[joined])
-		next.stepKeeper(joined, claim.Learn{Slot: w.bounds.slot(2)}, claimMessage{})
+		next.stepKeeper(joined, claim.SlotUpdate{Slot: w.bounds.slot(2)}, claimMessage{})
 		moves = append(moves, named(next, "the table changes"))
 	}
 	for index := range w.bounds.ends {
@@ -93,7 +93,7 @@
 		next.ends++
 		next.ended[ending] = true
 		for _, other := range w.bounds.changed {
-			next.send(claimMessage{to: other, gone: &claim.Gone{Seat: keeperSeats[ending]}})
+			next.send(claimMessage{to: other, gone: &claim.ProcessEnded{Seat: keeperSeats[ending]}})
 		}
 		moves = append(moves, named(next, "keeper %s ends", keeperSeats[ending].Name))
 	}
--- a/internal/verify/claim_world_test.go
+++ b/internal/verify/claim_world_test.go
@@ -74,13 +74,13 @@
 	to       int
 	asker    int
 	grant    *claim.Grant
-	voted    *claim.Voted
+	voted    *claim.VoteReceived
 	complete *claim.Complete
 	seal     *claim.Seal
 	from     int
-	handed   *claim.Handed
-	learn    *claim.Learn
-	gone     *claim.Gone
+	handed   *claim.SealAnswered
+	learn    *claim.SlotUpdate
+	gone     *claim.ProcessEnded
 	encoded  string
 }
 
@@ -134,7 +134,7 @@
 	defer func() { asker.encoded = encode(asker.core) }()
 	for _, effect := range asker.core.Step(asker.now, input) {
 		switch effect := effect.(type) {
-		case claim.AskGrant:
+		case claim.RequestGrant:
 			grant := effect.Grant
 			w.send(claimMessage{to: keeperIndex(effect.To), asker: index, grant: &grant})
 		case claim.Release:
@@ -164,7 +164,7 @@
 	return string(appendValue(nil, reflect.ValueOf(value), leftOut))
 }
 
-func keeperIndex(seat claim.Seat) int { return slices.IndexFunc(keeperSeats[:], seat.Same) }
+func keeperIndex(seat claim.Seat) int { return slices.IndexFunc(keeperSeats[:], seat.SameProcess) }
 
 // stepKeeper feeds a keeper; its answer goes to the asker or to the keeper
 // that asked. Clocks of keepers stand still: no record expires.
@@ -173,13 +173,13 @@
 	for _, effect := range w.keepers[index].Step(beginning, input) {
 		switch effect := effect.(type) {
 		case claim.GrantReply:
-			w.answer(claimMessage{to: cause.asker, voted: &claim.Voted{
+			w.answer(claimMessage{to: cause.asker, voted: &claim.VoteReceived{
 				From: keeperSeats[index], Version: cause.grant.Slot.Version, Reply: effect,
 			}})
-		case claim.AskSeal:
+		case claim.RequestSeal:
 			w.send(claimMessage{to: keeperIndex(effect.To), from: index, seal: &claim.Seal{Slot: effect.Slot}})
 		case claim.SealReply:
-			w.answer(claimMessage{to: cause.from, handed: &claim.Handed{
+			w.answer(claimMessage{to: cause.from, handed: &claim.SealAnswered{
 				Index: cause.seal.Slot.Index, Version: cause.seal.Slot.Version, From: keeperSeats[index], Reply: effect,
 			}})
 		}
--- a/internal/verify/leadership_core_test.go
+++ b/internal/verify/leadership_core_test.go
@@ -109,7 +109,7 @@
 // questions count from the newest, and of times only their order to the
 // leader's clock matters, since that may jump to the next wake at any moment.
 func appendCore(key []byte, core *leadership.Core, now time.Time) []byte {
-	sequence := core.LastID()
+	sequence := core.LastRequestID()
 	passed := func(name string) uint64 {
 		instant := settable(coreField(core, name)).Interface().(time.Time)
 		if now.Before(instant) {
@@ -122,7 +122,7 @@
 		passed("deadline"), passed("notBefore"),
 		sequence - coreField(core, "learnID").Uint(),
 		coreField(core, "followed").Uint(),
-		core.Learned().Generation,
+		core.RoundRecord().Generation,
 		recordFields.of(coreField(core, "record"), "Generation").Uint(),
 		uint64(core.Fence()),
 		coreField(core, "highest").Uint(),
--- a/internal/verify/leadership_moves_test.go
+++ b/internal/verify/leadership_moves_test.go
@@ -62,13 +62,13 @@
 	if leader.heard < w.stored {
 		next := w.clone(index)
 		next.leaders[index].heard = w.stored
-		next.step(index, leadership.RecordHeard{Record: w.bounds.record(w.stored)})
+		next.step(index, leadership.RecordReceived{Record: w.bounds.record(w.stored)})
 		moves = append(moves, named(next, "%c hears the record", 'A'+index))
 	}
 	if !leader.core.Leading() {
 		return moves
 	}
-	carried := int(leader.core.Learned().Generation)
+	carried := int(leader.core.RoundRecord().Generation)
 	if !w.confirmed && carried == len(w.bounds.limits) && carried > 1 && leader.count() <= w.bounds.limits[carried-1] {
 		next := w.clone(-1)
 		next.confirmed = true
--- a/internal/verify/leadership_world_test.go
+++ b/internal/verify/leadership_world_test.go
@@ -50,7 +50,7 @@
 	return allotment.Record{
 		Generation: uint64(generation),
 		Models: map[fleet.ModelVersion]allotment.Decision{
-			oneModel: {Decided: share.Ceiling, Zones: map[fleet.Zone]allotment.Share{zone: share}},
+			oneModel: {ReplicaLimit: share.Ceiling, Zones: map[fleet.Zone]allotment.Share{zone: share}},
 		},
 		Zones: map[fleet.Zone]allotment.ZoneEntry{zone: {Engines: engineNames[:b.named[generation-1]]}},
 	}
@@ -155,8 +155,8 @@
 			world.stored = len(bounds.limits)
 			leader.heard = world.stored
 		}
-		world.step(index, leadership.RecordHeard{Record: bounds.record(leader.heard)})
-		world.step(index, leadership.Desired{Lead: true})
+		world.step(index, leadership.RecordReceived{Record: bounds.record(leader.heard)})
+		world.step(index, leadership.LeadershipDesired{Lead: true})
 	}
 	return world
 }
@@ -184,9 +184,9 @@
 		case leadership.SendClaim:
 			w.send(message{kind: claimAsked, leader: index, engine: engineIndex(effect.Engine), id: effect.ID,
 				fence: effect.Fence, incarnation: effect.Incarnation})
-		case leadership.Established:
+		case leadership.RoundEstablished:
 			w.established(leader, effect)
-		case leadership.Ended:
+		case leadership.RoundEnded:
 			leader.held, leader.holds, leader.full = [maxEngines]bool{}, [maxEngines]bool{}, 0
 		}
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-func (w *zoneModel) established(leader *leaderModel, round leadership.Established) {
-	leader.full = len(round.Full)
+func (w *zoneModel) established(leader *leaderModel, round leadership.RoundEstablished) {
+	leader.full = len(round.AssumedFull)
 	for name, state := range round.Held {
 		engine := engineIndex(name)
 		leader.held[engine] = true
@@ -282,7 +282,7 @@
 	for _, sent := range w.network {
 		id := sent.id
 		if sent.kind < loadOrdered {
-			id = w.leaders[sent.leader].core.LastID() - id
+			id = w.leaders[sent.leader].core.LastRequestID() - id
 		}
 		one := []byte{byte(sent.kind), byte(sent.leader), byte(sent.engine)}
 		one = binary.AppendUvarint(one, id)
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -9,8 +9,8 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// Value is one published value. The zero Value is empty and ready to use.
-type Value[T any] struct {
+// Observable is one published value. The zero Observable is empty and ready to use.
+type Observable[T any] struct {
 	current atomic.Pointer[T]
 
 	mutex    sync.Mutex
@@ -18,7 +18,7 @@
 }
 
 // Get returns the newest value, and false while none was set.
-func (v *Value[T]) Get() (T, bool) {
+func (v *Observable[T]) Get() (T, bool) {
 	current := v.current.Load()
 	if current == nil {
 		var none T
@@ -29,7 +29,7 @@
 
 // Set replaces the value and calls the watchers in the order of their
 // registration. What is set must not be changed afterwards.
-func (v *Value[T]) Set(value T) {
+func (v *Observable[T]) Set(value T) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.current.Store(&value)
@@ -40,7 +40,7 @@
 
 // Watch calls the function at each later Set, and at once with the value that
 // is already there. The function must not block and must not call Set.
-func (v *Value[T]) Watch(watcher func(T)) {
+func (v *Observable[T]) Watch(watcher func(T)) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.watchers = append(v.watchers, watcher)
@@ -49,18 +49,18 @@
 	}
 }
 
-// Tables are the newest route tables by zone.
-type Tables map[fleet.Zone]fleet.RouteTable
+// RouteTables are the newest route tables by zone.
+type RouteTables map[fleet.Zone]fleet.RouteTable
 
 // Views are the published values of one node.
 type Views struct {
 	// Members is written by the membership shell and includes the node itself
 	// and the delegates known of other zones.
-	Members Value[[]fleet.Member]
+	Members Observable[[]fleet.Member]
 	// Catalog is written by the configuration shell.
-	Catalog Value[*catalog.Snapshot]
-	// Tables is written by the control shell.
-	Tables Value[Tables]
+	Catalog Observable[*catalog.Snapshot]
+	// RouteTables is written by the control shell.
+	RouteTables Observable[RouteTables]
 	// Machines is written by the platform shell.
-	Machines Value[objectstore.MachineList]
+	Machines Observable[objectstore.MachineList]
 }
--- a/internal/waiting/expect.go
+++ b/internal/waiting/expect.go
@@ -15,9 +15,9 @@
 	swapTime = 500 * time.Millisecond
 )
 
-// Expectation is when a model that a request waits for, or a server that takes it, is
+// ReadinessEstimate is when a model that a request waits for, or a server that takes it, is
 // expected to be there.
-type Expectation struct {
+type ReadinessEstimate struct {
 	ReadyIn time.Duration
 	// Announced is set where the leader has announced the load, or the server told when.
 	Announced bool
@@ -25,9 +25,9 @@
 	Overdue time.Duration
 }
 
-// AtWorst is the time until the model is there, as long as it may well become. What is
+// WorstCase is the time until the model is there, as long as it may well become. What is
 // overdue is expected to take as long again.
-func (e Expectation) AtWorst() time.Duration {
+func (e ReadinessEstimate) WorstCase() time.Duration {
 	share := guessedError
 	if e.Announced {
 		share = announcedError
@@ -36,31 +36,31 @@
 }
 
 // returnIn is when somebody who is sent away is to come back.
-func (e Expectation) returnIn() time.Duration { return max(e.ReadyIn, e.Overdue) + refusalMargin }
+func (e ReadinessEstimate) returnIn() time.Duration { return max(e.ReadyIn, e.Overdue) + refusalMargin }
 
-// Watch notes for one request since when its model is overdue.
-type Watch struct {
+// OverdueTracker notes for one request since when its model is overdue.
+type OverdueTracker struct {
 	overdueSince time.Time
 }
 
-// Expect takes the time until the model is there, as announced or guessed.
-func (w *Watch) Expect(now time.Time, readyIn time.Duration, announced bool) Expectation {
+// Estimate takes the time until the model is there, as announced or guessed.
+func (w *OverdueTracker) Estimate(now time.Time, readyIn time.Duration, announced bool) ReadinessEstimate {
 	if !announced || readyIn > 0 {
 		w.overdueSince = time.Time{}
-		return Expectation{ReadyIn: readyIn, Announced: announced}
+		return ReadinessEstimate{ReadyIn: readyIn, Announced: announced}
 	}
 	if w.overdueSince.IsZero() {
 		w.overdueSince = now
 	}
-	return Expectation{Announced: true, Overdue: now.Sub(w.overdueSince)}
+	return ReadinessEstimate{Announced: true, Overdue: now.Sub(w.overdueSince)}
 }
 
-// Copy is where the weights nearest to a free place lie.
-type Copy int
+// CopyLocation is where the weights nearest to a free place lie.
+type CopyLocation int
 
 const (
 	// CopyInStore are weights in the weight store alone.
-	CopyInStore Copy = iota
+	CopyInStore CopyLocation = iota
 	// CopyOnDisk are weights on some server's disk.
 	CopyOnDisk
 	// CopyInMemory are weights in some server's memory.
@@ -72,9 +72,9 @@
 	Store, Disk, Memory time.Duration
 }
 
-// Guess is the time of a load that nobody has announced yet, and that can be ordered in
+// EstimateLoad is the time of a load that nobody has announced yet, and that can be ordered in
 // ordersIn.
-func Guess(ordersIn time.Duration, nearest Copy, times LoadTimes) time.Duration {
+func EstimateLoad(ordersIn time.Duration, nearest CopyLocation, times LoadTimes) time.Duration {
 	takes := times.Store
 	switch nearest {
 	case CopyInMemory:
--- a/internal/waiting/lines.go
+++ b/internal/waiting/lines.go
@@ -16,10 +16,10 @@
 	returnShare = 1.0 / 3
 )
 
-// Lines are the times that callers were told to come back at. Callers of one kind
+// RetrySchedule are the times that callers were told to come back at. Callers of one kind
 // stand in a line, the urgent ones before the others, each kind of its own. They are
 // not safe for concurrent use.
-type Lines struct {
+type RetrySchedule struct {
 	last map[lineKey]time.Time
 }
 
@@ -29,12 +29,12 @@
 	priority int
 }
 
-// NewLines returns lines in which nobody stands.
-func NewLines() *Lines { return &Lines{last: make(map[lineKey]time.Time)} }
+// NewRetrySchedule returns lines in which nobody stands.
+func NewRetrySchedule() *RetrySchedule { return &RetrySchedule{last: make(map[lineKey]time.Time)} }
 
-// Place is when the next caller is to come back, where a place is expected in ready:
+// RetryAfter is when the next caller is to come back, where a place is expected in ready:
 // then, or behind the last one that is as urgent or more.
-func (l *Lines) Place(now time.Time, wanted string, priority int, ready time.Duration) time.Duration {
+func (l *RetrySchedule) RetryAfter(now time.Time, wanted string, priority int, ready time.Duration) time.Duration {
 	at := now.Add(ready)
 	latest := at.Add(longestLine)
 	for key, last := range l.last {
@@ -53,14 +53,14 @@
 	return at.Sub(now)
 }
 
-// PlaceSoon is when the caller of a request is to come back that nothing better is
+// DefaultRetryAfter is when the caller of a request is to come back that nothing better is
 // known of: soon enough to be served in the time left.
-func (l *Lines) PlaceSoon(now time.Time, wanted string, priority int, left time.Duration) time.Duration {
-	return min(l.Place(now, wanted, priority, comeBackTime), LongestReturn(left))
+func (l *RetrySchedule) DefaultRetryAfter(now time.Time, wanted string, priority int, left time.Duration) time.Duration {
+	return min(l.RetryAfter(now, wanted, priority, comeBackTime), MaxRetryDelay(left))
 }
 
-// LongestReturn is the longest time that a caller with the time left waits before it
+// MaxRetryDelay is the longest time that a caller with the time left waits before it
 // comes back.
-func LongestReturn(left time.Duration) time.Duration {
+func MaxRetryDelay(left time.Duration) time.Duration {
 	return max(time.Duration(returnShare*float64(left)), time.Millisecond)
 }
--- a/internal/waiting/lines_test.go
+++ b/internal/waiting/lines_test.go
@@ -25,19 +25,19 @@
 		{"a place that comes later is later", 0, "m", 1, 2 * time.Second, 2 * time.Second},
 		{"who was told a time that is past stands in no line", 3 * time.Second, "m", 2, time.Second, time.Second},
 	}
-	line := NewLines()
+	line := NewRetrySchedule()
 	for _, step := range steps {
-		if got := line.Place(begin.Add(step.after), step.wanted, step.priority, step.ready); got != step.want {
+		if got := line.RetryAfter(begin.Add(step.after), step.wanted, step.priority, step.ready); got != step.want {
 			t.Errorf("%s: %v, want %v", step.name, got, step.want)
 		}
 	}
 	for range 1000 {
-		line.Place(begin, "many", 0, time.Second)
+		line.RetryAfter(begin, "many", 0, time.Second)
 	}
-	if got := line.Place(begin, "many", 0, time.Second); got != time.Second+longestLine {
+	if got := line.RetryAfter(begin, "many", 0, time.Second); got != time.Second+longestLine {
 		t.Errorf("the last of many is told %v, want %v", got, time.Second+longestLine)
 	}
-	line.Place(begin.Add(time.Hour), "many", 0, time.Second)
+	line.RetryAfter(begin.Add(time.Hour), "many", 0, time.Second)
 	if got := len(line.last); got != 1 {
 		t.Errorf("%d lines are kept, want one", got)
 	}
@@ -46,11 +46,11 @@
 // TestCallersComeBackWhileThereIsTime: who has little left is told to come back sooner.
 func TestCallersComeBackWhileThereIsTime(t *testing.T) {
 	begin := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
-	lines := NewLines()
+	lines := NewRetrySchedule()
 	for _, c := range []struct{ left, want time.Duration }{
 		{time.Minute, comeBackTime}, {300 * time.Millisecond, 100 * time.Millisecond}, {0, time.Millisecond}, {-time.Second, time.Millisecond},
 	} {
-		if got := lines.PlaceSoon(begin, c.left.String(), 0, c.left); got != c.want {
+		if got := lines.DefaultRetryAfter(begin, c.left.String(), 0, c.left); got != c.want {
 			t.Errorf("with %v left: %v, want %v", c.left, got, c.want)
 		}
 	}
--- a/internal/waiting/rank.go
+++ b/internal/waiting/rank.go
@@ -1,8 +1,8 @@
 package waiting
 
 const (
-	// LeastRank is the least urgent rank that can be said.
-	LeastRank = 9
+	// LowestRank is the least urgent rank that can be said.
+	LowestRank = 9
 	// ranksOfTenant is the number of ranks of one priority of tenants: among requests of
 	// tenants of one priority the routes' priorities decide, up to that many.
 	ranksOfTenant = 3
@@ -15,11 +15,11 @@
 	if !returned {
 		rank++
 	}
-	return min(LeastRank, rank)
+	return min(LowestRank, rank)
 }
 
-// RankOfTenant is the order of a request whose tenant has a priority, which goes before
+// TenantRank is the order of a request whose tenant has a priority, which goes before
 // that of the route.
-func RankOfTenant(tenant, route int) int {
-	return min(LeastRank, ranksOfTenant*tenant+min(route, ranksOfTenant-1))
+func TenantRank(tenant, route int) int {
+	return min(LowestRank, ranksOfTenant*tenant+min(route, ranksOfTenant-1))
 }
--- a/internal/waiting/world_test.go
+++ b/internal/waiting/world_test.go
@@ -39,7 +39,7 @@
 	model    string
 	first    time.Time
 	request  Request
-	watch    Watch
+	watch    OverdueTracker
 	since    time.Time
 	waits    bool
 	returned bool
@@ -101,7 +101,7 @@
 	waiting map[string][]*worldRequest
 	// asked is when each model was asked for last: the leader counts who was refused, too.
 	asked   map[string]time.Time
-	lines   *Lines
+	lines   *RetrySchedule
 	tallies map[string]*tally
 }
 
@@ -133,7 +133,7 @@
 // play replays the trace and returns what callers got, by kind.
 func play(t *trace, options worldOptions) map[string]*tally {
 	w := &world{
-		options: options, now: worldBegin, waiting: make(map[string][]*worldRequest), asked: make(map[string]time.Time), lines: NewLines(), tallies: make(map[string]*tally),
+		options: options, now: worldBegin, waiting: make(map[string][]*worldRequest), asked: make(map[string]time.Time), lines: NewRetrySchedule(), tallies: make(map[string]*tally),
 	}
 	for range options.servers {
 		w.servers = append(w.servers, &worldServer{held: make(map[string]time.Time), disk: make(map[string]bool), running: make(map[string]int)})
@@ -241,10 +241,10 @@
 
 func (w *world) come(r *worldRequest) {
 	r.request = Request{
-		Arrived: w.now, Deadline: r.first.Add(r.kind.deadline), Stream: true, Goal: r.kind.goal,
-		NeedsModel: true, Returned: r.returned,
+		Arrived: w.now, Deadline: r.first.Add(r.kind.deadline), Stream: true, LatencyGoal: r.kind.goal,
+		NeedsModel: true, IsRetry: r.returned,
 	}
-	r.watch = Watch{}
+	r.watch = OverdueTracker{}
 	r.since = w.now
 	w.asked[r.model] = w.now
 	w.pick(r)
@@ -305,33 +305,33 @@
 
 func (w *world) decide(r *worldRequest) {
 	readyIn, announced := w.readyIn(r.model)
-	expected := r.watch.Expect(w.now, readyIn, announced)
+	expected := r.watch.Estimate(w.now, readyIn, announced)
 	decision := Decide(w.now, r.request, State{}, expected)
-	if w.options.keepAll && decision.Verdict == RefuseTooLate {
-		decision.Verdict = Keep
+	if w.options.keepAll && decision.Verdict == RefuseLoadTooSlow {
+		decision.Verdict = KeepWaiting
 	}
 	tally := w.tally(r.kind)
 	switch decision.Verdict {
-	case Keep:
+	case KeepWaiting:
 		if !r.waits {
 			r.waits = true
 			w.waiting[r.model] = append(w.waiting[r.model], r)
 		}
-		w.after(NextLook(w.now, r.since, r.request, expected), func() {
+		w.after(RecheckDelay(w.now, r.since, r.request, expected), func() {
 			if r.waits {
 				w.pick(r)
 			}
 		})
 		return
-	case RefuseTooLate:
+	case RefuseLoadTooSlow:
 		w.leaveLine(r)
-		back := w.lines.Place(w.now, r.model, r.kind.priority, decision.Ready)
+		back := w.lines.RetryAfter(w.now, r.model, r.kind.priority, decision.ReadyIn)
 		if !r.returned && w.now.Add(back).Before(r.request.Deadline) {
 			r.returned = true
 			w.after(back, func() { w.come(r) })
 			return
 		}
-		if w.now.Sub(r.request.Arrived) <= NewsTime+worldPeriod {
+		if w.now.Sub(r.request.Arrived) <= AnnouncementGracePeriod+worldPeriod {
 			tally.refusedAtOnce++
 		} else {
 			tally.refusedLater++
@@ -361,7 +361,7 @@
 			nearest = CopyOnDisk
 		}
 	}
-	return Guess(0, nearest, worldTimes), false
+	return EstimateLoad(0, nearest, worldTimes), false
 }
 
 func (w *world) rankOf(r *worldRequest) float64 {
