--- a/internal/routing/circuit.go
+++ b/internal/routing/circuit.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// circuitFailures opens a circuit; one is enough where no connection
-	// could be made.
+	// circuitFailures is the number of failures that open a circuit. One is enough if no connection
+	// could be established.
 	circuitFailures = 3
 	circuitOpenMin  = 200 * time.Millisecond
 	circuitOpenMax  = 10 * time.Second
 )
 
-// circuit keeps requests away from a back end that fails, and lets one through
-// from time to time.
+// circuit is a circuit breaker: it stops requests to a failing back end, apart from occasional
+// probes.
 type circuit struct {
 	failures  int
 	openUntil time.Time
 	openFor   time.Duration
 	probing   bool
-	// announced is set once the end of the open time has been told.
-	announced bool
+	// probeAnnounced is set once the end of the open interval has been announced.
+	probeAnnounced bool
 }
 
 // allows reports whether a request may be sent, and whether it is a probe.
@@ -32,18 +32,18 @@
 	return !c.probing && !c.openUntil.After(now), true
 }
 
-func (c *circuit) succeed() {
+func (c *circuit) recordSuccess() {
 	*c = circuit{}
 }
 
-// release ends a probe that told nothing.
-func (c *circuit) release() {
+// releaseProbe ends a probe without a verdict.
+func (c *circuit) releaseProbe() {
 	c.probing = false
 }
 
-func (c *circuit) fail(now time.Time, unreachable bool, random *rand.Rand) {
+func (c *circuit) recordFailure(now time.Time, unreachable bool, random *rand.Rand) {
 	if c.openUntil.After(now) {
-		// Attempts begun before it opened tell nothing new.
+		// Attempts that started before the circuit opened carry no new information.
 		return
 	}
 	c.probing = false
@@ -54,5 +54,5 @@
 	c.openFor = min(max(2*c.openFor, circuitOpenMin), circuitOpenMax)
 	jitter := 0.5 + random.Float64()/2
 	c.openUntil = now.Add(time.Duration(jitter * float64(c.openFor)))
-	c.announced = false
+	c.probeAnnounced = false
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,7 +1,11 @@
-// Package routing is the core that chooses a back end for each attempt: it
-// filters the known back ends, scores those that are left and picks the better
-// of two drawn at random. It keeps the circuits and the node's own requests in
-// flight, since the reports of engines lag.
+// Package routing selects a back end for each attempt of a request: it filters the known back ends,
+// scores the remaining ones and picks the better of two random choices. It owns the circuit
+// breakers, the outlier detection and the node's own attempts in flight, since the load reports of
+// engines lag behind.
 //
-// It may import admission, evacuation, fleet, inventory and locality. No I/O, no clock, no goroutine.
+// The gateway, the simulator and the lab drive a Core with messages, and act on the effects that
+// Step returns.
+//
+// It may import admission, evacuation, fleet, inventory and locality. It does no I/O, reads no
+// clock and starts no goroutines.
 package routing
--- a/internal/routing/evacuation_test.go
+++ b/internal/routing/evacuation_test.go
@@ -13,8 +13,8 @@
 	return Evacuations{Snapshot: evacuation.Snapshot{Zones: zones, Position: storepos.At(0, version)}}
 }
 
-// twoZones drives a core of zone a that knows an idle engine and a service in
-// zone a, and a loaded engine and a service in zone b.
+// twoZones returns a driver for zone a, with an idle engine and a service in zone a, and a loaded
+// engine and a service in zone b.
 func twoZones() *driver {
 	d := newDriver(Options{}, epoch)
 	service := func(name string, zone fleet.Zone) []fleet.Backend {
@@ -39,23 +39,23 @@
 
 func TestNoAttemptGoesToAnEvacuatedZone(t *testing.T) {
 	steps := []struct {
-		name                   string
-		evacuations            Evacuations
-		first, retry, service  string
-		ready, rooms           int
-		allEvacuated, announce bool
+		name                    string
+		evacuations             Evacuations
+		first, retry, service   string
+		ready, capacity         int
+		allEvacuated, announced bool
 	}{
 		{"none", evacuated(1), "a1", "b1", "sa", 2, 2, false, false},
 		{"the own zone", evacuated(3, "a"), "b1", "b1", "sb", 1, 1, false, true},
 		{"an older version", evacuated(2), "b1", "b1", "sb", 1, 1, false, false},
-		{"the other zone, where the first has failed", evacuated(4, "b"), "a1", "a1", "sa", 1, 1, false, true},
+		{"the other zone, so that the retry stays at the failed engine", evacuated(4, "b"), "a1", "a1", "sa", 1, 1, false, true},
 		{"both", evacuated(5, "a", "b"), "", "", "", 0, 0, true, true},
-		{"a zone that nobody knows", evacuated(6, "c"), "a1", "b1", "sa", 2, 2, false, true},
+		{"unknown zone", evacuated(6, "c"), "a1", "b1", "sa", 2, 2, false, true},
 	}
 	d := twoZones()
 	for _, step := range steps {
 		effects := d.core.Step(epoch, step.evacuations)
-		if announced := len(effects) > 0; announced != step.announce {
+		if hasEffects := len(effects) > 0; hasEffects != step.announced {
 			t.Errorf("%s: effects %v", step.name, effects)
 		}
 		ticket, got := d.pick(epoch, nil)
@@ -69,11 +69,11 @@
 			t.Errorf("%s: retried at %q", step.name, got)
 		}
 		if got := d.pickService(); got != step.service {
-			t.Errorf("%s: called %q", step.name, got)
+			t.Errorf("%s: picked service %q", step.name, got)
 		}
-		// Hedges and what waits go by the rooms.
-		if rooms := d.core.Capacity(epoch, notes); rooms.Ready != step.ready || len(rooms.Replicas) != step.rooms {
-			t.Errorf("%s: rooms %+v", step.name, rooms)
+		// Hedges and queued requests depend on the capacity.
+		if capacity := d.core.Capacity(epoch, notes); capacity.Ready != step.ready || len(capacity.Replicas) != step.capacity {
+			t.Errorf("%s: capacity %+v", step.name, capacity)
 		}
 		if d.core.AllEvacuated() != step.allEvacuated {
 			t.Errorf("%s: all evacuated is %v", step.name, !step.allEvacuated)
@@ -85,7 +85,7 @@
 	core := New(Options{Zone: "a"})
 	core.Step(epoch, evacuated(1, "a"))
 	if core.AllEvacuated() {
-		t.Error("a node that knows no table yet takes all zones for evacuated")
+		t.Error("a node without tables reports all zones as evacuated")
 	}
 }
 
@@ -108,7 +108,7 @@
 		ticket, got := d.pick(epoch, with)
 		d.core.Step(epoch, Ended{Ticket: ticket, Result: ResultAbandoned})
 		if got != test.first || d.core.CapacityIn(epoch, notes, test.regions).Ready != test.ready {
-			t.Errorf("%s: picked %q, rooms %+v", test.regions, got, d.core.CapacityIn(epoch, notes, test.regions))
+			t.Errorf("%s: picked %q, capacity %+v", test.regions, got, d.core.CapacityIn(epoch, notes, test.regions))
 		}
 		if d.core.HasZone(test.regions) != (test.first != "") {
 			t.Errorf("%s: has a zone: %v", test.regions, test.first == "")
@@ -116,6 +116,6 @@
 	}
 	d.core.Step(epoch, evacuated(1, "b"))
 	if _, got := d.pick(epoch, func(pick *Pick) { pick.Regions = locality.Only("south") }); got != "" || d.core.HasZone(locality.Only("south")) {
-		t.Errorf("picked %q though the region's zone is evacuated", got)
+		t.Errorf("picked %q although the region's zone is evacuated", got)
 	}
 }
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	healthWeight = 0.1
-	// minSamples are needed before a back end can be an outlier.
+	sampleWeight = 0.1
+	// minSamples is the number of samples needed before a back end can be an outlier.
 	minSamples = 10
-	// outlierFailures is the share of failures of an outlier, outlierFactor
-	// how many times the median its first tokens take.
+	// outlierFailures is the share of failed attempts of an outlier, outlierFactor the multiple of
+	// the median time to first token.
 	outlierFailures = 0.5
 	outlierFactor   = 5
 	ejectionTime    = 10 * time.Second
-	// minOutlierPeers are needed for a median.
+	// minOutlierPeers is the number of back ends needed for a meaningful median.
 	minOutlierPeers = 3
-	// minOutlierDelay keeps quick back ends from being told apart.
+	// minOutlierDelay keeps fast back ends from being ejected for small differences.
 	minOutlierDelay = 200 * time.Millisecond
 )
 
-// health follows how a back end does in the long run.
+// health holds the moving averages of a back end's failures and time to first token.
 type health struct {
-	results, tokens int
-	failures        float64
-	firstToken      time.Duration
-	ejectedUntil    time.Time
+	results, firstTokens int
+	failures             float64
+	firstToken           time.Duration
+	ejectedUntil         time.Time
 }
 
 func (h *health) addResult(now time.Time, failed bool) {
@@ -34,36 +34,36 @@
 	if failed {
 		sample = 1
 	}
-	h.failures += healthWeight * (sample - h.failures)
-	// An answer that goes well ejects no one, whatever was before it.
+	h.failures += sampleWeight * (sample - h.failures)
+	// A success never ejects a back end, whatever happened before.
 	if failed && h.results >= minSamples && h.failures > outlierFailures {
 		h.eject(now)
 	}
 }
 
 func (h *health) addFirstToken(after time.Duration) {
-	h.tokens++
-	if h.tokens == 1 {
+	h.firstTokens++
+	if h.firstTokens == 1 {
 		h.firstToken = after
 	}
-	h.firstToken += time.Duration(healthWeight * float64(after-h.firstToken))
+	h.firstToken += time.Duration(sampleWeight * float64(after-h.firstToken))
 }
 
-// eject sets the back end aside and begins anew with its figures.
+// eject excludes the back end for ejectionTime and resets its averages.
 func (h *health) eject(now time.Time) {
 	*h = health{ejectedUntil: now.Add(ejectionTime)}
 }
 
-// judgeSpeed ejects a target whose first tokens take far longer than those of
-// its peers.
-func (c *Core) judgeSpeed(now time.Time, flight *flight) {
-	target := flight.target
-	if target.health.tokens < minSamples {
+// ejectIfSlow ejects the attempt's target if its time to first token is far above the median of its
+// peers.
+func (c *Core) ejectIfSlow(now time.Time, attempt *attempt) {
+	target := attempt.target
+	if target.health.firstTokens < minSamples {
 		return
 	}
 	var peers []time.Duration
-	for _, peer := range c.byModel[flight.model] {
-		if peer.health.tokens >= minSamples {
+	for _, peer := range c.byModel[attempt.model] {
+		if peer.health.firstTokens >= minSamples {
 			peers = append(peers, peer.health.firstToken)
 		}
 	}
@@ -77,17 +77,17 @@
 	}
 }
 
-// withoutOutliers takes out the ejected, but no more than the share allowed,
-// so that a wide fault does not eject everyone.
+// withoutOutliers removes ejected targets, but at most the allowed share, so that a widespread
+// fault doesn't eject all of them.
 func (c *Core) withoutOutliers(now time.Time, targets []*target) []*target {
-	most := int(c.options.MaxEjectedShare * float64(len(targets)))
+	ejectable := int(c.options.MaxEjectedShare * float64(len(targets)))
 	if c.options.Defects.NoEjectionCap {
-		most = len(targets)
+		ejectable = len(targets)
 	}
 	kept := targets[:0:0]
 	for _, target := range targets {
-		if most > 0 && target.health.ejectedUntil.After(now) {
-			most--
+		if ejectable > 0 && target.health.ejectedUntil.After(now) {
+			ejectable--
 			continue
 		}
 		kept = append(kept, target)
--- a/internal/routing/hints.go
+++ b/internal/routing/hints.go
@@ -7,34 +7,34 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// receiveHint takes what the back end of an attempt told of its own future: it binds all later choices,
-// whatever the tables say of that incarnation.
+// receiveHint applies a hint in the response to an attempt. It affects all later selections of that
+// incarnation, whatever the tables say.
 func (c *Core) receiveHint(now time.Time, received HintReceived) {
-	flight, found := c.flights[received.Ticket]
-	if !found || flight.incarnation != flight.target.engine.Incarnation {
+	attempt, found := c.attempts[received.Ticket]
+	if !found || attempt.incarnation != attempt.target.engine.Incarnation {
 		return
 	}
-	hint, target := received.Hint, flight.target
-	// Services have no incarnation: that they drain is held by the list of machines, which
-	// also tells that they are back.
+	hint, target := received.Hint, attempt.target
+	// Services have no incarnation: their draining state is kept in the list of machines, which
+	// also shows when they are back.
 	hint.Draining = hint.Draining && target.backend.Kind == fleet.KindEngine
-	before := target.bounds.Backoff(now)
-	target.bounds.ReceiveHint(now, hint)
-	if backoff := target.bounds.Backoff(now); backoff > before {
-		for model := range target.ready {
-			c.announce(now.Add(backoff), model)
+	before := target.admissionState.Backoff(now)
+	target.admissionState.ReceiveHint(now, hint)
+	if backoff := target.admissionState.Backoff(now); backoff > before {
+		for model := range target.readySince {
+			c.scheduleChange(now.Add(backoff), model)
 		}
 	}
 }
 
-// BackoffEnds is when the first of a model's replicas takes work again, where all that attempts may
-// begin at want nothing for now; ok is false where one takes work, or there is none.
+// BackoffEnds returns when the first of a model's replicas takes work again, if all those at which
+// attempts may start are backing off. ok is false if one of them takes work, or there is none.
 func (c *Core) BackoffEnds(now time.Time, model fleet.ModelVersion, regions locality.Regions) (until time.Time, ok bool) {
 	for _, target := range c.byModel[model] {
 		if c.isClosed(target, regions) {
 			continue
 		}
-		backoff := target.bounds.Backoff(now)
+		backoff := target.admissionState.Backoff(now)
 		if backoff == 0 {
 			return time.Time{}, false
 		}
--- a/internal/routing/hints_test.go
+++ b/internal/routing/hints_test.go
@@ -8,17 +8,17 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// TestWordsBindOneIncarnation: a rest until it is over, and leaving whatever newer tables say; an
-// answer to an attempt at the incarnation before changes nothing.
-func TestWordsBindOneIncarnation(t *testing.T) {
+// TestHintsBindOneIncarnation: a backoff binds until it ends, and draining whatever newer tables
+// say. A response from the previous incarnation changes nothing.
+func TestHintsBindOneIncarnation(t *testing.T) {
 	for name, c := range map[string]struct {
 		hint  inventory.Hint
 		after time.Duration
 		want  string
 	}{
-		"in the rest":    {inventory.Hint{Backoff: 3 * time.Second}, 2999 * time.Millisecond, ""},
-		"after the rest": {inventory.Hint{Backoff: 3 * time.Second}, 3 * time.Second, "e1"},
-		"leaving":        {inventory.Hint{Draining: true}, time.Hour, ""},
+		"during the backoff": {inventory.Hint{Backoff: 3 * time.Second}, 2999 * time.Millisecond, ""},
+		"after the backoff":  {inventory.Hint{Backoff: 3 * time.Second}, 3 * time.Second, "e1"},
+		"draining":           {inventory.Hint{Draining: true}, time.Hour, ""},
 	} {
 		d := newDriver(Options{}, epoch, engine("e1", "a", 0))
 		ticket, _ := d.pick(epoch, nil)
@@ -35,12 +35,13 @@
 		d.core.Step(now, tables(again))
 		d.core.Step(now, HintReceived{Ticket: late, Hint: inventory.Hint{Draining: true}})
 		if _, got := d.pick(now, nil); got != "e1" {
-			t.Errorf("%s: the next incarnation is left alone", name)
+			t.Errorf("%s: the next incarnation is not picked", name)
 		}
 	}
 }
 
-// TestRestIsAnnouncedAtItsEnd: what waits asks again then, also where refusals came behind it.
+// TestRestIsAnnouncedAtItsEnd: waiting requests try again when a backoff ends, even if refusals
+// followed it.
 func TestRestIsAnnouncedAtItsEnd(t *testing.T) {
 	d := newDriver(Options{}, epoch, engine("e1", "a", 0))
 	ticket, _ := d.pick(epoch, nil)
@@ -49,7 +50,7 @@
 	d.core.Step(epoch, Ended{Ticket: other, Result: ResultRefused})
 	for _, at := range []time.Duration{refusalPause, 3 * time.Second} {
 		if wake := d.core.NextWake(); !wake.Equal(epoch.Add(at)) {
-			t.Errorf("wakes at %v, want %v", wake.Sub(epoch), at)
+			t.Errorf("next wake at %v, want %v", wake.Sub(epoch), at)
 		}
 		if effects := d.core.Step(epoch.Add(at), Tick{}); len(effects) != 1 || effects[0] != (CapacityChanged{Model: notes}) {
 			t.Errorf("at %v: %v", at, effects)
@@ -57,7 +58,7 @@
 	}
 }
 
-// TestRestOfAService: services take commands, and rest as well.
+// TestRestOfAService: a service, which takes commands, can back off as well.
 func TestRestOfAService(t *testing.T) {
 	core := New(Options{Zone: "a"})
 	table := fleet.RouteTable{Zone: "a", Services: []fleet.Backend{{Name: "s1", Kind: fleet.KindService, Zone: "a", Service: "turbines"}}}
--- a/internal/routing/message.go
+++ b/internal/routing/message.go
@@ -9,89 +9,88 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Ticket names one attempt within a node.
+// Ticket identifies one attempt within a node.
 type Ticket uint64
 
 // Message is an input of the core.
 type Message interface{ isMessage() }
 
-// Tables replaces what is known of all zones.
+// Tables replaces the route tables of all zones.
 type Tables struct{ Tables []fleet.RouteTable }
 
-// Leaving names back ends that take no new work, heard apart from the tables,
-// and replaces the names heard before.
+// Leaving replaces the set of back ends that were reported, separately from the tables, to take no
+// new work.
 type Leaving struct{ Backends []fleet.BackendName }
 
-// Evacuations names the zones that no attempt may go to, as of a version of the
-// configuration.
+// Evacuations sets the zones to which no attempt may go, as of a version of the configuration.
 type Evacuations struct{ evacuation.Snapshot }
 
-// Topology tells the region of each zone.
+// Topology sets the region of each zone.
 type Topology struct{ locality.Map }
 
-// Pick asks for an engine that serves the model.
+// Pick requests an engine that serves the model.
 type Pick struct {
 	Ticket  Ticket
 	Model   fleet.ModelVersion
 	Adapter fleet.AdapterName
 	// Prefix are the hashes of the prompt's leading blocks.
 	Prefix []uint64
-	// Exclude are engines that this request has failed at; they are picked
-	// only where no other is left.
+	// Exclude lists the engines at which this request failed. They are picked only if there is no
+	// other.
 	Exclude []fleet.BackendName
 	// Regions are those in which the attempt may run.
 	Regions locality.Regions
-	// ColocationKey, where it is not 0, has all picks with this number go to one engine of
-	// those that may be sent to, whatever their load.
+	// ColocationKey, if not 0, sends all picks with the same key to the same engine among the
+	// candidates, whatever their load.
 	ColocationKey uint64
 }
 
-// PickService asks for a back end of a declared service.
+// PickService requests a back end of a declared service.
 type PickService struct {
 	Ticket  Ticket
 	Service string
 	Exclude []fleet.BackendName
-	// Regions and Together are as in Pick.
+	// Regions and ColocationKey are as in Pick.
 	Regions       locality.Regions
 	ColocationKey uint64
 }
 
-// Result is how an attempt ended, as far as it concerns the back end.
+// Result is the result of an attempt with respect to the back end.
 type Result int
 
 // The results of an attempt.
 const (
-	// ResultOK is a whole answer, whatever its status says to the caller.
+	// ResultOK is a complete response, whatever its status code.
 	ResultOK Result = iota + 1
-	// ResultFailed is an error, a broken stream or a time-out.
+	// ResultFailed is an error, a broken stream or a timeout.
 	ResultFailed
-	// ResultUnreachable means that no connection could be made.
+	// ResultUnreachable means that no connection could be established.
 	ResultUnreachable
-	// ResultRefused means that the back end declined before running.
+	// ResultRefused means that the back end declined the attempt before running it.
 	ResultRefused
-	// ResultAbandoned means that the caller left; it says nothing of the back end.
+	// ResultAbandoned means that the caller left; it says nothing about the back end.
 	ResultAbandoned
 )
 
-// FirstToken tells that the attempt's answer began.
+// FirstToken reports that the response to an attempt has begun.
 type FirstToken struct {
 	Ticket Ticket
 	After  time.Duration
 }
 
-// HintReceived tells what the back end of a picked attempt said of its own future with an answer.
+// HintReceived reports a hint in the response to a picked attempt.
 type HintReceived struct {
 	Ticket Ticket
 	Hint   inventory.Hint
 }
 
-// Ended tells that a picked attempt is over.
+// Ended reports that a picked attempt has ended.
 type Ended struct {
 	Ticket Ticket
 	Result Result
 }
 
-// Tick is wanted at NextWake.
+// Tick is to be sent at the time that NextWake returns.
 type Tick struct{}
 
 func (Tables) isMessage()       {}
@@ -112,21 +111,21 @@
 type Picked struct {
 	Ticket  Ticket
 	Backend fleet.Backend
-	// Probe is set when the attempt tries a circuit that was open.
+	// Probe is set if the attempt probes a circuit that was open.
 	Probe bool
-	// Limit is the rate limit that the back end names, in the incarnation that was picked.
+	// Limit is the rate limit that the back end announced in this incarnation.
 	Limit       inventory.RateLimit
 	Incarnation uint64
 }
 
-// NonePicked answers a Pick or PickService that no back end passes.
+// NonePicked answers a Pick or PickService for which no back end is eligible.
 type NonePicked struct {
 	Ticket Ticket
-	// Known tells whether any back end was known that attempts may begin at.
+	// Known reports whether any back end is known at which attempts may start.
 	Known bool
 }
 
-// CapacityChanged tells that the room for a model may have grown.
+// CapacityChanged reports that the free capacity for a model may have grown.
 type CapacityChanged struct{ Model fleet.ModelVersion }
 
 func (Picked) isEffect()          {}
--- a/internal/routing/rooms.go
+++ b/internal/routing/rooms.go
@@ -7,61 +7,61 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// ReplicaCapacity is what one ready replica can take.
+// ReplicaCapacity is the free capacity of one replica.
 type ReplicaCapacity struct {
 	Name      fleet.BackendName
 	FreeSlots int
 	Adapters  []fleet.AdapterName
 }
 
-// ModelCapacity is what the replicas of one model can take.
+// ModelCapacity is the capacity of the replicas of one model.
 type ModelCapacity struct {
-	// Ready counts the replicas that attempts may begin at, Slots what those that may
-	// be sent to now run at a time.
+	// Ready is the number of replicas at which attempts may start. Slots is the number of
+	// concurrent requests of those replicas to which attempts may be sent now.
 	Ready    int
 	Slots    int
 	Replicas []ReplicaCapacity
 }
 
-// Capacity returns the room at each replica of the model.
+// Capacity returns the capacity of the model's replicas.
 func (c *Core) Capacity(now time.Time, model fleet.ModelVersion) ModelCapacity {
 	return c.CapacityIn(now, model, locality.Regions{})
 }
 
-// CapacityIn returns the room at each replica of the model in the regions.
+// CapacityIn returns the capacity of the model's replicas in the regions.
 func (c *Core) CapacityIn(now time.Time, model fleet.ModelVersion, regions locality.Regions) ModelCapacity {
-	var rooms ModelCapacity
+	var capacity ModelCapacity
 	for _, target := range c.byModel[model] {
 		if !c.isClosed(target, regions) {
-			rooms.Ready++
+			capacity.Ready++
 		}
 	}
 	candidates, _ := c.filter(now, model, regions, c.byModel[model])
 	for _, target := range candidates {
-		rooms.Slots += target.slots
-		free := c.free(now, target)
+		capacity.Slots += target.slots
+		free := c.freeSlots(now, target)
 		if _, probe := target.circuit.allows(now); probe {
 			free = min(free, 1)
 		}
-		rooms.Replicas = append(rooms.Replicas, ReplicaCapacity{Name: target.backend.Name, FreeSlots: free,
+		capacity.Replicas = append(capacity.Replicas, ReplicaCapacity{Name: target.backend.Name, FreeSlots: free,
 			Adapters: target.engine.Find(model).Adapters})
 	}
-	return rooms
+	return capacity
 }
 
-// staleShare is the part of its slots that a node may use of an engine whose
-// report is old: a report that no longer comes must not keep requests waiting.
-const staleShare = 4
+// staleSlotDivisor divides an engine's slots: if the engine's report is stale, a node may use that
+// part of them, since a missing report must not block requests.
+const staleSlotDivisor = 4
 
-func (c *Core) free(now time.Time, target *target) int {
-	free := max(0, target.slots-target.load(c.options))
+func (c *Core) freeSlots(now time.Time, target *target) int {
+	freeSlots := max(0, target.slots-target.load(c.options))
 	if c.isStale(now, target) {
-		free = max(free, max(1, target.slots/staleShare)-len(target.starts))
+		freeSlots = max(freeSlots, max(1, target.slots/staleSlotDivisor)-len(target.starts))
 	}
-	return free
+	return freeSlots
 }
 
-// WeightedVersion is one choice with its share.
+// WeightedVersion is a model version and its share of the traffic.
 type WeightedVersion struct {
 	Model  fleet.ModelVersion
 	Weight int
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -11,39 +11,38 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Options are the constants of routing. Zero values are replaced by the
-// defaults.
+// Options configure a Core. Zero values are replaced by the defaults.
 type Options struct {
 	Zone fleet.Zone
 	Seed uint64
-	// EngineSlots is the number of requests that an engine is taken to run at
-	// a time until its reports tell more.
+	// EngineSlots is the assumed number of concurrent requests of an engine until its reports show
+	// the actual one.
 	EngineSlots int
-	// ReportLag is how old a report is taken to be when it comes in.
+	// ReportLag is the assumed age of a report when it arrives.
 	ReportLag time.Duration
-	// StaleAfter is the age from which a report alone is not believed.
+	// StaleAfter is the age from which a report is no longer relied on alone.
 	StaleAfter time.Duration
-	// SlowStart is the time over which a fresh replica's room grows to full.
+	// SlowStart is the time in which the load on a new replica is ramped up.
 	SlowStart time.Duration
 	// OtherZoneCost is added to the score of a back end in another zone.
 	OtherZoneCost time.Duration
 	// PrefillSaved is the time saved by each prompt block in the cache.
 	PrefillSaved time.Duration
-	// MaxEjectedShare is the part of the replicas of a model, or of the back
-	// ends of a service, that may be ejected as outliers at a time.
+	// MaxEjectedShare is the share of a model's replicas, or of a service's back ends, that may be
+	// ejected as outliers at a time.
 	MaxEjectedShare float64
 	Defects         Defects
 }
 
-// Defects are faults to plant. Only tests and the simulator set them.
+// Defects are faults to inject. Only tests and the simulator set them.
 type Defects struct {
-	// TrustReports leaves out the node's own requests in flight.
+	// TrustReports ignores the node's own attempts in flight.
 	TrustReports bool
-	// IgnoreLeaving picks back ends that leave.
+	// IgnoreLeaving picks back ends that are leaving.
 	IgnoreLeaving bool
 	// NoEjectionCap ejects every outlier.
 	NoEjectionCap bool
-	// FirstBest takes the best of all by score in place of the best of two.
+	// FirstBest picks the best of all candidates by score instead of the best of two.
 	FirstBest bool
 }
 
@@ -70,12 +69,12 @@
 	return o
 }
 
-// flight is one attempt that the node has at a back end.
-type flight struct {
+// attempt is an attempt of this node in flight at a back end.
+type attempt struct {
 	target  *target
 	model   fleet.ModelVersion
 	started time.Time
-	// incarnation is that of the back end as it was picked.
+	// incarnation is the back end's incarnation when it was picked.
 	incarnation uint64
 }
 
@@ -88,18 +87,18 @@
 	byModel   map[fleet.ModelVersion][]*target
 	byService map[string][]*target
 	leaving   map[fleet.BackendName]bool
-	// zones are those of the tables.
+	// zones are the zones that have a table.
 	zones       map[fleet.Zone]bool
 	evacuations *evacuation.Table
-	places      locality.Map
-	flights     map[Ticket]*flight
-	// announcements are the times at which a model's room may grow without a
-	// message, oldest first.
-	announcements []announcement
-	effects       []Effect
+	topology    locality.Map
+	attempts    map[Ticket]*attempt
+	// scheduledChanges are the times at which a model's capacity may grow without a message,
+	// earliest first.
+	scheduledChanges []scheduledChange
+	effects          []Effect
 }
 
-// New returns a core that knows no back end.
+// New returns a core that knows no back ends.
 func New(options Options) *Core {
 	return &Core{
 		options:   options.withDefaults(),
@@ -109,26 +108,26 @@
 		byService: make(map[string][]*target),
 		leaving:   make(map[fleet.BackendName]bool),
 		zones:     make(map[fleet.Zone]bool),
-		flights:   make(map[Ticket]*flight),
+		attempts:  make(map[Ticket]*attempt),
 
 		evacuations: evacuation.New(),
 	}
 }
 
-// Step takes one message. The effects are valid until the next Step.
+// Step handles one message. The effects are valid until the next Step.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	clear(c.effects)
 	c.effects = c.effects[:0]
 	switch message := message.(type) {
 	case Tables:
-		c.takeTables(now, message.Tables)
+		c.applyTables(now, message.Tables)
 	case Leaving:
-		c.takeLeaving(message.Backends)
+		c.applyLeaving(message.Backends)
 	case Evacuations:
-		c.takeEvacuations(now, message.Snapshot)
+		c.applyEvacuations(now, message.Snapshot)
 	case Topology:
-		c.places = message.Map
-		c.announceAll()
+		c.topology = message.Map
+		c.emitAllCapacityChanges()
 	case Pick:
 		c.pick(now, message)
 	case PickService:
@@ -136,53 +135,55 @@
 	case HintReceived:
 		c.receiveHint(now, message)
 	case FirstToken:
-		c.firstToken(now, message)
+		c.handleFirstToken(now, message)
 	case Ended:
-		c.ended(now, message)
+		c.handleEnded(now, message)
 	case Tick:
-		c.makeAnnouncements(now)
-		c.wakeCircuits(now)
+		c.emitScheduledChanges(now)
+		c.emitProbeableCircuits(now)
 	}
 	return c.effects
 }
 
-// NextWake is when the next open circuit may be probed.
+// NextWake returns the time at which the next Tick is due: when an open circuit may be probed or a
+// scheduled capacity change happens. It is zero if none is due.
 func (c *Core) NextWake() time.Time {
 	var wake time.Time
 	for _, target := range c.targets {
 		at := target.circuit.openUntil
-		if !at.IsZero() && !target.circuit.announced && (wake.IsZero() || at.Before(wake)) {
+		if !at.IsZero() && !target.circuit.probeAnnounced && (wake.IsZero() || at.Before(wake)) {
 			wake = at
 		}
 	}
-	if len(c.announcements) > 0 && (wake.IsZero() || c.announcements[0].at.Before(wake)) {
-		wake = c.announcements[0].at
+	if len(c.scheduledChanges) > 0 && (wake.IsZero() || c.scheduledChanges[0].at.Before(wake)) {
+		wake = c.scheduledChanges[0].at
 	}
 	return wake
 }
 
-type announcement struct {
+// scheduledChange is a time at which the capacity for a model may grow.
+type scheduledChange struct {
 	at    time.Time
 	model fleet.ModelVersion
 }
 
-func (c *Core) announce(at time.Time, model fleet.ModelVersion) {
-	wanted := announcement{at: at, model: model}
-	// A rest ends long after the refusals that come behind it.
-	index := len(c.announcements)
-	for index > 0 && c.announcements[index-1].at.After(at) {
+func (c *Core) scheduleChange(at time.Time, model fleet.ModelVersion) {
+	change := scheduledChange{at: at, model: model}
+	// A backoff usually ends long after the refusals that follow it, so search from the end.
+	index := len(c.scheduledChanges)
+	for index > 0 && c.scheduledChanges[index-1].at.After(at) {
 		index--
 	}
-	if index > 0 && c.announcements[index-1] == wanted {
+	if index > 0 && c.scheduledChanges[index-1] == change {
 		return
 	}
-	c.announcements = slices.Insert(c.announcements, index, wanted)
+	c.scheduledChanges = slices.Insert(c.scheduledChanges, index, change)
 }
 
-func (c *Core) makeAnnouncements(now time.Time) {
-	for len(c.announcements) > 0 && !c.announcements[0].at.After(now) {
-		model := c.announcements[0].model
-		c.announcements = c.announcements[1:]
+func (c *Core) emitScheduledChanges(now time.Time) {
+	for len(c.scheduledChanges) > 0 && !c.scheduledChanges[0].at.After(now) {
+		model := c.scheduledChanges[0].model
+		c.scheduledChanges = c.scheduledChanges[1:]
 		if !model.IsZero() {
 			c.emit(CapacityChanged{Model: model})
 		}
@@ -193,7 +194,7 @@
 	c.effects = append(c.effects, effect)
 }
 
-func (c *Core) takeTables(now time.Time, tables []fleet.RouteTable) {
+func (c *Core) applyTables(now time.Time, tables []fleet.RouteTable) {
 	seen := make(map[fleet.BackendName]bool, len(c.targets))
 	changed := false
 	clear(c.zones)
@@ -201,7 +202,7 @@
 		c.zones[table.Zone] = true
 		for _, engine := range table.Engines {
 			seen[engine.Name] = true
-			changed = c.target(engine.Name).takeEngine(now, engine, c.options) || changed
+			changed = c.target(engine.Name).applyEngine(now, engine, c.options) || changed
 		}
 		for _, service := range table.Services {
 			seen[service.Name] = true
@@ -216,15 +217,15 @@
 			changed = true
 		}
 	}
-	// Most tables bring newer reports only, which the lists do not hold.
+	// Most tables only contain newer reports, which the indexes don't depend on.
 	if changed {
-		c.index()
+		c.rebuildIndexes()
 	}
-	c.announceAll()
+	c.emitAllCapacityChanges()
 }
 
-// announceAll has the room of each model asked for anew.
-func (c *Core) announceAll() {
+// emitAllCapacityChanges emits CapacityChanged for every model.
+func (c *Core) emitAllCapacityChanges() {
 	for _, model := range c.models() {
 		c.emit(CapacityChanged{Model: model})
 	}
@@ -239,8 +240,8 @@
 	return created
 }
 
-// index rebuilds the lists by model and by service.
-func (c *Core) index() {
+// rebuildIndexes rebuilds the indexes by model and by service.
+func (c *Core) rebuildIndexes() {
 	names := make([]fleet.BackendName, 0, len(c.targets))
 	for name := range c.targets {
 		names = append(names, name)
@@ -271,23 +272,22 @@
 	return models
 }
 
-func (c *Core) takeLeaving(backends []fleet.BackendName) {
+func (c *Core) applyLeaving(backends []fleet.BackendName) {
 	clear(c.leaving)
 	for _, name := range backends {
 		c.leaving[name] = true
 	}
 }
 
-// takeEvacuations tells of the room of all models at once: what waits for an
-// engine of an evacuated zone has to wait for another one.
-func (c *Core) takeEvacuations(now time.Time, word evacuation.Snapshot) {
-	if len(c.evacuations.ApplyPeerSnapshot(now, word)) > 0 {
-		c.announceAll()
+// applyEvacuations emits CapacityChanged for all models at once: requests that wait for an engine
+// of an evacuated zone have to wait for another one.
+func (c *Core) applyEvacuations(now time.Time, snapshot evacuation.Snapshot) {
+	if len(c.evacuations.ApplyPeerSnapshot(now, snapshot)) > 0 {
+		c.emitAllCapacityChanges()
 	}
 }
 
-// HasZone reports whether some zone that has a table is in service and lies in the
-// regions.
+// HasZone reports whether any zone that has a table is in service and lies in the regions.
 func (c *Core) HasZone(regions locality.Regions) bool {
 	for zone := range c.zones {
 		if c.isInService(zone, regions) {
@@ -297,68 +297,69 @@
 	return false
 }
 
-// isInService reports whether attempts that may run in the regions may begin in the
-// zone.
+// isInService reports whether attempts within the regions may start in the zone.
 func (c *Core) isInService(zone fleet.Zone, regions locality.Regions) bool {
-	return !c.evacuations.IsEvacuated(string(zone)) && regions.Allows(c.places.Region(string(zone)))
+	return !c.evacuations.IsEvacuated(string(zone)) && regions.Allows(c.topology.Region(string(zone)))
 }
 
-// AllEvacuated reports whether every zone that has a table is evacuated, so that
-// there is nowhere to send a request.
+// AllEvacuated reports whether every zone that has a table is evacuated, so that there is nowhere
+// to send a request.
 func (c *Core) AllEvacuated() bool {
 	return len(c.zones) > 0 && !c.HasZone(locality.Regions{})
 }
 
-func (c *Core) firstToken(now time.Time, message FirstToken) {
-	flight, found := c.flights[message.Ticket]
+func (c *Core) handleFirstToken(now time.Time, message FirstToken) {
+	attempt, found := c.attempts[message.Ticket]
 	if !found {
 		return
 	}
-	flight.target.circuit.succeed()
-	flight.target.health.addFirstToken(message.After)
-	c.judgeSpeed(now, flight)
+	attempt.target.circuit.recordSuccess()
+	attempt.target.health.addFirstToken(message.After)
+	c.ejectIfSlow(now, attempt)
 }
 
-func (c *Core) ended(now time.Time, ended Ended) {
-	flight, found := c.flights[ended.Ticket]
+func (c *Core) handleEnded(now time.Time, ended Ended) {
+	attempt, found := c.attempts[ended.Ticket]
 	if !found {
 		return
 	}
-	delete(c.flights, ended.Ticket)
-	target := flight.target
-	target.ended(now, flight.started, c.options.ReportLag)
+	delete(c.attempts, ended.Ticket)
+	target := attempt.target
+	target.ended(now, attempt.started, c.options.ReportLag)
 	switch ended.Result {
 	case ResultOK:
-		target.circuit.succeed()
+		target.circuit.recordSuccess()
 		target.health.addResult(now, false)
 	case ResultFailed, ResultUnreachable:
-		target.circuit.fail(now, ended.Result == ResultUnreachable, c.random)
+		target.circuit.recordFailure(now, ended.Result == ResultUnreachable, c.random)
 		target.health.addResult(now, true)
 	case ResultRefused:
-		// Said before anything ran: the table may lag behind the back end.
-		target.circuit.release()
-		target.refuse(now, flight.model)
-		c.announce(now.Add(refusalPause), flight.model)
+		// The refusal came before anything ran: the table may lag behind the back end.
+		target.circuit.releaseProbe()
+		target.refuse(now, attempt.model)
+		c.scheduleChange(now.Add(refusalPause), attempt.model)
 	case ResultAbandoned:
-		target.circuit.release()
+		target.circuit.releaseProbe()
 	}
-	if !flight.model.IsZero() {
-		c.emit(CapacityChanged{Model: flight.model})
+	if !attempt.model.IsZero() {
+		c.emit(CapacityChanged{Model: attempt.model})
 	}
 }
 
-func (c *Core) wakeCircuits(now time.Time) {
+// emitProbeableCircuits emits CapacityChanged for the models of targets whose open circuit may now
+// be probed, once for each time that a circuit opens.
+func (c *Core) emitProbeableCircuits(now time.Time) {
 	for _, model := range c.models() {
 		for _, target := range c.byModel[model] {
 			circuit := &target.circuit
-			if !circuit.openUntil.IsZero() && !circuit.openUntil.After(now) && !circuit.announced {
+			if !circuit.openUntil.IsZero() && !circuit.openUntil.After(now) && !circuit.probeAnnounced {
 				c.emit(CapacityChanged{Model: model})
 			}
 		}
 	}
 	for _, target := range c.targets {
 		if !target.circuit.openUntil.After(now) {
-			target.circuit.announced = true
+			target.circuit.probeAnnounced = true
 		}
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -30,7 +30,7 @@
 	return Tables{Tables: []fleet.RouteTable{{Zone: "a", Engines: engines}}}
 }
 
-// driver numbers attempts and shows what was picked.
+// driver assigns tickets and returns the names of the picked back ends.
 type driver struct {
 	core *Core
 	next Ticket
@@ -112,23 +112,23 @@
 	d.fail(epoch, ResultFailed)
 	d.fail(epoch, ResultFailed)
 	if _, got := d.pick(epoch, nil); got != "e1" {
-		t.Fatal("opened too early")
+		t.Fatal("circuit opened too early")
 	}
 	d.fail(epoch, ResultFailed)
 	if _, got := d.pick(epoch, nil); got != "" {
-		t.Fatal("still closed after three failures in a row")
+		t.Fatal("circuit still closed after three consecutive failures")
 	}
 	probeAt := d.core.NextWake()
 	if effects := d.core.Step(probeAt, Tick{}); len(effects) != 1 {
-		t.Fatalf("the end of the open time is not told: %v", effects)
+		t.Fatalf("the end of the open interval is not announced: %v", effects)
 	}
 	probe, got := d.pick(probeAt, nil)
 	if _, second := d.pick(probeAt, nil); got != "e1" || second != "" {
-		t.Fatalf("half-open let %q and %q through", got, second)
+		t.Fatalf("the half-open circuit let %q and %q through", got, second)
 	}
 	d.core.Step(probeAt, FirstToken{Ticket: probe})
 	if _, got := d.pick(probeAt, nil); got != "e1" {
-		t.Fatal("still open after a good probe")
+		t.Fatal("circuit still open after a successful probe")
 	}
 }
 
@@ -139,19 +139,19 @@
 		d.fail(now, ResultUnreachable)
 		open := d.core.NextWake().Sub(now)
 		if open < former/2 || open <= 0 {
-			t.Fatalf("open for %v after %v", open, former)
+			t.Fatalf("open for %v, after %v before", open, former)
 		}
 		former = open
 		now = d.core.NextWake()
 		d.core.Step(now, Tick{})
 	}
 	if former < circuitOpenMin {
-		t.Errorf("open for %v only after four failures", former)
+		t.Errorf("open for only %v after four failures", former)
 	}
 }
 
-// TestWideFaultEjectsAFewOnly: with every engine failing in the long run, most
-// stay in use, and all would be lost without the cap.
+// TestWideFaultEjectsAFewOnly: if every engine fails for long, most stay in use. Without the cap
+// all would be ejected.
 func TestWideFaultEjectsAFewOnly(t *testing.T) {
 	for _, defects := range []Defects{{}, {NoEjectionCap: true}} {
 		var engines []fleet.EngineState
@@ -166,7 +166,7 @@
 		}
 		left := len(d.core.Capacity(epoch, notes).Replicas)
 		if !defects.NoEjectionCap && left < 4 || defects.NoEjectionCap && left != 0 {
-			t.Errorf("%+v: %d of 6 are left", defects, left)
+			t.Errorf("%+v: %d of 6 engines left", defects, left)
 		}
 	}
 }
@@ -182,11 +182,11 @@
 		d.core.Step(epoch, FirstToken{Ticket: ticket, After: after})
 		d.core.Step(epoch, Ended{Ticket: ticket, Result: ResultOK})
 	}
-	if rooms := d.core.Capacity(epoch, notes); rooms.Ready != 3 || len(rooms.Replicas) != 2 {
-		t.Errorf("%d ready, %d in use", rooms.Ready, len(rooms.Replicas))
+	if capacity := d.core.Capacity(epoch, notes); capacity.Ready != 3 || len(capacity.Replicas) != 2 {
+		t.Errorf("%d ready, %d in use", capacity.Ready, len(capacity.Replicas))
 	}
-	if rooms := d.core.Capacity(epoch.Add(ejectionTime), notes); len(rooms.Replicas) != 3 {
-		t.Errorf("%d in use after the ejection", len(rooms.Replicas))
+	if capacity := d.core.Capacity(epoch.Add(ejectionTime), notes); len(capacity.Replicas) != 3 {
+		t.Errorf("%d in use after the ejection", len(capacity.Replicas))
 	}
 }
 
@@ -194,7 +194,7 @@
 	d := newDriver(Options{EngineSlots: 8}, epoch, engine("e1", "a", 2))
 	free := func(now time.Time) int { return d.core.Capacity(now, notes).Replicas[0].FreeSlots }
 	if got := free(epoch); got != 6 {
-		t.Fatalf("free %d", got)
+		t.Fatalf("free %d, want 6", got)
 	}
 	ticket, _ := d.pick(at(0.1), nil)
 	if got := free(at(0.1)); got != 5 {
@@ -204,7 +204,7 @@
 	shown.Report.AsOf = at(1)
 	d.core.Step(at(1), tables(shown))
 	if got := free(at(1)); got != 5 {
-		t.Errorf("own request counted beside the report that shows it: free %d", got)
+		t.Errorf("own request counted in addition to the report that includes it: free %d", got)
 	}
 	d.core.Step(at(1.1), Ended{Ticket: ticket, Result: ResultOK})
 	if got := free(at(1.1)); got != 6 {
@@ -213,11 +213,11 @@
 	full := engine("e1", "a", 4)
 	full.Report.AsOf, full.Report.Waiting = at(2), 3
 	d.core.Step(at(2), tables(full))
-	if rooms := d.core.Capacity(at(2), notes); rooms.Slots != 4 || rooms.Replicas[0].FreeSlots != 0 {
-		t.Errorf("an engine with a line of its own is full at what it runs: %+v", rooms)
+	if capacity := d.core.Capacity(at(2), notes); capacity.Slots != 4 || capacity.Replicas[0].FreeSlots != 0 {
+		t.Errorf("an engine with a queue is not full: %+v", capacity)
 	}
 	if got := free(at(9)); got < 1 {
-		t.Errorf("a report that no longer comes blocks the queue: free %d", got)
+		t.Errorf("a stale report blocks requests: free %d", got)
 	}
 }
 
@@ -232,7 +232,7 @@
 	d.core.Step(epoch, Ended{Ticket: ticket, Result: ResultOK})
 	for range 3 {
 		if _, got := d.pick(epoch, prompt); got != holder {
-			t.Fatalf("picked %s, the blocks lie at %s", got, holder)
+			t.Fatalf("picked %s, want %s, which has the blocks cached", got, holder)
 		}
 	}
 	elsewhere := 0
@@ -242,15 +242,14 @@
 		}
 	}
 	if elsewhere == 0 {
-		t.Error("the holder takes everything, loaded or not")
+		t.Error("all requests go to the engine with the prefix, whatever its load")
 	}
 }
 
 func TestFreshReplicaStartsSlowly(t *testing.T) {
 	d := newDriver(Options{EngineSlots: 100}, epoch, engine("e1", "a", 0))
 	d.core.Step(at(1), tables(engine("e1", "a", 0), engine("e2", "a", 0)))
-	// e2 was not known before and may have been ready for long; e3 is seen
-	// to become ready.
+	// e2 was not known before and may have been ready for long; e3 is seen to become ready.
 	loading := engine("e3", "a", 0)
 	loading.Models[0].State = fleet.LoadLoading
 	d.core.Step(at(2), tables(engine("e1", "a", 0), loading))
@@ -263,17 +262,17 @@
 		}
 		return fresh
 	}
-	if early := share(at(3)); early > 15 {
-		t.Errorf("%d of 50 go to a replica that has just become ready", early)
+	if atStart := share(at(3)); atStart > 15 {
+		t.Errorf("%d of 50 requests go to a replica that has just become ready", atStart)
 	}
-	if late := share(at(3).Add(DefaultSlowStart)); late < 25 {
-		t.Errorf("%d of 50 go to it after the slow start", late)
+	if afterSlowStart := share(at(3).Add(DefaultSlowStart)); afterSlowStart < 25 {
+		t.Errorf("%d of 50 requests go to it after the slow start", afterSlowStart)
 	}
 }
 
-// TestStaleReportsDoNotHerd: ten nodes share one old report in which one
-// engine looks idle. Best of two with own corrections spreads them; trusting
-// the report and taking the best sends everything there.
+// TestStaleReportsDoNotHerd: ten nodes share one stale report in which one engine looks idle. The
+// best of two, corrected by own requests, spreads the load. Trusting the report and picking the
+// best sends all requests to that engine.
 func TestStaleReportsDoNotHerd(t *testing.T) {
 	mostLoaded := func(defects Defects) int {
 		counts := map[string]int{}
@@ -294,11 +293,11 @@
 		}
 		return most
 	}
-	kept, herd := mostLoaded(Defects{}), mostLoaded(Defects{TrustReports: true, FirstBest: true})
-	if kept > 60 || herd != 160 {
-		t.Errorf("of 160 requests the fullest of 8 engines gets %d, with the defect %d", kept, herd)
+	spread, herd := mostLoaded(Defects{}), mostLoaded(Defects{TrustReports: true, FirstBest: true})
+	if spread > 60 || herd != 160 {
+		t.Errorf("the most loaded of 8 engines gets %d of 160 requests, with the defect %d", spread, herd)
 	}
-	t.Logf("fullest of 8 engines: %d of 160, with the defect %d", kept, herd)
+	t.Logf("most loaded of 8 engines: %d of 160 requests, with the defect %d", spread, herd)
 }
 
 func TestVersionsByWeight(t *testing.T) {
@@ -311,7 +310,7 @@
 		}
 	}
 	if second < 70 || second > 130 {
-		t.Errorf("%d of 1000 for a weight of a tenth", second)
+		t.Errorf("%d of 1000 drawn for a weight of 10%%", second)
 	}
 }
 
@@ -331,7 +330,7 @@
 	}
 	picked := core.Step(epoch, PickService{Ticket: 99, Service: "turbines", Exclude: []fleet.BackendName{"s2"}})[0].(Picked)
 	if picked.Backend.Name != "s1" {
-		t.Errorf("after a failure in its zone picked %s", picked.Backend.Name)
+		t.Errorf("after a failure in the own zone picked %s", picked.Backend.Name)
 	}
 }
 
@@ -348,8 +347,8 @@
 	}
 }
 
-// TestSlotsAreNotLearntFromOneThatWaits: what comes in waits for the next
-// iteration also at an engine that is far from full.
+// TestSlotsAreNotLearntFromOneThatWaits: new requests wait for the next iteration even at an engine
+// that is far from full.
 func TestSlotsAreNotLearntFromOneThatWaits(t *testing.T) {
 	d := newDriver(Options{EngineSlots: 16}, epoch, engine("e1", "a", 2))
 	reports := []struct{ running, waiting, slots int }{
@@ -370,8 +369,8 @@
 	}
 }
 
-// TestSuccessEjectsNoOne: an engine that is back after an outage is not set
-// aside for what was before.
+// TestSuccessEjectsNoOne: an engine that recovers from an outage is not ejected for earlier
+// failures.
 func TestSuccessEjectsNoOne(t *testing.T) {
 	var health health
 	for range minSamples - 1 {
@@ -379,38 +378,38 @@
 	}
 	health.addResult(epoch, false)
 	if health.ejectedUntil.After(epoch) {
-		t.Error("ejected by a success")
+		t.Error("ejected after a success")
 	}
 	health.addResult(epoch, true)
 	if !health.ejectedUntil.After(epoch) {
-		t.Error("not ejected by a failure beyond the share")
+		t.Error("not ejected after failures above the limit")
 	}
 }
 
-// TestSuspectsGoTogether: nodes that know the same engines send the picks of one number to
-// the same one, also where another has less to do, and spread different numbers.
+// TestSuspectsGoTogether: nodes that know the same engines send picks with the same key to the same
+// engine, even if another has less load, and spread different keys.
 func TestSuspectsGoTogether(t *testing.T) {
 	engines := []fleet.EngineState{engine("e1", "a", 0), engine("e2", "b", 9), engine("e3", "a", 2), engine("e4", "b", 1)}
-	drawn := make(map[string]bool)
-	for number := range uint64(40) {
-		with := func(pick *Pick) { pick.ColocationKey = number + 1 }
+	picked := make(map[string]bool)
+	for key := range uint64(40) {
+		with := func(pick *Pick) { pick.ColocationKey = key + 1 }
 		_, first := newDriver(Options{Seed: 1}, epoch, engines...).pick(epoch, with)
 		for seed := range uint64(5) {
 			d := newDriver(Options{Seed: seed}, epoch, engines...)
 			d.pick(epoch, nil)
 			if _, got := d.pick(epoch, with); got != first {
-				t.Fatalf("number %d: %q and %q", number, first, got)
+				t.Fatalf("key %d: %q and %q", key, first, got)
 			}
 		}
-		drawn[first] = true
+		picked[first] = true
 		without := func(pick *Pick) {
-			pick.ColocationKey, pick.Exclude = number+1, []fleet.BackendName{fleet.BackendName(first)}
+			pick.ColocationKey, pick.Exclude = key+1, []fleet.BackendName{fleet.BackendName(first)}
 		}
 		if _, got := newDriver(Options{}, epoch, engines...).pick(epoch, without); got == first || got == "" {
-			t.Errorf("number %d: %q was picked again, or none (%q)", number, first, got)
+			t.Errorf("key %d: %q was picked again, or none (%q)", key, first, got)
 		}
 	}
-	if len(drawn) != len(engines) {
-		t.Errorf("only %v were drawn", drawn)
+	if len(picked) != len(engines) {
+		t.Errorf("only %v were picked", picked)
 	}
 }
--- a/internal/routing/zoneloss_test.go
+++ b/internal/routing/zoneloss_test.go
@@ -9,9 +9,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// TestZoneLossMakesNoStorm: half of the engines stop to answer and the table
-// does not tell for two seconds. Circuits keep the node from asking the dead
-// ones again and again.
+// TestZoneLossMakesNoStorm: half of the engines stop responding, and the table doesn't show it for
+// two seconds. Circuit breakers keep the node from retrying the dead engines over and over.
 func TestZoneLossMakesNoStorm(t *testing.T) {
 	const (
 		requests = 2000
