--- a/internal/inventory/doc.go
+++ b/internal/inventory/doc.go
@@ -1,5 +1,9 @@
-// Package inventory holds what a node believes of the servers: who is there,
-// at which address, in which state, and which models it says it holds.
+// Package inventory holds what a node knows about the servers: which exist, at which address, in
+// which state, and which models they report to hold. Its Table merges the lists and events of the
+// store with what peers announce ahead of the store. It also has the types for what servers tell
+// with their responses (Hint, RateLimit). The edge keeps the table; dispatch, the placer, relay,
+// gateway and gossip read its types.
 //
-// It may import the standard library only. No I/O, no clock, no goroutine.
+// Apart from the standard library it may import storepos and xxhash. It does no I/O, reads no clock
+// and starts no goroutine.
 package inventory
--- a/internal/inventory/eras.go
+++ b/internal/inventory/eras.go
@@ -6,55 +6,57 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// leavingTime is how long after the store came back from a copy an entry of it, in which a server
-// takes work, does not end what the server said of its leaving.
-const leavingTime = 30 * time.Second
+// drainRetention is how long after the store was restored from a copy an entry from that copy, in
+// which a server takes work, does not override the server's report that it is draining.
+const drainRetention = 30 * time.Second
 
-// eras is what a table keeps over a change of the store's era.
-type eras struct {
-	// since is when the era of the table's position began to be known here; zero where no
-	// other came before.
-	since time.Time
-	// entered is when it was first heard of.
-	entered time.Time
-	// settled counts the times in Settles that are over.
-	settled int
+// eraState is what a table keeps across a change of the store's era.
+type eraState struct {
+	// startedAt is when the era of the table's position became known here; zero if there was no
+	// earlier era.
+	startedAt time.Time
+	// firstSeenAt is when that era was first reported to the table.
+	firstSeenAt time.Time
+	// elapsedDeadlines counts the deadlines that ReloadDue has reported.
+	elapsedDeadlines int
 }
 
-// enter moves the table to a later position, and returns the one that it was complete to.
-func (t *Table) enter(now time.Time, at storepos.Position) (complete storepos.Position) {
-	complete = t.position
-	if at.Era != complete.Era {
-		t.eras.entered = now
+// advance moves the table to a later position, and returns the position up to which it was complete
+// before.
+func (t *Table) advance(now time.Time, position storepos.Position) (previous storepos.Position) {
+	previous = t.position
+	if position.Era != previous.Era {
+		t.eraState.firstSeenAt = now
 	}
-	if at.Era != complete.Era && !complete.IsZero() {
+	if position.Era != previous.Era && !previous.IsZero() {
 		t.BeginEra(now)
 	}
-	t.position = at
-	return complete
+	t.position = position
+	return previous
 }
 
-// BeginEra takes that the era of the table's position began at that time.
-func (t *Table) BeginEra(at time.Time) { t.eras.since, t.eras.settled = at, 0 }
+// BeginEra records that the era of the table's position began at that time.
+func (t *Table) BeginEra(at time.Time) { t.eraState.startedAt, t.eraState.elapsedDeadlines = at, 0 }
 
-// EraAge is how long the era of the table's position has been known; ok is false where no other
-// came before.
+// EraAge returns how long the era of the table's position has been known; ok is false if there was
+// no earlier era.
 func (t *Table) EraAge(now time.Time) (age time.Duration, ok bool) {
-	return now.Sub(t.eras.since), !t.eras.since.IsZero()
+	return now.Sub(t.eraState.startedAt), !t.eraState.startedAt.IsZero()
 }
 
-// ReloadDue reports, once each, that a time is over in which entries of an earlier era were kept:
-// the list is to be read anew.
+// ReloadDue reports, once for each deadline, that a time has passed during which entries of an
+// earlier era were kept. The list must then be read again.
 func (t *Table) ReloadDue(now time.Time) bool {
-	times := [...]time.Duration{storepos.RestoreRewriteTime, leavingTime}
-	if t.eras.since.IsZero() || t.eras.settled == len(times) || now.Sub(t.eras.since) < times[t.eras.settled] {
+	deadlines := [...]time.Duration{storepos.RestoreRewriteTime, drainRetention}
+	if t.eraState.startedAt.IsZero() || t.eraState.elapsedDeadlines == len(deadlines) || now.Sub(t.eraState.startedAt) < deadlines[t.eraState.elapsedDeadlines] {
 		return false
 	}
-	t.eras.settled++
+	t.eraState.elapsedDeadlines++
 	return true
 }
 
-// rebase takes the table back to the era that the store itself names: a later one was told wrongly.
+// rebase moves the table back to the era that the store itself reports, after a later era was
+// reported wrongly.
 func (t *Table) rebase(era int64) {
 	t.position = storepos.At(era, 0)
 	for id, server := range t.servers {
@@ -63,53 +65,55 @@
 			t.servers[id] = server
 		}
 	}
-	t.eras.since = time.Time{}
+	t.eraState.startedAt = time.Time{}
 }
 
-func (t *Table) isWithin(now time.Time, limit time.Duration) bool {
-	return !t.eras.since.IsZero() && now.Sub(t.eras.since) < limit
+// isEraYoungerThan reports whether the era began less than limit ago and another came before it.
+func (t *Table) isEraYoungerThan(now time.Time, limit time.Duration) bool {
+	return !t.eraState.startedAt.IsZero() && now.Sub(t.eraState.startedAt) < limit
 }
 
-// awaitsRewrite reports whether the server may be missing in the store's list only because the
-// copy was made before its entry.
+// awaitsRewrite reports whether the server may be missing from the store's list only because the
+// copy was made before its entry was written.
 func (t *Table) awaitsRewrite(now time.Time, server Server) bool {
-	return server.Position.Era < t.position.Era && t.isWithin(now, storepos.RestoreRewriteTime)
+	return server.Position.Era < t.position.Era && t.isEraYoungerThan(now, storepos.RestoreRewriteTime)
 }
 
-// EarlierEraCount counts the servers of which an entry of an earlier era is kept.
+// EarlierEraCount returns the number of servers whose kept entry is of an earlier era.
 func (t *Table) EarlierEraCount(now time.Time) int {
 	count := 0
 	for _, server := range t.servers {
-		if server.Position.Era < t.position.Era && t.isWithin(now, leavingTime) {
+		if server.Position.Era < t.position.Era && t.isEraYoungerThan(now, drainRetention) {
 			count++
 		}
 	}
 	return count
 }
 
-// place gives an entry of the store's list its place in the order of what is known. One that may
-// be of the copy was written before the era, and what is known from then may be newer. ok is false
-// where it must not be used, as it brings back a server that left, or that had ended up to the
-// position that the table was complete to.
-func (t *Table) place(now time.Time, server Server, complete storepos.Position) (placed Server, ok bool) {
+// reconcile places an entry of the store's list in the order of what is known. An entry that may
+// come from the restored copy was written before the era began, and what is known from that time
+// may be newer. ok is false if the entry must not be used because it would bring back a server that
+// was draining, or one that had ended before the position up to which the table was complete.
+func (t *Table) reconcile(now time.Time, server Server, previous storepos.Position) (reconciled Server, ok bool) {
 	known, has := t.servers[server.ID]
-	isOfEra := complete.Era == server.Position.Era
-	if has && known.Position.Era == server.Position.Era || isOfEra && server.Position.IsAfter(complete) {
+	isPreviousEra := previous.Era == server.Position.Era
+	if has && known.Position.Era == server.Position.Era || isPreviousEra && server.Position.IsAfter(previous) {
 		return server, true
 	}
 	if has && (server.Draining && !known.Draining || server.Start().IsLaterThan(known.Start())) {
-		// No copy takes these back, so the server may have written them since.
+		// Restoring an older copy cannot cause these changes, so the server may have written them
+		// since.
 		return server, true
 	}
 	switch {
-	case t.isWithin(now, storepos.RestoreRewriteTime):
+	case t.isEraYoungerThan(now, storepos.RestoreRewriteTime):
 		if has {
 			server.Position.Era = known.Position.Era
 			return server, true
 		}
-		server.Position.Era = complete.Era
-		return server, server.Position.IsAfter(complete)
-	case has && known.Draining && !server.Draining && t.isWithin(now, leavingTime):
+		server.Position.Era = previous.Era
+		return server, server.Position.IsAfter(previous)
+	case has && known.Draining && !server.Draining && t.isEraYoungerThan(now, drainRetention):
 		return server, false
 	default:
 		return server, true
--- a/internal/inventory/eras_test.go
+++ b/internal/inventory/eras_test.go
@@ -11,93 +11,95 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// erasWorld is a table that follows a store which goes back to copies, and the servers that write
-// there. Servers that left write so again, and entries of those that ended go, within rewritten.
-type erasWorld struct {
-	now    time.Time
-	table  *Table
-	plant  string
-	era    int64
-	at     int64
-	stored map[string]Server
-	copies []erasCopy
-	// said is what each server last said: ready, left or ended.
-	said map[string]string
-	// dueAt is until when all is written again.
-	dueAt time.Time
-	// learned is what the table knew of servers that left or ended.
-	learned map[string]string
-	late    *erasCopy
-}
-
-type erasCopy struct {
-	era, at int64
-	stored  map[string]Server
+// rollbackSim simulates a table that follows a store which is restored from copies, and the servers
+// that write to that store. After a restore, draining servers write their entry again, and the
+// entries of servers that ended disappear, within rewriteDelay.
+type rollbackSim struct {
+	now      time.Time
+	table    *Table
+	defect   string
+	era      int64
+	revision int64
+	stored   map[string]Server
+	backups  []storeBackup
+	// lastState is the last state that each server reported: ready, draining or ended.
+	lastState map[string]string
+	// rewriteDueAt is when everything has been written again after a restore.
+	rewriteDueAt time.Time
+	// learnedState is what the table has learned about draining and ended servers.
+	learnedState map[string]string
+	staleList    *storeBackup
+}
+
+type storeBackup struct {
+	era, revision int64
+	stored        map[string]Server
 }
 
 const (
-	ready, left, ended = "ready", "left", "ended"
-	rewritten          = 3 * time.Second
+	ready, draining, ended = "ready", "draining", "ended"
+	rewriteDelay           = 3 * time.Second
 )
 
-func newErasWorld(plant string) *erasWorld {
-	w := &erasWorld{
-		now: begin, table: NewTable(), plant: plant, era: storepos.FirstEra, stored: make(map[string]Server),
-		said: make(map[string]string), learned: make(map[string]string),
+func newRollbackSim(defect string) *rollbackSim {
+	w := &rollbackSim{
+		now: begin, table: NewTable(), defect: defect, era: storepos.FirstEra, stored: make(map[string]Server),
+		lastState: make(map[string]string), learnedState: make(map[string]string),
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		w.say(id, ready)
+		w.write(id, ready)
 	}
-	w.list()
+	w.readList()
 	return w
 }
 
-func (w *erasWorld) copyNow() erasCopy {
-	return erasCopy{era: w.era, at: w.at, stored: maps.Clone(w.stored)}
+func (w *rollbackSim) backup() storeBackup {
+	return storeBackup{era: w.era, revision: w.revision, stored: maps.Clone(w.stored)}
 }
 
-// say lets a server write what it says of itself, and forgets what it said before of leaving.
-func (w *erasWorld) say(id, what string) {
-	if what == ready && w.said[id] != ready {
-		delete(w.learned, id)
+// write lets a server write its state. A server that becomes ready again is removed from
+// learnedState.
+func (w *rollbackSim) write(id, state string) {
+	if state == ready && w.lastState[id] != ready {
+		delete(w.learnedState, id)
 	}
-	w.said[id] = what
-	w.at++
-	if what == ended {
+	w.lastState[id] = state
+	w.revision++
+	if state == ended {
 		delete(w.stored, id)
 		return
 	}
-	w.stored[id] = Server{ID: id, Draining: what == left, Position: storepos.At(w.era, w.at)}
+	w.stored[id] = Server{ID: id, Draining: state == draining, Position: storepos.At(w.era, w.revision)}
 }
 
-func (w *erasWorld) list() {
-	w.listAs(w.copyNow(), w.now)
-	for id, said := range w.said {
+func (w *rollbackSim) readList() {
+	w.readListFrom(w.backup(), w.now)
+	for id, state := range w.lastState {
 		stored, has := w.stored[id]
-		// An entry that is missing right after a step back may be one that was lost.
+		// An entry that is missing right after a restore may have been lost in it.
 		_, isKept := w.table.servers[id]
-		hasEnded := said == ended && !has && !isKept
-		if hasEnded || said == left && has && stored.Draining {
-			w.learned[id] = said
+		hasEnded := state == ended && !has && !isKept
+		if hasEnded || state == draining && has && stored.Draining {
+			w.learnedState[id] = state
 		}
 	}
 }
 
-func (w *erasWorld) listAs(from erasCopy, asked time.Time) {
+func (w *rollbackSim) readListFrom(from storeBackup, requestedAt time.Time) {
 	position := func(revision int64) storepos.Position {
-		if w.plant == "era is dropped" {
+		if w.defect == "era is ignored" {
 			return storepos.At(0, revision)
 		}
 		return storepos.At(from.era, revision)
 	}
-	switch w.plant {
-	case "old list is taken":
+	switch w.defect {
+	case "old list is applied":
 		if from.era < w.table.position.Era {
 			w.table.position = storepos.Position{}
 		}
-	case "kept for ever":
-		if !w.table.eras.since.IsZero() {
-			w.table.eras.since = w.now
+	case "kept forever":
+		if !w.table.eraState.startedAt.IsZero() {
+			w.table.eraState.startedAt = w.now
 		}
 	}
 	var servers []Server
@@ -105,143 +107,148 @@
 		server.Position = position(server.Position.Revision)
 		servers = append(servers, server)
 	}
-	w.table.Replace(w.now, asked, servers, position(from.at))
+	w.table.Replace(w.now, requestedAt, servers, position(from.revision))
 }
 
-func (w *erasWorld) step(draw func(string, int) int) {
+func (w *rollbackSim) step(draw func(string, int) int) {
 	id := string(rune('a' + draw("server", 3)))
 	switch draw("step", 8) {
 	case 0:
-		w.say(id, ready)
+		w.write(id, ready)
 	case 1:
-		if w.said[id] != ended {
-			w.say(id, []string{left, ended}[draw("how", 2)])
+		if w.lastState[id] != ended {
+			w.write(id, []string{draining, ended}[draw("how", 2)])
 		}
 	case 2:
-		w.copies = append(w.copies, w.copyNow())
+		w.backups = append(w.backups, w.backup())
 	case 3:
-		if len(w.copies) > 0 {
-			late := w.copyNow()
-			w.late = &late
-			w.goBack(w.copies[draw("copy", len(w.copies))])
+		if len(w.backups) > 0 {
+			stale := w.backup()
+			w.staleList = &stale
+			w.rollBack(w.backups[draw("copy", len(w.backups))])
 		}
 	case 4:
-		w.writeAgain(id)
+		w.rewrite(id)
 	case 5:
-		if w.late != nil {
-			w.listAs(*w.late, w.now.Add(-time.Minute))
+		if w.staleList != nil {
+			w.readListFrom(*w.staleList, w.now.Add(-time.Minute))
 		}
 	case 6:
-		w.pass(time.Duration(1+draw("seconds", 4)) * time.Second)
+		w.advance(time.Duration(1+draw("seconds", 4)) * time.Second)
 	default:
-		w.list()
+		w.readList()
 	}
 }
 
-func (w *erasWorld) goBack(to erasCopy) {
+func (w *rollbackSim) rollBack(target storeBackup) {
 	w.era++
-	w.at, w.stored = to.at, maps.Clone(to.stored)
-	w.copies = nil
-	w.dueAt = w.now.Add(rewritten)
+	w.revision, w.stored = target.revision, maps.Clone(target.stored)
+	w.backups = nil
+	w.rewriteDueAt = w.now.Add(rewriteDelay)
 }
 
-func (w *erasWorld) writeAgain(id string) {
+func (w *rollbackSim) rewrite(id string) {
 	stored, has := w.stored[id]
-	if has == (w.said[id] != ended) && (!has || stored.Draining == (w.said[id] == left)) {
+	if has == (w.lastState[id] != ended) && (!has || stored.Draining == (w.lastState[id] == draining)) {
 		return
 	}
-	w.say(id, w.said[id])
+	w.write(id, w.lastState[id])
 }
 
-func (w *erasWorld) pass(time time.Duration) {
-	w.now = w.now.Add(time)
-	if !w.now.Before(w.dueAt) {
-		for id := range w.said {
-			w.writeAgain(id)
+func (w *rollbackSim) advance(duration time.Duration) {
+	w.now = w.now.Add(duration)
+	if !w.now.Before(w.rewriteDueAt) {
+		for id := range w.lastState {
+			w.rewrite(id)
 		}
-		w.list()
+		w.readList()
 	}
 }
 
-// check says what is wrong; empty is nothing.
-func (w *erasWorld) check() string {
-	for id, said := range w.learned {
+// check describes a violation; empty means none.
+func (w *rollbackSim) check() string {
+	for id, state := range w.learnedState {
 		if w.table.IsAvailable(id) {
-			return fmt.Sprintf("%s takes work though it was known that it %s", id, said)
+			return fmt.Sprintf("%s is available although it was known to be %s", id, state)
 		}
 	}
 	return ""
 }
 
-// settle lets all that is kept over an era end, and compares with the store.
-func (w *erasWorld) settle() string {
-	w.pass(rewritten)
-	w.pass(leavingTime)
-	w.list()
-	for id, said := range w.said {
-		if w.table.IsAvailable(id) != (said == ready) {
-			return fmt.Sprintf("%s %s, and takes work: %v", id, said, w.table.IsAvailable(id))
+// checkSettled waits until nothing is kept across the change of era any more, and compares the
+// table with the store.
+func (w *rollbackSim) checkSettled() string {
+	w.advance(rewriteDelay)
+	w.advance(drainRetention)
+	w.readList()
+	for id, state := range w.lastState {
+		if w.table.IsAvailable(id) != (state == ready) {
+			return fmt.Sprintf("%s is %s, and available: %v", id, state, w.table.IsAvailable(id))
 		}
 	}
 	return ""
 }
 
-func (w *erasWorld) run(draw func(string, int) int) string {
+func (w *rollbackSim) run(draw func(string, int) int) string {
 	for range 40 {
 		w.step(draw)
 		if wrong := w.check(); wrong != "" {
 			return wrong
 		}
 	}
-	return w.settle()
+	return w.checkSettled()
 }
 
-// A server that left or ended is used again by a copy of the store.
+// TestLeavingAndEndOutliveDrawnRollbacks guards against a server that drains or has ended being
+// used again because the store was restored from an older copy.
 func TestLeavingAndEndOutliveDrawnRollbacks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) }
-		if wrong := newErasWorld("").run(draw); wrong != "" {
+		if wrong := newRollbackSim("").run(draw); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
 }
 
+// TestDefectsOverErasAreFound checks that the simulation detects injected defects.
 func TestDefectsOverErasAreFound(t *testing.T) {
-	for _, plant := range []string{"era is dropped", "old list is taken", "kept for ever"} {
-		t.Run(plant, func(t *testing.T) {
+	for _, defect := range []string{"era is ignored", "old list is applied", "kept forever"} {
+		t.Run(defect, func(t *testing.T) {
 			for seed := range 500 {
 				random := rapid.Custom(func(t *rapid.T) string {
-					return newErasWorld(plant).run(func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) })
+					return newRollbackSim(defect).run(func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) })
 				})
 				if random.Example(seed) != "" {
 					return
 				}
 			}
-			t.Error("it is not found")
+			t.Error("the defect is not detected")
 		})
 	}
 }
 
-// A later era that only a peer told of does not keep the store's answers out.
+// TestStoreRefutesEraOfPeer guards against the store's answers being ignored after a peer wrongly
+// reported a later era.
 func TestStoreRefutesEraOfPeer(t *testing.T) {
 	table := NewTable()
 	table.Replace(begin, begin, []Server{{ID: "a", Position: storepos.At(2, 1)}}, storepos.At(2, 5))
 	table.ReplaceByPeer(begin.Add(time.Second), []Server{{ID: "a", Position: storepos.At(9, 1)}}, storepos.At(9, 1))
-	leaving := []Server{{ID: "a", Position: storepos.At(2, 6), Draining: true}}
-	if table.Replace(begin.Add(2*time.Second), begin, leaving, storepos.At(2, 6)); !table.IsAvailable("a") {
-		t.Error("a list that was asked for before the era was heard of is taken")
+	drainingList := []Server{{ID: "a", Position: storepos.At(2, 6), Draining: true}}
+	if table.Replace(begin.Add(2*time.Second), begin, drainingList, storepos.At(2, 6)); !table.IsAvailable("a") {
+		t.Error("a list that was requested before the later era was reported was applied")
 	}
-	if table.Replace(begin.Add(3*time.Second), begin.Add(2*time.Second), leaving, storepos.At(2, 6)); table.IsAvailable("a") {
-		t.Error("the store's own list is left out for an era that a peer told of")
+	if table.Replace(begin.Add(3*time.Second), begin.Add(2*time.Second), drainingList, storepos.At(2, 6)); table.IsAvailable("a") {
+		t.Error("the store's list was ignored because a peer reported a later era")
 	}
 }
 
-// A peer that missed the end of a server keeps its entry over an era, and brings it back by its list.
+// TestKeptEntryOfPeerBringsNoServerBack guards against a peer's list making an ended server
+// available again: a peer that missed the end of a server keeps its entry across a change of era.
 func TestKeptEntryOfPeerBringsNoServerBack(t *testing.T) {
 	table := NewTable()
 	table.Replace(begin, begin, nil, storepos.At(3, 70))
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(2, 5)}, {ID: "b", Position: storepos.At(3, 71)}}, storepos.At(3, 72))
 	if table.IsAvailable("a") || !table.IsAvailable("b") {
-		t.Errorf("takes work: a %v, b %v", table.IsAvailable("a"), table.IsAvailable("b"))
+		t.Errorf("available: a %v, b %v", table.IsAvailable("a"), table.IsAvailable("b"))
 	}
 }
--- a/internal/inventory/hint.go
+++ b/internal/inventory/hint.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Hint is what a server tells of its own future with an answer. It binds who heard it for as
-// long as it says, and holds for that start of the server alone.
+// Hint is what a server announces about itself in a response. It binds the receiver for as long as
+// it says, and applies to that start of the server only.
 type Hint struct {
-	// Draining is set where the server goes away and wants no new work.
+	// Draining is set if the server is shutting down and wants no new work.
 	Draining bool
-	// Backoff is for how long the server wants nothing from the node that it answered; 0 where it
-	// does not say.
+	// Backoff is how long the server wants nothing from the node that it answered; 0 if it does not
+	// say.
 	Backoff time.Duration
-	// Limit is the rate that the server takes from all nodes together.
+	// Limit is the rate that the server accepts from all nodes together.
 	Limit RateLimit
-	// SentAt is when the request left that the answer is to.
+	// SentAt is when the request was sent that the response answers.
 	SentAt time.Time
 }
 
-// IsEmpty reports whether the server told nothing that binds later requests.
+// IsEmpty reports whether the hint has nothing that affects later requests.
 func (h Hint) IsEmpty() bool { return !h.Draining && h.Backoff <= 0 && !h.Limit.IsSet() }
--- a/internal/inventory/ratelimit.go
+++ b/internal/inventory/ratelimit.go
@@ -6,47 +6,48 @@
 	"strings"
 )
 
-// RateLimitKind is what an answer says of its server's rate limit.
+// RateLimitKind is what a response says about its server's rate limit.
 type RateLimitKind int
 
 const (
-	// RateLimitUnknown says nothing: no answer came, or what it says cannot be read.
+	// RateLimitUnknown means that nothing is known: there was no response, or its rate limit cannot
+	// be parsed.
 	RateLimitUnknown RateLimitKind = iota
-	// RateLimitNone says that the server names no limit.
+	// RateLimitNone means that the server announces no limit.
 	RateLimitNone
-	// RateLimitSet says that the server names one.
+	// RateLimitSet means that the server announces a limit.
 	RateLimitSet
 )
 
-// RateLimit is the rate that a server takes from all nodes together, as one answer tells it. It
-// is in force for as long as answers name it.
+// RateLimit is the rate that a server accepts from all nodes together, as announced in one
+// response. It is in force for as long as responses announce it.
 type RateLimit struct {
 	Kind RateLimitKind
-	// PerSecond is the rate in requests a second, 0 or more; set where it is named.
+	// PerSecond is the rate in requests per second, 0 or more. It is valid if Kind is RateLimitSet.
 	PerSecond float64
 }
 
-// NewRateLimit is a rate limit that an answer names.
+// NewRateLimit returns a rate limit that a response announces.
 func NewRateLimit(perSecond float64) RateLimit {
 	return RateLimit{Kind: RateLimitSet, PerSecond: perSecond}
 }
 
-// IsSet reports whether the answer names a limit.
+// IsSet reports whether the response announces a limit.
 func (r RateLimit) IsSet() bool { return r.Kind == RateLimitSet }
 
-// MaxRate bounds the rate limit that a server may name, in requests a second; what is above it
+// MaxRate caps the rate limit that a server may announce, in requests per second. A higher one
 // limits nothing.
 const MaxRate = 1e6
 
-// ParseRateLimit reads the rate limit that an answer names, as the values of its header. Of several
-// the least counts; where none of them is a finite number from 0 on the answer tells nothing of a
-// limit, and the one in force stays.
-func ParseRateLimit(named []string) RateLimit {
-	if len(named) == 0 {
+// ParseRateLimit parses the rate limit that a response announces; values are those of its header.
+// The lowest of several counts. If none of them is a finite number of at least 0, the response says
+// nothing about a limit, and the one in force stays.
+func ParseRateLimit(values []string) RateLimit {
+	if len(values) == 0 {
 		return RateLimit{Kind: RateLimitNone}
 	}
 	var limit RateLimit
-	for _, text := range named {
+	for _, text := range values {
 		perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil || !IsValidRate(perSecond) {
 			continue
@@ -58,5 +59,5 @@
 	return limit
 }
 
-// IsValidRate reports whether the figure is a rate: finite, and 0 or more.
+// IsValidRate reports whether the number is a rate: finite, and 0 or more.
 func IsValidRate(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
--- a/internal/inventory/server_test.go
+++ b/internal/inventory/server_test.go
@@ -20,12 +20,12 @@
 		revision int64
 		want     []Change
 	}{
-		{"an older entry is left out", []Change{{Server: Server{ID: "a", Position: storepos.At(0, 1)}}}, 6, nil},
-		{"a newer one is taken", []Change{{Server: Server{ID: "a", Position: storepos.At(0, 7), Draining: true}}}, 7,
+		{"an older entry is ignored", []Change{{Server: Server{ID: "a", Position: storepos.At(0, 1)}}}, 6, nil},
+		{"a newer entry is applied", []Change{{Server: Server{ID: "a", Position: storepos.At(0, 7), Draining: true}}}, 7,
 			[]Change{{Server: Server{ID: "a", Position: storepos.At(0, 7), Draining: true}}}},
-		{"a server goes", []Change{{Server: Server{ID: "b"}, Gone: true}}, 8, []Change{{Server: Server{ID: "b", Position: storepos.At(0, 3)}, Gone: true}}},
-		{"one that is not there goes", []Change{{Server: Server{ID: "c"}, Gone: true}}, 9, nil},
-		{"older news change nothing", []Change{{Server: Server{ID: "d", Position: storepos.At(0, 8)}}}, 8, nil},
+		{"a server is removed", []Change{{Server: Server{ID: "b"}, Gone: true}}, 8, []Change{{Server: Server{ID: "b", Position: storepos.At(0, 3)}, Gone: true}}},
+		{"an unknown server is removed", []Change{{Server: Server{ID: "c"}, Gone: true}}, 9, nil},
+		{"older events are ignored", []Change{{Server: Server{ID: "d", Position: storepos.At(0, 8)}}}, 8, nil},
 	}
 	for _, step := range steps {
 		if diff := cmp.Diff(step.want, table.Apply(step.events, storepos.At(0, step.revision))); diff != "" {
@@ -55,64 +55,65 @@
 	table.Replace(begin, begin, []Server{{ID: "a", Service: "s", Position: storepos.At(0, 2)}, {ID: "b", Position: storepos.At(0, 3)}}, storepos.At(0, 5))
 	draining := Server{ID: "a", Service: "s", Position: storepos.At(0, 7), Draining: true}
 	steps := []struct {
-		name string
-		take func() []Change
-		want []Change
+		name  string
+		apply func() []Change
+		want  []Change
 	}{
-		{"what the table covers is no note", func() []Change {
+		{"an announcement that the table covers is ignored", func() []Change {
 			return table.ApplyAnnouncement(Server{ID: "b", Position: storepos.At(0, 5), Draining: true})
 		}, nil},
-		{"a server leaves", func() []Change {
+		{"a server starts draining", func() []Change {
 			return table.ApplyAnnouncement(Server{ID: "a", Position: storepos.At(0, 7), Draining: true, Announced: true})
 		},
 			[]Change{{Server: draining}}},
-		{"an entry from before does not bring it back", func() []Change {
+		{"an older entry does not make it available", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "a", Position: storepos.At(0, 6)}}}, storepos.At(0, 6))
 		}, nil},
-		{"one that is not known yet leaves", func() []Change { return table.ApplyAnnouncement(going("x", 8)) }, []Change{{Server: going("x", 8)}}},
-		{"its entry comes late", func() []Change {
+		{"an unknown server is draining", func() []Change { return table.ApplyAnnouncement(drainingServer("x", 8)) }, []Change{{Server: drainingServer("x", 8)}}},
+		{"its entry arrives late", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "x", Position: storepos.At(0, 7)}}}, storepos.At(0, 7))
 		}, nil},
-		{"a server comes", func() []Change {
+		{"a new server is announced", func() []Change {
 			return table.ApplyAnnouncement(Server{ID: "n", Position: storepos.At(0, 9), Announced: true})
 		},
 			[]Change{{Server: Server{ID: "n", Position: storepos.At(0, 9), Announced: true}}}},
-		{"its entry says more", func() []Change {
+		{"its entry adds what it holds", func() []Change {
 			return table.Apply([]Change{{Server: Server{ID: "n", Position: storepos.At(0, 9), Models: []HeldModel{{Name: "m"}}}}}, storepos.At(0, 9))
 		}, []Change{{Server: Server{ID: "n", Position: storepos.At(0, 9), Models: []HeldModel{{Name: "m"}}}}}},
 	}
 	for _, step := range steps {
-		if diff := cmp.Diff(step.want, step.take()); diff != "" {
+		if diff := cmp.Diff(step.want, step.apply()); diff != "" {
 			t.Errorf("%s: %s", step.name, diff)
 		}
 	}
 	if table.Position().Revision != 9 {
-		t.Errorf("revision %d, want 9: notes do not complete the table", table.Position().Revision)
+		t.Errorf("revision %d, want 9: announcements do not make the table complete", table.Position().Revision)
 	}
 	for id, want := range map[string]bool{"a": false, "b": true, "x": false, "n": true, "none": false} {
 		if table.IsAvailable(id) != want {
-			t.Errorf("%s takes work: %v, want %v", id, !want, want)
+			t.Errorf("%s available: %v, want %v", id, !want, want)
 		}
 	}
 }
 
-func going(id string, revision int64) Server {
+func drainingServer(id string, revision int64) Server {
 	return Server{ID: id, Draining: true, Position: storepos.At(0, revision), Announced: true}
 }
 
-// TestStoreRefutesPeers: a list of the store, in which a server takes work, did not
-// end a peer's word from before it that the server goes.
+// TestStoreRefutesPeers guards against a server that stays unused after a peer wrongly announced it
+// as draining: an answer of the store as of that position or later, in which the server takes work,
+// must end the announcement.
 func TestStoreRefutesPeers(t *testing.T) {
 	listed := Server{ID: "a", Service: "s", Position: storepos.At(0, 8)}
 	newTable := func() *Table {
 		table := NewTable()
 		table.Replace(begin, begin, []Server{{ID: "a", Service: "s", Position: storepos.At(0, 2)}}, storepos.At(0, 5))
-		table.ApplyAnnouncement(going("a", 9))
+		table.ApplyAnnouncement(drainingServer("a", 9))
 		return table
 	}
-	answers := []struct {
-		name string
-		take func(table *Table, revision int64)
+	sources := []struct {
+		name  string
+		apply func(table *Table, revision int64)
 	}{
 		{"list", func(table *Table, revision int64) {
 			table.Replace(begin, begin, []Server{listed}, storepos.At(0, revision))
@@ -121,36 +122,38 @@
 			table.Apply([]Change{{Server: listed}}, storepos.At(0, revision))
 		}},
 	}
-	for _, answer := range answers {
+	for _, source := range sources {
 		for revision, want := range map[int64]bool{8: false, 9: true, 12: true} {
 			table := newTable()
-			answer.take(table, revision)
+			source.apply(table, revision)
 			if table.IsAvailable("a") != want {
-				t.Errorf("%s as of %d: takes work %v, want %v", answer.name, revision, !want, want)
+				t.Errorf("%s as of %d: available %v, want %v", source.name, revision, !want, want)
 			}
 			if want && table.IsNewer("a", storepos.At(0, revision)) {
-				t.Errorf("%s as of %d: an older word counts again", answer.name, revision)
+				t.Errorf("%s as of %d: an older report counts as new again", source.name, revision)
 			}
 		}
 	}
 }
 
-// TestPeersListRefutesNothing: the peer may hold back an entry that is gone.
+// TestPeersListRefutesNothing checks that a peer's list does not end a drain announcement, because
+// the peer may withhold an entry that has expired.
 func TestPeersListRefutesNothing(t *testing.T) {
 	table := NewTable()
 	table.Replace(begin, begin, []Server{{ID: "a", Position: storepos.At(0, 2)}}, storepos.At(0, 5))
-	table.ApplyAnnouncement(going("a", 9))
+	table.ApplyAnnouncement(drainingServer("a", 9))
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(0, 2)}}, storepos.At(0, 12))
 	if table.IsAvailable("a") {
-		t.Error("a peer's list brings a server back whose entry it may hold back")
+		t.Error("a peer's list made a draining server available although the peer may withhold its newer entry")
 	}
 	table.ReplaceByPeer(begin, []Server{{ID: "a", Position: storepos.At(0, 13)}}, storepos.At(0, 14))
 	if !table.IsAvailable("a") {
-		t.Error("a peer's newer entry does not bring the server back")
+		t.Error("a peer's newer entry did not make the server available")
 	}
 }
 
-// TestLastEventOfEachServerCounts in what an answer tells at once.
+// TestLastEventOfEachServerCounts checks that of several events about a server in one answer only
+// the last one counts.
 func TestLastEventOfEachServerCounts(t *testing.T) {
 	table := NewTable()
 	table.Replace(begin, begin, []Server{{ID: "a", Position: storepos.At(0, 2)}, {ID: "b", Position: storepos.At(0, 3)}}, storepos.At(0, 5))
@@ -165,16 +168,17 @@
 	}
 }
 
-// TestEntryThatCannotBeRead: it takes a known server out of use until one that can be read comes;
-// one of a server that nobody knows names none, and the others of a list hold.
+// TestEntryThatCannotBeRead checks that an unreadable entry takes a known server out of use until a
+// readable one arrives. An unreadable entry of an unknown server is ignored, and the other entries
+// of a list still apply.
 func TestEntryThatCannotBeRead(t *testing.T) {
-	sound := Server{ID: "a", Service: "s", Address: "1.2.3.4:5", Position: storepos.At(0, 2)}
+	readable := Server{ID: "a", Service: "s", Address: "1.2.3.4:5", Position: storepos.At(0, 2)}
 	unreadable := Server{ID: "a", Position: storepos.At(0, 5), Unreadable: true}
-	out := sound
-	out.Draining, out.Position = true, storepos.At(0, 5)
-	back := sound
+	unavailable := readable
+	unavailable.Draining, unavailable.Position = true, storepos.At(0, 5)
+	back := readable
 	back.Position = storepos.At(0, 9)
-	for name, tell := range map[string]func(table *Table, server Server, revision int64) []Change{
+	for name, apply := range map[string]func(table *Table, server Server, revision int64) []Change{
 		"watch": func(table *Table, server Server, revision int64) []Change {
 			return table.Apply([]Change{{Server: server}, {Server: Server{ID: "x", Position: storepos.At(0, revision), Unreadable: true}}}, storepos.At(0, revision))
 		},
@@ -183,41 +187,41 @@
 		},
 	} {
 		table := NewTable()
-		table.Replace(begin, begin, []Server{sound}, storepos.At(0, 3))
-		if diff := cmp.Diff([]Change{{Server: out}}, tell(table, unreadable, 5)); diff != "" {
+		table.Replace(begin, begin, []Server{readable}, storepos.At(0, 3))
+		if diff := cmp.Diff([]Change{{Server: unavailable}}, apply(table, unreadable, 5)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if again := tell(table, unreadable, 6); again != nil || table.IsAvailable("a") || table.IsAvailable("x") {
-			t.Errorf("%s: the same once more is news: %v", name, again)
+		if again := apply(table, unreadable, 6); again != nil || table.IsAvailable("a") || table.IsAvailable("x") {
+			t.Errorf("%s: the same unreadable entry again changes the table: %v", name, again)
 		}
-		if diff := cmp.Diff([]Change{{Server: back}}, tell(table, back, 9)); diff != "" || !table.IsAvailable("a") {
+		if diff := cmp.Diff([]Change{{Server: back}}, apply(table, back, 9)); diff != "" || !table.IsAvailable("a") {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
-// TestStartThatIsNotTold: peers of builds that do not tell it mean the start that is known, and
-// nothing that it told is forgotten by that; where the store told it once, an entry without it is
-// another writer's.
+// TestStartThatIsNotTold checks entries without a start. From a peer, whose build may not send it,
+// such an entry means the known start. From the store, after an entry with a start, it was written
+// by another writer and takes the server out of use.
 func TestStartThatIsNotTold(t *testing.T) {
 	known := Server{ID: "a", StartedAtMs: 7, Service: "s", Address: "1.2.3.4:5", Position: storepos.At(0, 2)}
 	newer := known
 	newer.StartedAtMs, newer.Position = 0, storepos.At(0, 5)
 	want := newer
 	want.StartedAtMs = 7
-	for name, tell := range map[string]func(table *Table) []Change{
-		"a list": func(table *Table) []Change { return table.ReplaceByPeer(begin, []Server{newer}, storepos.At(0, 5)) },
-		"news":   func(table *Table) []Change { return table.ApplyAnnouncement(newer) },
+	for name, apply := range map[string]func(table *Table) []Change{
+		"list":         func(table *Table) []Change { return table.ReplaceByPeer(begin, []Server{newer}, storepos.At(0, 5)) },
+		"announcement": func(table *Table) []Change { return table.ApplyAnnouncement(newer) },
 	} {
 		table := NewTable()
 		table.Replace(begin, begin, []Server{known}, storepos.At(0, 3))
-		if diff := cmp.Diff([]Change{{Server: want}}, tell(table)); diff != "" {
-			t.Errorf("%s of a peer: %s", name, diff)
+		if diff := cmp.Diff([]Change{{Server: want}}, apply(table)); diff != "" {
+			t.Errorf("%s from a peer: %s", name, diff)
 		}
 	}
 	table := NewTable()
 	table.Replace(begin, begin, []Server{known}, storepos.At(0, 3))
 	if changes := table.Apply([]Change{{Server: newer}}, storepos.At(0, 5)); len(changes) != 1 || !changes[0].Server.Draining || changes[0].Server.StartedAtMs != 7 {
-		t.Errorf("an entry without a start: %+v, want its server out of use", changes)
+		t.Errorf("an entry without a start changed %+v, want the server out of use", changes)
 	}
 }
--- a/internal/inventory/start.go
+++ b/internal/inventory/start.go
@@ -1,18 +1,18 @@
 package inventory
 
-// Start names one start of a server. A server may start again under the ID that it had: it
-// then holds and knows nothing of before.
+// Start identifies one start of a server. A server may be started again under the same ID; it then
+// has none of the models and none of the state from before.
 type Start struct {
 	ID string
-	// StartedAtMs is the Unix time of the start in milliseconds, by the server's own clock; 0 where
-	// it is not told. Of two starts under one ID the later one counts.
+	// StartedAtMs is the Unix time of the start in milliseconds, by the server's own clock; 0 if
+	// unknown. Of two starts under one ID the later one counts.
 	StartedAtMs int64
 }
 
-// IsLaterThan reports whether it is another start of the same server, and the later one.
+// IsLaterThan reports whether s is a later start of the same server.
 func (s Start) IsLaterThan(other Start) bool {
 	return s.ID == other.ID && s.StartedAtMs > other.StartedAtMs
 }
 
-// Start is the start that the entry is of.
+// Start returns the start that the entry describes.
 func (s Server) Start() Start { return Start{ID: s.ID, StartedAtMs: s.StartedAtMs} }
