--- a/internal/routetable/coldstart.go
+++ b/internal/routetable/coldstart.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// ColdStart is what servers of a service bear for some time after they started, or came
-// back. The zero value is no limit.
+// ColdStart is what a service's servers can handle for some time after they started or returned.
+// The zero value is no limit.
 type ColdStart struct {
-	// Time is how long they are cold.
+	// Time is how long servers are cold.
 	Time time.Duration
-	// PerSecond are the requests that a cold one bears from all nodes together; at 0 none.
+	// PerSecond is the rate of requests that a cold server can handle from all nodes together; 0
+	// means none.
 	PerSecond float64
 }
 
-// IsLimited reports whether cold servers of the service bear less than warm ones.
+// IsLimited reports whether cold servers of the service can handle less than warm ones.
 func (c ColdStart) IsLimited() bool { return c.Time > 0 || c.PerSecond > 0 }
 
-// HasColdStarts reports whether a service limits its cold servers.
+// HasColdStarts reports whether any service limits its cold servers.
 func (t *Table) HasColdStarts() bool {
 	for _, service := range t.Services {
 		if service.ColdStart.IsLimited() {
@@ -24,7 +25,7 @@
 	return false
 }
 
-// ColdStarts are the limits of the services that have one.
+// ColdStarts returns the limits of the services that have one.
 func (t *Table) ColdStarts() map[string]ColdStart {
 	limited := make(map[string]ColdStart)
 	for name, service := range t.Services {
--- a/internal/routetable/regions.go
+++ b/internal/routetable/regions.go
@@ -2,8 +2,8 @@
 
 import "github.com/spanlanding/spanlanding/internal/locality"
 
-// AllowedRegions are the regions in which a request of the route and the tenant may
-// run: where both name some, those of both. The tenant is nil where none is needed.
+// AllowedRegions returns the regions in which a request of the route and the tenant may run: if
+// both restrict regions, those that both allow. tenant is nil if the route needs none.
 func AllowedRegions(route *Route, tenant *Tenant) locality.Regions {
 	if tenant == nil {
 		return route.Regions
@@ -11,52 +11,52 @@
 	return route.Regions.Intersect(tenant.Regions)
 }
 
-// CurrentRegions are the regions in which a request may run by this table, which may be
-// newer than the one that its route and tenant are of. A route or tenant that the table
-// does not have any more keeps the regions that it had.
+// CurrentRegions returns the regions in which a request may run according to this table, which may
+// be newer than the one that route and tenant come from. A route or tenant that is missing in this
+// table keeps its regions.
 func (t *Table) CurrentRegions(route *Route, tenant *Tenant) locality.Regions {
-	if known, ok := t.routeNamed(route); ok {
-		route = known
+	if current, ok := t.findRoute(route); ok {
+		route = current
 	}
 	if tenant != nil {
-		if known, ok := t.Tenant(tenant.Name); ok {
-			tenant = known
+		if current, ok := t.Tenant(tenant.Name); ok {
+			tenant = current
 		}
 	}
 	return AllowedRegions(route, tenant)
 }
 
-// routeNamed is the table's route of a route's host and name.
-func (t *Table) routeNamed(route *Route) (*Route, bool) {
-	ofHost := t.routes[canonicalHost(route.Host)]
-	for i := range ofHost {
-		if ofHost[i].Name == route.Name {
-			return &ofHost[i], true
+// findRoute returns this table's route with the same host and name.
+func (t *Table) findRoute(route *Route) (*Route, bool) {
+	hostRoutes := t.routes[canonicalHost(route.Host)]
+	for i := range hostRoutes {
+		if hostRoutes[i].Name == route.Name {
+			return &hostRoutes[i], true
 		}
 	}
 	return nil, false
 }
 
-// RegionRestriction is a service of a route whose requests may run in some regions only.
+// RegionRestriction is a service of a route whose requests may run only in some regions.
 type RegionRestriction struct {
 	Route   string
 	Service string
 	Regions locality.Regions
 }
 
-// RegionRestrictions are the services of all routes that name regions.
-func (t *Table) RegionRestrictions() []RegionRestriction { return t.bounded }
+// RegionRestrictions returns the services of all routes that restrict regions.
+func (t *Table) RegionRestrictions() []RegionRestriction { return t.restrictions }
 
-// findBounded lists the services of routes that name regions, once for a table.
-func findBounded(routes []Route) []RegionRestriction {
-	var bounded []RegionRestriction
+// findRestrictions lists the services of routes that restrict regions. It runs once per table.
+func findRestrictions(routes []Route) []RegionRestriction {
+	var restrictions []RegionRestriction
 	for _, route := range routes {
 		if !route.Regions.IsBounded() {
 			continue
 		}
-		for _, part := range route.Services {
-			bounded = append(bounded, RegionRestriction{Route: route.Name, Service: part.Service, Regions: route.Regions})
+		for _, service := range route.Services {
+			restrictions = append(restrictions, RegionRestriction{Route: route.Name, Service: service.Service, Regions: route.Regions})
 		}
 	}
-	return bounded
+	return restrictions
 }
--- a/internal/routetable/split.go
+++ b/internal/routetable/split.go
@@ -1,13 +1,12 @@
 package routetable
 
-// Splitter deals the requests of a route to its parts by their weights, so
-// that within any run of requests each part has its share but for one request.
-// It is not safe for concurrent use.
+// Splitter distributes the requests of a route over its services by weight, so that in any sequence
+// of requests each service is within one request of its share. It is not safe for concurrent use.
 type Splitter struct {
 	credit map[string][]float64
 }
 
-// Next returns the part that the route's next request belongs to.
+// Next returns the service for the route's next request.
 func (s *Splitter) Next(route *Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
@@ -17,9 +16,9 @@
 	}
 	credit := s.creditOf(route)
 	total, best := 0.0, 0
-	for i, part := range route.Services {
-		credit[i] += part.Weight
-		total += part.Weight
+	for i, service := range route.Services {
+		credit[i] += service.Weight
+		total += service.Weight
 		if credit[i] > credit[best] {
 			best = i
 		}
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -12,12 +12,11 @@
 type RetryPolicy int
 
 const (
-	// RetryNever is a request that runs at most once.
+	// RetryNever allows a request to run at most once.
 	RetryNever RetryPolicy = iota
-	// RetrySafe is a request that may run more than once.
+	// RetrySafe allows a request to run more than once.
 	RetrySafe
-	// RetryResume is a stream that another server may take up behind the last
-	// whole event.
+	// RetryResume allows another server to resume a stream after the last complete event.
 	RetryResume
 )
 
@@ -27,59 +26,59 @@
 	Host        string
 	Prefix      string
 	RetryPolicy RetryPolicy
-	// Stream is set where answers are event streams.
+	// Stream is set if responses are event streams.
 	Stream bool
-	// Sticky is set where requests name a model and the parts of a prompt.
+	// Sticky is set if requests name a model and the parts of a prompt.
 	Sticky bool
-	// Timeout is how long a request may be held; 0 is without a bound.
+	// Timeout is how long a request may be held; 0 means no limit.
 	Timeout time.Duration
-	// LatencyGoal is the time within which an answer, or a stream's first event, is
-	// in time; 0 where none is given.
+	// LatencyGoal is the time within which a response, or the first event of a stream, counts as in
+	// time; 0 if there is no goal.
 	LatencyGoal time.Duration
-	// EventGapGoal is the longest pause between events that is still in time.
+	// EventGapGoal is the longest pause between events that counts as in time.
 	EventGapGoal time.Duration
-	// Priority is the rank among requests; 0 is the highest.
+	// Priority ranks requests; 0 is the highest.
 	Priority int
-	// MaxAttempts is the greatest number of servers that a request is sent to.
+	// MaxAttempts is the largest number of servers that a request is sent to.
 	MaxAttempts int
-	// Public is set where requests need no key.
+	// Public is set if requests need no API key.
 	Public bool
-	// Services are the services that requests go to; weights are relative.
+	// Services are the services that requests are distributed to; weights are relative.
 	Services []WeightedService
-	// Regions are those in which its requests may run.
+	// Regions are the regions in which the route's requests may run.
 	Regions locality.Regions
 }
 
-// WeightedService is one service of a route.
+// WeightedService is one service of a route with its share of the requests.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a group of servers that can take each other's requests.
+// Service is a group of interchangeable servers.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is the number of connections that one server accepts from
-	// all nodes together; 0 where none is told.
+	// MaxConnections is the number of connections that one server accepts from all nodes together;
+	// 0 if not configured.
 	MaxConnections int
 	ColdStart      ColdStart
-	// Engine is nil where servers hold no models.
+	// Engine is nil if the servers hold no models.
 	Engine *Engine
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
 	Slots int
-	// MemoryTokens is the room for running requests and cached prompts.
+	// MemoryTokens is the capacity for running requests and cached prompts, in tokens.
 	MemoryTokens int
 	Models       map[string]Model
-	// MemoryMB is the room of one server for weights and adapters.
+	// MemoryMB is the capacity of one server for weights and adapters.
 	MemoryMB     float64
 	AdapterSlots int
-	// LoadsPerSecond bounds the loads from the weight store of all servers.
+	// LoadsPerSecond limits the loads from the weight store, over all servers.
 	LoadsPerSecond float64
-	// EventStreams is how many waiting event calls one server holds.
+	// EventStreams is how many waiting event calls one server accepts.
 	EventStreams int
 }
 
@@ -87,8 +86,8 @@
 type Model struct {
 	Name      string
 	WeightsMB float64
-	// Load, DiskLoad and MemoryLoad are the times of a load from the weight
-	// store, from the server's disk and from its memory.
+	// Load, DiskLoad and MemoryLoad are the times to load the model from the weight store, from the
+	// server's disk and from its memory.
 	Load       time.Duration
 	DiskLoad   time.Duration
 	MemoryLoad time.Duration
@@ -96,7 +95,7 @@
 	AdapterMB  float64
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on what callers may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -109,25 +108,25 @@
 	Version  int64
 	Services map[string]Service
 	Limits   Limits
-	// Source is the text that the table was decoded from, for nodes that do not
-	// read it from the store themselves.
+	// Source is the text that the table was decoded from. It is passed on to nodes that do not read
+	// it from the store themselves.
 	Source []byte
 	routes map[string][]Route
-	// tenants are the owners of keys; owners are indices into them.
-	tenants   []Tenant
-	owners    map[KeyHash]int
-	hasQuotas bool
-	bounded   []RegionRestriction
+	// tenants are the owners of keys; the values of owners are indices into tenants.
+	tenants      []Tenant
+	owners       map[KeyHash]int
+	hasQuotas    bool
+	restrictions []RegionRestriction
 }
 
 // New returns a table of the routes.
 func New(version int64, routes []Route, services []Service, limits Limits) *Table {
 	table := &Table{
-		Version:  version,
-		Services: make(map[string]Service, len(services)),
-		Limits:   limits,
-		routes:   make(map[string][]Route),
-		bounded:  findBounded(routes),
+		Version:      version,
+		Services:     make(map[string]Service, len(services)),
+		Limits:       limits,
+		routes:       make(map[string][]Route),
+		restrictions: findRestrictions(routes),
 	}
 	for _, service := range services {
 		table.Services[service.Name] = service
@@ -136,33 +135,33 @@
 		host := canonicalHost(route.Host)
 		table.routes[host] = append(table.routes[host], route)
 	}
-	for _, ofHost := range table.routes {
-		slices.SortStableFunc(ofHost, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range table.routes {
+		slices.SortStableFunc(hostRoutes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return table
 }
 
 // Match returns the route of the host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	ofHost := t.routes[canonicalHost(host)]
-	for i := range ofHost {
-		if strings.HasPrefix(path, ofHost[i].Prefix) {
-			return &ofHost[i], true
+	hostRoutes := t.routes[canonicalHost(host)]
+	for i := range hostRoutes {
+		if strings.HasPrefix(path, hostRoutes[i].Prefix) {
+			return &hostRoutes[i], true
 		}
 	}
 	return nil, false
 }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes.
 func (t *Table) RouteCount() int {
 	count := 0
-	for _, ofHost := range t.routes {
-		count += len(ofHost)
+	for _, hostRoutes := range t.routes {
+		count += len(hostRoutes)
 	}
 	return count
 }
 
-// canonicalHost is the host without its port, in lower case.
+// canonicalHost returns the host without its port, in lower case.
 func canonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -38,10 +38,10 @@
 	counts := make(map[string]int)
 	for sent := 1; sent <= 1000; sent++ {
 		counts[splitter.Next(route)]++
-		for _, part := range route.Services {
-			wanted := float64(sent) * part.Weight / 100
-			if off := float64(counts[part.Service]) - wanted; off > 1.5 || off < -1.5 {
-				t.Fatalf("after %d requests %s has %d, want about %.1f", sent, part.Service, counts[part.Service], wanted)
+		for _, service := range route.Services {
+			wanted := float64(sent) * service.Weight / 100
+			if off := float64(counts[service.Service]) - wanted; off > 1.5 || off < -1.5 {
+				t.Fatalf("after %d requests %s has %d, want about %.1f", sent, service.Service, counts[service.Service], wanted)
 			}
 		}
 	}
@@ -51,9 +51,9 @@
 	var splitter Splitter
 	splitter.Next(&Route{Name: "r", Services: []WeightedService{{"a", 1}, {"b", 1}}})
 	if got := splitter.Next(&Route{Name: "r", Services: []WeightedService{{"c", 1}}}); got != "c" {
-		t.Errorf("went to %q, want c", got)
+		t.Errorf("the changed route went to %q, want c", got)
 	}
 	if got := splitter.Next(&Route{Name: "r", Services: []WeightedService{{"a", 0}, {"b", 1}, {"c", 0}}}); got != "b" {
-		t.Errorf("went to %q, want b: the others weigh nothing", got)
+		t.Errorf("went to %q, want b: the others have weight 0", got)
 	}
 }
--- a/internal/routetable/tenant.go
+++ b/internal/routetable/tenant.go
@@ -8,55 +8,55 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// KeyHash stands for an API key: keys themselves are kept in the table's source
-// alone, and never logged.
+// KeyHash represents an API key. The keys themselves are kept only in the table's source, and are
+// never logged.
 type KeyHash [sha256.Size]byte
 
-// HashKey is the hash of a key.
+// HashKey returns the hash of a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Tenant is one customer of the operators, known by its API keys.
+// Tenant is one customer of the operators, identified by its API keys.
 type Tenant struct {
 	Name string
 	Keys []KeyHash
-	// Priority goes before that of the route where HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	Quota       Quota
-	// Regions are those in which its requests may run.
+	// Regions are the regions in which the tenant's requests may run.
 	Regions locality.Regions
 }
 
-// Quota bounds what a tenant's requests may count over all nodes: PerSecond, and
-// Burst beyond that at once.
+// Quota limits the cost of a tenant's requests over all nodes: PerSecond, plus Burst at once.
 type Quota struct {
-	// PerSecond and Burst are in tokens where CountsTokens is set, else in requests.
-	// 0 is without a bound.
+	// PerSecond and Burst are in tokens if CountsTokens is set, otherwise in requests. A PerSecond
+	// of 0 means no limit.
 	PerSecond    float64
 	Burst        float64
 	CountsTokens bool
-	// DefaultTokens are counted for a request that tells no number of tokens.
+	// DefaultTokens is the cost of a request that does not state its number of tokens.
 	DefaultTokens int
 }
 
-// IsLimited reports whether there is a bound at all.
+// IsLimited reports whether there is a limit at all.
 func (q Quota) IsLimited() bool { return q.PerSecond > 0 }
 
-// Cost is what a request of so many tokens counts.
-func (q Quota) Cost(tokens int, tellsTokens bool) float64 {
+// Cost returns the cost of a request with that number of tokens. hasTokenCount is false if the
+// request does not state it.
+func (q Quota) Cost(tokens int, hasTokenCount bool) float64 {
 	switch {
 	case !q.CountsTokens:
 		return 1
-	case tellsTokens:
+	case hasTokenCount:
 		return float64(tokens)
 	default:
 		return float64(q.DefaultTokens)
 	}
 }
 
-// SetTenants makes every request need a key of one of the tenants, but on public
-// routes. Of two tenants with one key, the first owns it. It is called before the
-// table is published.
+// SetTenants makes every request need a key of one of the tenants, except on public routes. If two
+// tenants have the same key, it belongs to the first. SetTenants must be called before the table is
+// published.
 func (t *Table) SetTenants(tenants []Tenant) {
 	t.tenants = tenants
 	t.owners = make(map[KeyHash]int)
@@ -73,10 +73,10 @@
 // HasTenants reports whether requests need a key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// HasQuotas reports whether a tenant is limited.
+// HasQuotas reports whether any tenant has a quota.
 func (t *Table) HasQuotas() bool { return t.hasQuotas }
 
-// Tenant returns the tenant of a name.
+// Tenant returns the tenant with the name.
 func (t *Table) Tenant(name string) (*Tenant, bool) {
 	for i := range t.tenants {
 		if t.tenants[i].Name == name {
@@ -86,11 +86,11 @@
 	return nil, false
 }
 
-// Tenants are all tenants, in the order of the configuration.
+// Tenants returns all tenants in the order of the configuration.
 func (t *Table) Tenants() []Tenant { return t.tenants }
 
-// TenantByKey is the owner of a key. The look-up goes by hash, so that its time tells
-// nothing of the keys there are.
+// TenantByKey returns the owner of a key. The lookup is by hash, so that its duration reveals
+// nothing about the existing keys.
 func (t *Table) TenantByKey(key string) (*Tenant, bool) {
 	hash := HashKey(key)
 	index, ok := t.owners[hash]
--- a/internal/routetable/tenant_test.go
+++ b/internal/routetable/tenant_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func tenantsOf(count int) []Tenant {
+func newTenants(count int) []Tenant {
 	var tenants []Tenant
 	for i := range count {
 		tenants = append(tenants, Tenant{
@@ -21,14 +21,14 @@
 		t.Error("a table without tenants has some")
 	}
 	if _, ok := table.TenantByKey(""); ok {
-		t.Error("no key belongs to a tenant where there is none")
+		t.Error("an empty key has an owner in a table without tenants")
 	}
-	tenants := tenantsOf(3)
+	tenants := newTenants(3)
 	tenants[2].Keys = append(tenants[2].Keys, HashKey("k0"))
 	tenants[1].Quota = Quota{PerSecond: 5}
 	table.SetTenants(tenants)
 	if !table.HasTenants() || !table.HasQuotas() {
-		t.Error("the tenants, or their quotas, are not there")
+		t.Error("the tenants or their quotas are missing")
 	}
 	for key, want := range map[string]string{"k0": "t0", "l0": "t0", "k2": "t2", "l1": "t1", "k": "", "": "", "K0": ""} {
 		name := ""
@@ -36,7 +36,7 @@
 			name = tenant.Name
 		}
 		if name != want {
-			t.Errorf("key %q belongs to %q, want %q: the first of two owners", key, name, want)
+			t.Errorf("key %q belongs to %q, want %q (the first of two owners)", key, name, want)
 		}
 	}
 	if tenant, ok := table.Tenant("t1"); !ok || tenant.Quota.PerSecond != 5 {
@@ -44,7 +44,7 @@
 	}
 	table.SetTenants(nil)
 	if table.HasTenants() || table.HasQuotas() {
-		t.Error("a table whose tenants are gone has some")
+		t.Error("a table whose tenants were removed has some")
 	}
 }
 
@@ -52,23 +52,23 @@
 	tokens := Quota{PerSecond: 1, CountsTokens: true, DefaultTokens: 200}
 	requests := Quota{PerSecond: 1, DefaultTokens: 200}
 	cases := []struct {
-		quota  Quota
-		tokens int
-		tells  bool
-		want   float64
+		quota         Quota
+		tokens        int
+		hasTokenCount bool
+		want          float64
 	}{
 		{tokens, 1500, true, 1500}, {tokens, 0, false, 200}, {tokens, 0, true, 0}, {requests, 1500, true, 1}, {requests, 0, false, 1},
 	}
 	for _, c := range cases {
-		if got := c.quota.Cost(c.tokens, c.tells); got != c.want {
-			t.Errorf("%+v of %d tokens counts %.0f, want %.0f", c.quota, c.tokens, got, c.want)
+		if got := c.quota.Cost(c.tokens, c.hasTokenCount); got != c.want {
+			t.Errorf("quota %+v: a request of %d tokens costs %.0f, want %.0f", c.quota, c.tokens, got, c.want)
 		}
 	}
 }
 
 func BenchmarkTenantOf(b *testing.B) {
 	table := New(1, nil, nil, Limits{})
-	table.SetTenants(tenantsOf(1000))
+	table.SetTenants(newTenants(1000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := table.TenantByKey("l500"); !ok {
