--- a/internal/backendconn/errors.go
+++ b/internal/backendconn/errors.go
@@ -4,10 +4,10 @@
 
 var errorNamespace = errorx.NewNamespace("backendconn")
 
-// What an error says of the request.
+// Types of errors, by whether the request was sent.
 var (
-	// ErrNotSent says that no byte of the request left this process.
+	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errorNamespace.NewType("not_sent")
-	// ErrMaybeSent says that the request may have run.
+	// ErrMaybeSent means that the request may have reached the server and run there.
 	ErrMaybeSent = errorNamespace.NewType("unknown")
 )
--- a/internal/backendconn/exchange.go
+++ b/internal/backendconn/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/spanlanding/spanlanding/internal/clock"
 )
 
-// Request is one request as it goes to a server.
+// Request is one request as it is sent to a server.
 type Request struct {
 	Method string
 	// Target is the path and query as the caller wrote them.
@@ -22,27 +22,27 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody is set where the caller sent a body, though it may be empty.
+	// HasBody is set if the caller sent a body, even an empty one.
 	HasBody bool
-	// Deadline ends the exchange, by package clock; zero is without an end.
+	// Deadline ends the exchange, on the clock of package clock; zero means no deadline.
 	Deadline time.Time
-	// Matches reports whether the answer belongs to this request.
+	// Matches reports whether a response with these headers belongs to this request; nil accepts
+	// any.
 	Matches func(http.Header) bool
-	// OnResponse is told the head of each answer that comes on the connection, also of one that
-	// belongs to an earlier request; nil is nobody.
+	// OnResponse is called with the status and headers of each response on the connection,
+	// including those to earlier requests; it may be nil.
 	OnResponse func(status int, header http.Header)
 }
 
-// steadyDeadline is the deadline by the clock that connections go by.
-func (r Request) steadyDeadline() time.Time {
+// connDeadline converts Deadline to the clock that connections use.
+func (r Request) connDeadline() time.Time {
 	if r.Deadline.IsZero() {
 		return time.Time{}
 	}
 	return time.Now().Add(clock.Until(r.Deadline))
 }
 
-// Response is a server's answer. Its body must be read to the end or Close be
-// called.
+// Response is a server's response. Read its body to the end, or call Close.
 type Response struct {
 	Status        int
 	Header        http.Header
@@ -50,60 +50,60 @@
 	body          io.Reader
 	conn          *Conn
 	exchange      *exchange
-	keep          bool
-	ended         bool
+	keepAlive     bool
+	done          bool
 }
 
-// inlineBytes is the size up to which a request is written before its answer is
-// read. Longer ones are written meanwhile, since a server may answer early.
-const inlineBytes = 4096
+// maxInlineBytes is the size up to which a request is written before its response is read. Longer
+// requests are written concurrently, because a server may respond early.
+const maxInlineBytes = 4096
 
-// maxSurplus is the number of surplus answers passed over on a connection.
-const maxSurplus = 4
+// maxStaleResponses is how many responses are read on a connection to find the one to the request.
+const maxStaleResponses = 4
 
-// maxSurplusBytes bounds what is read of a surplus answer.
-const maxSurplusBytes = 1 << 20
+// maxStaleBytes limits how much of a stale response is read.
+const maxStaleBytes = 1 << 20
 
 type exchange struct {
-	conn    *Conn
-	stop    func() bool
-	written chan struct{}
-	failure error
-	once    sync.Once
+	conn     *Conn
+	stop     func() bool
+	written  chan struct{}
+	writeErr error
+	once     sync.Once
 }
 
-// RoundTrip sends the request and returns the head of its answer. When ctx
-// ends, the connection is reset, which cancels the request at the server.
+// RoundTrip sends the request and returns its response once the headers are read. If ctx ends, the
+// connection is reset, which cancels the request at the server.
 func (c *Conn) RoundTrip(ctx context.Context, request Request) (*Response, error) {
-	running := &exchange{conn: c, written: make(chan struct{})}
-	_ = c.SetDeadline(request.steadyDeadline())
-	running.stop = context.AfterFunc(ctx, c.reset)
+	x := &exchange{conn: c, written: make(chan struct{})}
+	_ = c.SetDeadline(request.connDeadline())
+	x.stop = context.AfterFunc(ctx, c.reset)
 	if err := ctx.Err(); err != nil {
-		running.abort()
-		return nil, ErrNotSent.Wrap(err, "cancelled")
+		x.abort()
+		return nil, ErrNotSent.Wrap(err, "request cancelled before it was sent")
 	}
 	c.reader = readers.Get().(*bufio.Reader)
 	c.reader.Reset(c.Conn)
-	running.write(request)
-	answer, err := running.read(request)
+	x.write(request)
+	response, err := x.read(request)
 	if err != nil {
-		running.abort()
+		x.abort()
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (x *exchange) write(request Request) {
 	head := request.head()
-	if len(head)+len(request.Body) <= inlineBytes {
-		_, x.failure = x.conn.Write(append(head, request.Body...))
+	if len(head)+len(request.Body) <= maxInlineBytes {
+		_, x.writeErr = x.conn.Write(append(head, request.Body...))
 		close(x.written)
 		return
 	}
 	go func() {
 		defer close(x.written)
-		if _, x.failure = x.conn.Write(head); x.failure == nil {
-			_, x.failure = x.conn.Write(request.Body)
+		if _, x.writeErr = x.conn.Write(head); x.writeErr == nil {
+			_, x.writeErr = x.conn.Write(request.Body)
 		}
 	}()
 }
@@ -122,10 +122,10 @@
 
 func (x *exchange) read(request Request) (*Response, error) {
 	method := &http.Request{Method: request.Method}
-	for range maxSurplus {
+	for range maxStaleResponses {
 		response, err := http.ReadResponse(x.conn.reader, method)
 		if err != nil {
-			return nil, ErrMaybeSent.Wrap(err, "read the answer")
+			return nil, ErrMaybeSent.Wrap(err, "read response")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -134,16 +134,16 @@
 			request.OnResponse(response.StatusCode, response.Header)
 		}
 		if request.Matches == nil || request.Matches(response.Header) {
-			return x.answer(response), nil
+			return x.newResponse(response), nil
 		}
-		if err := passOver(response); err != nil {
+		if err := discardStale(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, ErrMaybeSent.New("too many surplus answers")
+	return nil, ErrMaybeSent.New("too many stale responses")
 }
 
-func (x *exchange) answer(response *http.Response) *Response {
+func (x *exchange) newResponse(response *http.Response) *Response {
 	return &Response{
 		Status:        response.StatusCode,
 		Header:        response.Header,
@@ -151,81 +151,81 @@
 		body:          response.Body,
 		conn:          x.conn,
 		exchange:      x,
-		keep:          !response.Close,
+		keepAlive:     !response.Close,
 	}
 }
 
-// passOver reads an answer that belongs to another request.
-func passOver(response *http.Response) error {
-	if response.Close || response.ContentLength > maxSurplusBytes {
-		return ErrMaybeSent.New("an answer of another request that ends the connection")
+// discardStale reads a response that belongs to another request.
+func discardStale(response *http.Response) error {
+	if response.Close || response.ContentLength > maxStaleBytes {
+		return ErrMaybeSent.New("stale response to another request ends the connection")
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes)); err != nil {
-		return ErrMaybeSent.Wrap(err, "read a surplus answer")
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleBytes)); err != nil {
+		return ErrMaybeSent.Wrap(err, "read stale response")
 	}
 	return nil
 }
 
-// Read reads the body. At its end the connection is kept where it can be.
-func (a *Response) Read(into []byte) (int, error) {
-	if a.ended {
+// Read reads the body. At its end the connection is kept for reuse if possible.
+func (r *Response) Read(into []byte) (int, error) {
+	if r.done {
 		return 0, io.EOF
 	}
-	count, err := a.body.Read(into)
+	count, err := r.body.Read(into)
 	switch {
 	case errors.Is(err, io.EOF):
-		a.finish()
+		r.finish()
 	case err != nil:
-		a.Close()
+		r.Close()
 	}
 	return count, err
 }
 
 // finish keeps the connection if nothing of this exchange is left on it.
-func (a *Response) finish() {
-	if a.ended {
+func (r *Response) finish() {
+	if r.done {
 		return
 	}
-	a.ended = true
-	if !a.exchange.stop() {
-		a.exchange.abort()
+	r.done = true
+	if !r.exchange.stop() {
+		r.exchange.abort()
 		return
 	}
-	clean := a.keep && a.exchange.isWritten() && a.conn.reader.Buffered() == 0
+	clean := r.keepAlive && r.exchange.isWritten() && r.conn.reader.Buffered() == 0
 	if !clean {
-		a.exchange.abort()
+		r.exchange.abort()
 		return
 	}
-	_ = a.conn.SetDeadline(time.Time{})
-	a.conn.release(a.Header)
+	_ = r.conn.SetDeadline(time.Time{})
+	r.conn.release(r.Header)
 }
 
-// Close ends the exchange. A body that was not read to its end takes the
-// connection with it, which cancels the request at the server.
-func (a *Response) Close() {
-	if !a.ended {
-		a.ended = true
-		a.exchange.abort()
+// Close ends the exchange. If the body was not read to its end, the connection is closed, which
+// cancels the request at the server.
+func (r *Response) Close() {
+	if !r.done {
+		r.done = true
+		r.exchange.abort()
 	}
 }
 
 func (x *exchange) isWritten() bool {
 	select {
 	case <-x.written:
-		return x.failure == nil
+		return x.writeErr == nil
 	default:
 		return false
 	}
 }
 
-// abort gives the exchange up.
+// abort resets the connection and releases its reader.
 func (x *exchange) abort() {
 	x.once.Do(func() {
 		x.stop()
 		x.conn.reset()
 		if x.conn.reader != nil {
 			<-x.written
-			x.conn.putReader()
+			x.conn.releaseReader()
 		}
 	})
 }
--- a/internal/backendconn/liveness.go
+++ b/internal/backendconn/liveness.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Liveness is what became of a server whose connection broke off.
+// Liveness is the state of a server whose connection broke.
 type Liveness string
 
 const (
-	// LivenessEnded servers have ended: nobody listens at the address.
+	// LivenessEnded means that the server has ended: nothing listens at the address.
 	LivenessEnded Liveness = "ended"
-	// LivenessAlive is somebody who listens there.
+	// LivenessAlive means that something listens at the address.
 	LivenessAlive Liveness = "alive"
-	// LivenessUnknown is an address that nothing comes back from.
+	// LivenessUnknown means that the address does not respond.
 	LivenessUnknown Liveness = "unknown"
 )
 
-// probeTimeout bounds a probe; a server that ended refuses connections in the time of
-// one way there and back, and takes a second or more to start anew.
+// probeTimeout limits a probe. A server that has ended refuses connections within one round trip,
+// and takes a second or more to start again.
 const probeTimeout = 100 * time.Millisecond
 
-// Probe opens a connection to the address and closes it, to tell a server that ended from
-// a connection that was reset or a way that was cut. Those who ask at once share a probe.
+// Probe opens a connection to the address and closes it, to distinguish a server that has ended
+// from a reset connection or a network partition. Concurrent callers share a probe.
 func (p *Pool) Probe(address string) Liveness {
-	// Probing never fails; the result is always a Liveness.
+	// The function never returns an error, and its result is always a Liveness.
 	result, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
 	return result.(Liveness)
 }
--- a/internal/backendconn/pool.go
+++ b/internal/backendconn/pool.go
@@ -15,15 +15,15 @@
 	"github.com/spanlanding/spanlanding/internal/clock"
 )
 
-// Options set up a Pool.
+// Options configure a Pool.
 type Options struct {
-	// DialTimeout bounds the time of a new connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is kept where its server tells nothing.
+	// IdleTimeout is how long an idle connection is kept if its server does not say.
 	IdleTimeout time.Duration
-	// MaxIdle is the number of idle connections kept to an address.
+	// MaxIdle is the number of idle connections kept per address.
 	MaxIdle int
-	// Dial opens a connection; nil is TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -34,17 +34,17 @@
 	DefaultMaxIdle     = 8
 )
 
-// keepAliveMargin is taken off the time that a server says it keeps an idle
-// connection, since its close and our next request may cross.
+// keepAliveMargin is subtracted from the time for which a server says that it keeps an idle
+// connection, because its close and the next request may cross.
 const keepAliveMargin = time.Second
 
 // Pool keeps idle connections. It is safe for concurrent use.
 type Pool struct {
-	options Options
-	mu      sync.Mutex
-	idle    map[string][]*Conn
-	dialled int64
-	// probes are under way, by address.
+	options   Options
+	mu        sync.Mutex
+	idle      map[string][]*Conn
+	dialCount int64
+	// probes are the probes in flight, by address.
 	probes singleflight.Group
 }
 
@@ -71,15 +71,15 @@
 // Conn is a connection to a server, in use by one request.
 type Conn struct {
 	net.Conn
-	pool      *Pool
-	address   string
-	reader    *bufio.Reader
-	idleSince time.Time
-	idleTime  time.Duration
-	// Reused is set where the connection carried a request before.
+	pool        *Pool
+	address     string
+	reader      *bufio.Reader
+	idleSince   time.Time
+	idleTimeout time.Duration
+	// Reused is set if the connection carried a request before.
 	Reused bool
-	// isLimited is set while LimitDelivery holds.
-	isLimited bool
+	// hasDeliveryTimeout is set while the limit of SetDeliveryTimeout is in force.
+	hasDeliveryTimeout bool
 }
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4096) }}
@@ -91,7 +91,7 @@
 		if conn == nil {
 			return p.dial(ctx, address)
 		}
-		if clock.Since(conn.idleSince) < conn.idleTime && isQuiet(conn.Conn) {
+		if clock.Since(conn.idleSince) < conn.idleTimeout && isReusable(conn.Conn) {
 			conn.Reused = true
 			return conn, nil
 		}
@@ -120,16 +120,16 @@
 		return nil, ErrNotSent.Wrap(err, "dial %s", address)
 	}
 	p.mu.Lock()
-	p.dialled++
+	p.dialCount++
 	p.mu.Unlock()
-	return &Conn{Conn: raw, pool: p, address: address, idleTime: p.options.IdleTimeout}, nil
+	return &Conn{Conn: raw, pool: p, address: address, idleTimeout: p.options.IdleTimeout}, nil
 }
 
-// DialCount is the number of connections opened so far.
+// DialCount returns the number of connections opened so far.
 func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialled
+	return p.dialCount
 }
 
 // CloseIdle closes the idle connections to the address.
@@ -151,7 +151,7 @@
 	for address, idle := range p.idle {
 		kept := idle[:0]
 		for _, conn := range idle {
-			if now.Sub(conn.idleSince) < conn.idleTime {
+			if now.Sub(conn.idleSince) < conn.idleTimeout {
 				kept = append(kept, conn)
 			} else {
 				expired = append(expired, conn)
@@ -169,36 +169,36 @@
 	}
 }
 
-// release keeps the connection for the next request.
+// release returns the connection to the pool for the next request.
 func (c *Conn) release(header http.Header) {
-	c.putReader()
-	if c.isLimited {
-		c.isLimited = !c.deliverWithin(DeadPeerTimeout)
-		c.linger(-1)
+	c.releaseReader()
+	if c.hasDeliveryTimeout {
+		c.hasDeliveryTimeout = !c.applyUserTimeout(DeadPeerTimeout)
+		c.setLinger(-1)
 	}
 	c.idleSince = clock.Now()
-	if told, ok := keepAliveTimeout(header); ok {
-		c.idleTime = told - keepAliveMargin
+	if timeout, ok := keepAliveTimeout(header); ok {
+		c.idleTimeout = timeout - keepAliveMargin
 	}
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.isLimited || c.idleTime <= 0 || len(p.idle[c.address]) >= p.options.MaxIdle {
+	if c.hasDeliveryTimeout || c.idleTimeout <= 0 || len(p.idle[c.address]) >= p.options.MaxIdle {
 		_ = c.Conn.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// reset closes the connection at once. After an ordinary close the kernel goes on to
-// deliver what it still has, for as long as SilenceTimeout: a request that was given
-// up behind a cut way arrives once the way has healed.
+// reset closes the connection at once. After an ordinary close the kernel continues to deliver
+// unsent data for as long as DeadPeerTimeout: a request that was abandoned during a network
+// partition would arrive once the partition has healed.
 func (c *Conn) reset() {
-	c.linger(0)
+	c.setLinger(0)
 	_ = c.Conn.Close()
 }
 
-func (c *Conn) putReader() {
+func (c *Conn) releaseReader() {
 	if c.reader != nil {
 		c.reader.Reset(nil)
 		readers.Put(c.reader)
@@ -206,7 +206,7 @@
 	}
 }
 
-// keepAliveTimeout reads timeout=SECONDS of a Keep-Alive header.
+// keepAliveTimeout parses timeout=SECONDS of a Keep-Alive header.
 func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/backendconn/quiet.go
+++ b/internal/backendconn/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// isQuiet reports whether an idle connection is open and has nothing to read:
-// bytes that came while no request was under way belong to none.
-func isQuiet(conn net.Conn) bool {
+// isReusable reports whether an idle connection is open and has nothing to read: bytes that arrived
+// while no request was in flight belong to no request.
+func isReusable(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -16,12 +16,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = control.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, failure := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failure == syscall.EAGAIN || failure == syscall.EWOULDBLOCK
+		var buffer [1]byte
+		_, _, recvErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		reusable = recvErr == syscall.EAGAIN || recvErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
--- a/internal/backendconn/silence.go
+++ b/internal/backendconn/silence.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that lost its power says nothing, and an open connection may go silent while
-// new ones work. Such a connection is given up after DeadPeerTimeout: one that rests or
-// waits for an answer by probes that nobody acknowledges, and one with bytes under way,
-// on which no probes are sent, by the time that they stay unacknowledged. Callers of a
-// stream wait for some five seconds before they leave, and come back only if they are
-// told that it broke off.
+// A peer that lost power sends nothing, not even a reset, and an existing connection may become
+// silent while new ones work. Such a connection is closed after DeadPeerTimeout. If it is idle or
+// waits for a response, keep-alive probes that nobody acknowledges end it. If it has bytes in
+// flight no probes are sent, and the time for which those stay unacknowledged ends it. Callers of a
+// stream wait for some five seconds before they leave, and return only if they are told that the
+// stream broke off.
 const (
 	DeadPeerTimeout = keepAliveIdle + keepAliveCount*keepAliveInterval
 
@@ -22,53 +22,54 @@
 	keepAliveCount    = 2
 )
 
-// NewDialer returns a dialer of connections that are given up where they are silent.
+// NewDialer returns a dialer whose connections are closed when the peer falls silent.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setDelivery(raw, DeadPeerTimeout) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, DeadPeerTimeout) },
 	}
 }
 
-// setDelivery bounds how long the kernel goes on to deliver what nobody acknowledges.
-func setDelivery(raw syscall.RawConn, within time.Duration) error {
-	var failure error
+// setUserTimeout limits how long the kernel retries to deliver data that is not acknowledged.
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var sockErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(within.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockErr
 }
 
-// SetDeliveryTimeout bounds how long the kernel goes on to deliver what the next request writes, also
-// where this process is killed meanwhile and resets nothing: however it ends, the kernel resets the
-// connection then. It holds until the connection is kept for another request.
-func (c *Conn) SetDeliveryTimeout(within time.Duration) {
-	if c.deliverWithin(max(within, time.Millisecond)) {
-		c.isLimited = true
-		c.linger(0)
+// SetDeliveryTimeout limits how long the kernel retries to deliver the next request, even if this
+// process is killed in the meantime and cannot reset the connection: however the process ends, the
+// kernel then resets the connection. The limit holds until the connection is kept for another
+// request.
+func (c *Conn) SetDeliveryTimeout(timeout time.Duration) {
+	if c.applyUserTimeout(max(timeout, time.Millisecond)) {
+		c.hasDeliveryTimeout = true
+		c.setLinger(0)
 	}
 }
 
-// linger sets for how many seconds the kernel goes on to deliver after a close; 0 resets the
-// connection, and below 0 is as long as the kernel likes.
-func (c *Conn) linger(seconds int) {
-	if lingers, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		// A connection that refuses the option has ended.
-		_ = lingers.SetLinger(seconds)
+// setLinger sets for how many seconds the kernel continues to deliver data after a close. 0 resets
+// the connection, a negative value leaves the time to the kernel.
+func (c *Conn) setLinger(seconds int) {
+	if lingerer, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		// If the option is refused, the connection has already ended.
+		_ = lingerer.SetLinger(seconds)
 	}
 }
 
-func (c *Conn) deliverWithin(within time.Duration) bool {
-	owner, ok := c.Conn.(syscall.Conn)
+func (c *Conn) applyUserTimeout(timeout time.Duration) bool {
+	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := owner.SyscallConn()
-	return err == nil && setDelivery(raw, within) == nil
+	raw, err := conn.SyscallConn()
+	return err == nil && setUserTimeout(raw, timeout) == nil
 }
--- a/internal/backendconn/silence_test.go
+++ b/internal/backendconn/silence_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDialledConnectionsAreGivenUpWhereSilent: the kernel is told to, for bytes under
-// way as for connections that rest, within three seconds.
+// TestDialledConnectionsAreGivenUpWhereSilent checks that the kernel is configured to end silent
+// connections within three seconds, both with unacknowledged bytes in flight and idle.
 func TestDialledConnectionsAreGivenUpWhereSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,8 +41,8 @@
 	if unacknowledged := options[unix.TCP_USER_TIMEOUT]; unacknowledged <= 0 || unacknowledged > 3000 {
 		t.Errorf("bytes may stay unacknowledged for %d ms", unacknowledged)
 	}
-	resting := options[unix.TCP_KEEPIDLE] + options[unix.TCP_KEEPINTVL]*options[unix.TCP_KEEPCNT]
-	if resting <= 0 || resting > 3 {
-		t.Errorf("a connection that rests is given up after %d s", resting)
+	idleSeconds := options[unix.TCP_KEEPIDLE] + options[unix.TCP_KEEPINTVL]*options[unix.TCP_KEEPCNT]
+	if idleSeconds <= 0 || idleSeconds > 3 {
+		t.Errorf("an idle connection is closed after %d s", idleSeconds)
 	}
 }
--- a/internal/backendconn/suspension_test.go
+++ b/internal/backendconn/suspension_test.go
@@ -10,7 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/clock"
 )
 
-// TestKeptConnectionsEndInASuspension: their servers have closed them meanwhile.
+// TestKeptConnectionsEndInASuspension guards against the reuse of a kept connection after the
+// process was suspended: its server has closed the connection in the meantime.
 func TestKeptConnectionsEndInASuspension(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,6 +32,6 @@
 	}
 	defer again.Close()
 	if again.Reused {
-		t.Error("a connection was used again that had rested for 5 s, of 2 s that it may")
+		t.Error("a connection was reused after 5 s idle, with an idle timeout of 2 s")
 	}
 }
