--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -4,25 +4,24 @@
 	"time"
 )
 
-// Options set up a Budget.
+// Options configure a Budget.
 type Options struct {
-	// Ratio is the number of repeats that each request allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// Extra is the number that all nodes together may send beyond, in a window.
+	// Extra is the number of retries beyond that which all nodes together may send in a window.
 	Extra float64
-	// Window is the length of any span over which repeats are counted.
+	// Window is the length of any interval over which retries are counted.
 	Window time.Duration
 }
 
-// restartShare is the part of the extra repeats that one life of a process
-// takes, so that a process that starts anew within a window keeps the bound.
+// restartShare is the part of the extra retries that one run of a process may use, so that the
+// limit still holds if the process restarts within a window.
 const restartShare = 0.5
 
-// buckets is the number of parts of a window.
-const buckets = 10
+// bucketCount is the number of buckets in a window.
+const bucketCount = 10
 
-// Budget counts the requests and repeats of one node. It is not safe for
-// concurrent use.
+// Budget counts the requests and retries of one node. It is not safe for concurrent use.
 type Budget struct {
 	options  Options
 	nodes    int
@@ -30,92 +29,92 @@
 }
 
 type counts struct {
-	slots [buckets + 2]slot
+	buckets [bucketCount + 2]bucket
 }
 
-type slot struct {
-	number   int64
+type bucket struct {
+	index    int64
 	requests float64
-	repeats  float64
+	retries  float64
 }
 
-// New returns a budget that nothing was drawn from.
+// New returns an unused budget.
 func New(options Options) *Budget {
 	return &Budget{options: options, nodes: 1, services: make(map[string]*counts)}
 }
 
-// SetOptions changes the bound. Counts of windows of another length are not
-// comparable and are taken as they are.
+// SetOptions changes the limit. Counts from windows of another length cannot be converted and are
+// used unchanged.
 func (b *Budget) SetOptions(options Options) {
 	if options.Window > 0 {
 		b.options = options
 	}
 }
 
-// SetNodes tells how many nodes share the extra repeats, at the most.
+// SetNodes sets the largest number of nodes that share the extra retries.
 func (b *Budget) SetNodes(nodes int) {
 	b.nodes = max(1, nodes)
 }
 
 // CountRequest counts a caller's request for the service.
 func (b *Budget) CountRequest(now time.Duration, service string) {
-	b.slotOf(now, service).requests++
+	b.bucketAt(now, service).requests++
 }
 
-// Take draws one repeat, and reports whether there was one.
+// Take uses one retry, and reports whether there was one.
 func (b *Budget) Take(now time.Duration, service string) bool {
 	if b.Remaining(now, service) < 1 {
 		return false
 	}
-	b.slotOf(now, service).repeats++
+	b.bucketAt(now, service).retries++
 	return true
 }
 
-// Remaining is the number of repeats that may be sent now.
+// Remaining returns the number of retries that may be sent now.
 func (b *Budget) Remaining(now time.Duration, service string) float64 {
-	requests, repeats := b.sums(now, service)
+	requests, retries := b.windowTotals(now, service)
 	share := b.options.Extra * restartShare / float64(b.nodes)
-	return b.options.Ratio*requests + share - repeats
+	return b.options.Ratio*requests + share - retries
 }
 
-// sums counts the requests of the last window, and the repeats of one bucket
-// more, so that every window that ends now is covered.
-func (b *Budget) sums(now time.Duration, service string) (requests, repeats float64) {
-	known, ok := b.services[service]
+// windowTotals returns the requests of the last window, and the retries of one bucket more, so that
+// every window that ends now is covered.
+func (b *Budget) windowTotals(now time.Duration, service string) (requests, retries float64) {
+	counted, ok := b.services[service]
 	if !ok {
 		return 0, 0
 	}
-	number := b.number(now)
-	for _, slot := range known.slots {
-		age := number - slot.number
-		if age < 0 || age > buckets {
+	index := b.bucketIndex(now)
+	for _, bucket := range counted.buckets {
+		age := index - bucket.index
+		if age < 0 || age > bucketCount {
 			continue
 		}
-		repeats += slot.repeats
-		if age < buckets {
-			requests += slot.requests
+		retries += bucket.retries
+		if age < bucketCount {
+			requests += bucket.requests
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-func (b *Budget) slotOf(now time.Duration, service string) *slot {
-	known, ok := b.services[service]
+func (b *Budget) bucketAt(now time.Duration, service string) *bucket {
+	counted, ok := b.services[service]
 	if !ok {
-		known = &counts{}
-		for i := range known.slots {
-			known.slots[i].number = -1
+		counted = &counts{}
+		for i := range counted.buckets {
+			counted.buckets[i].index = -1
 		}
-		b.services[service] = known
+		b.services[service] = counted
 	}
-	number := b.number(now)
-	place := &known.slots[number%int64(len(known.slots))]
-	if place.number != number {
-		*place = slot{number: number}
+	index := b.bucketIndex(now)
+	current := &counted.buckets[index%int64(len(counted.buckets))]
+	if current.index != index {
+		*current = bucket{index: index}
 	}
-	return place
+	return current
 }
 
-func (b *Budget) number(now time.Duration) int64 {
-	return int64(now / (b.options.Window / buckets))
+func (b *Budget) bucketIndex(now time.Duration) int64 {
+	return int64(now / (b.options.Window / bucketCount))
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -8,8 +8,8 @@
 
 func options() Options { return Options{Ratio: 0.2, Extra: 54, Window: 10 * time.Second} }
 
-// TestAllNodesTogetherKeepTheBound draws requests and repeats of seven nodes,
-// restarts among them, and checks every window.
+// TestAllNodesTogetherKeepTheBound simulates requests and retries of seven nodes, one of which
+// restarts, and checks every window.
 func TestAllNodesTogetherKeepTheBound(t *testing.T) {
 	const nodes, step, length = 7, 50 * time.Millisecond, 60 * time.Second
 	random := rand.New(rand.NewPCG(1, 2))
@@ -18,17 +18,17 @@
 		budgets[i] = New(options())
 		budgets[i].SetNodes(nodes)
 	}
-	var requests, repeats []int
+	var requests, retries []int
 	for now := time.Duration(0); now < length; now += step {
-		asked, again := 0, 0
+		requestCount, retryCount := 0, 0
 		for i := range budgets {
 			for range random.IntN(3) {
 				budgets[i].CountRequest(now, "s")
-				asked++
+				requestCount++
 			}
 			for range 4 {
 				if budgets[i].Take(now, "s") {
-					again++
+					retryCount++
 				}
 			}
 		}
@@ -36,17 +36,17 @@
 			budgets[0] = New(options())
 			budgets[0].SetNodes(nodes)
 		}
-		requests, repeats = append(requests, asked), append(repeats, again)
+		requests, retries = append(requests, requestCount), append(retries, retryCount)
 		window := int(10 * time.Second / step)
 		if len(requests) >= window {
-			sumRequests, sumRepeats := sum(requests[len(requests)-window:]), sum(repeats[len(repeats)-window:])
-			if limit := 0.2*float64(sumRequests) + 54; float64(sumRepeats) > limit {
-				t.Fatalf("at %v: %d repeats within a window, limit %.1f", now, sumRepeats, limit)
+			sumRequests, sumRetries := sum(requests[len(requests)-window:]), sum(retries[len(retries)-window:])
+			if limit := 0.2*float64(sumRequests) + 54; float64(sumRetries) > limit {
+				t.Fatalf("at %v: %d retries within a window, limit %.1f", now, sumRetries, limit)
 			}
 		}
 	}
-	if sum(repeats) < 500 {
-		t.Errorf("%d repeats in all: the bound hardly came into play", sum(repeats))
+	if sum(retries) < 500 {
+		t.Errorf("%d retries in total: too few to reach the limit", sum(retries))
 	}
 }
 
@@ -63,7 +63,7 @@
 	for budget.Take(0, "a") {
 	}
 	if !budget.Take(0, "b") {
-		t.Error("a service that sent no repeat has none left")
+		t.Error("a service without retries has no retry left")
 	}
 }
 
@@ -72,9 +72,9 @@
 	for budget.Take(0, "a") {
 	}
 	if budget.Take(9*time.Second, "a") {
-		t.Error("repeats are there again within the window")
+		t.Error("used retries are available again within the window")
 	}
 	if !budget.Take(12*time.Second, "a") {
-		t.Error("no repeat after the window")
+		t.Error("no retry available after the window")
 	}
 }
