--- a/internal/locality/doc.go
+++ b/internal/locality/doc.go
@@ -1,6 +1,7 @@
-// Package locality says where machines stand, in two levels: zones, which fail and are
-// cut off as a whole, and regions of zones, between which ways are long and dear. It
-// compares places, and holds the regions in which a request may run.
+// Package locality describes where machines are, on two levels: zones, which fail or get
+// partitioned as a whole, and regions, which consist of zones and are connected by slow and
+// expensive links. It compares locations (Map, Distance), and holds the set of regions in which a
+// request may run (Regions). Routing, dispatch, the placer and the configuration packages use it.
 //
-// It may import the standard library only. No I/O, no clock, no goroutine.
+// It may import the standard library only. It does no I/O, reads no clock and starts no goroutine.
 package locality
--- a/internal/locality/map.go
+++ b/internal/locality/map.go
@@ -2,53 +2,52 @@
 
 import "maps"
 
-// Distance is how far apart two places are, the nearest first.
+// Distance is how far apart two zones are, the nearest first.
 type Distance int
 
 const (
-	// SameZone places share a zone.
+	// SameZone means that both are the same zone.
 	SameZone Distance = iota
-	// SameRegion places lie in two zones of one region.
+	// SameRegion means two zones of one region.
 	SameRegion
-	// OtherRegion places lie in two regions.
+	// OtherRegion means two zones of different regions.
 	OtherRegion
 
-	// DistanceCount is the number of distances, for tables by distance.
+	// DistanceCount is the number of distances, to size arrays that are indexed by distance.
 	DistanceCount
 )
 
-// String names the distance in logs and metrics.
+// String returns the name of the distance in logs and metrics.
 func (d Distance) String() string {
 	return [...]string{"same_zone", "same_region", "other_region"}[d]
 }
 
-// Map tells the region of each zone. The zero value knows none: all zones lie in one
-// region then, which has no name.
+// Map gives the region of each zone. In the zero value all zones are in one region without a name.
 type Map struct {
-	regions map[string]string
+	regionByZone map[string]string
 }
 
-// NewMap returns the map of zones to the names of their regions.
-func NewMap(regionOf map[string]string) Map { return Map{regions: maps.Clone(regionOf)} }
+// NewMap returns a map from the zones to the names of their regions.
+func NewMap(regionOf map[string]string) Map { return Map{regionByZone: maps.Clone(regionOf)} }
 
-// Region is the region of a zone; empty where none is known.
-func (m Map) Region(zone string) string { return m.regions[zone] }
+// Region returns the region of a zone; empty if unknown.
+func (m Map) Region(zone string) string { return m.regionByZone[zone] }
 
 // HasMultipleRegions reports whether there is more than one region.
 func (m Map) HasMultipleRegions() bool {
-	first, seen := "", false
-	for _, region := range m.regions {
-		if seen && region != first {
+	previous, seen := "", false
+	for _, region := range m.regionByZone {
+		if seen && region != previous {
 			return true
 		}
-		first, seen = region, true
+		previous, seen = region, true
 	}
 	return false
 }
 
-// HasRegion reports whether some zone lies in the region.
+// HasRegion reports whether some zone is in the region.
 func (m Map) HasRegion(name string) bool {
-	for _, region := range m.regions {
+	for _, region := range m.regionByZone {
 		if region == name {
 			return true
 		}
@@ -56,17 +55,18 @@
 	return false
 }
 
-// Distance is how far apart two zones are. Zones whose region is not known lie in one.
+// Distance returns how far apart two zones are. All zones with an unknown region count as one
+// region.
 func (m Map) Distance(zone, other string) Distance {
 	switch {
 	case zone == other:
 		return SameZone
-	case m.regions[zone] == m.regions[other]:
+	case m.regionByZone[zone] == m.regionByZone[other]:
 		return SameRegion
 	default:
 		return OtherRegion
 	}
 }
 
-// HasAnyRegion reports whether some zone's region is known.
-func (m Map) HasAnyRegion() bool { return len(m.regions) > 0 }
+// HasAnyRegion reports whether the region of any zone is known.
+func (m Map) HasAnyRegion() bool { return len(m.regionByZone) > 0 }
--- a/internal/locality/regions.go
+++ b/internal/locality/regions.go
@@ -5,20 +5,19 @@
 	"strings"
 )
 
-// Regions is a set of regions in which something may be. The zero value is without a
-// bound: anywhere. Sets of the same regions are equal by ==, so a set may be part of a
-// map's key.
+// Regions is a set of allowed regions. The zero value is unbounded: it allows any region. Sets of
+// the same regions are equal by ==, so a set may be part of a map key.
 type Regions struct {
-	// names are the regions, sorted, each behind a separator.
+	// names are the regions, sorted, each preceded by a separator.
 	names     string
 	isBounded bool
 }
 
-// separator stands before each name of a set; a name with it in it is none.
+// separator precedes each name of a set. A name that contains it is ignored.
 const separator = "\n"
 
-// Only returns the set of the regions. Empty names are left out; without any name the
-// set allows nothing.
+// Only returns the set of the regions. Empty names are ignored; without any name the set allows
+// nothing.
 func Only(names ...string) Regions {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
@@ -31,14 +30,14 @@
 	return Regions{names: joined.String(), isBounded: true}
 }
 
-// IsBounded reports whether there are regions that the set does not hold.
+// IsBounded reports whether the set excludes any region.
 func (r Regions) IsBounded() bool { return r.isBounded }
 
-// IsEmpty reports whether the set holds no region at all.
+// IsEmpty reports whether the set allows no region at all.
 func (r Regions) IsEmpty() bool { return r.isBounded && r.names == "" }
 
-// Allows reports whether the set holds the region. A place whose region is not known
-// (empty) is in no bounded set.
+// Allows reports whether the set contains the region. An unknown region (empty) is in no bounded
+// set.
 func (r Regions) Allows(region string) bool {
 	if !r.isBounded {
 		return true
@@ -54,7 +53,7 @@
 	return false
 }
 
-// Names are the regions of a bounded set, in their order; nil without a bound.
+// Names returns the regions of a bounded set in sorted order; nil if it is unbounded or empty.
 func (r Regions) Names() []string {
 	if r.names == "" {
 		return nil
@@ -62,7 +61,7 @@
 	return strings.Split(r.names[len(separator):], separator)
 }
 
-// Intersect returns the regions that both sets hold.
+// Intersect returns the regions that both sets allow.
 func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case !r.isBounded:
@@ -73,10 +72,10 @@
 	return Only(slices.DeleteFunc(r.Names(), func(name string) bool { return !other.Allows(name) })...)
 }
 
-// Equal reports whether both sets hold the same.
+// Equal reports whether both sets allow the same regions.
 func (r Regions) Equal(other Regions) bool { return r == other }
 
-// String names the set in logs: its regions, "any" without a bound, "none" where empty.
+// String describes the set in logs: its regions, "any" if unbounded, "none" if empty.
 func (r Regions) String() string {
 	switch {
 	case !r.isBounded:
