--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -10,89 +10,89 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// Admission decides what may be sent to servers that bear little, over all nodes: cold ones, and
-// those that name a rate limit.
+// Admission limits, across all nodes, what is sent to cold servers and to servers that announced a
+// rate limit.
 type Admission interface {
-	// Admit asks whether a request may be sent to the start of a server now; of several the
-	// urgent ones go first, priority 0 before all.
+	// Admit asks whether one request may be sent to this start of a server now. Among several
+	// waiting requests those with the lower priority value go first; 0 is the highest.
 	Admit(ctx context.Context, start inventory.Start, priority int) AdmissionDecision
 	// ReturnGrant returns a grant that was not used.
-	ReturnGrant(start inventory.Start, verdict AdmissionDecision)
+	ReturnGrant(start inventory.Start, decision AdmissionDecision)
 }
 
 // AdmissionDecision says whether a request may be sent to a server.
 type AdmissionDecision struct {
 	Granted bool
-	// ValidUntil is until when a grant may be used; zero where the server takes whatever comes.
+	// ValidUntil is when the grant expires; zero where the server needs no grants.
 	ValidUntil time.Time
 	// GrantedBy is the address of the coordinator that granted it; empty where none did.
 	GrantedBy string
-	// RetryAfter is when a request may be granted.
+	// RetryAfter is when a denied request may be granted.
 	RetryAfter time.Duration
 }
 
-// isGrant reports whether it is a grant that may be given back.
-func (v AdmissionDecision) isGrant() bool { return v.Granted && v.GrantedBy != "" }
+// isReturnable reports whether a coordinator granted it, so that the grant can be returned.
+func (d AdmissionDecision) isReturnable() bool { return d.Granted && d.GrantedBy != "" }
 
-// admitsServer asks whether the request may go to the chosen server. Where it may not the
-// server is left alone for a moment.
-func (x *exchange) admitsServer(choice dispatch.Choice) (verdict AdmissionDecision) {
+// requestAdmission asks whether the request may be sent to the chosen server. After a denial the
+// dispatcher leaves the server out until RetryAfter has passed.
+func (x *exchange) requestAdmission(choice dispatch.Choice) (decision AdmissionDecision) {
 	if x.handler.options.Admission == nil {
 		return AdmissionDecision{Granted: true}
 	}
-	verdict = x.handler.options.Admission.Admit(x.ctx, choice.Attempt.Start(), x.priority())
-	if !verdict.Granted {
+	decision = x.handler.options.Admission.Admit(x.ctx, choice.Attempt.Start(), x.priority())
+	if !decision.Granted {
 		x.handler.Metrics.ColdHeld.Add(1)
-		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.RecordDenial(clock.Now(), choice.ServerID, verdict.RetryAfter) })
+		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.RecordDenial(clock.Now(), choice.ServerID, decision.RetryAfter) })
 	}
-	return verdict
+	return decision
 }
 
-// giveBackGrant returns the grant of a send that did not leave.
-func (x *exchange) giveBackGrant(choice dispatch.Choice, verdict AdmissionDecision) {
-	if verdict.isGrant() {
-		x.handler.options.Admission.ReturnGrant(choice.Attempt.Start(), verdict)
+// returnGrant returns the grant of a send that was abandoned.
+func (x *exchange) returnGrant(choice dispatch.Choice, decision AdmissionDecision) {
+	if decision.isReturnable() {
+		x.handler.options.Admission.ReturnGrant(choice.Attempt.Start(), decision)
 	}
 }
 
-// isStillAdmitted checks right before the send: opening a connection may have taken longer
-// than a grant holds, and the server may have turned cold or named a rate limit meanwhile.
-func (x *exchange) isStillAdmitted(choice dispatch.Choice, verdict *AdmissionDecision) bool {
+// isStillAdmitted checks the grant again immediately before the send: opening a connection may have
+// outlasted it, and the server may have become cold or announced a rate limit in the meantime.
+func (x *exchange) isStillAdmitted(choice dispatch.Choice, decision *AdmissionDecision) bool {
 	if x.handler.options.Admission == nil {
 		return true
 	}
 	now := clock.Now()
-	if !verdict.ValidUntil.IsZero() && now.Before(verdict.ValidUntil) {
+	if !decision.ValidUntil.IsZero() && now.Before(decision.ValidUntil) {
 		return true
 	}
-	isBounded := false
+	needsGrant := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		phase, _ := core.ColdPhase(now, choice.ServerID)
 		_, isLimited := core.RateLimit(choice.Attempt.Start())
-		isBounded = phase != admission.Warm || isLimited
+		needsGrant = phase != admission.Warm || isLimited
 	})
-	if !isBounded {
+	if !needsGrant {
 		return true
 	}
-	x.giveBackGrant(choice, *verdict)
-	*verdict = x.admitsServer(choice)
-	return verdict.Granted
+	x.returnGrant(choice, *decision)
+	*decision = x.requestAdmission(choice)
+	return decision.Granted
 }
 
-// noteUnreachable takes that no connection to the server comes up: it may be back, and
-// cold, before its entry says so.
-func (x *exchange) noteUnreachable(choice dispatch.Choice) {
+// markUnreachable records that no connection to the server can be opened. It may have restarted, and
+// be cold, before its entry says so.
+func (x *exchange) markUnreachable(choice dispatch.Choice) {
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.MarkUnreachable(clock.Now(), choice.ServerID) })
 }
 
-// reasonLate is why a request is refused that would be served too late.
-func (x *exchange) reasonLate() string {
+// lateReason is the reason given when a request would be served too late.
+func (x *exchange) lateReason() string {
 	reason := reasonTooLate
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		switch {
-		case core.HasOnlyColdServers(clock.Now(), x.wanted()):
+		case core.HasOnlyColdServers(clock.Now(), x.requirements()):
 			reason = reasonColdServers
-		case core.HasOnlyRateLimitedServers(clock.Now(), x.wanted()):
+		case core.HasOnlyRateLimitedServers(clock.Now(), x.requirements()):
 			reason = reasonRateLimited
 		}
 	})
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -16,44 +16,44 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// scriptedCold answers for cold servers by a function, and keeps whom it was asked for.
-type scriptedCold struct {
-	mu    sync.Mutex
-	asked []string
-	// givenBack are the servers whose grants were not used.
-	givenBack []string
-	answer    func(serverID string, times int) AdmissionDecision
+// scriptedAdmission decides by a function and records the servers that it was asked about.
+type scriptedAdmission struct {
+	mu           sync.Mutex
+	askedServers []string
+	// returned are the servers whose grants were returned unused.
+	returned []string
+	decide   func(serverID string, times int) AdmissionDecision
 }
 
-func (s *scriptedCold) Admit(_ context.Context, start inventory.Start, _ int) AdmissionDecision {
+func (s *scriptedAdmission) Admit(_ context.Context, start inventory.Start, _ int) AdmissionDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, start.ID)
-	return s.answer(start.ID, len(s.asked))
+	s.askedServers = append(s.askedServers, start.ID)
+	return s.decide(start.ID, len(s.askedServers))
 }
 
-func (s *scriptedCold) ReturnGrant(start inventory.Start, _ AdmissionDecision) {
+func (s *scriptedAdmission) ReturnGrant(start inventory.Start, _ AdmissionDecision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.givenBack = append(s.givenBack, start.ID)
+	s.returned = append(s.returned, start.ID)
 }
 
 // newColdFixture has cold servers of an engine, all with model m.
-func newColdFixture(t *testing.T, answer func(serverID string, times int) AdmissionDecision, servers ...*standinServer) (*fixture, *scriptedCold) {
+func newColdFixture(t *testing.T, decide func(serverID string, times int) AdmissionDecision, servers ...*fakeServer) (*fixture, *scriptedAdmission) {
 	t.Helper()
 	f := newFixture(t, servers...)
-	cold := &scriptedCold{answer: answer}
+	cold := &scriptedAdmission{decide: decide}
 	f.handler.options.Admission = cold
 	f.handler.SetTable(engineTable(100 * time.Millisecond))
 	f.dispatch.Do(func(core *dispatch.Core) {
 		core.SetColdStarts(map[string]routetable.ColdStart{"svc": {Time: 3 * time.Second, PerSecond: 12}})
 		for i, server := range servers {
-			told := inventory.Server{
+			entry := inventory.Server{
 				ID: "s" + string(rune('0'+i)), Service: "svc", Address: server.address, Zone: "z", Slots: 8, Position: storepos.At(0, 2),
 				Models: []inventory.HeldModel{{Name: "m"}}, ColdRemaining: 3 * time.Second, ReportsCold: true,
 			}
-			core.SetServers([]inventory.Change{{Server: told}})
-			core.UpdateColdFromEntry(time.Now(), told)
+			core.SetServers([]inventory.Change{{Server: entry}})
+			core.UpdateColdFromEntry(time.Now(), entry)
 		}
 	})
 	return f, cold
@@ -63,9 +63,9 @@
 	return AdmissionDecision{Granted: true, ValidUntil: time.Now().Add(time.Second)}
 }
 
-// TestNotAdmittedSendGoesToAnotherServer, and nothing reaches the first.
+// A request that admission denies at one server goes to another, and nothing reaches the first.
 func TestNotAdmittedSendGoesToAnotherServer(t *testing.T) {
-	servers := []*standinServer{newStandin(t, answering(http.StatusOK, "0")), newStandin(t, answering(http.StatusOK, "1"))}
+	servers := []*fakeServer{newFakeServer(t, respondWith(http.StatusOK, "0")), newFakeServer(t, respondWith(http.StatusOK, "1"))}
 	f, _ := newColdFixture(t, func(serverID string, _ int) AdmissionDecision {
 		if serverID == "s0" {
 			return AdmissionDecision{RetryAfter: time.Second}
@@ -74,17 +74,17 @@
 	}, servers...)
 	for range 10 {
 		if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.body != "1" {
-			t.Fatalf("%d %s, want the answer of the other server", got.status, got.body)
+			t.Fatalf("status %d %s, want the response of the other server", got.status, got.body)
 		}
 	}
 	if servers[0].count() != 0 {
-		t.Errorf("%d requests reached a server that was not granted", servers[0].count())
+		t.Errorf("%d requests reached a server that denied admission", servers[0].count())
 	}
 }
 
-// TestNotAdmittedSendWaits where no other server has the model, and is sent once.
+// A request that admission denies waits where no other server has the model, and is sent once.
 func TestNotAdmittedSendWaits(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		if times < 4 {
 			return AdmissionDecision{RetryAfter: 30 * time.Millisecond}
@@ -92,30 +92,31 @@
 		return granted()
 	}, server)
 	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || server.count() != 1 {
-		t.Errorf("%d %s, %d sent", got.status, got.body, server.count())
+		t.Errorf("status %d %s after %d sends, want 200 after one", got.status, got.body, server.count())
 	}
-	if len(cold.asked) != 4 || f.handler.Metrics.ColdHeld.Load() != 3 || f.handler.Metrics.DialFailures.Load() != 0 {
-		t.Errorf("asked %d times, held back %d", len(cold.asked), f.handler.Metrics.ColdHeld.Load())
+	if len(cold.askedServers) != 4 || f.handler.Metrics.ColdHeld.Load() != 3 || f.handler.Metrics.DialFailures.Load() != 0 {
+		t.Errorf("asked %d times, denied %d times, want 4 and 3", len(cold.askedServers), f.handler.Metrics.ColdHeld.Load())
 	}
 }
 
-// TestRequestThatColdServersServeTooLateIsRefusedAtOnce by the time foretold, with the reason.
+// A request that cold servers can only admit after the caller's limit is refused at once, with the
+// reason.
 func TestRequestThatColdServersServeTooLateIsRefusedAtOnce(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f, _ := newColdFixture(t, func(string, int) AdmissionDecision { return AdmissionDecision{RetryAfter: 3 * time.Second} }, server)
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m", "X-Wait", "2s")
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, reasonColdServers) || got.header.Get("Retry-After") == "" {
-		t.Errorf("%d %s", got.status, got.body)
+		t.Errorf("status %d %s, want a refusal for cold servers with Retry-After", got.status, got.body)
 	}
 	if took := time.Since(started); took > time.Second || server.count() != 0 {
-		t.Errorf("refused after %v, %d sent", took, server.count())
+		t.Errorf("refused after %v and %d sends, want at once and unsent", took, server.count())
 	}
 }
 
-// TestGrantIsCheckedRightBeforeTheSend: opening the connection took longer than it holds.
+// Guards against sending with an expired grant: opening the connection outlasts it.
 func TestGrantIsCheckedRightBeforeTheSend(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		switch times {
 		case 1:
@@ -133,31 +134,32 @@
 			time.Sleep(60 * time.Millisecond)
 		}
 	}
-	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || len(cold.asked) != 3 {
-		t.Errorf("%d %s, asked %d times: an old grant was used", got.status, got.body, len(cold.asked))
+	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || len(cold.askedServers) != 3 {
+		t.Errorf("status %d %s, asked %d times: an expired grant was used", got.status, got.body, len(cold.askedServers))
 	}
 }
 
-// TestServerThatTurnsColdWhileAConnectionOpensIsAskedFor: it was warm when it was chosen.
+// Guards against sending without a grant to a server that was warm when it was chosen and became cold
+// while the connection was opened.
 func TestServerThatTurnsColdWhileAConnectionOpensIsAskedFor(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f, cold := newColdFixture(t, func(_ string, times int) AdmissionDecision {
 		if times == 1 {
 			return AdmissionDecision{Granted: true}
 		}
 		return granted()
 	}, server)
-	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || len(cold.asked) != 2 {
-		t.Errorf("%d %s, asked %d times", got.status, got.body, len(cold.asked))
+	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK || len(cold.askedServers) != 2 {
+		t.Errorf("status %d %s, asked %d times, want 200 after 2", got.status, got.body, len(cold.askedServers))
 	}
 }
 
-// TestServerThatNobodyReachesMayComeBackCold: a connection to it fails, or an answer breaks
-// off and nobody listens there any more. One that breaks off an answer and listens does not.
+// A server may have restarted cold if a connection to it fails, or if a response breaks off and nobody
+// listens there any more. One that breaks off a response and still listens has not.
 func TestServerThatNobodyReachesMayComeBackCold(t *testing.T) {
-	phaseAfter := func(end func(server *standinServer) script) admission.Phase {
-		var server *standinServer
-		server = newStandin(t, func(conn net.Conn, request *http.Request) bool { return end(server)(conn, request) })
+	phaseAfter := func(end func(server *fakeServer) responder) admission.Phase {
+		var server *fakeServer
+		server = newFakeServer(t, func(conn net.Conn, request *http.Request) bool { return end(server)(conn, request) })
 		f, _ := newColdFixture(t, func(string, int) AdmissionDecision { return granted() }, server)
 		warm := inventory.Server{ID: "s0", ReportsCold: true, Position: storepos.At(0, 3)}
 		f.dispatch.Do(func(core *dispatch.Core) { core.UpdateColdFromEntry(time.Now().Add(-time.Minute), warm) })
@@ -167,14 +169,14 @@
 		return phase
 	}
 	breaksOff := func(conn net.Conn, _ *http.Request) bool { return reset(conn) }
-	if got := phaseAfter(func(*standinServer) script { return breaksOff }); got == admission.Cold {
-		t.Error("a server that listens is taken for cold")
+	if got := phaseAfter(func(*fakeServer) responder { return breaksOff }); got == admission.Cold {
+		t.Error("a server that still listens is marked cold")
 	}
-	got := phaseAfter(func(server *standinServer) script {
+	got := phaseAfter(func(server *fakeServer) responder {
 		_ = server.listener.Close()
 		return breaksOff
 	})
 	if got != admission.Cold {
-		t.Errorf("phase %d of a server that nobody reaches any more, want cold", got)
+		t.Errorf("phase %d of an unreachable server, want cold", got)
 	}
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,122 +15,123 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// verdict says how an attempt ended.
-type verdict int
+// attemptResult says how an attempt ended.
+type attemptResult int
 
 const (
-	// verdictDone is a final answer.
-	verdictDone verdict = iota + 1
-	// verdictNotSent is an attempt that reached no server.
-	verdictNotSent
-	// verdictAgain is an attempt that failed; the request may be sent again.
-	verdictAgain
+	// attemptDone: the caller got a final response.
+	attemptDone attemptResult = iota + 1
+	// attemptNotSent: nothing was sent to a server.
+	attemptNotSent
+	// attemptRetry: the attempt failed, and the request may be sent again.
+	attemptRetry
 )
 
 // attempt sends the request to the chosen server.
-func (x *exchange) attempt(choice dispatch.Choice) verdict {
+func (x *exchange) attempt(choice dispatch.Choice) attemptResult {
 	x.serverID, x.hint = choice.ServerID, inventory.Hint{}
 	x.estimate = choice.Estimate
-	admitted := x.admitsServer(choice)
-	if !admitted.Granted {
-		x.release(choice, dispatch.OutcomeAbandoned)
-		return verdictNotSent
+	decision := x.requestAdmission(choice)
+	if !decision.Granted {
+		x.endAttempt(choice, dispatch.OutcomeAbandoned)
+		return attemptNotSent
 	}
-	conn, ended, ok := x.connect(choice, &admitted)
+	conn, result, ok := x.connect(choice, &decision)
 	if !ok {
-		x.giveBackGrant(choice, admitted)
-		return ended
+		x.returnGrant(choice, decision)
+		return result
 	}
-	if !x.hasSent(choice.ServerID) {
-		x.sent = append(x.sent, choice.ServerID)
+	if !x.wasSentTo(choice.ServerID) {
+		x.sentTo = append(x.sentTo, choice.ServerID)
 	}
 	x.countBytes(choice, len(x.body))
 	x.sentAt = clock.Now()
-	answer, err := conn.RoundTrip(x.ctx, x.outgoing(choice))
+	response, err := conn.RoundTrip(x.ctx, x.serverRequest(choice))
 	if err != nil && conn.Reused {
-		// The others that were kept may be as silent or as dead; new ones may work.
+		// The other idle connections may be dead as well; a new one may work.
 		x.handler.options.Pool.CloseIdle(choice.Address)
 	}
 	if err != nil {
-		return x.noAnswer(choice, err)
+		return x.handleNoResponse(choice, err)
 	}
-	return x.answered(choice, answer)
+	return x.handleResponse(choice, response)
 }
 
-// connect takes a connection to the chosen server, and looks whether the request may still leave.
-// Where ok is false nothing was sent, and ended says how the attempt ended.
-func (x *exchange) connect(choice dispatch.Choice, admitted *AdmissionDecision) (conn *backendconn.Conn, ended verdict, ok bool) {
+// connect takes a connection to the chosen server and checks that the request may still be sent.
+// Where ok is false nothing was sent, and result says how the attempt ended.
+func (x *exchange) connect(choice dispatch.Choice, decision *AdmissionDecision) (conn *backendconn.Conn, result attemptResult, ok bool) {
 	conn, err := x.handler.options.Pool.Get(x.ctx, choice.Address)
 	if err != nil {
-		x.noteUnreachable(choice)
-		return nil, x.notSent(choice), false
+		x.markUnreachable(choice)
+		return nil, x.handleNotSent(choice), false
 	}
-	ended, ok = x.maySend(choice, conn, admitted)
-	return conn, ended, ok
+	result, ok = x.checkBeforeSend(choice, conn, decision)
+	return conn, result, ok
 }
 
-// maySend looks right before the send whether it may still be: opening a connection may
-// have taken long. Where it may not the connection is closed, and ended says how the attempt
-// ended. What asks another node comes before what may change meanwhile; a trial is claimed for a
-// server that was reached and takes work, since one claimed and not sent bars the request as long
-// again.
-func (x *exchange) maySend(choice dispatch.Choice, conn *backendconn.Conn, admitted *AdmissionDecision) (ended verdict, ok bool) {
+// checkBeforeSend repeats all checks immediately before the send, since opening a connection may have
+// taken long. Where ok is false the connection is closed and result says how the attempt ended.
+// Checks that ask another node come before those whose answer may change meanwhile. A trial is claimed
+// only for a server that was reached and is available: a claimed trial that is not sent leaves the
+// request barred for the same time again.
+func (x *exchange) checkBeforeSend(choice dispatch.Choice, conn *backendconn.Conn, decision *AdmissionDecision) (result attemptResult, ok bool) {
 	switch {
-	case !x.isStillAdmitted(choice, admitted):
-		x.withdraw(choice, conn)
-		return verdictNotSent, false
+	case !x.isStillAdmitted(choice, decision):
+		x.abandonSend(choice, conn)
+		return attemptNotSent, false
 	case x.isBarred():
-		x.withdraw(choice, conn)
-		x.answerBarred()
-		return verdictDone, false
+		x.abandonSend(choice, conn)
+		x.refuseBarred()
+		return attemptDone, false
 	case clock.Until(x.deadline) <= waiting.ResponseMargin:
-		x.withdraw(choice, conn)
+		x.abandonSend(choice, conn)
 		x.giveUp(reasonDeadline)
-		return verdictDone, false
-	case !x.isStillGood(choice):
-		// The choice leaves the server out from now on, for as long as that holds.
-		x.withdraw(choice, conn)
-		return verdictNotSent, false
-	case !x.mayTry():
-		x.withdraw(choice, conn)
-		x.answerBarred()
-		return verdictDone, false
-	case x.isTrial && !x.isStillGood(choice):
-		x.withdraw(choice, conn)
-		return verdictNotSent, false
+		return attemptDone, false
+	case !x.mayStillSend(choice):
+		// Dispatch excludes the server from now on, for as long as the check would fail.
+		x.abandonSend(choice, conn)
+		return attemptNotSent, false
+	case !x.claimTrialIfDue():
+		x.abandonSend(choice, conn)
+		x.refuseBarred()
+		return attemptDone, false
+	case x.isTrial && !x.mayStillSend(choice):
+		x.abandonSend(choice, conn)
+		return attemptNotSent, false
 	default:
 		return 0, true
 	}
 }
 
-// withdraw gives up a send before it leaves.
-func (x *exchange) withdraw(choice dispatch.Choice, conn *backendconn.Conn) {
-	x.release(choice, dispatch.OutcomeAbandoned)
+// abandonSend releases the choice and the connection before anything was sent.
+func (x *exchange) abandonSend(choice dispatch.Choice, conn *backendconn.Conn) {
+	x.endAttempt(choice, dispatch.OutcomeAbandoned)
 	_ = conn.Close()
 }
 
-// isStillGood checks right before the send what was believed when the server
-// was chosen: opening a connection may have taken long.
-func (x *exchange) isStillGood(choice dispatch.Choice) bool {
-	good := false
+// mayStillSend repeats the dispatcher's checks on the chosen server immediately before the send:
+// opening a connection may have taken long.
+func (x *exchange) mayStillSend(choice dispatch.Choice) bool {
+	allowed := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		good = core.MayStillSend(clock.Now(), choice.Attempt, x.regions())
+		allowed = core.MayStillSend(clock.Now(), choice.Attempt, x.currentRegions())
 	})
-	return good
+	return allowed
 }
 
-// countBytes counts a body's bytes by how far its server is.
+// countBytes counts the bytes of a body by the distance of its server.
 func (x *exchange) countBytes(choice dispatch.Choice, count int) {
 	x.handler.Metrics.ServerBytes[choice.Distance].Add(int64(count))
 }
 
-func (x *exchange) outgoing(choice dispatch.Choice) backendconn.Request {
+// serverRequest is the request as it goes to the server.
+func (x *exchange) serverRequest(choice dispatch.Choice) backendconn.Request {
 	header := x.header.Clone()
 	x.handler.options.Dialect.SetNodeHeaders(header, NodeHeaders{
 		ServerID:    choice.ServerID,
 		TimeLeft:    clock.Until(x.deadline),
 		Urgency:     x.urgency(),
-		LastEventID: x.lastEvent,
+		LastEventID: x.lastEventID,
 		Tenant:      x.tenantName(),
 	})
 	return backendconn.Request{
@@ -141,237 +142,239 @@
 		Body:     x.body,
 		HasBody:  x.request.ContentLength != 0 || len(x.body) > 0,
 		Deadline: x.deadline,
-		Matches: func(answer http.Header) bool {
-			return x.handler.options.Dialect.BelongsTo(answer, x.head.RequestID)
+		Matches: func(response http.Header) bool {
+			return x.handler.options.Dialect.BelongsTo(response, x.head.RequestID)
 		},
-		OnResponse: func(status int, answer http.Header) { x.receiveHint(choice, status, answer) },
+		OnResponse: func(status int, response http.Header) { x.receiveHint(choice, status, response) },
 	}
 }
 
-// urgency is the rank of the request at its server, 0 first: by the priority of its
-// tenant and then of its route. Where tenants have none it is that of the route, and
-// among those of one priority who came back goes before who is new.
+// urgency is the scheduling rank that the server is told, 0 first: by the priority of the tenant, then
+// by that of the route. Without a tenant priority it is the route's, and within one route priority
+// retries of refused requests go before new requests. It is below 0 for services without models.
 func (x *exchange) urgency() int {
-	if !x.engine {
+	if !x.needsModel {
 		return -1
 	}
 	if x.tenant != nil && x.tenant.HasPriority {
 		return waiting.TenantRank(x.tenant.Priority, x.route.Priority)
 	}
-	return waiting.Rank(x.route.Priority, x.returned)
+	return waiting.Rank(x.route.Priority, x.isRetry)
 }
 
-func (x *exchange) notSent(choice dispatch.Choice) verdict {
-	if x.hasLeft() {
-		x.release(choice, dispatch.OutcomeAbandoned)
-		x.leave()
+// handleNotSent ends an attempt whose connection failed before anything was sent.
+func (x *exchange) handleNotSent(choice dispatch.Choice) attemptResult {
+	if x.callerGone() {
+		x.endAttempt(choice, dispatch.OutcomeAbandoned)
+		x.endCallerGone()
 	}
 	x.handler.Metrics.DialFailures.Add(1)
-	x.release(choice, dispatch.OutcomeFailed)
-	x.failed = append(x.failed, choice.ServerID)
-	return verdictNotSent
+	x.endAttempt(choice, dispatch.OutcomeFailed)
+	x.failedServers = append(x.failedServers, choice.ServerID)
+	return attemptNotSent
 }
 
-// noAnswer ends an attempt without the head of an answer.
-func (x *exchange) noAnswer(choice dispatch.Choice, err error) verdict {
+// handleNoResponse ends an attempt that got no response headers.
+func (x *exchange) handleNoResponse(choice dispatch.Choice, err error) attemptResult {
 	if errorx.IsOfType(err, backendconn.ErrNotSent) {
-		return x.notSent(choice)
+		return x.handleNotSent(choice)
 	}
-	x.ran = true
-	x.brokeOff(choice)
-	return x.again("no_answer")
+	x.mayHaveRun = true
+	x.handleBrokenResponse(choice)
+	return x.retryOrGiveUp("no_answer")
 }
 
-// again says whether a request that may have run is sent once more.
-func (x *exchange) again(reason string) verdict {
+// retryOrGiveUp decides whether a request that may have run is sent once more.
+func (x *exchange) retryOrGiveUp(reason string) attemptResult {
 	expired := clock.Until(x.deadline) <= waiting.ResponseMargin
-	if expired || !x.isRepeatable() || len(x.sent) >= x.route.MaxAttempts {
+	if expired || !x.isRetryable() || len(x.sentTo) >= x.route.MaxAttempts {
 		x.giveUp(reason)
-		return verdictDone
+		return attemptDone
 	}
-	return verdictAgain
+	return attemptRetry
 }
 
-// answered goes by the status of an answer.
-func (x *exchange) answered(choice dispatch.Choice, answer *backendconn.Response) verdict {
-	defer answer.Close()
-	told := x.handler.options.Dialect.ReadResponseHead(answer.Status, answer.Header)
-	x.note(choice, told)
+// handleResponse acts on the status of a response.
+func (x *exchange) handleResponse(choice dispatch.Choice, response *backendconn.Response) attemptResult {
+	defer response.Close()
+	head := x.handler.options.Dialect.ReadResponseHead(response.Status, response.Header)
+	x.recordResponse(choice, head)
 	switch {
-	case told.NotRun:
-		return x.rejected(choice, answer)
-	case x.headSent && answer.Status != http.StatusOK:
-		x.ran = true
-		x.release(choice, dispatch.OutcomeFailed)
-		x.failed = append(x.failed, choice.ServerID)
-		return x.again("resume_failed")
-	case x.route.Stream && answer.Status == http.StatusOK:
-		x.ran = true
-		return x.stream(choice, answer)
+	case head.NotRun:
+		return x.handleRejection(choice, response)
+	case x.headSent && response.Status != http.StatusOK:
+		x.mayHaveRun = true
+		x.endAttempt(choice, dispatch.OutcomeFailed)
+		x.failedServers = append(x.failedServers, choice.ServerID)
+		return x.retryOrGiveUp("resume_failed")
+	case x.route.Stream && response.Status == http.StatusOK:
+		x.mayHaveRun = true
+		return x.relayStream(choice, response)
 	default:
-		x.ran = true
-		return x.whole(choice, answer)
+		x.mayHaveRun = true
+		return x.relayWhole(choice, response)
 	}
 }
 
-// receiveHint takes what the server tells of its own future with the head of an answer, before
-// anything of it goes to the caller: what binds later choices must not wait for it. Heads of
-// answers to earlier requests, which come late, count as well.
+// receiveHint applies what the server announces about its own state in the response headers. This
+// happens before anything is passed to the caller, since later choices must not wait for the body.
+// The headers of late responses to earlier requests count as well.
 func (x *exchange) receiveHint(choice dispatch.Choice, status int, header http.Header) {
 	if field := x.handler.options.Dialect.UnreadField(header); field != "" {
 		x.handler.options.OnUnreadField(choice.ServerID, field)
 	}
-	told := x.handler.options.Dialect.ReadResponseHead(status, header)
-	x.hint = told.Hint
+	head := x.handler.options.Dialect.ReadResponseHead(status, header)
+	x.hint = head.Hint
 	if x.handler.options.Dialect.BelongsTo(header, x.head.RequestID) {
 		x.hint.SentAt = x.sentAt
 	}
-	if told.ServerID != "" && told.ServerID != choice.ServerID {
-		// Another server has the address, and tells of itself; the one that was meant is gone.
+	if head.ServerID != "" && head.ServerID != choice.ServerID {
+		// Another server has taken over the address and reports its own state; the intended one is gone.
 		x.hint = inventory.Hint{Draining: status == http.StatusMisdirectedRequest}
 	}
 	if x.hint.IsEmpty() {
 		return
 	}
-	start, news := choice.Attempt.Start(), false
-	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { news = core.ReceiveHint(clock.Now(), start, x.hint) })
-	if news {
+	start, isNew := choice.Attempt.Start(), false
+	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { isNew = core.ReceiveHint(clock.Now(), start, x.hint) })
+	if isNew {
 		x.handler.options.OnHint(start, x.hint)
 	}
 }
 
-func (x *exchange) note(choice dispatch.Choice, told ResponseHead) {
-	start, news := choice.Attempt.Start(), false
+// recordResponse passes the server's reported load and warm-up to the dispatcher.
+func (x *exchange) recordResponse(choice dispatch.Choice, head ResponseHead) {
+	start, isNew := choice.Attempt.Start(), false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		now := clock.Now()
 		if x.hint.IsEmpty() {
-			// An answer that names no rate limit ends the one before.
-			news = core.ReceiveHint(now, start, x.hint)
+			// A response without a rate limit cancels the earlier one.
+			isNew = core.ReceiveHint(now, start, x.hint)
 		}
 		core.RecordFirstByte(now, choice.Attempt)
-		if told.Load != nil {
-			core.SetReportedLoad(now, choice.ServerID, *told.Load)
+		if head.Load != nil {
+			core.SetReportedLoad(now, choice.ServerID, *head.Load)
 		}
-		if told.ColdRemaining != nil {
-			core.UpdateColdFromResponse(now, choice.ServerID, *told.ColdRemaining)
+		if head.ColdRemaining != nil {
+			core.UpdateColdFromResponse(now, choice.ServerID, *head.ColdRemaining)
 		}
 	})
-	if news {
+	if isNew {
 		x.handler.options.OnHint(start, x.hint)
 	}
 }
 
-// rejected takes a server's word that it did not run the request.
-func (x *exchange) rejected(choice dispatch.Choice, answer *backendconn.Response) verdict {
+// handleRejection handles a server's statement that it did not run the request.
+func (x *exchange) handleRejection(choice dispatch.Choice, response *backendconn.Response) attemptResult {
 	x.handler.Metrics.Rejected.Add(1)
-	_, _ = io.Copy(io.Discard, answer)
+	_, _ = io.Copy(io.Discard, response)
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
 		now := clock.Now()
 		core.End(now, choice.Attempt, dispatch.OutcomeRejected)
-		if x.engine && x.hint.Backoff <= 0 {
+		if x.needsModel && x.hint.Backoff <= 0 {
 			core.MarkModelAbsent(now, choice.ServerID, x.head.Model, x.head.Adapter)
 		}
 	})
-	x.log("request_rejected", answer.Status, choice.ServerID)
-	if !x.engine {
-		x.failed = append(x.failed, choice.ServerID)
-		return verdictAgain
+	x.log("request_rejected", response.Status, choice.ServerID)
+	if !x.needsModel {
+		x.failedServers = append(x.failedServers, choice.ServerID)
+		return attemptRetry
 	}
-	if len(x.sent) >= x.route.MaxAttempts && !x.comesSoon(choice.ServerID) {
+	if len(x.sentTo) >= x.route.MaxAttempts && !x.isReadySoon(choice.ServerID) {
 		x.giveUp(reasonRejected)
-		return verdictDone
+		return attemptDone
 	}
-	return verdictAgain
+	return attemptRetry
 }
 
-// soonTime is how long a request waits at a server that rejected it for what it
-// is bringing.
-const soonTime = 200 * time.Millisecond
+// readySoonTime bounds the load time for which a request stays with the server that rejected it.
+const readySoonTime = 200 * time.Millisecond
 
-// comesSoon reports whether the server is bringing what the request wants: an
-// adapter, as a rule.
-func (x *exchange) comesSoon(serverID string) bool {
-	soon := false
+// isReadySoon reports whether the server is about to finish loading what the request needs, usually
+// an adapter.
+func (x *exchange) isReadySoon(serverID string) bool {
+	isSoon := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		left, ok := core.ServerReadyIn(clock.Now(), serverID, x.wanted())
-		soon = ok && left < soonTime
+		readyIn, ok := core.ServerReadyIn(clock.Now(), serverID, x.requirements())
+		isSoon = ok && readyIn < readySoonTime
 	})
-	return soon
+	return isSoon
 }
 
-// maxWholeBytes is the size up to which an answer is read before its head goes
-// to the caller, so that one that breaks off can be asked for again.
-const maxWholeBytes = 64 << 10
+// maxBufferedBytes is the size up to which a response is read before its head goes to the caller, so
+// that the request can be retried if the response breaks off.
+const maxBufferedBytes = 64 << 10
 
-// whole passes on an answer that is no stream.
-func (x *exchange) whole(choice dispatch.Choice, answer *backendconn.Response) verdict {
-	failed := answer.Status >= http.StatusInternalServerError
-	content, err := io.ReadAll(io.LimitReader(answer, maxWholeBytes))
-	x.countBytes(choice, len(content))
+// relayWhole passes on a response that is not a stream.
+func (x *exchange) relayWhole(choice dispatch.Choice, response *backendconn.Response) attemptResult {
+	failed := response.Status >= http.StatusInternalServerError
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBytes))
+	x.countBytes(choice, len(body))
 	if err != nil {
-		x.brokeOff(choice)
-		return x.again("broken_answer")
+		x.handleBrokenResponse(choice)
+		return x.retryOrGiveUp("broken_answer")
 	}
-	if failed && x.canAskAnother() {
-		x.release(choice, dispatch.OutcomeFailed)
-		x.failed = append(x.failed, choice.ServerID)
-		return verdictAgain
+	if failed && x.canRetryElsewhere() {
+		x.endAttempt(choice, dispatch.OutcomeFailed)
+		x.failedServers = append(x.failedServers, choice.ServerID)
+		return attemptRetry
 	}
 	outcome := dispatch.OutcomeServed
 	if failed {
 		outcome = dispatch.OutcomeFailed
 	} else {
-		x.endedWell()
+		x.reportSuccess()
 	}
-	defer x.release(choice, outcome)
-	x.writeHead(answer, len(content) < maxWholeBytes, len(content))
-	_, _ = x.writer.Write(content)
-	if len(content) == maxWholeBytes {
-		copied, err := io.Copy(x.writer, answer)
+	defer x.endAttempt(choice, outcome)
+	x.writeResponseHead(response, len(body) < maxBufferedBytes, len(body))
+	_, _ = x.writer.Write(body)
+	if len(body) == maxBufferedBytes {
+		copied, err := io.Copy(x.writer, response)
 		x.countBytes(choice, int(copied))
 		if err != nil {
-			x.cut("broken_answer")
+			x.truncate("broken_answer")
 		}
 	}
-	x.finish(outcomeAnswered, answer.Status, "")
-	return verdictDone
+	x.finish(outcomeAnswered, response.Status, "")
+	return attemptDone
 }
 
-// canAskAnother reports whether a server's own failure may be tried elsewhere.
-func (x *exchange) canAskAnother() bool {
-	if !x.isRepeatable() || len(x.sent) >= x.route.MaxAttempts || clock.Until(x.deadline) <= waiting.ResponseMargin {
+// canRetryElsewhere reports whether a request that got a 5xx response can be sent to another server.
+func (x *exchange) canRetryElsewhere() bool {
+	if !x.isRetryable() || len(x.sentTo) >= x.route.MaxAttempts || clock.Until(x.deadline) <= waiting.ResponseMargin {
 		return false
 	}
 	found := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		ask := x.ask()
-		ask.Exclude = append(append([]string(nil), x.failed...), x.serverID)
-		found = core.CanPick(clock.Now(), ask)
+		request := x.dispatchRequest()
+		request.Exclude = append(append([]string(nil), x.failedServers...), x.serverID)
+		found = core.CanPick(clock.Now(), request)
 	})
-	return found && x.hasRepeat()
+	return found && x.hasRetryLeft()
 }
 
-func (x *exchange) hasRepeat() bool {
+// hasRetryLeft reports whether the retry budget has a retry left for the service.
+func (x *exchange) hasRetryLeft() bool {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
 	return x.handler.budget.Remaining(clock.Since(x.handler.started), x.service) >= 1
 }
 
-// writeHead passes the head of a server's answer on.
-func (x *exchange) writeHead(answer *backendconn.Response, isWhole bool, length int) {
+// writeResponseHead passes on the status and headers of a server's response.
+func (x *exchange) writeResponseHead(response *backendconn.Response, isWhole bool, length int) {
 	header := x.writer.Header()
-	for name, values := range forwarded(answer.Header, x.handler.options.Dialect.IsEndToEnd) {
+	for name, values := range endToEndHeader(response.Header, x.handler.options.Dialect.IsEndToEnd) {
 		header[name] = values
 	}
-	if _, ok := answer.Header["Content-Type"]; !ok {
+	if _, ok := response.Header["Content-Type"]; !ok {
 		header["Content-Type"] = nil
 	}
 	switch {
 	case isWhole:
 		header.Set("Content-Length", strconv.Itoa(length))
-	case answer.ContentLength >= 0 && !x.route.Stream:
-		header.Set("Content-Length", strconv.FormatInt(answer.ContentLength, 10))
+	case response.ContentLength >= 0 && !x.route.Stream:
+		header.Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
 	x.headSent = true
-	x.writer.WriteHeader(answer.Status)
+	x.writer.WriteHeader(response.Status)
 }
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -8,48 +8,51 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// wantedName names what the request wants, for the lines of callers who come back.
-func (x *exchange) wantedName() string { return x.service + "/" + x.head.Model + "/" + x.head.Adapter }
+// requirementKey identifies what the request needs; callers that are told to retry are spread per key.
+func (x *exchange) requirementKey() string {
+	return x.service + "/" + x.head.Model + "/" + x.head.Adapter
+}
 
-// comeBack is when the caller is to come back, where a place is expected in ready.
-func (x *exchange) comeBack(ready time.Duration) time.Duration {
+// retryDelay is when the caller should retry, if capacity is expected in readyIn.
+func (x *exchange) retryDelay(readyIn time.Duration) time.Duration {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
-	return x.handler.lines.RetryAfter(clock.Now(), x.wantedName(), x.priority(), ready)
+	return x.handler.retrySchedule.RetryAfter(clock.Now(), x.requirementKey(), x.priority(), readyIn)
 }
 
-// comeBackSoon is when the caller of a request is to come back that nothing better is
-// known of.
-func (x *exchange) comeBackSoon() time.Duration {
+// defaultRetryDelay is when the caller should retry if no better estimate is known.
+func (x *exchange) defaultRetryDelay() time.Duration {
 	x.handler.mu.Lock()
 	defer x.handler.mu.Unlock()
-	return x.handler.lines.DefaultRetryAfter(clock.Now(), x.wantedName(), x.priority(), clock.Until(x.deadline))
+	return x.handler.retrySchedule.DefaultRetryAfter(clock.Now(), x.requirementKey(), x.priority(), clock.Until(x.deadline))
 }
 
-// comeBackRested is the same where all servers that have what is wanted may want nothing from
-// this node: not before the first of them has rested.
-func (x *exchange) comeBackRested() time.Duration {
+// retryDelayAfterBackoff is defaultRetryDelay, unless all servers that have what the request needs
+// asked this node to back off: then it is not before the first backoff ends.
+func (x *exchange) retryDelayAfterBackoff() time.Duration {
 	if x.route == nil {
-		return x.comeBackSoon()
+		return x.defaultRetryDelay()
 	}
-	ready, ok := x.handler.restsFor(x.ask(), x.wanted())
+	readyIn, ok := x.handler.backoffEndsIn(x.dispatchRequest(), x.requirements())
 	if !ok {
-		return x.comeBackSoon()
+		return x.defaultRetryDelay()
 	}
-	return x.comeBack(ready)
+	return x.retryDelay(readyIn)
 }
 
-// restsFor is when a server may be sent to again that has what is wanted; ok is false where one
-// may be sent to now, or none rests.
-func (h *Handler) restsFor(ask dispatch.Request, wanted dispatch.Requirements) (ready time.Duration, ok bool) {
-	ask.Exclude, ask.AllowedServers = nil, nil
+// backoffEndsIn is when the first server that has what is required may be sent to again; ok is false
+// where one is available now, or none is backing off.
+func (h *Handler) backoffEndsIn(request dispatch.Request, required dispatch.Requirements) (readyIn time.Duration, ok bool) {
+	request.Exclude, request.AllowedServers = nil, nil
 	h.options.Dispatch.Do(func(core *dispatch.Core) {
-		if !core.CanPick(clock.Now(), ask) {
-			ready, _, ok = core.BackoffEndsIn(clock.Now(), wanted)
+		if !core.CanPick(clock.Now(), request) {
+			readyIn, _, ok = core.BackoffEndsIn(clock.Now(), required)
 		}
 	})
-	return ready, ok
+	return readyIn, ok
 }
 
-// retryAfter is a time as the header says it, in seconds.
-func retryAfter(back time.Duration) string { return strconv.FormatFloat(back.Seconds(), 'f', 3, 64) }
+// formatRetryAfter formats a delay for the Retry-After header, in seconds.
+func formatRetryAfter(delay time.Duration) string {
+	return strconv.FormatFloat(delay.Seconds(), 'f', 3, 64)
+}
--- a/internal/relay/evacuate.go
+++ b/internal/relay/evacuate.go
@@ -7,18 +7,17 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// evacuatedTime is when a caller should come back to a service of which all servers
-// are evacuated, at the latest: nobody tells when a zone is taken back, and operators
-// take many seconds over it.
-const evacuatedTime = 5 * time.Second
+// evacuatedRetryDelay is the longest Retry-After for a service whose servers are all evacuated: nothing
+// announces when an evacuation ends, and operators take many seconds over it.
+const evacuatedRetryDelay = 5 * time.Second
 
-// refuseEvacuated gives the final answer at once where no server may be used: what is
-// held until its deadline would not be served either. Who has less time left is told to
-// come back while there is still some.
+// refuseEvacuated ends a request at once when all servers of its service are evacuated: holding it
+// until its deadline would not get it served either. A caller with little time left is told to retry
+// before its deadline.
 func (x *exchange) refuseEvacuated() {
-	if x.ran || x.headSent || x.hasLeft() {
+	if x.mayHaveRun || x.headSent || x.callerGone() {
 		x.giveUp(reasonEvacuated)
 		return
 	}
-	x.refuse(reasonEvacuated, x.comeBack(min(evacuatedTime, waiting.MaxRetryDelay(clock.Until(x.deadline)))))
+	x.refuse(reasonEvacuated, x.retryDelay(min(evacuatedRetryDelay, waiting.MaxRetryDelay(clock.Until(x.deadline)))))
 }
--- a/internal/relay/evacuate_test.go
+++ b/internal/relay/evacuate_test.go
@@ -16,47 +16,46 @@
 	f.dispatch.Do(func(core *dispatch.Core) { core.SetEvacuated(zones) })
 }
 
-// wantEvacuated checks that a request was refused as not run, and told when to come
-// back within the time that its caller had.
-func wantEvacuated(t *testing.T, what string, got result, held, deadline time.Duration) {
+// wantEvacuatedRefusal checks that a request was refused at once as not run, with a Retry-After before
+// its deadline.
+func wantEvacuatedRefusal(t *testing.T, what string, got result, held, deadline time.Duration) {
 	t.Helper()
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, reasonEvacuated) || !strings.Contains(got.body, "not-run") {
-		t.Errorf("%s: status %d %s, want a refusal as evacuated", what, got.status, got.body)
+		t.Errorf("%s: status %d %s, want a refusal for evacuated zones", what, got.status, got.body)
 	}
 	if held > deadline/4 {
 		t.Errorf("%s: held for %v of %v", what, held, deadline)
 	}
-	back, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	if err != nil || back <= 0 || back > min(evacuatedTime, deadline).Seconds() {
+	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
+	if err != nil || retryAfter <= 0 || retryAfter > min(evacuatedRetryDelay, deadline).Seconds() {
 		t.Errorf("%s: Retry-After %q with %v left", what, got.header.Get("Retry-After"), deadline)
 	}
 }
 
-// TestEvacuatedServiceRefusesAtOnce commands and generations alike, what comes and what
-// waits already; and serves again when it is taken back.
+// While all servers of a service are evacuated, new and waiting requests of all kinds are refused at
+// once; after the evacuation it serves again.
 func TestEvacuatedServiceRefusesAtOnce(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.evacuate("z")
 	for _, path := range []string{"/once/", "/often/", "/stream/"} {
 		started := time.Now()
-		wantEvacuated(t, path, f.send(t, http.MethodPost, path, "", "X-Wait", "2s"), time.Since(started), 2*time.Second)
+		wantEvacuatedRefusal(t, path, f.send(t, http.MethodPost, path, "", "X-Wait", "2s"), time.Since(started), 2*time.Second)
 	}
 	f.evacuate()
 	if got := f.send(t, http.MethodPost, "/once/", ""); got.status != http.StatusOK || server.count() != 1 {
-		t.Errorf("status %d after %d sends once it is taken back, want 200 after one", got.status, server.count())
+		t.Errorf("status %d after %d sends once the evacuation is over, want 200 after one", got.status, server.count())
 	}
 	f.handler.SetTable(engineTable(5 * time.Second))
 	f.setView(map[string][]string{}, map[string]time.Duration{"m": time.Second})
 	time.AfterFunc(200*time.Millisecond, func() { f.evacuate("z") })
 	started := time.Now()
-	wantEvacuated(t, "what waits", f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"), time.Since(started), 5*time.Second)
+	wantEvacuatedRefusal(t, "a waiting request", f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"), time.Since(started), 5*time.Second)
 }
 
-// TestZoneEvacuatedWhileItsServerIsDialledGetsNothing: the connection that was kept or
-// opened carries no new request.
+// Guards against sending a request to a zone that was evacuated while the connection was opened.
 func TestZoneEvacuatedWhileItsServerIsDialledGetsNothing(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.onDial = func() { f.evacuate("z") }
 	got := f.send(t, http.MethodPost, "/once/", "", "X-Wait", "2s")
@@ -65,10 +64,10 @@
 	}
 }
 
-// TestWhatRunsInAnEvacuatedZoneRunsOn to its end.
+// A stream that runs in a zone when it is evacuated continues to its end.
 func TestWhatRunsInAnEvacuatedZoneRunsOn(t *testing.T) {
 	var f *fixture
-	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, _ *http.Request) bool {
 		write(conn, streamHead+chunk(events(1, 2)))
 		f.evacuate("z")
 		time.Sleep(50 * time.Millisecond)
@@ -81,36 +80,36 @@
 	}
 }
 
-// TestBrokenStreamIsNotResumedInAnEvacuatedZone, and not held for one either.
+// A broken stream is neither resumed in an evacuated zone nor held until the evacuation ends.
 func TestBrokenStreamIsNotResumedInAnEvacuatedZone(t *testing.T) {
 	var f *fixture
-	script := func(conn net.Conn, _ *http.Request) bool {
+	respond := func(conn net.Conn, _ *http.Request) bool {
 		write(conn, streamHead+chunk(events(1, 2)))
 		f.evacuate("z")
 		time.Sleep(30 * time.Millisecond)
 		return false
 	}
-	servers := []*standinServer{newStandin(t, script), newStandin(t, script)}
+	servers := []*fakeServer{newFakeServer(t, respond), newFakeServer(t, respond)}
 	f = newFixture(t, servers...)
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/resume/", "")
 	if got.err == nil || servers[0].count()+servers[1].count() != 1 {
-		t.Errorf("got %q, %v after %d sends; want a broken answer after one", got.body, got.err, servers[0].count()+servers[1].count())
+		t.Errorf("got %q, %v after %d sends; want a truncated response after one", got.body, got.err, servers[0].count()+servers[1].count())
 	}
 	if held := time.Since(started); held > 2*time.Second {
 		t.Errorf("held for %v", held)
 	}
 }
 
-// TestNodeThatDoesNotKnowEnoughSendsNothing: a node that had a configuration and servers
-// from a peer, but had not heard yet which zones are evacuated, sent requests there.
+// Guards against sending before the node is ready: a node that had got its configuration and servers from
+// a peer, but not yet the evacuated zones, sent requests there.
 func TestNodeThatDoesNotKnowEnoughSendsNothing(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.handler.options.IsReady = func() bool { return false }
 	f.handler.options.AwaitReady = func(context.Context) {}
 	got := f.send(t, http.MethodPost, "/once/", "body")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || server.count() != 0 {
-		t.Errorf("%+v after %d sends, want 503 with when to come back after none", got, server.count())
+		t.Errorf("%+v after %d sends, want 503 with Retry-After after none", got, server.count())
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -20,7 +20,7 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// exchange is one caller's request from arrival to its final answer.
+// exchange is one caller's request from arrival to its final response.
 type exchange struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -31,76 +31,80 @@
 	table   *routetable.Table
 	route   *routetable.Route
 	service string
-	// tenant owns the caller's key; nil where none is needed.
+	// tenant is the owner of the caller's key; nil where no key is needed.
 	tenant *routetable.Tenant
-	// counted is what was counted for it against the tenant's quota.
-	counted  float64
-	engine   bool
-	head     Head
-	body     []byte
-	header   http.Header
-	deadline time.Time
-	returned bool
+	// chargedCost is the cost charged to the tenant's quota.
+	chargedCost float64
+	// needsModel is set where the servers of the service run models.
+	needsModel bool
+	head       Head
+	body       []byte
+	header     http.Header
+	deadline   time.Time
+	// isRetry is set where the caller was probably refused before and has come back.
+	isRetry bool
 
-	// sent are the servers that the request was sent to.
-	sent []string
-	// failed are servers that are not asked again.
-	failed []string
-	// ran is set once the request may have run.
-	ran bool
-	// headSent is set once the answer's head went to the caller.
+	// sentTo are the servers that the request was sent to.
+	sentTo []string
+	// failedServers are not chosen again for this request.
+	failedServers []string
+	// mayHaveRun is set once a server may have run the request.
+	mayHaveRun bool
+	// headSent is set once response headers went to the caller.
 	headSent bool
-	// lastEvent is the last whole event that the caller got.
-	lastEvent string
-	events    int
-	pace      pace
-	waited    time.Duration
-	// waitsSince is when the choice of a server began that is under way.
-	waitsSince time.Time
-	serverID   string
-	// watch follows when what the request waits for is expected.
-	watch waiting.OverdueTracker
-	// estimate is the time to the first byte that was expected of the server.
+	// lastEventID is the ID of the last whole event that the caller got.
+	lastEventID string
+	eventCount  int
+	timing      eventTiming
+	// waitedBefore is the time spent waiting for servers in earlier choices.
+	waitedBefore time.Duration
+	// waitingSince is when the choice of a server that is in progress began; zero between choices.
+	waitingSince time.Time
+	serverID     string
+	// overdue follows the announced readiness that the request waits for, and notices when it is overdue.
+	overdue waiting.OverdueTracker
+	// estimate is the expected time to the first byte from the chosen server.
 	estimate time.Duration
-	// hint is what the last answer told of its server, and sentAt when its request left.
+	// hint is what the last response announced about its server, and sentAt when the request left.
 	hint   inventory.Hint
 	sentAt time.Time
-	// serverEnd is what became of the server whose answer broke off.
-	serverEnd backendconn.Liveness
-	// isTrial is set from the claim of a trial until its one send is over.
+	// serverLiveness is the result of probing the server whose response broke off.
+	serverLiveness backendconn.Liveness
+	// isTrial is set from claiming a trial until its one send is over.
 	isTrial bool
-	// asked is what it was last counted as demand for.
-	asked dispatch.Requirements
-	// allowed are the regions in which it may run, by the table allowedBy.
-	allowed   locality.Regions
-	allowedBy *routetable.Table
-	// identity is the request's fingerprint once it was needed.
-	identity *poison.Fingerprint
+	// countedDemand is what the request was last counted as demand for.
+	countedDemand dispatch.Requirements
+	// allowedRegions are the regions in which the request may run, according to regionsTable.
+	allowedRegions locality.Regions
+	regionsTable   *routetable.Table
+	// cachedFingerprint is the request's fingerprint, computed on first use.
+	cachedFingerprint *poison.Fingerprint
 }
 
+// serve handles the request to its end.
 func (x *exchange) serve() {
-	x.handler.awaitKnowledge(x.request.Context())
+	x.handler.awaitReady(x.request.Context())
 	x.table = x.handler.table.Load()
-	if x.table == nil || !x.handler.knows() {
-		x.refuse(reasonNoConfiguration, configurationWait)
+	if x.table == nil || !x.handler.isReady() {
+		x.refuse(reasonNoConfiguration, configurationRetryDelay)
 		return
 	}
-	if !x.admit() {
+	if !x.prepare() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(x.request.Context(), clock.Until(x.deadline))
 	defer cancel()
 	x.ctx = ctx
-	if !x.hasPlace() || !x.withinQuota() {
+	if !x.checkRegions() || !x.takeQuota() {
 		return
 	}
 	x.handler.countRequest(x.service)
-	x.run()
+	x.sendUntilDone()
 }
 
-// admit reads the request and finds its route. It answers those that go no
-// further.
-func (x *exchange) admit() bool {
+// prepare reads the request, authenticates the caller and finds the route. It responds to requests that
+// are denied.
+func (x *exchange) prepare() bool {
 	head, err := x.handler.options.Dialect.ReadHead(x.request.Header)
 	if err != nil {
 		x.deny(http.StatusBadRequest, err.Error())
@@ -116,33 +120,34 @@
 	if !x.authenticate() {
 		return false
 	}
-	x.service = x.handler.part(route)
-	x.engine = x.table.Services[x.service].Engine != nil
+	x.service = x.handler.nextService(route)
+	x.needsModel = x.table.Services[x.service].Engine != nil
 	if !x.readBody() {
 		return false
 	}
 	x.setDeadline()
-	x.header = forwarded(x.request.Header, x.handler.options.Dialect.IsEndToEnd)
+	x.header = endToEndHeader(x.request.Header, x.handler.options.Dialect.IsEndToEnd)
 	x.handler.options.Dialect.DropReserved(x.header)
 	return true
 }
 
-// defaultDeadline is how long a request is held where neither the caller nor
-// the route gives a bound.
-const defaultDeadline = 30 * time.Second
+// defaultTimeout is how long a request may take where neither the caller nor the route sets a limit.
+const defaultTimeout = 30 * time.Second
 
+// setDeadline sets the deadline from the caller's header and the route's timeout.
 func (x *exchange) setDeadline() {
-	held := defaultDeadline
+	timeout := defaultTimeout
 	if x.head.Deadline > 0 {
-		held = x.head.Deadline
-		x.returned = x.handler.hasReturned(x.route, held)
+		timeout = x.head.Deadline
+		x.isRetry = x.handler.isLikelyRetry(x.route, timeout)
 	}
 	if x.route.Timeout > 0 {
-		held = min(held, x.route.Timeout)
+		timeout = min(timeout, x.route.Timeout)
 	}
-	x.deadline = x.arrived.Add(held)
+	x.deadline = x.arrived.Add(timeout)
 }
 
+// readBody reads the whole body, within the configured size limit.
 func (x *exchange) readBody() bool {
 	limit := x.table.Limits.MaxBodyBytes
 	if limit > 0 && x.request.ContentLength > limit {
@@ -173,15 +178,15 @@
 	return true
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders concern one connection only and are not forwarded (RFC 9110, section 7.6.1).
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// forwarded is the header without what concerns one connection only. A field that is
-// meant for the other end stays, though the sender names it in Connection.
-func forwarded(header http.Header, isEndToEnd func(name string) bool) http.Header {
+// endToEndHeader is the header without hop-by-hop fields. End-to-end fields of the dialect stay even if
+// the sender lists them in Connection.
+func endToEndHeader(header http.Header, isEndToEnd func(name string) bool) http.Header {
 	kept := header.Clone()
 	for _, named := range header["Connection"] {
 		for name := range strings.SplitSeq(named, ",") {
@@ -197,102 +202,107 @@
 	return kept
 }
 
-// maxSends bounds the sends of one request, repeats at one server included.
+// maxSends bounds the sends of one request, retries at the same server included.
 const maxSends = 4
 
-// run sends the request until it has a final answer.
-func (x *exchange) run() {
+// sendUntilDone sends the request until it has a final response.
+func (x *exchange) sendUntilDone() {
 	if x.isBarred() {
-		x.answerBarred()
+		x.refuseBarred()
 		return
 	}
 	x.countDemand()
-	x.lastEvent = x.head.LastEventID
-	hasRepeat := false
+	x.lastEventID = x.head.LastEventID
+	hasRetry := false
 	for sends := 0; ; sends++ {
-		choice, ok := x.pick()
+		choice, ok := x.waitForServer()
 		if !ok {
 			return
 		}
-		// A repeat that was drawn holds until something was sent: a request may be held
-		// back at cold servers many times.
-		hasRepeat = hasRepeat || sends > 0 && x.mayRepeat()
-		if sends > 0 && !hasRepeat {
-			x.release(choice, dispatch.OutcomeAbandoned)
+		// A retry taken from the budget stays valid until something was sent: admission at cold servers may
+		// deny a send many times.
+		hasRetry = hasRetry || sends > 0 && x.takeRetry()
+		if sends > 0 && !hasRetry {
+			x.endAttempt(choice, dispatch.OutcomeAbandoned)
 			x.handler.Metrics.BudgetEmpty.Add(1)
 			x.giveUp("no_budget")
 			return
 		}
-		verdict := x.attempt(choice)
-		if verdict == verdictDone {
+		result := x.attempt(choice)
+		if result == attemptDone {
 			return
 		}
-		if verdict == verdictNotSent {
+		if result == attemptNotSent {
 			sends--
 		} else {
-			hasRepeat, x.isTrial = false, false
+			hasRetry, x.isTrial = false, false
 		}
-		if sends+1 >= maxSends || len(x.failed) >= maxSends {
+		if sends+1 >= maxSends || len(x.failedServers) >= maxSends {
 			x.giveUp("too_many_sends")
 			return
 		}
 	}
 }
 
+// countDemand counts the request as demand for its model.
 func (x *exchange) countDemand() {
-	if !x.engine {
+	if !x.needsModel {
 		return
 	}
-	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { x.countAsked(core, x.wanted()) })
+	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { x.countDemandFor(core, x.requirements()) })
 }
 
-func (x *exchange) wanted() dispatch.Requirements {
-	return dispatch.Requirements{Service: x.service, Model: x.head.Model, Adapter: x.head.Adapter, Regions: x.regions()}
+// requirements are what a server must have to take the request.
+func (x *exchange) requirements() dispatch.Requirements {
+	return dispatch.Requirements{Service: x.service, Model: x.head.Model, Adapter: x.head.Adapter, Regions: x.currentRegions()}
 }
 
-func (x *exchange) ask() dispatch.Request {
-	ask := dispatch.Request{Service: x.service, Exclude: x.failed, Regions: x.regions()}
-	if x.engine {
-		ask.Model, ask.Adapter = x.head.Model, x.head.Adapter
-		ask.Parts = x.head.PromptParts
-		ask.PromptTokens = x.head.PromptTokens
-	}
-	if len(x.sent) >= x.route.MaxAttempts {
-		ask.AllowedServers = x.sent
-	}
-	if x.standing() == poison.StatusSuspect {
-		ask.ColocationKey = x.fingerprint().Key()
-	}
-	return ask
+// dispatchRequest describes the request to the dispatcher. Copies of a suspect request get the same
+// ColocationKey, so that they run on the same server.
+func (x *exchange) dispatchRequest() dispatch.Request {
+	request := dispatch.Request{Service: x.service, Exclude: x.failedServers, Regions: x.currentRegions()}
+	if x.needsModel {
+		request.Model, request.Adapter = x.head.Model, x.head.Adapter
+		request.Parts = x.head.PromptParts
+		request.PromptTokens = x.head.PromptTokens
+	}
+	if len(x.sentTo) >= x.route.MaxAttempts {
+		request.AllowedServers = x.sentTo
+	}
+	if x.poisonStatus() == poison.StatusSuspect {
+		request.ColocationKey = x.fingerprint().Key()
+	}
+	return request
 }
 
-// mayRepeat draws a repeat from the budget that all nodes share.
-func (x *exchange) mayRepeat() bool {
-	if !x.handler.takeRepeat(x.service) {
+// takeRetry takes a retry from the budget that all nodes share.
+func (x *exchange) takeRetry() bool {
+	if !x.handler.takeRetry(x.service) {
 		return false
 	}
 	x.handler.Metrics.Retries.Add(1)
 	return true
 }
 
-func (x *exchange) release(choice dispatch.Choice, outcome dispatch.Outcome) {
+// endAttempt tells the dispatcher how the attempt ended.
+func (x *exchange) endAttempt(choice dispatch.Choice, outcome dispatch.Outcome) {
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { core.End(clock.Now(), choice.Attempt, outcome) })
 }
 
-// isRepeatable reports whether the request may be sent again though it may
-// have run.
-func (x *exchange) isRepeatable() bool {
+// isRetryable reports whether the request may be sent again although it may have run.
+func (x *exchange) isRetryable() bool {
 	return x.route.RetryPolicy == routetable.RetrySafe || x.route.RetryPolicy == routetable.RetryResume
 }
 
-func (x *exchange) hasSent(serverID string) bool { return slices.Contains(x.sent, serverID) }
+// wasSentTo reports whether the request was sent to the server.
+func (x *exchange) wasSentTo(serverID string) bool { return slices.Contains(x.sentTo, serverID) }
 
-// hasLeft reports whether the caller is gone.
-func (x *exchange) hasLeft() bool {
+// callerGone reports whether the caller closed its connection.
+func (x *exchange) callerGone() bool {
 	return errors.Is(x.request.Context().Err(), context.Canceled)
 }
 
-// finish notes the final answer.
+// finish logs and reports the final response.
 func (x *exchange) finish(outcome string, status int, reason string) {
 	if x.handler.OnFinished != nil {
 		x.handler.OnFinished(x.routeKind(), outcome, clock.Since(x.arrived))
@@ -300,8 +310,8 @@
 	x.log("request_"+outcome, status, reason)
 }
 
-// routeKind is the kind of route for metrics, which would grow without bound by
-// the routes' names.
+// routeKind labels metrics with the kind of the route: route names would give them an unbounded number
+// of series.
 func (x *exchange) routeKind() string {
 	switch {
 	case x.route == nil:
@@ -315,6 +325,7 @@
 	}
 }
 
+// log writes the event with all that is known of the request.
 func (x *exchange) log(event string, status int, reason string) {
 	entry := x.handler.options.Logger.Info()
 	entry.Str("request", x.head.RequestID).Int("status", status).Str("reason", reason)
@@ -337,49 +348,49 @@
 		entry.Str("model", x.head.Model).Str("adapter", x.head.Adapter).Int("prompt", x.head.PromptTokens)
 	}
 	if x.estimate > 0 {
-		entry.Str("estimate_ms", milliseconds(x.estimate))
+		entry.Str("estimate_ms", formatMilliseconds(x.estimate))
 	}
-	entry.Str("server", x.serverID).Str("sent", strings.Join(x.sent, ","))
-	entry.Str("waited_ms", milliseconds(x.waitedSoFar())).Str("took_ms", milliseconds(clock.Since(x.arrived)))
-	if x.pace.first > 0 {
-		entry.Str("first_ms", milliseconds(x.pace.first)).Str("pause_ms", milliseconds(x.pace.longestPause))
+	entry.Str("server", x.serverID).Str("sent", strings.Join(x.sentTo, ","))
+	entry.Str("waited_ms", formatMilliseconds(x.totalWaited())).Str("took_ms", formatMilliseconds(clock.Since(x.arrived)))
+	if x.timing.first > 0 {
+		entry.Str("first_ms", formatMilliseconds(x.timing.first)).Str("pause_ms", formatMilliseconds(x.timing.longestPause))
 	}
-	if x.allowed.IsBounded() {
-		entry.Str("regions", x.allowed.String())
+	if x.allowedRegions.IsBounded() {
+		entry.Str("regions", x.allowedRegions.String())
 	}
-	if x.returned {
+	if x.isRetry {
 		entry.Bool("returned", true)
 	}
 	if x.hint.Draining {
 		entry.Bool("server_leaving", true)
 	}
 	if x.hint.Backoff > 0 {
-		entry.Str("rest_ms", milliseconds(x.hint.Backoff))
+		entry.Str("rest_ms", formatMilliseconds(x.hint.Backoff))
 	}
 	if x.hint.Limit.IsSet() {
 		entry.Float64("server_limit", x.hint.Limit.PerSecond)
 	}
-	if x.serverEnd != "" {
-		entry.Str("fingerprint", x.fingerprint().String()).Str("server_end", string(x.serverEnd))
+	if x.serverLiveness != "" {
+		entry.Str("fingerprint", x.fingerprint().String()).Str("server_end", string(x.serverLiveness))
 	}
 	if event == "request_"+outcomeRefused && x.route != nil {
-		var supply dispatch.ServerCounts
-		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { supply = core.ServerCounts(clock.Now(), x.service) })
-		entry.Int("servers", supply.Known).Int("servers_going", supply.Draining).Int("servers_closed", supply.Evacuated).
-			Int("servers_resting", supply.BackingOff).Int("servers_limited", supply.RateLimited)
+		var counts dispatch.ServerCounts
+		x.handler.options.Dispatch.Do(func(core *dispatch.Core) { counts = core.ServerCounts(clock.Now(), x.service) })
+		entry.Int("servers", counts.Known).Int("servers_going", counts.Draining).Int("servers_closed", counts.Evacuated).
+			Int("servers_resting", counts.BackingOff).Int("servers_limited", counts.RateLimited)
 	}
-	entry.Int("events", x.events).Msg(event)
+	entry.Int("events", x.eventCount).Msg(event)
 }
 
-// waitedSoFar is how long the request has waited for servers, the choice that is
-// under way included.
-func (x *exchange) waitedSoFar() time.Duration {
-	if x.waitsSince.IsZero() {
-		return x.waited
+// totalWaited is how long the request has waited for servers, including the choice in progress.
+func (x *exchange) totalWaited() time.Duration {
+	if x.waitingSince.IsZero() {
+		return x.waitedBefore
 	}
-	return x.waited + clock.Since(x.waitsSince)
+	return x.waitedBefore + clock.Since(x.waitingSince)
 }
 
-func milliseconds(d time.Duration) string {
+// formatMilliseconds formats a duration in milliseconds with one decimal.
+func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', 1, 64)
 }
--- a/internal/relay/hints_test.go
+++ b/internal/relay/hints_test.go
@@ -12,29 +12,30 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// leavingStart is the start of the first server of a fixture.
-var leavingStart = inventory.Start{ID: "s0"}
+// drainingStart is the start of the first server of a fixture.
+var drainingStart = inventory.Start{ID: "s0"}
 
 func TestServerThatLeavesBetweenChoiceAndWriteIsNotSentTo(t *testing.T) {
-	for name, hint := range map[string]inventory.Hint{"leaves": {Draining: true}, "rests": {Backoff: time.Minute}} {
-		servers := []*standinServer{newStandin(t, answering(http.StatusOK, "ok")), newStandin(t, answering(http.StatusOK, "ok"))}
+	for name, hint := range map[string]inventory.Hint{"draining": {Draining: true}, "backoff": {Backoff: time.Minute}} {
+		servers := []*fakeServer{newFakeServer(t, respondWith(http.StatusOK, "ok")), newFakeServer(t, respondWith(http.StatusOK, "ok"))}
 		f := newFixture(t, servers...)
 		f.onDial = func() {
-			f.dispatch.Do(func(core *dispatch.Core) { core.ReceiveHint(time.Now(), leavingStart, hint) })
+			f.dispatch.Do(func(core *dispatch.Core) { core.ReceiveHint(time.Now(), drainingStart, hint) })
 		}
 		for range 6 {
 			if got := f.send(t, http.MethodPost, "/once/", ""); got.status != http.StatusOK {
-				t.Errorf("%s: status %d, want 200 from the server that stays", name, got.status)
+				t.Errorf("%s: status %d, want 200 from the other server", name, got.status)
 			}
 		}
 		if servers[0].count() != 0 {
-			t.Errorf("%s: %d requests were sent, though it was known before they left", name, servers[0].count())
+			t.Errorf("%s: %d requests were sent after the hint", name, servers[0].count())
 		}
 	}
 }
 
-// streamThen sends the head of a stream and an event, waits, and ends it.
-func streamThen(wait <-chan struct{}, ends bool, headers string) script {
+// streamUntil sends the head of a stream and an event, waits, and then ends the stream or resets the
+// connection.
+func streamUntil(wait <-chan struct{}, ends bool, headers string) responder {
 	return func(conn net.Conn, request *http.Request) bool {
 		write(conn, "HTTP/1.1 200 OK\r\nX-Id: "+request.Header.Get("X-Id")+"\r\n"+headers+"Connection: close\r\n\r\nid: 1\ndata: a\n\n")
 		<-wait
@@ -46,16 +47,17 @@
 	}
 }
 
-// TestWordInTheHeadOfAStreamCounts: later choices go by it while the stream runs, which is whole.
+// An announcement in the head of a stream applies to later choices while the stream still runs, and the
+// stream itself is completed.
 func TestWordInTheHeadOfAStreamCounts(t *testing.T) {
 	wait := make(chan struct{})
-	servers := []*standinServer{
-		newStandin(t, streamThen(wait, true, "X-Leaving: 1\r\n")),
-		newStandin(t, answering(http.StatusOK, "id: 1\n\n")),
+	servers := []*fakeServer{
+		newFakeServer(t, streamUntil(wait, true, "X-Leaving: 1\r\n")),
+		newFakeServer(t, respondWith(http.StatusOK, "id: 1\n\n")),
 	}
 	f := newFixture(t, servers...)
-	heard := make(chan inventory.Start, 1)
-	f.handler.options.OnHint = func(start inventory.Start, _ inventory.Hint) { heard <- start }
+	hints := make(chan inventory.Start, 1)
+	f.handler.options.OnHint = func(start inventory.Start, _ inventory.Hint) { hints <- start }
 	ended := make(chan result, 40)
 	sent := 0
 	for servers[0].count() == 0 {
@@ -63,17 +65,17 @@
 		go func() { ended <- f.send(t, http.MethodPost, "/stream/", "") }()
 		time.Sleep(5 * time.Millisecond)
 	}
-	if start := <-heard; start != leavingStart {
-		t.Errorf("heard of %v", start)
+	if start := <-hints; start != drainingStart {
+		t.Errorf("hint of %v, want one of the first server", start)
 	}
-	came := servers[0].count()
+	served := servers[0].count()
 	for range 10 {
 		if got := f.send(t, http.MethodPost, "/stream/", ""); got.status != http.StatusOK {
-			t.Errorf("status %d, want 200 from the server that stays", got.status)
+			t.Errorf("status %d, want 200 from the other server", got.status)
 		}
 	}
-	if servers[0].count() != came {
-		t.Errorf("%d requests were sent while the stream ran that said that the server leaves", servers[0].count()-came)
+	if servers[0].count() != served {
+		t.Errorf("%d requests were sent to the server after its stream announced that it is draining", servers[0].count()-served)
 	}
 	close(wait)
 	wholeStreams := 0
@@ -82,16 +84,16 @@
 			wholeStreams++
 		}
 	}
-	if wholeStreams != came {
-		t.Errorf("%d of %d streams of the server that leaves are whole", wholeStreams, came)
+	if wholeStreams != served {
+		t.Errorf("%d of %d streams of the draining server are whole", wholeStreams, served)
 	}
 }
 
-// TestBrokenStreamIsNotResumedAtAServerThatLeaves: it has its resume call, and wants no new work.
+// A broken stream is not resumed at a server that announced that it is draining.
 func TestBrokenStreamIsNotResumedAtAServerThatLeaves(t *testing.T) {
 	now := make(chan struct{})
 	close(now)
-	server := newStandin(t, streamThen(now, false, "X-Leaving: 1\r\n"))
+	server := newFakeServer(t, streamUntil(now, false, "X-Leaving: 1\r\n"))
 	f := newFixture(t, server)
 	f.handler.SetTable(resumeTable())
 	f.dispatch.Do(func(core *dispatch.Core) {
@@ -105,9 +107,10 @@
 	}
 }
 
-// TestWordOfALateAnswerCounts: the answer to an earlier request comes in the place of the next.
+// An announcement in a late response to an earlier request, which precedes the expected response on the
+// connection, counts as well.
 func TestWordOfALateAnswerCounts(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, request *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, request *http.Request) bool {
 		write(conn, reply("earlier", http.StatusOK, "", "X-Leaving: 1")+reply(request.Header.Get("X-Id"), http.StatusOK, "own"))
 		return true
 	})
@@ -116,67 +119,67 @@
 		t.Errorf("got %+v", got)
 	}
 	if got := f.send(t, http.MethodPost, "/once/", ""); got.status != http.StatusServiceUnavailable || server.count() != 1 {
-		t.Errorf("status %d, sent %d times: a late answer said that the server leaves", got.status, server.count())
+		t.Errorf("status %d, sent %d times: a late response announced that the server is draining", got.status, server.count())
 	}
 }
 
-// TestRestIsKeptWithoutPromise: a server may ask for rest with a failure of its own, too.
+// A server may ask for a backoff in a plain failure, too, without saying that the request did not run.
 func TestRestIsKeptWithoutPromise(t *testing.T) {
 	for name, headers := range map[string][]string{"not run": {"X-Not-Run: 1", "X-Rest: 60s"}, "a failure": {"X-Rest: 60s"}} {
-		resting := newStandin(t, answering(http.StatusServiceUnavailable, "", headers...))
-		f := newFixture(t, resting, newStandin(t, answering(http.StatusOK, "ok")))
+		backingOff := newFakeServer(t, respondWith(http.StatusServiceUnavailable, "", headers...))
+		f := newFixture(t, backingOff, newFakeServer(t, respondWith(http.StatusOK, "ok")))
 		for range 20 {
 			f.send(t, http.MethodPost, "/once/", "")
 		}
-		if resting.count() > 1 {
-			t.Errorf("%s: %d requests were sent in the rest", name, resting.count()-1)
+		if backingOff.count() > 1 {
+			t.Errorf("%s: %d requests were sent during the backoff", name, backingOff.count()-1)
 		}
 	}
 }
 
-// TestCallersComeBackWhenTheRestIsOver: not before, and not all at once.
+// Callers are told to retry when the backoff is over: not before, and not all at the same time.
 func TestCallersComeBackWhenTheRestIsOver(t *testing.T) {
-	resting := newStandin(t, answering(http.StatusServiceUnavailable, "", "X-Not-Run: 1", "X-Rest: 60s"))
-	f := newFixture(t, resting)
-	told := make(map[float64]bool)
+	backingOff := newFakeServer(t, respondWith(http.StatusServiceUnavailable, "", "X-Not-Run: 1", "X-Rest: 60s"))
+	f := newFixture(t, backingOff)
+	delays := make(map[float64]bool)
 	for _, path := range []string{"/once/", "/once/", "/command/", "/often/", "/once/"} {
 		got := f.send(t, http.MethodPost, path, "")
 		seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if got.status != http.StatusServiceUnavailable || err != nil || seconds < 55 || seconds > 65 {
-			t.Errorf("%s: status %d, to come back in %v s (%v)", path, got.status, seconds, err)
+			t.Errorf("%s: status %d, Retry-After %v s (%v), want 503 after the backoff", path, got.status, seconds, err)
 		}
-		told[seconds] = true
+		delays[seconds] = true
 	}
-	if len(told) < 4 {
-		t.Errorf("five callers are told %d times to come back at", len(told))
+	if len(delays) < 4 {
+		t.Errorf("five callers got %d different values of Retry-After, want 4 at least", len(delays))
 	}
-	if resting.count() != 1 {
-		t.Errorf("sent %d times", resting.count())
+	if backingOff.count() != 1 {
+		t.Errorf("sent %d times, want once", backingOff.count())
 	}
 }
 
-// TestServerWhoseAddressAnotherHasIsNotSentToAgain: another server has the address by now, and
-// answers for itself. The node went on to send there, request after request, until the entry
-// went; what the other one tells of itself is not meant.
+// Guards against sending request after request to an address that another server has taken over, until
+// the old server's entry was removed. What the new server announces of itself does not apply to the old
+// one.
 func TestServerWhoseAddressAnotherHasIsNotSentToAgain(t *testing.T) {
-	server := newStandin(t, answering(http.StatusMisdirectedRequest, "", "X-By: another", "X-Rest: 60s"))
+	server := newFakeServer(t, respondWith(http.StatusMisdirectedRequest, "", "X-By: another", "X-Rest: 60s"))
 	f := newFixture(t, server)
-	var heard []inventory.Hint
+	var hints []inventory.Hint
 	f.handler.options.OnHint = func(start inventory.Start, hint inventory.Hint) {
-		if start == leavingStart {
-			heard = append(heard, hint)
+		if start == drainingStart {
+			hints = append(hints, hint)
 		}
 	}
 	for range 3 {
 		f.send(t, http.MethodPost, "/once/", "")
 	}
-	if server.count() != 1 || len(heard) != 1 || heard[0] != (inventory.Hint{Draining: true}) {
-		t.Errorf("sent %d times, heard %v: its start is over", server.count(), heard)
+	if server.count() != 1 || len(hints) != 1 || hints[0] != (inventory.Hint{Draining: true}) {
+		t.Errorf("sent %d times, hints %v; want one send and one hint that the start is over", server.count(), hints)
 	}
 	f.dispatch.Do(func(core *dispatch.Core) {
 		core.SetServers([]inventory.Change{{Server: inventory.Server{ID: "s0", StartedAtMs: 2, Service: "svc", Address: server.address, Zone: "z", Slots: 8, Position: storepos.At(0, 2)}}})
 	})
 	if f.send(t, http.MethodPost, "/once/", ""); server.count() != 2 {
-		t.Error("its next start is not sent to")
+		t.Error("nothing was sent to the next start of the server")
 	}
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -6,23 +6,23 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Outcomes of requests.
+// Outcomes of requests, as metrics and logs name them.
 const (
-	// outcomeAnswered is a server's answer, whatever it says.
+	// outcomeAnswered is a server's response, whatever its status.
 	outcomeAnswered = "answered"
-	// outcomeRefused is a request that has not run and never will.
+	// outcomeRefused is a request that did not run and will not.
 	outcomeRefused = "refused"
-	// outcomeFailed is one that may have run.
+	// outcomeFailed is a request that may have run, without a whole response.
 	outcomeFailed = "failed"
-	// outcomeCut is an answer that was broken off.
-	outcomeCut = "cut"
-	// outcomeLeft is one whose caller is gone.
-	outcomeLeft = "left"
-	// outcomeDenied is one that no configuration allows, or that is malformed.
+	// outcomeTruncated is a response that was broken off after its head.
+	outcomeTruncated = "cut"
+	// outcomeCallerGone is a request whose caller closed the connection.
+	outcomeCallerGone = "left"
+	// outcomeDenied is a malformed request, or one that the configuration does not allow.
 	outcomeDenied = "denied"
 )
 
-// Metrics counts what led to final answers.
+// Metrics counts events on the way to final responses.
 type Metrics struct {
 	Retries       atomic.Int64
 	Resumed       atomic.Int64
@@ -30,10 +30,10 @@
 	BudgetEmpty   atomic.Int64
 	DialFailures  atomic.Int64
 	BarredRefused atomic.Int64
-	// RegionRefused counts requests that may run in no region where a server is.
+	// RegionRefused counts requests refused because no allowed region has a server.
 	RegionRefused atomic.Int64
-	// ServerBytes are those of bodies to and from servers, by how far these are.
+	// ServerBytes are the bytes of bodies to and from servers, by the distance of the server.
 	ServerBytes [locality.DistanceCount]atomic.Int64
-	// ColdHeld are sends that were not granted at a cold server.
+	// ColdHeld counts sends that admission denied.
 	ColdHeld atomic.Int64
 }
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -12,41 +12,40 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// Suspects remembers requests under which servers ended, at whatever node, so that one
-// that ends each server that runs it is sent to no more of them.
+// Suspects tracks, across all nodes, requests that were running on servers when these crashed, so that
+// a request that crashes every server is not sent to more of them.
 type Suspects interface {
-	// Any reports whether anything is remembered.
+	// Any reports whether any suspect is known.
 	Any() bool
-	// Status is what is known of a request.
+	// Status is the current status of a request.
 	Status(fingerprint poison.Fingerprint) poison.Status
-	// ReportCrash takes that a server ended as it had the request, for a time.
-	ReportCrash(fingerprint poison.Fingerprint, serverID string, ran time.Duration)
-	// ReportSuccess takes that a request ended well.
+	// ReportCrash reports that a server crashed that had been running the request for that time.
+	ReportCrash(fingerprint poison.Fingerprint, serverID string, running time.Duration)
+	// ReportSuccess reports that a request completed.
 	ReportSuccess(fingerprint poison.Fingerprint)
-	// ClaimTrial asks whether this node may send a request on trial once, for all nodes.
+	// ClaimTrial asks for permission to send a request on trial once; it is granted to one node only.
 	ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool
-	// ReportRefusal takes that a copy of a barred request was refused.
+	// ReportRefusal reports that a copy of a barred request was refused.
 	ReportRefusal(fingerprint poison.Fingerprint)
 }
 
-// reasonPoison is the reason of refusals of requests that ended too many servers.
+// reasonPoison is the reason of refusals of requests that crashed too many servers.
 const reasonPoison = "poison_request"
 
-// fingerprint tells the request from all others that ask for something else. It is made
-// once.
+// fingerprint identifies the request by its content. It is computed once.
 func (x *exchange) fingerprint() poison.Fingerprint {
-	if x.identity == nil {
+	if x.cachedFingerprint == nil {
 		fingerprint := poison.NewFingerprint(poison.Identity{
 			Method: x.request.Method, Host: x.request.Host, Target: x.request.RequestURI, Caller: x.head.APIKey,
 			Model: x.head.Model, Adapter: x.head.Adapter, Body: x.body,
 		})
-		x.identity = &fingerprint
+		x.cachedFingerprint = &fingerprint
 	}
-	return *x.identity
+	return *x.cachedFingerprint
 }
 
-// standing is what is known of the request now.
-func (x *exchange) standing() poison.Status {
+// poisonStatus is the current status of the request.
+func (x *exchange) poisonStatus() poison.Status {
 	suspects := x.handler.options.Suspects
 	if suspects == nil || !suspects.Any() {
 		return poison.StatusClear
@@ -54,70 +53,70 @@
 	return suspects.Status(x.fingerprint())
 }
 
-// isBarred reports whether the request has ended too many servers. The send of a trial that
-// this node claimed goes out all the same.
+// isBarred reports whether the request crashed too many servers. A trial that this node has claimed is
+// sent regardless.
 func (x *exchange) isBarred() bool {
-	return !x.isTrial && x.standing() == poison.StatusBarred
+	return !x.isTrial && x.poisonStatus() == poison.StatusBarred
 }
 
-// mayTry claims the trial of a request on trial for the send that follows.
-func (x *exchange) mayTry() bool {
-	if x.standing() != poison.StatusOnTrial {
+// claimTrialIfDue claims the trial of a request on trial for the send that follows.
+func (x *exchange) claimTrialIfDue() bool {
+	if x.poisonStatus() != poison.StatusOnTrial {
 		return true
 	}
 	x.isTrial = x.handler.options.Suspects.ClaimTrial(x.ctx, x.fingerprint())
 	return x.isTrial
 }
 
-// answerBarred gives a barred request its final answer: at once, and without a time to
-// come back at.
-func (x *exchange) answerBarred() {
+// refuseBarred gives a barred request its final response, without a Retry-After.
+func (x *exchange) refuseBarred() {
 	x.handler.Metrics.BarredRefused.Add(1)
 	x.handler.options.Suspects.ReportRefusal(x.fingerprint())
-	if x.ran {
+	if x.mayHaveRun {
 		x.fail(http.StatusBadGateway, reasonPoison)
 		return
 	}
-	x.refuseForGood(reasonPoison)
+	x.refusePermanently(reasonPoison)
 }
 
-// brokeOff ends a send whose answer did not come, or broke off. Where it was the caller who
-// left, the request ends here.
-func (x *exchange) brokeOff(choice dispatch.Choice) {
-	if x.hasLeft() {
-		x.release(choice, dispatch.OutcomeAbandoned)
-		x.leave()
+// handleBrokenResponse ends a send whose response did not come or broke off. It ends the request if the
+// caller is gone.
+func (x *exchange) handleBrokenResponse(choice dispatch.Choice) {
+	if x.callerGone() {
+		x.endAttempt(choice, dispatch.OutcomeAbandoned)
+		x.endCallerGone()
 	}
-	x.suspect(choice)
-	x.release(choice, dispatch.OutcomeFailed)
-	x.failed = append(x.failed, choice.ServerID)
+	x.reportIfCrashed(choice)
+	x.endAttempt(choice, dispatch.OutcomeFailed)
+	x.failedServers = append(x.failedServers, choice.ServerID)
 }
 
-// suspect looks what became of a server that did not answer to the end before the deadline:
-// a way that was cut or a connection that was reset looks the same. Where the server ended,
-// and nobody had said that it would, the request is suspected.
-func (x *exchange) suspect(choice dispatch.Choice) {
+// reportIfCrashed probes a server that did not respond to the end before the deadline: a network
+// partition and a reset connection look the same as a crash. If the server crashed without having
+// announced its shutdown, the request becomes a suspect.
+func (x *exchange) reportIfCrashed(choice dispatch.Choice) {
 	if clock.Until(x.deadline) <= waiting.ResponseMargin {
 		return
 	}
-	x.serverEnd = x.handler.options.Pool.Probe(choice.Address)
-	if x.serverEnd != backendconn.LivenessAlive {
-		x.noteUnreachable(choice)
+	x.serverLiveness = x.handler.options.Pool.Probe(choice.Address)
+	if x.serverLiveness != backendconn.LivenessAlive {
+		x.markUnreachable(choice)
 	}
 	suspects := x.handler.options.Suspects
-	if suspects != nil && x.serverEnd == backendconn.LivenessEnded && x.endedUnannounced(choice) {
+	if suspects != nil && x.serverLiveness == backendconn.LivenessEnded && x.endedUnexpectedly(choice) {
 		suspects.ReportCrash(x.fingerprint(), choice.ServerID, choice.Attempt.Age(clock.Now()))
 	}
 }
 
-func (x *exchange) endedUnannounced(choice dispatch.Choice) (unannounced bool) {
-	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { unannounced = core.EndedUnexpectedly(choice.Attempt) })
-	return unannounced
+// endedUnexpectedly reports whether the server ended without having announced it.
+func (x *exchange) endedUnexpectedly(choice dispatch.Choice) (unexpected bool) {
+	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { unexpected = core.EndedUnexpectedly(choice.Attempt) })
+	return unexpected
 }
 
-// endedWell remembers that the request ended well: it does not end each server that runs
-// it, and neither do others that are the same.
-func (x *exchange) endedWell() {
+// reportSuccess reports that the request completed, which clears it and all requests with the same
+// fingerprint of suspicion.
+func (x *exchange) reportSuccess() {
 	if suspects := x.handler.options.Suspects; suspects != nil {
 		suspects.ReportSuccess(x.fingerprint())
 	}
--- a/internal/relay/poison_test.go
+++ b/internal/relay/poison_test.go
@@ -14,13 +14,13 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// fakeSuspects says the same of every request, and books what it is told.
+// fakeSuspects has the same status for every request and records what is reported to it.
 type fakeSuspects struct {
-	mu        sync.Mutex
-	standing  poison.Status
-	blamed    []string
-	endedWell int
-	// grants is the number of trials that are granted, and claimed those asked for.
+	mu           sync.Mutex
+	status       poison.Status
+	crashReports []string
+	successes    int
+	// grants is the number of trials that it grants, and claimed the number of claims.
 	grants, claimed int
 }
 
@@ -29,19 +29,19 @@
 func (s *fakeSuspects) Status(poison.Fingerprint) poison.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.standing
+	return s.status
 }
 
 func (s *fakeSuspects) ReportCrash(_ poison.Fingerprint, serverID string, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.blamed = append(s.blamed, serverID)
+	s.crashReports = append(s.crashReports, serverID)
 }
 
 func (s *fakeSuspects) ReportSuccess(poison.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endedWell++
+	s.successes++
 }
 
 func (s *fakeSuspects) ClaimTrial(context.Context, poison.Fingerprint) bool {
@@ -49,7 +49,7 @@
 	defer s.mu.Unlock()
 	s.claimed++
 	if s.claimed <= s.grants {
-		s.standing = poison.StatusBarred
+		s.status = poison.StatusBarred
 		return true
 	}
 	return false
@@ -57,31 +57,31 @@
 
 func (s *fakeSuspects) ReportRefusal(poison.Fingerprint) {}
 
-// TestTrialIsOneSend: of the copies of a request on trial one is sent, and it is sent once,
-// also where it may be repeated; the others are refused as not run.
+// Of several copies of a request on trial one is sent, and only once even if it is retryable; the others
+// are refused as not run.
 func TestTrialIsOneSend(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool { return reset(conn) })
+	server := newFakeServer(t, func(conn net.Conn, _ *http.Request) bool { return reset(conn) })
 	f := newFixture(t, server)
-	f.handler.options.Suspects = &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
+	f.handler.options.Suspects = &fakeSuspects{status: poison.StatusOnTrial, grants: 1}
 	statuses := make(map[int]int)
 	for range 4 {
 		statuses[f.send(t, http.MethodPost, "/often/x", "body").status]++
 	}
 	if server.count() != 1 || statuses[http.StatusBadGateway] != 1 || statuses[http.StatusServiceUnavailable] != 3 {
-		t.Errorf("sent %d times, answers by status %v; want one send, one 502 and three 503", server.count(), statuses)
+		t.Errorf("sent %d times, responses by status %v; want one send, one 502 and three 503", server.count(), statuses)
 	}
 }
 
-// TestTrialOutlivesAServerThatIsNotReached: it is claimed once, and sent to another one.
+// A trial is claimed once even if the first server chosen for it cannot be reached.
 func TestTrialOutlivesAServerThatIsNotReached(t *testing.T) {
-	gone := &standinServer{address: freeAddress(t)}
-	server := newStandin(t, answering(http.StatusOK, "done"))
-	f := newFixture(t, gone, server)
-	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
+	unreachable := &fakeServer{address: freeAddress(t)}
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
+	f := newFixture(t, unreachable, server)
+	suspects := &fakeSuspects{status: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	for range 20 {
 		suspects.mu.Lock()
-		suspects.standing, suspects.claimed = poison.StatusOnTrial, 0
+		suspects.status, suspects.claimed = poison.StatusOnTrial, 0
 		suspects.mu.Unlock()
 		if got := f.send(t, http.MethodPost, "/once/x", "body"); got.status != http.StatusOK || suspects.claimed != 1 {
 			t.Fatalf("status %d after %d claims, want 200 after one", got.status, suspects.claimed)
@@ -89,11 +89,11 @@
 	}
 }
 
-// TestServerThatIsNotReachedTakesNoTrial: with the claim gone and nothing sent the request would
-// stay barred for as long again.
+// Guards against claiming a trial before the server is reached: with nothing sent, the request would stay
+// barred for the same time again.
 func TestServerThatIsNotReachedTakesNoTrial(t *testing.T) {
-	f := newFixture(t, &standinServer{address: freeAddress(t)})
-	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
+	f := newFixture(t, &fakeServer{address: freeAddress(t)})
+	suspects := &fakeSuspects{status: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	got := f.send(t, http.MethodPost, "/once/x", "body")
 	if got.status != http.StatusServiceUnavailable || suspects.claimed != 0 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// freeAddress is one at which nobody listens.
+// freeAddress is an address at which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,11 +112,11 @@
 	return listener.Addr().String()
 }
 
-// TestTrialDoesNotWait for its model: with those of other nodes it would be sent together.
+// A request on trial does not wait for its model: it would be sent together with those of other nodes.
 func TestTrialDoesNotWait(t *testing.T) {
-	f := newFixture(t, newStandin(t, answering(http.StatusOK, "done")))
+	f := newFixture(t, newFakeServer(t, respondWith(http.StatusOK, "done")))
 	f.handler.SetTable(engineTable(5 * time.Second))
-	suspects := &fakeSuspects{standing: poison.StatusOnTrial, grants: 1}
+	suspects := &fakeSuspects{status: poison.StatusOnTrial, grants: 1}
 	f.handler.options.Suspects = suspects
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/x", "body", "X-Model", "m")
@@ -124,16 +124,15 @@
 		t.Errorf("status %d, Retry-After %q after %v of 5 s", got.status, got.header.Get("Retry-After"), took)
 	}
 	if suspects.claimed > 0 {
-		t.Error("claimed a trial without a server")
+		t.Error("a trial was claimed without a server")
 	}
 }
 
-// TestBarredRequestIsRefusedAtOnce: it reaches no server, has not run, and is not told to
-// come back.
+// A barred request reaches no server, is refused as not run, and gets no Retry-After.
 func TestBarredRequestIsRefusedAtOnce(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f := newFixture(t, server)
-	f.handler.options.Suspects = &fakeSuspects{standing: poison.StatusBarred}
+	f.handler.options.Suspects = &fakeSuspects{status: poison.StatusBarred}
 	for _, path := range []string{"/once/x", "/often/x", "/stream/x", "/resume/x"} {
 		got := f.send(t, http.MethodPost, path, "body")
 		if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "" || server.count() > 0 {
@@ -142,16 +141,16 @@
 	}
 }
 
-// TestBarredRequestWaitsNoMore: one that waits for its model learns it, too.
+// A request that becomes barred while it waits for its model is refused.
 func TestBarredRequestWaitsNoMore(t *testing.T) {
-	f := newFixture(t, newStandin(t, answering(http.StatusOK, "done")))
+	f := newFixture(t, newFakeServer(t, respondWith(http.StatusOK, "done")))
 	f.handler.SetTable(engineTable(5 * time.Second))
-	suspects := &fakeSuspects{standing: poison.StatusClear}
+	suspects := &fakeSuspects{status: poison.StatusClear}
 	f.handler.options.Suspects = suspects
 	time.AfterFunc(50*time.Millisecond, func() {
 		suspects.mu.Lock()
 		defer suspects.mu.Unlock()
-		suspects.standing = poison.StatusBarred
+		suspects.status = poison.StatusBarred
 	})
 	started := time.Now()
 	got := f.send(t, http.MethodPost, "/llm/x", "body", "X-Model", "m")
@@ -160,17 +159,17 @@
 	}
 }
 
-// TestOnlyServersThatEndedAreBlamedOn: a server that ends under a request, not one that
-// resets its connection and lives, nor one that was said to go.
+// A crash is reported only for a server that stopped listening, not for one that reset a connection or
+// had announced its shutdown.
 func TestOnlyServersThatEndedAreBlamedOn(t *testing.T) {
 	tests := []struct {
-		name           string
-		ends, isGoing  bool
-		wantSuspicions int
+		name                string
+		crashes, isDraining bool
+		wantReports         int
 	}{
-		{"a server that ends", true, false, 1},
+		{"a server that crashes", true, false, 1},
 		{"a server that resets the connection", false, false, 0},
-		{"a server that goes and ends", true, true, 0},
+		{"a server that drains and ends", true, true, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -179,9 +178,9 @@
 				t.Fatal(err)
 			}
 			defer listener.Close()
-			server := &standinServer{address: listener.Addr().String()}
+			server := &fakeServer{address: listener.Addr().String()}
 			f := newFixture(t, server)
-			suspects := &fakeSuspects{standing: poison.StatusClear}
+			suspects := &fakeSuspects{status: poison.StatusClear}
 			f.handler.options.Suspects = suspects
 			go func() {
 				conn, err := listener.Accept()
@@ -189,14 +188,14 @@
 					return
 				}
 				server.serve(conn, func(conn net.Conn, _ *http.Request) bool {
-					if test.isGoing {
+					if test.isDraining {
 						f.dispatch.Do(func(core *dispatch.Core) {
 							core.SetServers([]inventory.Change{{Server: inventory.Server{
 								ID: "s0", Service: "svc", Address: server.address, Draining: true, Position: storepos.At(0, 2),
 							}}})
 						})
 					}
-					if test.ends {
+					if test.crashes {
 						_ = listener.Close()
 					}
 					return reset(conn)
@@ -206,22 +205,22 @@
 			if got.status != http.StatusBadGateway {
 				t.Errorf("status %d, want 502: it may have run", got.status)
 			}
-			if len(suspects.blamed) != test.wantSuspicions {
-				t.Errorf("blamed on %v, want %d", suspects.blamed, test.wantSuspicions)
+			if len(suspects.crashReports) != test.wantReports {
+				t.Errorf("crashes reported for %v, want %d reports", suspects.crashReports, test.wantReports)
 			}
 		})
 	}
 }
 
-// TestAnsweredRequestsEndedWell, whole or streamed; a server's failure is no good end.
+// A whole response is reported as a success; a server error is not.
 func TestAnsweredRequestsEndedWell(t *testing.T) {
 	for status, want := range map[int]int{http.StatusOK: 1, http.StatusInternalServerError: 0} {
-		f := newFixture(t, newStandin(t, answering(status, "done")))
-		suspects := &fakeSuspects{standing: poison.StatusClear}
+		f := newFixture(t, newFakeServer(t, respondWith(status, "done")))
+		suspects := &fakeSuspects{status: poison.StatusClear}
 		f.handler.options.Suspects = suspects
 		f.send(t, http.MethodPost, "/once/x", "body")
-		if suspects.endedWell != want {
-			t.Errorf("%d good ends of an answer %d, want %d", suspects.endedWell, status, want)
+		if suspects.successes != want {
+			t.Errorf("%d successes reported for status %d, want %d", suspects.successes, status, want)
 		}
 	}
 }
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -9,7 +9,7 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// Reasons of refusals, as the answer and the log say them.
+// Reasons of refusals, as the response and the log name them.
 const (
 	reasonNoConfiguration = "no_configuration"
 	reasonNoServer        = "no_server"
@@ -19,77 +19,75 @@
 	reasonQueueFull       = "queue_full"
 	reasonRejected        = "rejected_by_server"
 	reasonDeadline        = "deadline"
-	reasonStops           = "node_stops"
+	reasonNodeStopping    = "node_stops"
 	reasonEvacuated       = "zones_evacuated"
 )
 
-// configurationWait is when a caller should come back to a node that has no
-// configuration yet.
-const configurationWait = time.Second
+// configurationRetryDelay is the Retry-After of a node that has no configuration yet.
+const configurationRetryDelay = time.Second
 
-// refuse answers a request that has not run and never will. An answer that has
-// begun cannot become a refusal any more: it is cut.
-func (x *exchange) refuse(reason string, back time.Duration) {
-	x.writer.Header().Set("Retry-After", retryAfter(back))
-	x.refuseForGood(reason)
+// refuse responds to a request that did not run and will not. Once the response has begun a refusal is
+// no longer possible, and it is truncated instead.
+func (x *exchange) refuse(reason string, delay time.Duration) {
+	x.writer.Header().Set("Retry-After", formatRetryAfter(delay))
+	x.refusePermanently(reason)
 }
 
-// refuseForGood answers a request that has not run and never will, and that nothing is
-// known of when it would be served.
-func (x *exchange) refuseForGood(reason string) {
+// refusePermanently refuses a request without saying when a retry might succeed.
+func (x *exchange) refusePermanently(reason string) {
 	if x.headSent {
-		x.cut(reason)
+		x.truncate(reason)
 	}
-	x.giveBack()
-	x.answer(http.StatusServiceUnavailable, "not-run", reason)
+	x.refundQuota()
+	x.writeProblem(http.StatusServiceUnavailable, "not-run", reason)
 	x.finish(outcomeRefused, http.StatusServiceUnavailable, reason)
 }
 
-// deny answers a request that no configuration allows, or that is malformed.
+// deny responds to a malformed request, or one that the configuration does not allow.
 func (x *exchange) deny(status int, reason string) {
-	x.answer(status, "not-run", reason)
+	x.writeProblem(status, "not-run", reason)
 	x.finish(outcomeDenied, status, reason)
 }
 
-// fail answers a request that may have run.
+// fail responds to a request that may have run.
 func (x *exchange) fail(status int, reason string) {
 	if x.headSent {
-		x.cut(reason)
+		x.truncate(reason)
 	}
-	x.answer(status, "unknown", reason)
+	x.writeProblem(status, "unknown", reason)
 	x.finish(outcomeFailed, status, reason)
 }
 
-// cut breaks off an answer that cannot be made whole, so that it does not look
-// complete.
-func (x *exchange) cut(reason string) {
-	x.finish(outcomeCut, 0, reason)
+// truncate breaks off a response that cannot be completed, so that it does not look complete.
+func (x *exchange) truncate(reason string) {
+	x.finish(outcomeTruncated, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
-// leave ends a request whose caller is gone.
-func (x *exchange) leave() {
-	x.finish(outcomeLeft, 0, "caller_left")
+// endCallerGone ends a request whose caller is gone.
+func (x *exchange) endCallerGone() {
+	x.finish(outcomeCallerGone, 0, "caller_left")
 	panic(http.ErrAbortHandler)
 }
 
-// giveUp gives the final answer of a request that goes to no further server.
+// giveUp gives the final response to a request that is sent to no further server.
 func (x *exchange) giveUp(reason string) {
 	switch {
-	case x.hasLeft():
-		x.leave()
+	case x.callerGone():
+		x.endCallerGone()
 	case x.headSent:
-		x.cut(reason)
-	case x.ran && !clock.Now().Before(x.deadline.Add(-waiting.ResponseMargin)):
+		x.truncate(reason)
+	case x.mayHaveRun && !clock.Now().Before(x.deadline.Add(-waiting.ResponseMargin)):
 		x.fail(http.StatusGatewayTimeout, reason)
-	case x.ran:
+	case x.mayHaveRun:
 		x.fail(http.StatusBadGateway, reason)
 	default:
-		x.refuse(reason, x.comeBackRested())
+		x.refuse(reason, x.retryDelayAfterBackoff())
 	}
 }
 
-func (x *exchange) answer(status int, outcome, reason string) {
+// writeProblem writes a problem+json response.
+func (x *exchange) writeProblem(status int, outcome, reason string) {
 	header := x.writer.Header()
 	header.Set("Content-Type", "application/problem+json")
 	body := `{"status":` + strconv.Itoa(status) + `,"outcome":"` + outcome + `","title":` + strconv.Quote(reason) + `}`
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -7,77 +7,76 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// Reasons of refusals: the configuration allows the request in no region, and no server
-// of its service stands in those that it allows.
+// Reasons of refusals: no region is allowed for the request, or no server of its service is in an
+// allowed region.
 const (
 	reasonNoRegion       = "no_region_allowed"
 	reasonNoRegionServer = "no_server_in_regions"
 )
 
-// regions are those in which the request may run, by the newest table: what waits or is
-// retried as they change goes by the new ones at once, while all else of the request goes
-// by the table of its arrival. A request never goes to another node, so that nothing of it
-// leaves these regions but for the node that its caller chose.
-func (x *exchange) regions() locality.Regions {
+// currentRegions are the regions in which the request may run, according to the newest table: waiting
+// requests and retries follow a change at once, while everything else about a request follows the table
+// of its arrival. Requests are never forwarded to another node, so that no data of a request leaves
+// these regions except through the node that its caller chose.
+func (x *exchange) currentRegions() locality.Regions {
 	newest := x.handler.table.Load()
-	if newest != nil && newest != x.allowedBy {
-		x.allowed, x.allowedBy = newest.CurrentRegions(x.route, x.tenant), newest
+	if newest != nil && newest != x.regionsTable {
+		x.allowedRegions, x.regionsTable = newest.CurrentRegions(x.route, x.tenant), newest
 	}
-	return x.allowed
+	return x.allowedRegions
 }
 
-// hasPlace reports whether the request may run anywhere, and a server is there. Where not
-// it gives the final answer: waiting would not help.
-func (x *exchange) hasPlace() bool {
-	regions := x.regions()
+// checkRegions reports whether a server exists in an allowed region. If not it gives the final
+// response, since waiting would not help.
+func (x *exchange) checkRegions() bool {
+	regions := x.currentRegions()
 	if !regions.IsBounded() {
 		return true
 	}
 	if regions.IsEmpty() {
-		x.endWithoutPlace(reasonNoRegion)
+		x.endWithoutRegion(reasonNoRegion)
 		return false
 	}
 	found := false
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) { found = core.HasServer(x.service, regions) })
 	if !found {
-		x.endWithoutPlace(reasonNoRegionServer)
+		x.endWithoutRegion(reasonNoRegionServer)
 	}
 	return found
 }
 
-// endWithoutPlace answers a request that may run nowhere: as not run, where that is so.
-func (x *exchange) endWithoutPlace(reason string) {
+// endWithoutRegion ends a request that may run nowhere, as not run if that is true.
+func (x *exchange) endWithoutRegion(reason string) {
 	x.handler.Metrics.RegionRefused.Add(1)
 	switch {
-	case x.hasLeft() || x.headSent || x.ran:
+	case x.callerGone() || x.headSent || x.mayHaveRun:
 		x.giveUp(reason)
 	case reason == reasonNoRegion:
-		x.refuseForGood(reason)
+		x.refusePermanently(reason)
 	default:
-		x.refuse(reason, x.comeBack(waiting.ServerRegistrationTime))
+		x.refuse(reason, x.retryDelay(waiting.ServerRegistrationTime))
 	}
 }
 
-// countWaiting counts the request among those that wait, and returns what for. Where its
-// regions changed since it was last counted it waits for something else, which the leader
-// has to hear of.
-func (x *exchange) countWaiting(core *dispatch.Core, counted dispatch.Requirements, waits bool) dispatch.Requirements {
-	wanted := x.wanted()
-	if wanted == counted && waits {
-		return wanted
+// countWaiting counts the request among the waiting ones and returns the requirements that it was
+// counted for. A change of its regions changes the requirements, which the leader must learn.
+func (x *exchange) countWaiting(core *dispatch.Core, countedAs dispatch.Requirements, isWaiting bool) dispatch.Requirements {
+	required := x.requirements()
+	if required == countedAs && isWaiting {
+		return required
 	}
-	if waits {
-		core.AddWaiting(counted, -1)
+	if isWaiting {
+		core.AddWaiting(countedAs, -1)
 	}
-	core.AddWaiting(wanted, 1)
-	x.countAsked(core, wanted)
-	return wanted
+	core.AddWaiting(required, 1)
+	x.countDemandFor(core, required)
+	return required
 }
 
-// countAsked counts the request as demand, once for each regions that it was in.
-func (x *exchange) countAsked(core *dispatch.Core, wanted dispatch.Requirements) {
-	if x.engine && wanted != x.asked && !wanted.Regions.IsEmpty() {
-		x.asked = wanted
-		core.CountRequest(clock.Now(), wanted, x.head.PromptTokens, x.route.LatencyGoal)
+// countDemandFor counts the request as demand, once for each set of regions that applied to it.
+func (x *exchange) countDemandFor(core *dispatch.Core, required dispatch.Requirements) {
+	if x.needsModel && required != x.countedDemand && !required.Regions.IsEmpty() {
+		x.countedDemand = required
+		core.CountRequest(clock.Now(), required, x.head.PromptTokens, x.route.LatencyGoal)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,97 +19,96 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// Head is what a request's headers say of it.
+// Head is what the headers of a caller's request say.
 type Head struct {
 	RequestID string
-	// Deadline is how long the caller waits; 0 where it does not say.
+	// Deadline is how long the caller waits; 0 if it does not say.
 	Deadline time.Duration
-	// Model is empty where the request asks for none.
+	// Model is empty where the request needs none.
 	Model        string
 	Adapter      string
 	PromptTokens int
 	OutputTokens int
-	// HasTokenCounts is set where the request tells both numbers.
+	// HasTokenCounts is set where the request gives both token counts.
 	HasTokenCounts bool
 	PromptParts    []dispatch.PromptPart
-	// LastEventID is the event behind which a stream goes on.
+	// LastEventID is the event after which a stream is to be resumed.
 	LastEventID string
-	// APIKey is the caller's API key; empty where it gives none, or several.
+	// APIKey is the caller's API key; empty where it sends none, or several.
 	APIKey string
 }
 
-// NodeHeaders is what the node adds to a request for a server.
+// NodeHeaders are the headers that the node adds to a request for a server.
 type NodeHeaders struct {
 	ServerID string
-	// TimeLeft is the time that is left for the request.
+	// TimeLeft is the time until the deadline.
 	TimeLeft time.Duration
-	// Urgency is 0 to 9, 0 first; below 0 it is not said.
+	// Urgency is 0 to 9, 0 first; it is not sent if negative.
 	Urgency int
-	// LastEventID is the event behind which a stream goes on; empty from the start.
+	// LastEventID is the event after which the stream is to be resumed; empty for a whole stream.
 	LastEventID string
-	// Tenant is the owner of the caller's key; empty where none was needed.
+	// Tenant is the owner of the caller's key; empty where no key is needed.
 	Tenant string
 }
 
-// ResponseHead is what the headers of a server's answer say.
+// ResponseHead is what the headers of a server's response say.
 type ResponseHead struct {
 	// NotRun is set where the server did not run the request.
 	NotRun bool
-	// Load is nil where the server does not tell its load.
+	// Load is nil where the server does not report its load.
 	Load *dispatch.Load
-	// ColdRemaining is for how long the server is cold yet; nil where it does not tell.
+	// ColdRemaining is how long the server stays cold; nil where it does not say.
 	ColdRemaining *time.Duration
-	// Hint is what the server tells of its own future.
+	// Hint is what the server announces about its own state.
 	Hint inventory.Hint
-	// ServerID is who answers; empty where the server does not say.
+	// ServerID is the responding server; empty where it does not say.
 	ServerID string
 }
 
-// Dialect reads and writes the headers that callers, nodes and servers share.
+// Dialect reads and writes the headers shared by callers, nodes and servers.
 type Dialect interface {
-	// ReadHead reads a request's headers; the error is the caller's.
+	// ReadHead reads a request's headers; an error is the caller's fault.
 	ReadHead(header http.Header) (Head, error)
-	// DropReserved takes out the fields that only nodes set; a caller's are not
-	// passed on.
+	// DropReserved removes the fields that only nodes may set, so that a caller's are not forwarded.
 	DropReserved(header http.Header)
-	// IsEndToEnd reports whether a field is meant for the other end, whatever the
-	// sender says of its connection; the name is in canonical form.
+	// IsEndToEnd reports whether a field is end-to-end even if the sender lists it in Connection; the
+	// name is in canonical form.
 	IsEndToEnd(name string) bool
 	// SetNodeHeaders sets the headers that the node adds.
-	SetNodeHeaders(header http.Header, send NodeHeaders)
-	// ReadResponseHead reads the headers of an answer.
+	SetNodeHeaders(header http.Header, added NodeHeaders)
+	// ReadResponseHead reads the headers of a response.
 	ReadResponseHead(status int, header http.Header) ResponseHead
-	// UnreadField is the first field of an answer by which servers tell of themselves and which nodes do
-	// not read; empty where there is none.
+	// UnreadField is the first field in which a server describes its state and which this node does not
+	// understand; empty where there is none.
 	UnreadField(header http.Header) string
-	// BelongsTo reports whether the answer is to the request of that identity.
+	// BelongsTo reports whether the response is to the request with that ID.
 	BelongsTo(header http.Header, requestID string) bool
 }
 
-// Options set up a Handler.
+// Options configure a Handler.
 type Options struct {
 	Dialect  Dialect
 	Dispatch *dispatch.Shared
 	Pool     *backendconn.Pool
 	Budget   retrybudget.Options
-	// Quotas keeps tenants below their quotas; nil lets all pass.
+	// Quotas enforces the quotas of tenants; nil disables it.
 	Quotas Quotas
-	// Admission keeps what is sent to servers below what they bear; nil lets all pass.
+	// Admission limits what is sent to servers; nil disables it.
 	Admission Admission
-	// Suspects remembers requests under which servers ended; nil suspects none.
+	// Suspects tracks requests that crash servers; nil disables it.
 	Suspects Suspects
 	Logger   *log.Logger
-	// IsReady reports whether the node knows enough to send requests, and
-	// AwaitKnowledge waits until it does, or ctx ends; nil is that it always does.
+	// IsReady reports whether the node knows enough to forward requests, and AwaitReady waits until it
+	// does or ctx ends; nil means always ready.
 	IsReady    func() bool
 	AwaitReady func(ctx context.Context)
-	// OnWaiting is told when a request waits for something that is on no server.
+	// OnWaiting is called when a request begins to wait for a server.
 	OnWaiting func()
-	// OnHint is told what a start of a server told of its own future, where that is news.
+	// OnHint is called when a start of a server announced something new about its own state.
 	OnHint func(start inventory.Start, hint inventory.Hint)
-	// OnUnreadField is told of a field by which a server tells of itself and which nodes do not read.
+	// OnUnreadField is called with a field that describes a server's state and that nodes do not read.
 	OnUnreadField func(serverID, field string)
-	// MaxWaiting bounds the requests that wait for a server at a time.
+	// MaxWaiting bounds the requests that wait for a server at the same time.
 	MaxWaiting int
 }
 
@@ -118,30 +117,29 @@
 	options  Options
 	table    atomic.Pointer[routetable.Table]
 	draining atomic.Bool
-	// drainUntil is when a node that stops refuses what waits; nil before.
-	drainUntil atomic.Pointer[time.Time]
-	started    time.Time
-	active     atomic.Int64
-	waiting    atomic.Int64
-	// Metrics counts what led to answers.
+	// refuseWaitingAt is when a stopping node refuses the requests that still wait; nil if not stopping.
+	refuseWaitingAt atomic.Pointer[time.Time]
+	started         time.Time
+	active          atomic.Int64
+	waiting         atomic.Int64
+	// Metrics counts events on the way to responses.
 	Metrics Metrics
-	// OnFinished is told of each final answer, by the kind of its route; nil is
-	// nobody.
+	// OnFinished is called with each final response, by the kind of its route; nil disables it.
 	OnFinished func(route, outcome string, took time.Duration)
 
-	mu       sync.Mutex
-	splitter routetable.Splitter
-	budget   *retrybudget.Budget
-	lines    *waiting.RetrySchedule
-	// longest is the longest deadline seen on a route: a caller that comes back
-	// has less time left.
-	longest map[string]time.Duration
+	mu            sync.Mutex
+	splitter      routetable.Splitter
+	budget        *retrybudget.Budget
+	retrySchedule *waiting.RetrySchedule
+	// longestDeadline is the longest deadline seen on each route: a caller that retries has less time
+	// left.
+	longestDeadline map[string]time.Duration
 }
 
-// DefaultMaxWaiting bounds the requests that wait at a node.
+// DefaultMaxWaiting is the default of Options.MaxWaiting.
 const DefaultMaxWaiting = 512
 
-// New returns a handler that refuses all until it has a table.
+// New returns a handler that refuses all requests until it has a table.
 func New(options Options) *Handler {
 	if options.MaxWaiting == 0 {
 		options.MaxWaiting = DefaultMaxWaiting
@@ -156,34 +154,34 @@
 		options.OnUnreadField = func(string, string) {}
 	}
 	return &Handler{
-		options: options,
-		started: clock.Now(),
-		budget:  retrybudget.New(options.Budget),
-		lines:   waiting.NewRetrySchedule(),
-		longest: make(map[string]time.Duration),
+		options:         options,
+		started:         clock.Now(),
+		budget:          retrybudget.New(options.Budget),
+		retrySchedule:   waiting.NewRetrySchedule(),
+		longestDeadline: make(map[string]time.Duration),
 	}
 }
 
-// SetTable puts a table in force.
+// SetTable replaces the route table.
 func (h *Handler) SetTable(table *routetable.Table) { h.table.Store(table) }
 
-// Table is the table in force, or nil.
+// Table is the current route table, or nil.
 func (h *Handler) Table() *routetable.Table { return h.table.Load() }
 
-// SetDraining makes answers end their callers' connections, and refuses what
-// still waits for a server at the time until.
+// SetDraining makes responses close their callers' connections, and refuses requests that still wait
+// for a server at the time until.
 func (h *Handler) SetDraining(until time.Time) {
-	h.drainUntil.Store(&until)
+	h.refuseWaitingAt.Store(&until)
 	h.draining.Store(true)
 }
 
-// Active is the number of requests under way.
+// Active is the number of requests in flight.
 func (h *Handler) Active() int64 { return h.active.Load() }
 
 // Waiting is the number of requests that wait for a server.
 func (h *Handler) Waiting() int64 { return h.waiting.Load() }
 
-// MinRetriesRemaining is the least number of repeats that a service has left.
+// MinRetriesRemaining is the smallest number of retries left to any service.
 func (h *Handler) MinRetriesRemaining() float64 {
 	table := h.table.Load()
 	if table == nil {
@@ -191,57 +189,60 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for service := range table.Services {
-		least = min(least, h.budget.Remaining(clock.Since(h.started), service))
+		lowest = min(lowest, h.budget.Remaining(clock.Since(h.started), service))
 	}
-	return least
+	return lowest
 }
 
-// SetNodes tells how many nodes share the budget of repeats.
+// SetNodes sets how many nodes share the retry budget.
 func (h *Handler) SetNodes(nodes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.budget.SetNodes(nodes)
 }
 
-// SetBudget changes the bound on repeats; what was counted stays counted.
+// SetBudget changes the limits of the retry budget; requests and retries counted so far stay counted.
 func (h *Handler) SetBudget(options retrybudget.Options) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.budget.SetOptions(options)
 }
 
+// countRequest counts a first send, which adds to the retry budget.
 func (h *Handler) countRequest(service string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.budget.CountRequest(clock.Since(h.started), service)
 }
 
-func (h *Handler) takeRepeat(service string) bool {
+// takeRetry takes a retry from the service's budget, if there is one.
+func (h *Handler) takeRetry(service string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.budget.Take(clock.Since(h.started), service)
 }
 
-func (h *Handler) part(route *routetable.Route) string {
+// nextService selects one of the route's services by weight.
+func (h *Handler) nextService(route *routetable.Route) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.splitter.Next(route)
 }
 
-// returnedShare is the part of a route's longest deadline below which a request
-// is taken for one that was refused before and came back.
-const returnedShare = 0.95
+// retryDeadlineShare is the fraction of a route's longest deadline below which a request is taken for a
+// retry of a refused one.
+const retryDeadlineShare = 0.95
 
-// hasReturned guesses from the time left whether the caller was here before.
-func (h *Handler) hasReturned(route *routetable.Route, deadline time.Duration) bool {
+// isLikelyRetry guesses from the time left whether the caller was refused before.
+func (h *Handler) isLikelyRetry(route *routetable.Route, deadline time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if deadline > h.longest[route.Name] {
-		h.longest[route.Name] = deadline
+	if deadline > h.longestDeadline[route.Name] {
+		h.longestDeadline[route.Name] = deadline
 	}
-	return float64(deadline) < returnedShare*float64(h.longest[route.Name])
+	return float64(deadline) < retryDeadlineShare*float64(h.longestDeadline[route.Name])
 }
 
 // ServeHTTP implements http.Handler.
@@ -251,6 +252,6 @@
 	if h.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	current := &exchange{handler: h, writer: writer, request: request, arrived: clock.Now()}
-	current.serve()
+	x := &exchange{handler: h, writer: writer, request: request, arrived: clock.Now()}
+	x.serve()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,27 +14,27 @@
 )
 
 func TestAnswerIsPassedOnWhole(t *testing.T) {
-	server := newStandin(t, answering(http.StatusCreated, "the bytes", "X-Stamp: abc"))
+	server := newFakeServer(t, respondWith(http.StatusCreated, "the bytes", "X-Stamp: abc"))
 	f := newFixture(t, server)
 	got := f.send(t, http.MethodPost, "/once/a%2Fb?c=d", "body", "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "1")
 	if got.status != http.StatusCreated || got.body != "the bytes" || got.header.Get("X-Stamp") != "abc" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the server's response", got)
 	}
 	sent := server.last()
 	if sent.RequestURI != "/once/a%2Fb?c=d" || server.bodies[0] != "body" {
 		t.Errorf("sent %s with %q", sent.RequestURI, server.bodies[0])
 	}
 	if sent.Header.Get("X-Server") != "s0" || sent.Header.Get("X-Other") != "kept" || sent.Header.Get("X-Hop") != "" {
-		t.Errorf("headers sent: %v", sent.Header)
+		t.Errorf("headers sent to the server: %v", sent.Header)
 	}
 	left, err := time.ParseDuration(sent.Header.Get("X-Left"))
 	if err != nil || left > 5*time.Second || left <= 0 {
-		t.Errorf("time handed on: %v, %v", left, err)
+		t.Errorf("time left sent to the server: %v, %v", left, err)
 	}
 }
 
 func TestRequestsThatGoNoFurther(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "x"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "x"))
 	f := newFixture(t, server)
 	cases := []struct {
 		name    string
@@ -43,7 +43,7 @@
 		headers []string
 		status  int
 	}{
-		{"no identity", "/once/", "", []string{"X-Id", ""}, http.StatusBadRequest},
+		{"no request ID", "/once/", "", []string{"X-Id", ""}, http.StatusBadRequest},
 		{"no route", "/unknown/", "", nil, http.StatusNotFound},
 		{"body over the limit", "/once/", strings.Repeat("x", 1001), nil, http.StatusRequestEntityTooLarge},
 		{"no server", "/nowhere/", "", nil, http.StatusServiceUnavailable},
@@ -65,18 +65,18 @@
 
 func TestNotRunIsToldOnlyWhereItIsTrue(t *testing.T) {
 	cases := []struct {
-		name   string
-		script script
-		path   string
-		want   int
+		name    string
+		respond responder
+		path    string
+		want    int
 	}{
-		{"the server says that it did not run it", answering(http.StatusServiceUnavailable, "", "X-Not-Run: 1"), "/once/", 503},
-		{"the server's own failure", answering(http.StatusServiceUnavailable, "own", "X-Stamp: s"), "/once/", 503},
-		{"closed without an answer", func(net.Conn, *http.Request) bool { return false }, "/once/", 502},
+		{"the server says that it did not run it", respondWith(http.StatusServiceUnavailable, "", "X-Not-Run: 1"), "/once/", 503},
+		{"the server's own failure", respondWith(http.StatusServiceUnavailable, "own", "X-Stamp: s"), "/once/", 503},
+		{"closed without a response", func(net.Conn, *http.Request) bool { return false }, "/once/", 502},
 		{"reset", func(conn net.Conn, _ *http.Request) bool { return reset(conn) }, "/once/", 502},
-		{"no answer in time", func(net.Conn, *http.Request) bool { time.Sleep(2 * time.Second); return false }, "/brief/", 504},
-		{"bytes that are no answer", func(conn net.Conn, _ *http.Request) bool { write(conn, "nonsense\r\n\r\n"); return false }, "/once/", 502},
-		{"an answer cut short", func(conn net.Conn, _ *http.Request) bool {
+		{"no response in time", func(net.Conn, *http.Request) bool { time.Sleep(2 * time.Second); return false }, "/brief/", 504},
+		{"bytes that are no response", func(conn net.Conn, _ *http.Request) bool { write(conn, "nonsense\r\n\r\n"); return false }, "/once/", 502},
+		{"a truncated response", func(conn net.Conn, _ *http.Request) bool {
 			write(conn, "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 10\r\n\r\nshort")
 			return false
 		}, "/once/", 502},
@@ -88,7 +88,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			server := newStandin(t, c.script)
+			server := newFakeServer(t, c.respond)
 			got := newFixture(t, server).send(t, http.MethodGet, c.path, "")
 			if got.status != c.want {
 				t.Errorf("status %d (%v), want %d", got.status, got.err, c.want)
@@ -101,25 +101,25 @@
 }
 
 func TestUnsentRequestGoesToAnotherServer(t *testing.T) {
-	gone := &standinServer{address: "127.0.0.1:1"}
-	server := newStandin(t, answering(http.StatusOK, "ok"))
-	f := newFixture(t, gone, server)
+	unreachable := &fakeServer{address: "127.0.0.1:1"}
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
+	f := newFixture(t, unreachable, server)
 	for range 6 {
 		if got := f.send(t, http.MethodPost, "/once/", ""); got.status != http.StatusOK {
-			t.Fatalf("status %d, want 200 from the server that is there", got.status)
+			t.Fatalf("status %d, want 200 from the reachable server", got.status)
 		}
 	}
 }
 
 func TestSafeRequestIsTriedAtASecondServerOnly(t *testing.T) {
-	broken := func(net.Conn, *http.Request) bool { return false }
-	servers := []*standinServer{newStandin(t, broken), newStandin(t, broken), newStandin(t, broken)}
+	closing := func(net.Conn, *http.Request) bool { return false }
+	servers := []*fakeServer{newFakeServer(t, closing), newFakeServer(t, closing), newFakeServer(t, closing)}
 	got := newFixture(t, servers...).send(t, http.MethodGet, "/often/", "")
 	total := servers[0].count() + servers[1].count() + servers[2].count()
 	if got.status != http.StatusBadGateway || total != 2 {
 		t.Errorf("status %d after %d sends, want 502 after 2", got.status, total)
 	}
-	servers = []*standinServer{newStandin(t, broken), newStandin(t, answering(http.StatusOK, "ok"))}
+	servers = []*fakeServer{newFakeServer(t, closing), newFakeServer(t, respondWith(http.StatusOK, "ok"))}
 	f := newFixture(t, servers...)
 	for range 4 {
 		if got := f.send(t, http.MethodGet, "/often/", ""); got.status != http.StatusOK {
@@ -129,8 +129,8 @@
 }
 
 func TestCommandIsNotRepeatedThoughAttemptsAreLeft(t *testing.T) {
-	broken := func(net.Conn, *http.Request) bool { return false }
-	servers := []*standinServer{newStandin(t, broken), newStandin(t, broken)}
+	closing := func(net.Conn, *http.Request) bool { return false }
+	servers := []*fakeServer{newFakeServer(t, closing), newFakeServer(t, closing)}
 	got := newFixture(t, servers...).send(t, http.MethodGet, "/command/", "")
 	if total := servers[0].count() + servers[1].count(); got.status != http.StatusBadGateway || total != 1 {
 		t.Errorf("status %d after %d sends, want 502 after 1", got.status, total)
@@ -138,18 +138,18 @@
 }
 
 func TestRejectedCommandMayGoToAnotherServer(t *testing.T) {
-	rejecting := answering(http.StatusServiceUnavailable, "", "X-Not-Run: 1")
-	servers := []*standinServer{newStandin(t, rejecting), newStandin(t, rejecting)}
+	rejecting := respondWith(http.StatusServiceUnavailable, "", "X-Not-Run: 1")
+	servers := []*fakeServer{newFakeServer(t, rejecting), newFakeServer(t, rejecting)}
 	got := newFixture(t, servers...).send(t, http.MethodPost, "/command/", "")
 	if got.status != http.StatusServiceUnavailable || servers[0].count() != 1 || servers[1].count() != 1 {
 		t.Errorf("status %d after %d and %d sends, want 503 after one at each", got.status, servers[0].count(), servers[1].count())
 	}
 }
 
-// TestClosedConnectionIsNotUsedAgain: a request on it could not be told from
+// Guards against sending on a connection that the server closed: such a request could not be told from
 // one that ran.
 func TestClosedConnectionIsNotUsedAgain(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, request *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, request *http.Request) bool {
 		write(conn, reply(request.Header.Get("X-Id"), http.StatusOK, "ok"))
 		return false
 	})
@@ -162,10 +162,9 @@
 	}
 }
 
-// TestServerThatLeavesWhileItIsDialledGetsNothing checks again right before the
-// send what was believed when the server was chosen.
+// Guards against sending to a server that began draining while the connection was opened.
 func TestServerThatLeavesWhileItIsDialledGetsNothing(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.onDial = func() { f.dispatch.Do(func(core *dispatch.Core) { core.SetDraining("s0", storepos.At(0, 5)) }) }
 	got := f.send(t, http.MethodPost, "/once/", "", "X-Wait", "200ms")
@@ -175,33 +174,32 @@
 }
 
 func TestRepeatsEndWithTheBudget(t *testing.T) {
-	server := newStandin(t, func(net.Conn, *http.Request) bool { return false })
-	other := newStandin(t, func(net.Conn, *http.Request) bool { return false })
+	server := newFakeServer(t, func(net.Conn, *http.Request) bool { return false })
+	other := newFakeServer(t, func(net.Conn, *http.Request) bool { return false })
 	f := newFixture(t, server, other)
 	f.handler.SetNodes(1000)
 	for range 4 {
 		f.send(t, http.MethodGet, "/often/", "")
 	}
 	if total := server.count() + other.count(); total != 4 {
-		t.Errorf("%d sends of 4 requests without a budget, want 4", total)
+		t.Errorf("%d sends of 4 requests with an empty budget, want 4", total)
 	}
 }
 
 func TestSurplusAnswerIsPassedOver(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, request *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, request *http.Request) bool {
 		write(conn, reply("another", http.StatusOK, "not yours"))
 		write(conn, reply(request.Header.Get("X-Id"), http.StatusOK, "yours"))
 		return true
 	})
 	if got := newFixture(t, server).send(t, http.MethodPost, "/once/", ""); got.body != "yours" {
-		t.Errorf("got %+v, want the answer of the request", got)
+		t.Errorf("got %+v, want the response to the request", got)
 	}
 }
 
-// TestBytesAfterAnAnswerEndItsConnection: a second answer that comes while the
-// connection rests belongs to nobody.
+// Guards against taking a surplus response on an idle connection for the response to the next request.
 func TestBytesAfterAnAnswerEndItsConnection(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, request *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, request *http.Request) bool {
 		id := request.Header.Get("X-Id")
 		write(conn, reply(id, http.StatusOK, "first of "+id)+reply(id, http.StatusOK, "second of "+id))
 		return true
@@ -215,8 +213,8 @@
 	}
 }
 
-// TestEarlyAnswerEndsItsConnection: a server that answers before it read the
-// body gets no other bytes where the rest of the body is due.
+// A connection whose server responds before it has read the whole body is not reused: the next request
+// would be read as the rest of that body.
 func TestEarlyAnswerEndsItsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -234,7 +232,7 @@
 			write(conn, reply("r1", http.StatusOK, "early"))
 		}
 	}()
-	f := newFixture(t, &standinServer{address: listener.Addr().String()})
+	f := newFixture(t, &fakeServer{address: listener.Addr().String()})
 	table := testTable()
 	table.Limits.MaxBodyBytes = 64 << 20
 	f.handler.SetTable(table)
@@ -264,7 +262,7 @@
 const streamHead = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func TestStreamIsPassedOnWhole(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, _ *http.Request) bool {
 		text := events(1, 2, 3)
 		write(conn, streamHead+chunk(text[:11])+chunk(text[11:30])+chunk(text[30:])+"0\r\n\r\n")
 		return true
@@ -276,7 +274,7 @@
 }
 
 func TestStreamThatBreaksDoesNotLookComplete(t *testing.T) {
-	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, _ *http.Request) bool {
 		write(conn, streamHead+chunk(events(1)+"id: 2\nda"))
 		time.Sleep(30 * time.Millisecond)
 		return false
@@ -291,8 +289,8 @@
 }
 
 func TestStreamIsResumedBehindTheLastWholeEvent(t *testing.T) {
-	var servers []*standinServer
-	script := func(conn net.Conn, request *http.Request) bool {
+	var servers []*fakeServer
+	respond := func(conn net.Conn, request *http.Request) bool {
 		if request.Header.Get("X-Last") == "2" {
 			write(conn, streamHead+chunk(events(3, 4))+"0\r\n\r\n")
 			return true
@@ -301,7 +299,7 @@
 		time.Sleep(30 * time.Millisecond)
 		return false
 	}
-	servers = append(servers, newStandin(t, script), newStandin(t, script))
+	servers = append(servers, newFakeServer(t, respond), newFakeServer(t, respond))
 	got := newFixture(t, servers...).send(t, http.MethodPost, "/resume/", "")
 	if got.err != nil || got.body != events(1, 2, 3, 4) {
 		t.Errorf("got %q, %v", got.body, got.err)
@@ -311,10 +309,10 @@
 	}
 }
 
-// TestRejectedResumptionDoesNotEndTheStream is a stream that breaks, and whose
-// next server rejects it: the caller gets whole events and a broken answer.
+// A stream breaks and the next server rejects its resumption: the caller gets whole events and a
+// truncated response.
 func TestRejectedResumptionDoesNotEndTheStream(t *testing.T) {
-	script := func(conn net.Conn, request *http.Request) bool {
+	respond := func(conn net.Conn, request *http.Request) bool {
 		if request.Header.Get("X-Last") != "" {
 			write(conn, reply("r1", http.StatusMisdirectedRequest, ""))
 			return true
@@ -323,7 +321,7 @@
 		time.Sleep(30 * time.Millisecond)
 		return false
 	}
-	f := newFixture(t, newStandin(t, script), newStandin(t, script))
+	f := newFixture(t, newFakeServer(t, respond), newFakeServer(t, respond))
 	f.handler.SetTable(resumeTable())
 	f.setView(map[string][]string{"m": nil}, nil)
 	f.dispatch.Do(func(core *dispatch.Core) {
@@ -337,7 +335,7 @@
 
 func TestCallerThatLeavesIsCancelledAtTheServer(t *testing.T) {
 	closed := make(chan struct{})
-	server := newStandin(t, func(conn net.Conn, _ *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, _ *http.Request) bool {
 		write(conn, streamHead+chunk(events(1)))
 		_, _ = conn.Read(make([]byte, 1))
 		close(closed)
@@ -356,21 +354,21 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the server's run was not cancelled")
+		t.Error("the request was not cancelled at the server")
 	}
 }
 
-// TestWaitingRequestGoesOnWhenItsModelComes, and one that cannot be in time is
-// told when to come back.
+// A waiting request is sent when its model is loaded; one that cannot be served in time is told when to
+// retry.
 func TestRequestForAModelThatLoads(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.handler.SetTable(engineTable(400 * time.Millisecond))
 	f.setView(map[string][]string{}, map[string]time.Duration{"m": 1500 * time.Millisecond})
 	got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m", "X-Wait", "1400ms")
-	back, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	if got.status != http.StatusServiceUnavailable || err != nil || back < 1.3 || back > 1.6 {
-		t.Errorf("status %d, Retry-After %v; want 503 and about the time left of the load", got.status, back)
+	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
+	if got.status != http.StatusServiceUnavailable || err != nil || retryAfter < 1.3 || retryAfter > 1.6 {
+		t.Errorf("status %d, Retry-After %v; want 503 and about the remaining load time", got.status, retryAfter)
 	}
 	f.handler.SetTable(engineTable(5 * time.Second))
 	go func() {
@@ -378,7 +376,7 @@
 		f.setView(map[string][]string{"m": nil}, nil)
 	}()
 	if got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m"); got.status != http.StatusOK {
-		t.Errorf("status %d, want the answer once the model is there", got.status)
+		t.Errorf("status %d, want 200 once the model is loaded", got.status)
 	}
 }
 
@@ -388,9 +386,9 @@
 	})
 }
 
-// TestStreamThatWouldBeginTooLateIsRefusedAtOnce: its caller would be gone.
+// A stream that would begin only after its caller's limit is refused at once.
 func TestStreamThatWouldBeginTooLateIsRefusedAtOnce(t *testing.T) {
-	f := newFixture(t, newStandin(t, answering(http.StatusOK, "ok")))
+	f := newFixture(t, newFakeServer(t, respondWith(http.StatusOK, "ok")))
 	f.handler.SetTable(resumeTable())
 	f.setView(map[string][]string{}, map[string]time.Duration{"m": 3 * time.Second})
 	started := time.Now()
@@ -398,15 +396,14 @@
 	if got.status != http.StatusServiceUnavailable || time.Since(started) > 2*time.Second {
 		t.Errorf("status %d after %v, want 503 at once", got.status, time.Since(started))
 	}
-	if back, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64); err != nil || back < 2.9 || back > 3.1 {
-		t.Errorf("Retry-After %v, want the end of the load", back)
+	if retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64); err != nil || retryAfter < 2.9 || retryAfter > 3.1 {
+		t.Errorf("Retry-After %v, want the remaining load time", retryAfter)
 	}
 }
 
-// TestStreamIsNotHeldForALoadBeyondItsDeadline: the load would end within the
-// caller's patience, but after its deadline.
+// A load that would end within the longest wait for a stream, but after the deadline, is not waited for.
 func TestStreamIsNotHeldForALoadBeyondItsDeadline(t *testing.T) {
-	f := newFixture(t, newStandin(t, answering(http.StatusOK, "ok")))
+	f := newFixture(t, newFakeServer(t, respondWith(http.StatusOK, "ok")))
 	f.handler.SetTable(resumeTable())
 	f.setView(map[string][]string{}, map[string]time.Duration{"m": 1800 * time.Millisecond})
 	got := f.send(t, http.MethodPost, "/resume/", "", "X-Model", "m", "X-Wait", "1500ms")
@@ -416,19 +413,18 @@
 }
 
 func TestStoppingNodeRefusesWhatWaits(t *testing.T) {
-	f := newFixture(t, newStandin(t, answering(http.StatusOK, "ok")))
+	f := newFixture(t, newFakeServer(t, respondWith(http.StatusOK, "ok")))
 	f.handler.SetTable(engineTable(5 * time.Second))
 	f.handler.SetDraining(time.Now())
 	got := f.send(t, http.MethodPost, "/llm/", "", "X-Model", "m")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("got %+v, want a refusal with a time to come back", got)
+		t.Errorf("got %+v, want a refusal with Retry-After", got)
 	}
 }
 
-// TestServerThatLeftGetsNothing is a server that leaves while a connection to
-// it is opened.
+// A draining server gets no new requests until a newer entry says that it is available.
 func TestServerThatLeavesGetsNoNewWork(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "ok"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "ok"))
 	f := newFixture(t, server)
 	f.dispatch.Do(func(core *dispatch.Core) { core.SetDraining("s0", storepos.At(0, 5)) })
 	if got := f.send(t, http.MethodPost, "/once/", "", "X-Wait", "200ms"); got.status != http.StatusServiceUnavailable {
@@ -444,10 +440,10 @@
 	}
 }
 
-// TestSmuggledLengthsAreRefused: a request whose end can be read in two ways is
-// answered 400, and nothing of it reaches a server.
+// Guards against request smuggling: a request whose end is ambiguous is refused, and nothing of it
+// reaches a server.
 func TestSmuggledLengthsAreRefused(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "x"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "x"))
 	f := newFixture(t, server)
 	for _, lengths := range []string{
 		"Content-Length: 3\r\nContent-Length: 30\r\n",
@@ -461,11 +457,11 @@
 			t.Fatal(err)
 		}
 		write(conn, "POST /once/ HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Id: r1\r\n"+lengths+"\r\nabcGET /once/ HTTP/1.1\r\nX-Id: r2\r\n\r\n")
-		answer := make([]byte, 64)
-		count, _ := conn.Read(answer)
+		response := make([]byte, 64)
+		count, _ := conn.Read(response)
 		_ = conn.Close()
-		if got := string(answer[:count]); !strings.HasPrefix(got, "HTTP/1.1 400") && !strings.HasPrefix(got, "HTTP/1.1 501") {
-			t.Errorf("%q is answered %q", lengths, got)
+		if got := string(response[:count]); !strings.HasPrefix(got, "HTTP/1.1 400") && !strings.HasPrefix(got, "HTTP/1.1 501") {
+			t.Errorf("%q: got %q, want status 400 or 501", lengths, got)
 		}
 	}
 	if server.count() != 0 {
--- a/internal/relay/silence_test.go
+++ b/internal/relay/silence_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestSilentConnectionsAreLeft: of several kept connections to a server that went
-// silent, the first is found out by a request, and the others are not used any more.
+// Guards against a timeout per idle connection: after one kept connection to a silent server failed a
+// request, the others are not used any more.
 func TestSilentConnectionsAreLeft(t *testing.T) {
 	const kept = 3
 	var silent atomic.Bool
@@ -17,7 +17,7 @@
 	old := make(map[net.Conn]bool)
 	arrived := make(chan struct{}, kept)
 	begin := make(chan struct{})
-	server := newStandin(t, func(conn net.Conn, request *http.Request) bool {
+	server := newFakeServer(t, func(conn net.Conn, request *http.Request) bool {
 		mu.Lock()
 		isOld := old[conn]
 		if !silent.Load() {
@@ -53,6 +53,6 @@
 		t.Fatalf("status %d on a silent connection, want %d", got.status, http.StatusGatewayTimeout)
 	}
 	if got := f.send(t, http.MethodPost, "/once/", "b", "X-Wait", "200ms"); got.status != http.StatusOK {
-		t.Errorf("status %d: another silent connection was used", got.status)
+		t.Errorf("status %d, want 200: another silent connection was used", got.status)
 	}
 }
--- a/internal/relay/standin_test.go
+++ b/internal/relay/standin_test.go
@@ -22,9 +22,9 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-var errNoID = errors.New("no identity")
+var errNoID = errors.New("no request ID")
 
-// testDialect has names of its own, so that the relay shows to know none.
+// testDialect uses header names of its own, which shows that the relay relies on none.
 type testDialect struct{}
 
 func (testDialect) ReadHead(header http.Header) (Head, error) {
@@ -38,23 +38,23 @@
 	return head, nil
 }
 
-func (testDialect) SetNodeHeaders(header http.Header, send NodeHeaders) {
-	header.Set("X-Server", send.ServerID)
-	header.Set("X-Left", send.TimeLeft.String())
-	if send.Tenant != "" {
-		header.Set("X-Tenant", send.Tenant)
+func (testDialect) SetNodeHeaders(header http.Header, added NodeHeaders) {
+	header.Set("X-Server", added.ServerID)
+	header.Set("X-Left", added.TimeLeft.String())
+	if added.Tenant != "" {
+		header.Set("X-Tenant", added.Tenant)
 	}
-	if send.LastEventID != "" {
-		header.Set("X-Last", send.LastEventID)
+	if added.LastEventID != "" {
+		header.Set("X-Last", added.LastEventID)
 	}
 }
 
 func (testDialect) ReadResponseHead(status int, header http.Header) ResponseHead {
-	rest, _ := time.ParseDuration(header.Get("X-Rest"))
+	backoff, _ := time.ParseDuration(header.Get("X-Rest"))
 	return ResponseHead{
 		NotRun:   status == http.StatusMisdirectedRequest || header.Get("X-Not-Run") != "",
 		ServerID: header.Get("X-By"),
-		Hint:     inventory.Hint{Draining: header.Get("X-Leaving") != "", Backoff: rest},
+		Hint:     inventory.Hint{Draining: header.Get("X-Leaving") != "", Backoff: backoff},
 	}
 }
 
@@ -62,12 +62,11 @@
 
 func (testDialect) BelongsTo(header http.Header, id string) bool { return header.Get("X-Id") == id }
 
-// script is what a stand-in server does with one request on its connection; it
-// returns false to close the connection.
-type script func(conn net.Conn, request *http.Request) bool
+// responder handles one request on its connection; it returns false to close the connection.
+type responder func(conn net.Conn, request *http.Request) bool
 
-// standinServer answers by a script and keeps what it was sent.
-type standinServer struct {
+// fakeServer responds by a function and records the requests that it gets.
+type fakeServer struct {
 	listener net.Listener
 	address  string
 	mu       sync.Mutex
@@ -75,27 +74,27 @@
 	bodies   []string
 }
 
-func newStandin(t *testing.T, script script) *standinServer {
+func newFakeServer(t *testing.T, respond responder) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &standinServer{listener: listener, address: listener.Addr().String()}
+	s := &fakeServer{listener: listener, address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(conn, script)
+			go s.serve(conn, respond)
 		}
 	}()
 	return s
 }
 
-func (s *standinServer) serve(conn net.Conn, script script) {
+func (s *fakeServer) serve(conn net.Conn, respond responder) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -108,19 +107,19 @@
 		s.requests = append(s.requests, request)
 		s.bodies = append(s.bodies, string(body))
 		s.mu.Unlock()
-		if !script(conn, request) {
+		if !respond(conn, request) {
 			return
 		}
 	}
 }
 
-func (s *standinServer) count() int {
+func (s *fakeServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-func (s *standinServer) last() *http.Request {
+func (s *fakeServer) last() *http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests[len(s.requests)-1]
@@ -128,7 +127,7 @@
 
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// reply is a whole answer to the request of an identity.
+// reply is a whole response to the request with that ID.
 func reply(id string, status int, body string, headers ...string) string {
 	head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nX-Id: " + id + "\r\n"
 	for _, header := range headers {
@@ -137,14 +136,15 @@
 	return head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func answering(status int, body string, headers ...string) script {
+// respondWith returns a responder that always gives the same response.
+func respondWith(status int, body string, headers ...string) responder {
 	return func(conn net.Conn, request *http.Request) bool {
 		write(conn, reply(request.Header.Get("X-Id"), status, body, headers...))
 		return true
 	}
 }
 
-// reset closes the connection so that the peer reads an error, not an end.
+// reset closes the connection so that the peer reads an error, not an end of stream.
 func reset(conn net.Conn) bool {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -152,7 +152,7 @@
 	return false
 }
 
-// fixture is a handler with servers behind it and a real listener before it.
+// fixture is a handler with fake servers and a listener for callers.
 type fixture struct {
 	handler  *Handler
 	dispatch *dispatch.Shared
@@ -161,7 +161,7 @@
 	onDial func()
 }
 
-func newFixture(t *testing.T, servers ...*standinServer) *fixture {
+func newFixture(t *testing.T, servers ...*fakeServer) *fixture {
 	t.Helper()
 	shared := dispatch.NewShared(dispatch.Options{Zone: "z", Seed: 1})
 	f := &fixture{dispatch: shared, onDial: func() {}}
@@ -192,20 +192,20 @@
 }
 
 func testTable() *routetable.Table {
-	parts := []routetable.WeightedService{{Service: "svc", Weight: 1}}
+	services := []routetable.WeightedService{{Service: "svc", Weight: 1}}
 	return routetable.New(1, []routetable.Route{
-		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Services: parts},
-		{Name: "command", Host: "127.0.0.1", Prefix: "/command/", MaxAttempts: 3, Services: parts},
-		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", RetryPolicy: routetable.RetrySafe, MaxAttempts: 2, Services: parts},
-		{Name: "brief", Host: "127.0.0.1", Prefix: "/brief/", Timeout: 150 * time.Millisecond, MaxAttempts: 1, Services: parts},
-		{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Stream: true, MaxAttempts: 1, Services: parts},
-		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, RetryPolicy: routetable.RetryResume, MaxAttempts: 2, Services: parts},
+		{Name: "once", Host: "127.0.0.1", Prefix: "/once/", MaxAttempts: 1, Services: services},
+		{Name: "command", Host: "127.0.0.1", Prefix: "/command/", MaxAttempts: 3, Services: services},
+		{Name: "often", Host: "127.0.0.1", Prefix: "/often/", RetryPolicy: routetable.RetrySafe, MaxAttempts: 2, Services: services},
+		{Name: "brief", Host: "127.0.0.1", Prefix: "/brief/", Timeout: 150 * time.Millisecond, MaxAttempts: 1, Services: services},
+		{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Stream: true, MaxAttempts: 1, Services: services},
+		{Name: "resume", Host: "127.0.0.1", Prefix: "/resume/", Stream: true, RetryPolicy: routetable.RetryResume, MaxAttempts: 2, Services: services},
 		{Name: "nowhere", Host: "127.0.0.1", Prefix: "/nowhere/", LatencyGoal: 100 * time.Millisecond, MaxAttempts: 1,
 			Services: []routetable.WeightedService{{Service: "none", Weight: 1}}},
 	}, []routetable.Service{{Name: "svc"}, {Name: "none"}}, routetable.Limits{MaxBodyBytes: 1000})
 }
 
-// result is an answer as the caller sees it.
+// result is a response as the caller sees it.
 type result struct {
 	status int
 	header http.Header
@@ -256,17 +256,17 @@
 	}}, []routetable.Service{{Name: "svc", Engine: engine}}, routetable.Limits{})
 }
 
-// FuzzEvents cuts a stream of events anywhere: what is passed on is always
-// whole events, and no byte is lost or doubled.
+// FuzzEvents splits a stream at arbitrary points: only whole events are passed on, and no byte is lost
+// or duplicated.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\n"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
 		var passed, buffer []byte
-		for rest := text; len(rest) > 0; {
-			count := min(int(step)+1, len(rest))
-			buffer = append(buffer, rest[:count]...)
-			rest = rest[count:]
-			if end := lastEventEnd(buffer); end > 0 {
+		for remaining := text; len(remaining) > 0; {
+			count := min(int(step)+1, len(remaining))
+			buffer = append(buffer, remaining[:count]...)
+			remaining = remaining[count:]
+			if end := endOfLastEvent(buffer); end > 0 {
 				passed = append(passed, buffer[:end]...)
 				buffer = append([]byte(nil), buffer[end:]...)
 			}
@@ -275,7 +275,7 @@
 			t.Errorf("%q became %q and %q", text, passed, buffer)
 		}
 		if len(passed) > 0 && !strings.HasSuffix(string(passed), "\n\n") {
-			t.Errorf("passed on in the middle of an event: %q", passed)
+			t.Errorf("passed on a part of an event: %q", passed)
 		}
 		_ = eventID(text)
 	})
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,8 +15,7 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// streamBufferBytes is the size of a stream's buffer; it grows for larger
-// events.
+// streamBufferBytes is the initial size of a stream's buffer; it grows for larger events.
 const streamBufferBytes = 2048
 
 var streamBuffers = sync.Pool{New: func() any {
@@ -24,8 +23,8 @@
 	return &buffer
 }}
 
-// stream passes an event stream on, each event whole and as it comes.
-func (x *exchange) stream(choice dispatch.Choice, answer *backendconn.Response) verdict {
+// relayStream passes on an event stream, each event whole and as soon as it is complete.
+func (x *exchange) relayStream(choice dispatch.Choice, response *backendconn.Response) attemptResult {
 	pooled := streamBuffers.Get().(*[]byte)
 	buffer := (*pooled)[:0]
 	defer func() {
@@ -39,11 +38,11 @@
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
-		count, err := answer.Read(buffer[len(buffer):cap(buffer)])
+		count, err := response.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+count]
 		x.countBytes(choice, count)
-		if end := lastEventEnd(buffer); end > 0 {
-			x.passOn(answer, buffer[:end])
+		if end := endOfLastEvent(buffer); end > 0 {
+			x.writeEvents(response, buffer[:end])
 			_ = controller.Flush()
 			buffer = append(buffer[:0], buffer[end:]...)
 		}
@@ -51,60 +50,61 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(buffer) == 0 {
-			return x.streamEnded(choice, answer)
+			return x.finishStream(choice, response)
 		}
-		return x.streamBroke(choice)
+		return x.handleBrokenStream(choice)
 	}
 }
 
-// eventEnd ends an event.
-var eventEnd = []byte("\n\n")
+// eventTerminator separates events.
+var eventTerminator = []byte("\n\n")
 
-// lastEventEnd is where the last whole event in the buffer ends; 0 is nowhere.
-func lastEventEnd(buffer []byte) int {
-	end := bytes.LastIndex(buffer, eventEnd)
+// endOfLastEvent is the length of the whole events in the buffer; 0 if there is none.
+func endOfLastEvent(buffer []byte) int {
+	end := bytes.LastIndex(buffer, eventTerminator)
 	if end < 0 {
 		return 0
 	}
-	return end + len(eventEnd)
+	return end + len(eventTerminator)
 }
 
-// passOn writes whole events to the caller.
-func (x *exchange) passOn(answer *backendconn.Response, events []byte) {
+// writeEvents writes whole events to the caller.
+func (x *exchange) writeEvents(response *backendconn.Response, events []byte) {
 	if !x.headSent {
-		x.writeHead(answer, false, 0)
+		x.writeResponseHead(response, false, 0)
 	}
-	x.pace.passed(clock.Since(x.arrived))
+	x.timing.record(clock.Since(x.arrived))
 	for len(events) > 0 {
-		end := bytes.Index(events, eventEnd) + len(eventEnd)
+		end := bytes.Index(events, eventTerminator) + len(eventTerminator)
 		if id := eventID(events[:end]); id != "" {
-			x.lastEvent = id
+			x.lastEventID = id
 		}
-		x.events++
+		x.eventCount++
 		_, _ = x.writer.Write(events[:end])
 		events = events[end:]
 	}
 }
 
-// pace is when the events of an answer went on to the caller.
-type pace struct {
-	// first and last are since the request arrived; 0 is before any event.
+// eventTiming records when the events of a response were passed on.
+type eventTiming struct {
+	// first and last are relative to the arrival of the request; 0 before any event.
 	first time.Duration
 	last  time.Duration
-	// longestPause is the longest time between two events.
+	// longestPause is the longest time between two writes.
 	longestPause time.Duration
 }
 
-func (p *pace) passed(at time.Duration) {
-	if p.first == 0 {
-		p.first = at
+// record takes the time of a write.
+func (t *eventTiming) record(at time.Duration) {
+	if t.first == 0 {
+		t.first = at
 	} else {
-		p.longestPause = max(p.longestPause, at-p.last)
+		t.longestPause = max(t.longestPause, at-t.last)
 	}
-	p.last = at
+	t.last = at
 }
 
-// eventID is the identity that an event gives.
+// eventID is the value of the event's id field; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -114,23 +114,24 @@
 	return ""
 }
 
-func (x *exchange) streamEnded(choice dispatch.Choice, answer *backendconn.Response) verdict {
+// finishStream ends a request whose stream was relayed to its end.
+func (x *exchange) finishStream(choice dispatch.Choice, response *backendconn.Response) attemptResult {
 	if !x.headSent {
-		x.writeHead(answer, true, 0)
+		x.writeResponseHead(response, true, 0)
 	}
-	x.release(choice, dispatch.OutcomeServed)
-	x.endedWell()
-	x.finish(outcomeAnswered, answer.Status, "")
-	return verdictDone
+	x.endAttempt(choice, dispatch.OutcomeServed)
+	x.reportSuccess()
+	x.finish(outcomeAnswered, response.Status, "")
+	return attemptDone
 }
 
-// streamBroke goes on at another server where the route allows it.
-func (x *exchange) streamBroke(choice dispatch.Choice) verdict {
-	x.brokeOff(choice)
+// handleBrokenStream resumes the stream at another server where the route allows it.
+func (x *exchange) handleBrokenStream(choice dispatch.Choice) attemptResult {
+	x.handleBrokenResponse(choice)
 	if x.route.RetryPolicy != routetable.RetryResume {
 		x.giveUp("broken_stream")
-		return verdictDone
+		return attemptDone
 	}
 	x.handler.Metrics.Resumed.Add(1)
-	return x.again("broken_stream")
+	return x.retryOrGiveUp("broken_stream")
 }
--- a/internal/relay/tenant_test.go
+++ b/internal/relay/tenant_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f := newFixture(t, server)
 	f.handler.SetTable(tenantTable())
 	cases := []struct {
@@ -48,17 +48,17 @@
 			t.Errorf("%s: status %d, want %d", c.name, got.status, c.status)
 		}
 		if ran := server.count() > before; ran != (c.status == http.StatusOK) {
-			t.Errorf("%s: reached a server: %v", c.name, ran)
+			t.Errorf("%s: forwarded to a server: %v", c.name, ran)
 		} else if ran && server.last().Header.Get("X-Tenant") != c.tenant {
-			t.Errorf("%s: the server was told tenant %q, want %q", c.name, server.last().Header.Get("X-Tenant"), c.tenant)
+			t.Errorf("%s: the server got tenant %q, want %q", c.name, server.last().Header.Get("X-Tenant"), c.tenant)
 		}
 	}
 }
 
-// TestWithdrawnKeyOnAKeptConnection: the next request of the same connection is
-// denied once a table without the key is in force.
+// A key that is removed from the table is denied at once, also on a connection that is already open; a
+// key that moves to another tenant takes effect the same way.
 func TestWithdrawnKeyOnAKeptConnection(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f := newFixture(t, server)
 	f.handler.SetTable(tenantTable())
 	if got := f.send(t, http.MethodPost, "/once/", "b", "X-Key", "key-n"); got.status != http.StatusOK {
@@ -81,14 +81,14 @@
 	}
 }
 
-// TestCallersDoNotSetWhatNodesSet: whatever way a caller sets a reserved field by, no
-// server is told it.
+// Guards against forged headers: however a caller sets a field that only nodes may set, no server gets
+// it.
 func TestCallersDoNotSetWhatNodesSet(t *testing.T) {
-	server := newStandin(t, answering(http.StatusOK, "done"))
+	server := newFakeServer(t, respondWith(http.StatusOK, "done"))
 	f := newFixture(t, server)
 	f.handler.SetTable(tenantTable())
 	ways := map[string][]string{
-		"plainly":            {"X-Reserved", "1"},
+		"as it is":           {"X-Reserved", "1"},
 		"in lower case":      {"x-reserved", "1"},
 		"a tenant":           {"X-Tenant", "south"},
 		"the connection's":   {"Connection", "x-tenant, X-Server, X-Model", "X-Tenant", "south"},
@@ -103,13 +103,12 @@
 		}
 		sent := server.last().Header
 		if sent.Get("X-Reserved") != "" || sent.Get("X-Tenant") != "north" || len(sent["X-Tenant"]) != 1 || sent.Get("X-Server") != "s0" || sent.Get("X-Model") != "m" {
-			t.Errorf("%s: the server was told %v", name, sent)
+			t.Errorf("%s: the server got headers %v", name, sent)
 		}
 	}
 }
 
-// TestUrgency: the tenant's priority goes before the route's, and the route's decides
-// among tenants of one priority.
+// A tenant's priority outranks the route's, which decides among tenants of the same priority.
 func TestUrgency(t *testing.T) {
 	tenant := func(priority int) *routetable.Tenant {
 		return &routetable.Tenant{Priority: priority, HasPriority: true}
@@ -122,14 +121,14 @@
 	}{
 		{"no tenant", nil, 1, 3},
 		{"a tenant without a priority", &routetable.Tenant{}, 1, 3},
-		{"the first", tenant(0), 0, 0},
+		{"the most urgent route of the first tenants", tenant(0), 0, 0},
 		{"the least urgent route of the first tenants", tenant(0), 7, 2},
 		{"the most urgent route of the next ones", tenant(1), 0, 3},
-		{"another of theirs", tenant(1), 1, 4},
-		{"beyond what can be said", tenant(5), 2, waiting.LowestRank},
+		{"the next route of the same tenants", tenant(1), 1, 4},
+		{"beyond the lowest rank", tenant(5), 2, waiting.LowestRank},
 	}
 	for _, c := range cases {
-		x := &exchange{engine: true, tenant: c.tenant, route: &routetable.Route{Priority: c.route}}
+		x := &exchange{needsModel: true, tenant: c.tenant, route: &routetable.Route{Priority: c.route}}
 		if got := x.urgency(); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
--- a/internal/relay/wait.go
+++ b/internal/relay/wait.go
@@ -10,44 +10,44 @@
 	"github.com/spanlanding/spanlanding/internal/waiting"
 )
 
-// pick chooses a server, and waits for one where that is worth it. Where ok is
-// false the final answer was given.
-func (x *exchange) pick() (choice dispatch.Choice, ok bool) {
+// waitForServer chooses a server, and waits for one as long as that is worthwhile. Where ok is false
+// the final response was given.
+func (x *exchange) waitForServer() (choice dispatch.Choice, ok bool) {
 	core := x.handler.options.Dispatch
 	started := clock.Now()
-	x.waitsSince = started
-	waits := false
-	var counted dispatch.Requirements
+	x.waitingSince = started
+	isWaiting := false
+	var countedAs dispatch.Requirements
 	defer func() {
-		x.waited += clock.Since(started)
-		x.waitsSince = time.Time{}
-		if waits {
+		x.waitedBefore += clock.Since(started)
+		x.waitingSince = time.Time{}
+		if isWaiting {
 			x.handler.waiting.Add(-1)
-			core.Do(func(c *dispatch.Core) { c.AddWaiting(counted, -1) })
+			core.Do(func(c *dispatch.Core) { c.AddWaiting(countedAs, -1) })
 		}
 	}()
 	for {
 		var changed <-chan struct{}
-		var readyIn, ordersIn time.Duration
-		var known, isEvacuated bool
-		var rest restingCopies
+		var readyIn, loadOrdersIn time.Duration
+		var isAnnounced, isEvacuated bool
+		var backingOff backingOffServers
 		core.Do(func(c *dispatch.Core) {
 			now := clock.Now()
-			if choice, ok = c.Pick(now, x.ask()); ok {
+			if choice, ok = c.Pick(now, x.dispatchRequest()); ok {
 				return
 			}
 			changed = c.Changed()
-			readyIn, known = c.ReadyIn(now, x.wanted())
-			ordersIn = c.OrdersIn(now)
-			rest.left, rest.elsewhere, rest.found = c.BackoffEndsIn(now, x.wanted())
+			readyIn, isAnnounced = c.ReadyIn(now, x.requirements())
+			loadOrdersIn = c.OrdersIn(now)
+			backingOff.readyIn, backingOff.loadableElsewhere, backingOff.found = c.BackoffEndsIn(now, x.requirements())
 			isEvacuated = c.IsEvacuated(x.service)
-			counted = x.countWaiting(c, counted, waits)
+			countedAs = x.countWaiting(c, countedAs, isWaiting)
 		})
 		if ok {
 			return choice, true
 		}
-		if !waits {
-			waits = true
+		if !isWaiting {
+			isWaiting = true
 			if x.handler.waiting.Add(1) > int64(x.handler.options.MaxWaiting) {
 				x.refuse(reasonQueueFull, time.Second)
 				return choice, false
@@ -58,93 +58,94 @@
 			x.refuseEvacuated()
 			return choice, false
 		}
-		if !x.hasPlace() {
+		if !x.checkRegions() {
 			return choice, false
 		}
-		if !known {
-			readyIn = x.usualLoad(ordersIn)
+		if !isAnnounced {
+			readyIn = x.estimateLoad(loadOrdersIn)
 		}
-		readyIn, known = rest.orSooner(readyIn, known)
-		expected := x.expect(readyIn, known)
-		if !x.keepsWaiting(expected) {
+		readyIn, isAnnounced = backingOff.earliest(readyIn, isAnnounced)
+		estimate := x.estimateReady(readyIn, isAnnounced)
+		if !x.keepWaiting(estimate) {
 			return choice, false
 		}
-		x.sleep(changed, started, expected)
+		x.waitForChange(changed, started, estimate)
 	}
 }
 
-// restingCopies are servers that have what is wanted and rest, as dispatch.Core.Rests tells.
-type restingCopies struct {
-	left             time.Duration
-	elsewhere, found bool
+// backingOffServers describes the servers that have what the request needs and asked this node to back
+// off, as dispatch.Core.BackoffEndsIn returns it.
+type backingOffServers struct {
+	readyIn                  time.Duration
+	loadableElsewhere, found bool
 }
 
-// orSooner is when such a server may be sent to again, where that is sooner than what else is
-// expected, or nothing else is: no other server could load what is wanted.
-func (r restingCopies) orSooner(readyIn time.Duration, announced bool) (time.Duration, bool) {
-	if r.found && (r.left < readyIn || !announced && !r.elsewhere) {
-		return r.left, true
+// earliest is the end of the first backoff, if it is earlier than the readiness expected otherwise, or
+// if nothing else is announced and no other server could load what is needed.
+func (b backingOffServers) earliest(readyIn time.Duration, announced bool) (time.Duration, bool) {
+	if b.found && (b.readyIn < readyIn || !announced && !b.loadableElsewhere) {
+		return b.readyIn, true
 	}
 	return readyIn, announced
 }
 
-// expect is when what the request waits for is expected.
-func (x *exchange) expect(readyIn time.Duration, announced bool) waiting.ReadinessEstimate {
-	return x.watch.Estimate(clock.Now(), readyIn, announced)
+// estimateReady estimates when what the request waits for will be ready.
+func (x *exchange) estimateReady(readyIn time.Duration, announced bool) waiting.ReadinessEstimate {
+	return x.overdue.Estimate(clock.Now(), readyIn, announced)
 }
 
-// keepsWaiting decides on a request that has no server now. Where it is false
-// the final answer was given.
-func (x *exchange) keepsWaiting(expected waiting.ReadinessEstimate) bool {
-	decision := waiting.Decide(clock.Now(), x.toDecide(), x.standsHow(), expected)
+// keepWaiting decides what becomes of a request that has no server now. Where it is false the final
+// response was given.
+func (x *exchange) keepWaiting(estimate waiting.ReadinessEstimate) bool {
+	decision := waiting.Decide(clock.Now(), x.waitingRequest(), x.waitingState(), estimate)
 	switch decision.Verdict {
 	case waiting.KeepWaiting:
 		return true
 	case waiting.CallerGone:
-		x.leave()
+		x.endCallerGone()
 	case waiting.FailDeadline:
 		x.giveUp(reasonDeadline)
 	case waiting.RefuseBarred:
-		x.answerBarred()
+		x.refuseBarred()
 	case waiting.RefuseOnTrial:
-		x.refuse(reasonPoison, x.comeBack(decision.ReadyIn))
+		x.refuse(reasonPoison, x.retryDelay(decision.ReadyIn))
 	case waiting.FailNodeStopping:
-		x.giveUp(reasonStops)
+		x.giveUp(reasonNodeStopping)
 	case waiting.FailAllServersTried:
 		x.giveUp(reasonRejected)
 	case waiting.RefuseNoServer:
-		x.refuse(reasonNoServer, x.comeBack(decision.ReadyIn))
+		x.refuse(reasonNoServer, x.retryDelay(decision.ReadyIn))
 	case waiting.RefuseLoadTooSlow:
-		x.refuse(x.reasonLate(), x.comeBack(decision.ReadyIn))
+		x.refuse(x.lateReason(), x.retryDelay(decision.ReadyIn))
 	}
 	return false
 }
 
-// toDecide is the request as decisions go by it.
-func (x *exchange) toDecide() waiting.Request {
+// waitingRequest describes the request to package waiting.
+func (x *exchange) waitingRequest() waiting.Request {
 	return waiting.Request{
 		Arrived: x.arrived, Deadline: x.deadline, Stream: x.route.Stream, LatencyGoal: x.route.LatencyGoal, EventGapGoal: x.route.EventGapGoal,
-		NeedsModel: x.engine, IsRetry: x.returned,
+		NeedsModel: x.needsModel, IsRetry: x.isRetry,
 	}
 }
 
-// standsHow is how the request stands now.
-func (x *exchange) standsHow() waiting.State {
-	until := x.handler.drainUntil.Load()
-	standing := x.standing()
+// waitingState is the request's current state for package waiting.
+func (x *exchange) waitingState() waiting.State {
+	refuseAt := x.handler.refuseWaitingAt.Load()
+	status := x.poisonStatus()
 	return waiting.State{
-		CallerGone:      x.hasLeft(),
-		IsBarred:        !x.isTrial && standing == poison.StatusBarred,
-		IsOnTrial:       x.isTrial || standing == poison.StatusOnTrial,
-		NodeStopping:    until != nil && !clock.Now().Before(*until),
-		AllServersTried: !x.engine && len(x.failed) > 0,
-		MayHaveRun:      x.headSent || x.ran,
+		CallerGone:      x.callerGone(),
+		IsBarred:        !x.isTrial && status == poison.StatusBarred,
+		IsOnTrial:       x.isTrial || status == poison.StatusOnTrial,
+		NodeStopping:    refuseAt != nil && !clock.Now().Before(*refuseAt),
+		AllServersTried: !x.needsModel && len(x.failedServers) > 0,
+		MayHaveRun:      x.headSent || x.mayHaveRun,
 	}
 }
 
-// usualLoad is the time of a load that nobody has announced yet, and that can be
-// ordered in ordersIn.
-func (x *exchange) usualLoad(ordersIn time.Duration) time.Duration {
+// estimateLoad is the expected time of a model load that nobody has announced yet and that can be
+// ordered in loadOrdersIn.
+func (x *exchange) estimateLoad(loadOrdersIn time.Duration) time.Duration {
 	service := x.table.Services[x.service]
 	if service.Engine == nil {
 		return waiting.ServerRegistrationTime
@@ -152,19 +153,19 @@
 	model := service.Engine.Models[x.head.Model]
 	nearest := waiting.CopyInStore
 	x.handler.options.Dispatch.Do(func(core *dispatch.Core) {
-		switch core.NearestCopy(clock.Now(), x.wanted()) {
+		switch core.NearestCopy(clock.Now(), x.requirements()) {
 		case dispatch.CopyInMemory:
 			nearest = waiting.CopyInMemory
 		case dispatch.CopyOnDisk:
 			nearest = waiting.CopyOnDisk
 		}
 	})
-	return waiting.EstimateLoad(ordersIn, nearest, waiting.LoadTimes{Store: model.Load, Disk: model.DiskLoad, Memory: model.MemoryLoad})
+	return waiting.EstimateLoad(loadOrdersIn, nearest, waiting.LoadTimes{Store: model.Load, Disk: model.DiskLoad, Memory: model.MemoryLoad})
 }
 
-// sleep waits for news, or until the next decision is due.
-func (x *exchange) sleep(changed <-chan struct{}, since time.Time, expected waiting.ReadinessEstimate) {
-	timer := time.NewTimer(waiting.RecheckDelay(clock.Now(), since, x.toDecide(), expected))
+// waitForChange blocks until the dispatcher's state changes, the next check is due or the caller is gone.
+func (x *exchange) waitForChange(changed <-chan struct{}, since time.Time, estimate waiting.ReadinessEstimate) {
+	timer := time.NewTimer(waiting.RecheckDelay(clock.Now(), since, x.waitingRequest(), estimate))
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -173,20 +174,21 @@
 	}
 }
 
-// knowledgePatience is how long a request waits at a node that has just started for
-// what the node has to know: it asks the store at once then, which takes some 20 ms.
-// Where all nodes start together each of their first callers was sent away.
-const knowledgePatience = 300 * time.Millisecond
+// readyTimeout is how long a request waits at a node that has just started until the node is ready:
+// it reads the store immediately then, which takes some 20 ms. When all nodes started at the same time,
+// without this wait the first callers of each were refused.
+const readyTimeout = 300 * time.Millisecond
 
-// knows reports whether the node knows enough to send requests: a configuration, servers
-// and, where zones are evacuated, which of them are.
-func (h *Handler) knows() bool { return h.options.IsReady == nil || h.options.IsReady() }
+// isReady reports whether the node knows enough to forward requests: a configuration, servers and, where
+// zones are evacuated, which ones.
+func (h *Handler) isReady() bool { return h.options.IsReady == nil || h.options.IsReady() }
 
-func (h *Handler) awaitKnowledge(ctx context.Context) {
-	if h.knows() || h.waiting.Load() >= int64(h.options.MaxWaiting) {
+// awaitReady waits until the node is ready, for readyTimeout at most.
+func (h *Handler) awaitReady(ctx context.Context) {
+	if h.isReady() || h.waiting.Load() >= int64(h.options.MaxWaiting) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, knowledgePatience)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	h.waiting.Add(1)
 	defer h.waiting.Add(-1)
