--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What a request costs while anything is remembered: its fingerprint, 0.7 µs for a body of
-// 600 bytes and 13 µs for one of 18,000, and a look at a full table, 34 ns. A node that
-// remembers nothing makes no fingerprint.
+// The cost of a request while suspects are remembered: its fingerprint takes 0.7 µs for a body of
+// 600 bytes and 13 µs for one of 18,000, and a lookup in a full table 34 ns. A node without suspects
+// computes no fingerprint.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{600, 18_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -22,13 +22,13 @@
 }
 
 func BenchmarkStanding(b *testing.B) {
-	tally := NewTracker()
-	for i := range mostSuspects {
-		tally.Record(start, Report{Fingerprint: named(fmt.Sprint(i)), ServerID: "a"})
+	tracker := NewTracker()
+	for i := range maxSuspects {
+		tracker.Record(start, Report{Fingerprint: requestNamed(fmt.Sprint(i)), ServerID: "a"})
 	}
-	fingerprint, now := named("7"), start.Add(time.Second)
+	fingerprint, now := requestNamed("7"), start.Add(time.Second)
 	b.ReportAllocs()
 	for range b.N {
-		tally.Status(now, fingerprint)
+		tracker.Status(now, fingerprint)
 	}
 }
--- a/internal/poison/early.go
+++ b/internal/poison/early.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// What callers send alike runs on each server that a poison request ends, and looks like it. This
-// file lets such a request be tried early: where it is the sound one of the two its callers are
-// served again after a second, and not after the first bar.
+// A request that many callers send identically also runs on the servers that a poison request crashes,
+// and looks like it. This file allows an early trial of such a request: if it is the harmless one of the
+// two, its callers are served again after a second instead of after the first bar.
 
-// mayTryEarly reports whether a barred request may be tried once within its first bar: another one
-// ran on each of its servers, so that one of the two ended none, and what callers send alike would
-// be refused with the poison request beside it. Whether such a trial ends a server says little, since
-// others run there that may be to blame: it acquits, or changes nothing. One that was granted makes
-// the bar longer, also at the nodes that hear of it, and so is the only one.
-func (t *Tracker) mayTryEarly(now time.Time, known *suspect) bool {
-	return len(known.ends) >= CrashLimit && t.isExplained(known) && known.awaitsEarlyTrial(now)
+// isEarlyTrialDue reports whether a barred request may be tried once within its first bar: another
+// request ran on each of its crashed servers, so one of the two is harmless, and identical requests of
+// many callers would be refused together with the poison request. A crash in such a trial says little,
+// since other requests run there that may have caused it: the trial clears the request or changes
+// nothing. Granting one extends the bar, also at the nodes that hear of it, and so it is the only one.
+func (t *Tracker) isEarlyTrialDue(now time.Time, entry *suspect) bool {
+	return len(entry.crashes) >= CrashLimit && t.hasAlternativeCause(entry) && entry.canTryEarly(now)
 }
 
-// awaitsEarlyTrial reports whether no trial was granted yet, and copies under way have ended.
-func (s *suspect) awaitsEarlyTrial(now time.Time) bool {
-	last := s.latest()
-	isFirst := s.barred == firstBar && s.trialAt.IsZero() && s.earlyAt.IsZero()
-	isLonger := s.barredUntil.Sub(last) >= firstBar+earlyTrial/2
-	return isFirst && !isLonger && now.Sub(last) >= earlyTrial
+// canTryEarly reports whether no trial was granted yet and copies in flight have had time to end.
+func (s *suspect) canTryEarly(now time.Time) bool {
+	last := s.lastCrashAt()
+	isFirst := s.barTime == firstBarTime && s.trialAt.IsZero() && s.earlyTrialAt.IsZero()
+	isLonger := s.barredUntil.Sub(last) >= firstBarTime+earlyTrialDelay/2
+	return isFirst && !isLonger && now.Sub(last) >= earlyTrialDelay
 }
 
-// isExplained reports whether one other request ended all servers that this one did.
-func (t *Tracker) isExplained(known *suspect) bool {
+// hasAlternativeCause reports whether all servers that crashed under this request also ran one other suspect
+// when they crashed.
+func (t *Tracker) hasAlternativeCause(entry *suspect) bool {
 	for _, other := range t.suspects {
-		isElsewhere := func(e end) bool { return !other.has(e.serverID) }
-		if other != known && !slices.ContainsFunc(known.ends, isElsewhere) {
+		ranElsewhere := func(c crash) bool { return !other.crashed(c.serverID) }
+		if other != entry && !slices.ContainsFunc(entry.crashes, ranElsewhere) {
 			return true
 		}
 	}
 	return false
 }
 
-// claimEarly takes that a request is about to be tried within its first bar, if it may be. Who has
-// not heard of all the servers, as it started since, goes by who asks.
-func (t *Tracker) claimEarly(now time.Time, known *suspect) bool {
-	hasAll := len(known.ends) >= CrashLimit
-	if !known.awaitsEarlyTrial(now) || hasAll && !t.isExplained(known) {
+// claimEarlyTrial claims a trial within the first bar, if one may be made. A node that started after the
+// first crashes does not know all the servers and trusts the node that asks.
+func (t *Tracker) claimEarlyTrial(now time.Time, entry *suspect) bool {
+	isComplete := len(entry.crashes) >= CrashLimit
+	if !entry.canTryEarly(now) || isComplete && !t.hasAlternativeCause(entry) {
 		return false
 	}
-	known.earlyAt, known.triedUntil = now, now.Add(trialPatience)
-	known.barredUntil = now.Add(firstBar)
+	entry.earlyTrialAt, entry.trialPendingUntil = now, now.Add(trialTimeout)
+	entry.barredUntil = now.Add(firstBarTime)
 	return true
 }
 
-// RecordRefusal takes that a copy of a barred request was refused at this node.
+// RecordRefusal counts a copy of a barred request that this node refused.
 func (t *Tracker) RecordRefusal(fingerprint Fingerprint) {
-	if known, ok := t.suspects[fingerprint]; ok {
-		known.refused++
+	if entry, ok := t.suspects[fingerprint]; ok {
+		entry.refusals++
 	}
 }
--- a/internal/poison/early_test.go
+++ b/internal/poison/early_test.go
@@ -5,95 +5,95 @@
 	"time"
 )
 
-// alikeBesidePoison is a tally in which callers send alike ("alike") on each server that a poison
-// request ended, and never ended well before: their request is barred first, as its report of the
-// third server came first. It returns when the last server ended.
-func alikeBesidePoison() (*Tracker, time.Time) {
-	tally := taken(
-		crash{"p", "a", 0, false}, crash{"alike", "a", 1, false},
-		crash{"alike", "b", 400, false}, crash{"p", "b", 401, false},
-		crash{"alike", "c", 2000, false}, crash{"p", "c", 2003, false},
-		crash{"p", "d", 2450, false}, crash{"alike", "d", 2451, false},
+// identicalBesidePoison is a tracker in which a request that many callers send identically ("alike") ran on
+// each server that a poison request crashed, and never succeeded before. It is barred first, as its report
+// of the third crash came first. The time returned is that of the last crash.
+func identicalBesidePoison() (*Tracker, time.Time) {
+	tracker := trackerWith(
+		crashAt{"p", "a", 0, false}, crashAt{"alike", "a", 1, false},
+		crashAt{"alike", "b", 400, false}, crashAt{"p", "b", 401, false},
+		crashAt{"alike", "c", 2000, false}, crashAt{"p", "c", 2003, false},
+		crashAt{"p", "d", 2450, false}, crashAt{"alike", "d", 2451, false},
 	)
-	for range earlyCopies {
-		tally.RecordRefusal(named("alike"))
-		tally.RecordRefusal(named("p"))
+	for range earlyTrialRefusals {
+		tracker.RecordRefusal(requestNamed("alike"))
+		tracker.RecordRefusal(requestNamed("p"))
 	}
-	return tally, start.Add(2451 * time.Millisecond)
+	return tracker, start.Add(2451 * time.Millisecond)
 }
 
-// TestAlikeBesideAPoisonRequestAreTriedSoon: which of two requests ended the servers that both ran
-// on shows by one send of each, not by twenty seconds in which neither is served.
+// Guards against refusing a harmless request for 20 s: which of two requests crashed the servers that ran
+// both shows by one trial of each.
 func TestAlikeBesideAPoisonRequestAreTriedSoon(t *testing.T) {
-	tally, last := alikeBesidePoison()
-	if got := tally.Status(last.Add(earlyTrial/2), named("alike")); got != StatusBarred {
-		t.Errorf("standing %d before the repeats under way are over, want barred", got)
+	tracker, last := identicalBesidePoison()
+	if got := tracker.Status(last.Add(earlyTrialDelay/2), requestNamed("alike")); got != StatusBarred {
+		t.Errorf("status %d before the copies in flight have ended, want barred", got)
 	}
-	due := last.Add(earlyTrial)
+	due := last.Add(earlyTrialDelay)
 	for _, request := range []string{"alike", "p"} {
-		if got := tally.Status(due, named(request)); got != StatusOnTrial {
-			t.Errorf("standing %d of %s a second after the last server, want on trial", got, request)
+		if got := tracker.Status(due, requestNamed(request)); got != StatusOnTrial {
+			t.Errorf("status %d of %s a second after the last crash, want on trial", got, request)
 		}
 	}
-	if !tally.ClaimTrial(due, named("alike")) || tally.ClaimTrial(due, named("alike")) {
-		t.Error("want one trial of what callers send alike")
+	if !tracker.ClaimTrial(due, requestNamed("alike")) || tracker.ClaimTrial(due, requestNamed("alike")) {
+		t.Error("want one trial of the identical requests")
 	}
-	if tally.ClaimTrial(due.Add(time.Second), named("p")) {
-		t.Error("the poison request was tried beside the trial of the other: one would be blamed for both")
+	if tracker.ClaimTrial(due.Add(time.Second), requestNamed("p")) {
+		t.Error("the poison request was tried during the trial of the other one, which would be blamed for its crash")
 	}
 	ended := due.Add(1500 * time.Millisecond)
-	tally.Record(ended, Report{Fingerprint: named("alike"), Acquitted: true})
-	if got := tally.Status(ended, named("alike")); got != StatusClear {
-		t.Errorf("standing %d after its trial ended well, want sound", got)
+	tracker.Record(ended, Report{Fingerprint: requestNamed("alike"), Acquitted: true})
+	if got := tracker.Status(ended, requestNamed("alike")); got != StatusClear {
+		t.Errorf("status %d after its trial succeeded, want clear", got)
 	}
-	if got := tally.Status(ended, named("p")); got != StatusBarred {
-		t.Errorf("standing %d of the poison request once the other is acquitted, want barred", got)
+	if got := tracker.Status(ended, requestNamed("p")); got != StatusBarred {
+		t.Errorf("status %d of the poison request once the other one is acquitted, want barred", got)
 	}
 }
 
-// TestEarlyTrialThatEndsAServer changes nothing: others ran there that may have ended it. The trial
-// after the bar decides.
+// A crash in an early trial changes nothing, since other requests run there that may have caused it. The
+// trial after the bar decides.
 func TestEarlyTrialThatEndsAServer(t *testing.T) {
-	tally, last := alikeBesidePoison()
-	due := last.Add(earlyTrial)
-	if !tally.ClaimTrial(due, named("p")) {
+	tracker, last := identicalBesidePoison()
+	due := last.Add(earlyTrialDelay)
+	if !tracker.ClaimTrial(due, requestNamed("p")) {
 		t.Fatal("no trial was granted")
 	}
 	ended := due.Add(50 * time.Millisecond)
-	tally.Record(ended, Report{Fingerprint: named("p"), ServerID: "e"})
-	if left := tally.BarRemaining(due, named("p")); left != firstBar {
-		t.Errorf("barred for %v from the trial on, want %v", left, firstBar)
+	tracker.Record(ended, Report{Fingerprint: requestNamed("p"), ServerID: "e"})
+	if left := tracker.BarRemaining(due, requestNamed("p")); left != firstBarTime {
+		t.Errorf("barred for %v after the trial, want %v", left, firstBarTime)
 	}
-	if !tally.ClaimTrial(ended, named("alike")) {
-		t.Error("the other request is not tried though the trial before is over")
+	if !tracker.ClaimTrial(ended, requestNamed("alike")) {
+		t.Error("no trial of the other request although the first trial is over")
 	}
-	tally.Record(ended.Add(time.Second), Report{Fingerprint: named("alike"), Acquitted: true})
-	for _, after := range []time.Duration{0, 5 * time.Second, firstBar - time.Second} {
-		if tally.ClaimTrial(ended.Add(after), named("p")) {
+	tracker.Record(ended.Add(time.Second), Report{Fingerprint: requestNamed("alike"), Acquitted: true})
+	for _, after := range []time.Duration{0, 5 * time.Second, firstBarTime - time.Second} {
+		if tracker.ClaimTrial(ended.Add(after), requestNamed("p")) {
 			t.Errorf("a second trial within the first bar, after %v", after)
 		}
 	}
-	over := due.Add(firstBar)
-	if !tally.ClaimTrial(over, named("p")) {
+	over := due.Add(firstBarTime)
+	if !tracker.ClaimTrial(over, requestNamed("p")) {
 		t.Fatal("no trial after the bar")
 	}
-	tally.Record(over.Add(50*time.Millisecond), Report{Fingerprint: named("p"), ServerID: "f"})
-	if left := tally.BarRemaining(over.Add(50*time.Millisecond), named("p")); left != barTime {
-		t.Errorf("barred for %v after the second trial, want %v", left, barTime)
+	tracker.Record(over.Add(50*time.Millisecond), Report{Fingerprint: requestNamed("p"), ServerID: "f"})
+	if left := tracker.BarRemaining(over.Add(50*time.Millisecond), requestNamed("p")); left != repeatBarTime {
+		t.Errorf("barred for %v after the second trial, want %v", left, repeatBarTime)
 	}
 }
 
-// TestCoordinatorThatMissedServersGoesByTheAsker: one that started when the first servers had ended
-// knows of the last and of the bar alone.
+// A coordinator that started after the first crashes knows only the last one and the bar, and trusts the
+// node that asks for the trial.
 func TestCoordinatorThatMissedServersGoesByTheAsker(t *testing.T) {
-	tally := NewTracker()
-	tally.Record(start, Report{Fingerprint: named("alike"), ServerID: "c", BarredFor: firstBar})
-	if tally.ClaimTrial(start.Add(earlyTrial/2), named("alike")) {
-		t.Error("a trial beside copies that are under way was granted")
+	tracker := NewTracker()
+	tracker.Record(start, Report{Fingerprint: requestNamed("alike"), ServerID: "c", BarredFor: firstBarTime})
+	if tracker.ClaimTrial(start.Add(earlyTrialDelay/2), requestNamed("alike")) {
+		t.Error("a trial was granted while copies are in flight")
 	}
 	granted := 0
 	for i := range 5 {
-		if tally.ClaimTrial(start.Add(earlyTrial+time.Duration(i)*time.Second), named("alike")) {
+		if tracker.ClaimTrial(start.Add(earlyTrialDelay+time.Duration(i)*time.Second), requestNamed("alike")) {
 			granted++
 		}
 	}
@@ -102,53 +102,53 @@
 	}
 }
 
-// TestFewCopiesAreNotTriedEarly: a trial of one caller's repeats would end one more server.
+// Guards against an early trial of one caller's retries, which would crash one more server.
 func TestFewCopiesAreNotTriedEarly(t *testing.T) {
-	tally := taken(
-		crash{"p", "a", 0, false}, crash{"q", "a", 1, false}, crash{"p", "b", 400, false}, crash{"q", "b", 401, false},
-		crash{"q", "c", 900, false}, crash{"p", "c", 901, false},
+	tracker := trackerWith(
+		crashAt{"p", "a", 0, false}, crashAt{"q", "a", 1, false}, crashAt{"p", "b", 400, false}, crashAt{"q", "b", 401, false},
+		crashAt{"q", "c", 900, false}, crashAt{"p", "c", 901, false},
 	)
-	soon := start.Add(901*time.Millisecond + earlyTrial)
-	for copies := range earlyCopies {
-		if got := tally.Status(soon, named("q")); got != StatusBarred {
-			t.Errorf("standing %d after %d copies were refused, want barred", got, copies)
+	soon := start.Add(901*time.Millisecond + earlyTrialDelay)
+	for copies := range earlyTrialRefusals {
+		if got := tracker.Status(soon, requestNamed("q")); got != StatusBarred {
+			t.Errorf("status %d after %d refused copies, want barred", got, copies)
 		}
-		tally.RecordRefusal(named("q"))
+		tracker.RecordRefusal(requestNamed("q"))
 	}
-	if got := tally.Status(soon, named("q")); got != StatusOnTrial {
-		t.Errorf("standing %d after %d copies were refused, want on trial", got, earlyCopies)
+	if got := tracker.Status(soon, requestNamed("q")); got != StatusOnTrial {
+		t.Errorf("status %d after %d refused copies, want on trial", got, earlyTrialRefusals)
 	}
 }
 
-// TestRequestThatAloneEndedServersIsNotTriedSoon: nothing else explains them.
+// A request gets no early trial if no other request ran on all of its crashed servers.
 func TestRequestThatAloneEndedServersIsNotTriedSoon(t *testing.T) {
-	tally := taken(
-		crash{"p", "a", 0, false}, crash{"q", "a", 1, false}, crash{"p", "b", 400, false}, crash{"q", "b", 401, false},
-		crash{"p", "c", 900, false},
+	tracker := trackerWith(
+		crashAt{"p", "a", 0, false}, crashAt{"q", "a", 1, false}, crashAt{"p", "b", 400, false}, crashAt{"q", "b", 401, false},
+		crashAt{"p", "c", 900, false},
 	)
-	for range earlyCopies {
-		tally.RecordRefusal(named("p"))
+	for range earlyTrialRefusals {
+		tracker.RecordRefusal(requestNamed("p"))
 	}
-	soon := start.Add(900*time.Millisecond + earlyTrial)
-	if got := tally.Status(soon, named("p")); got != StatusBarred {
-		t.Errorf("standing %d, want barred: one server ended under it alone", got)
+	soon := start.Add(900*time.Millisecond + earlyTrialDelay)
+	if got := tracker.Status(soon, requestNamed("p")); got != StatusBarred {
+		t.Errorf("status %d, want barred: one server crashed under no other request", got)
 	}
-	if tally.ClaimTrial(soon, named("p")) {
+	if tracker.ClaimTrial(soon, requestNamed("p")) {
 		t.Error("a trial was granted")
 	}
 }
 
-// TestNodeThatHearsOfATrialAsksForNone: the bar that is told with a grant is longer than the one
-// before, at nodes that did not grant it.
+// The bar that is reported with a granted trial is longer than before, so that nodes that did not grant it
+// do not ask for another.
 func TestNodeThatHearsOfATrialAsksForNone(t *testing.T) {
-	granting, last := alikeBesidePoison()
-	hearing, _ := alikeBesidePoison()
-	due := last.Add(earlyTrial)
-	granting.ClaimTrial(due, named("alike"))
-	hearing.Record(due, Report{Fingerprint: named("alike"), BarredFor: granting.BarRemaining(due, named("alike"))})
+	granting, last := identicalBesidePoison()
+	receiving, _ := identicalBesidePoison()
+	due := last.Add(earlyTrialDelay)
+	granting.ClaimTrial(due, requestNamed("alike"))
+	receiving.Record(due, Report{Fingerprint: requestNamed("alike"), BarredFor: granting.BarRemaining(due, requestNamed("alike"))})
 	for _, after := range []time.Duration{0, time.Second, 10 * time.Second} {
-		if got := hearing.Status(due.Add(after), named("alike")); got != StatusBarred {
-			t.Errorf("standing %d at %v after the grant, want barred", got, after)
+		if got := receiving.Status(due.Add(after), requestNamed("alike")); got != StatusBarred {
+			t.Errorf("status %d at %v after the grant, want barred", got, after)
 		}
 	}
 }
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -6,28 +6,27 @@
 	"encoding/hex"
 )
 
-// Fingerprint tells a request from all others that ask for something else: two that a
-// caller sends with the same content have the same one, whatever identity each attempt
-// has. It is cut from a SHA-256 digest, so that nobody can make a request that is taken
-// for another caller's.
+// Fingerprint identifies a request by its content: two requests of one caller with the same content have
+// the same fingerprint, whatever request ID each of them has. It is truncated from a SHA-256 digest, so
+// that nobody can construct a request that is mistaken for another caller's.
 type Fingerprint [16]byte
 
-// Identity is what makes two requests the same.
+// Identity is the content that a fingerprint is computed from.
 type Identity struct {
 	Method string
 	Host   string
 	// Target is the path and query.
 	Target string
-	// Caller is the caller's API key; empty where none was needed.
+	// Caller is the caller's API key; empty where none is needed.
 	Caller string
-	// Model and Adapter are what runs it; empty where the request asks for none.
+	// Model and Adapter are what the request runs on; empty where it needs none.
 	Model   string
 	Adapter string
 	Body    []byte
 }
 
-// NewFingerprint is the fingerprint of a request. Every part goes in with its length, so that none
-// can take the place of another.
+// NewFingerprint computes the fingerprint of a request. Every field is hashed with its length, so that
+// two requests whose fields are split differently never get the same fingerprint.
 func NewFingerprint(identity Identity) Fingerprint {
 	digest := sha256.New()
 	var length [8]byte
@@ -43,7 +42,8 @@
 	return Fingerprint(digest.Sum(sum[:0])[:len(Fingerprint{})])
 }
 
-// DecodeFingerprint reads a fingerprint as nodes send it; ok is false where it is none.
+// DecodeFingerprint decodes a fingerprint in the form that nodes send; ok is false if it has the wrong
+// length.
 func DecodeFingerprint(encoded []byte) (fingerprint Fingerprint, ok bool) {
 	if len(encoded) != len(fingerprint) {
 		return fingerprint, false
@@ -51,7 +51,7 @@
 	return Fingerprint(encoded), true
 }
 
-// ParseFingerprint is the fingerprint of a name as String gives it; ok is false where it is none.
+// ParseFingerprint parses a fingerprint in the form of String; ok is false if it is none.
 func ParseFingerprint(name string) (fingerprint Fingerprint, ok bool) {
 	decoded, err := hex.DecodeString(name)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return DecodeFingerprint(decoded)
 }
 
-// Key is a number that stands for the fingerprint where chance decides; it is not 0.
+// Key is a hash of the fingerprint for tables and random choices; it is never 0.
 func (f Fingerprint) Key() uint64 { return max(1, binary.BigEndian.Uint64(f[:])) }
 
-// String is the fingerprint in hex, as logs and operators' commands name it.
+// String is the fingerprint in hex, as logs and operators' commands show it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/poison/goodends.go
+++ b/internal/poison/goodends.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// goodEndSlots bounds the good ends remembered, to 24 KB; a later one takes the place of
-// another that falls on its slot.
-const goodEndSlots = 1024
+// successSlots bounds the successes remembered, to 24 KB; a later one overwrites the one in its slot.
+const successSlots = 1024
 
-// RecentSuccesses are the requests that ended well lately at one node. Callers that send the same
-// thing again and again, as a ping, share a fingerprint: some of them run on each server
-// that ends, whatever ended it, and only that others of them end well tells them from a
-// poison request. It is not safe for concurrent use.
+// RecentSuccesses remembers the requests that recently succeeded at one node. Callers that send the same
+// request over and over, such as a ping, share a fingerprint: some copies run on every server that
+// crashes, whatever the cause, and only the success of others distinguishes them from a poison request.
+// It is not safe for concurrent use.
 type RecentSuccesses struct {
-	slots [goodEndSlots]goodEnd
+	slots [successSlots]success
 }
 
-type goodEnd struct {
+// success is the last success that fell into a slot.
+type success struct {
 	key uint64
 	at  time.Time
 }
 
-// Add takes a request that ended well.
-func (g *RecentSuccesses) Add(now time.Time, fingerprint Fingerprint) {
+// Add records that a request succeeded.
+func (r *RecentSuccesses) Add(now time.Time, fingerprint Fingerprint) {
 	key := fingerprint.Key()
-	g.slots[key%goodEndSlots] = goodEnd{key: key, at: now}
+	r.slots[key%successSlots] = success{key: key, at: now}
 }
 
-// Acquittals returns a word for each of the requests that are reported and that ended well lately,
-// where the tally does not know so.
-func (g *RecentSuccesses) Acquittals(now time.Time, tally *Tracker, reports []Report) []Report {
-	var vouched []Report
+// Acquittals returns an acquitting report for each reported request that recently succeeded here, unless
+// the tracker already knows of a success.
+func (r *RecentSuccesses) Acquittals(now time.Time, tracker *Tracker, reports []Report) []Report {
+	var acquittals []Report
 	for _, report := range reports {
-		age, isGood := g.Age(now, report.Fingerprint)
-		if !report.Acquitted && isGood && !tally.SucceededRecently(now, report.Fingerprint) {
-			vouched = append(vouched, Report{Fingerprint: report.Fingerprint, Age: age, Acquitted: true})
+		age, isRecent := r.Age(now, report.Fingerprint)
+		if !report.Acquitted && isRecent && !tracker.SucceededRecently(now, report.Fingerprint) {
+			acquittals = append(acquittals, Report{Fingerprint: report.Fingerprint, Age: age, Acquitted: true})
 		}
 	}
-	return vouched
+	return acquittals
 }
 
-// Age is how long ago such a request ended well; ok is false where that was too long ago to
-// vouch for it, or is not known.
-func (g *RecentSuccesses) Age(now time.Time, fingerprint Fingerprint) (age time.Duration, ok bool) {
+// Age is how long ago the request succeeded; ok is false where that is unknown, or too long ago to
+// acquit it.
+func (r *RecentSuccesses) Age(now time.Time, fingerprint Fingerprint) (age time.Duration, ok bool) {
 	key := fingerprint.Key()
-	slot := g.slots[key%goodEndSlots]
+	slot := r.slots[key%successSlots]
 	if slot.key != key {
 		return 0, false
 	}
 	age = now.Sub(slot.at)
-	return age, age < vouchTime
+	return age, age < successTTL
 }
--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -7,402 +7,401 @@
 )
 
 const (
-	// CrashLimit is the number of servers that end under a request until it is barred:
-	// with fewer, requests that happened to run on servers that crashed would be.
+	// CrashLimit is the number of servers that crash under a request until it is barred: with fewer,
+	// requests that happened to run on crashing servers would be barred.
 	CrashLimit = 3
-	// sameMoment is the time within which servers that end count once: a rack or a zone
-	// that fails takes many servers of one caller's repeats at once, and takes them all
-	// in a few milliseconds; poison requests that run side by side take their servers
-	// tens of milliseconds apart.
-	sameMoment = 20 * time.Millisecond
-	// suspectTime is how long a request that is not barred is remembered: callers repeat
-	// within their deadlines, which are tens of seconds.
-	suspectTime = 2 * time.Minute
-	// vouchTime is how long a good end speaks for a request: what ends well now and then
-	// does not end each server that runs it. What once ended well and ends servers since a
-	// release is barred after it.
-	vouchTime = time.Minute
-	// firstBar is how long a request is barred at first. What many callers send alike may be
-	// barred with a poison request that ran on the same servers, and would never end well
-	// again: after firstBar, when the repeats of a caller within its deadline are over, it is
-	// tried. One that ends a further server is barred for barTime, then for twice as long each
-	// time, up to longestBar. A server's new software may bear what the old one did not.
-	firstBar = 20 * time.Second
-	// earlyTrial is the time from the last server on after which a request may be tried within
-	// its first bar: copies that were under way have ended by then, as a rule.
-	earlyTrial = time.Second
-	// earlyCopies is how many copies a node refused before it asks for such a trial. What
-	// callers send alike comes many times a second; one caller's repeats, of which a trial
-	// ends one more server, do not.
-	earlyCopies = 5
-	barTime     = 10 * time.Minute
-	longestBar  = 2 * time.Hour
-	// mostSuspects bounds what is remembered, to about 100 KB: one server that crashes
-	// makes as many suspects as it had requests, and a caller may send as many different
-	// bodies as it likes. Who ended fewest servers longest ago makes way.
-	mostSuspects = 512
-	// mostEnds bounds the servers remembered for a request, the last ones; those beyond
-	// CrashLimit excuse the requests that ran beside it.
-	mostEnds = 8
+	// sameEventWindow is the time within which several crashes count as one: a failing rack or zone takes
+	// many servers of one caller's retries within a few milliseconds, while poison requests that run in
+	// parallel crash their servers tens of milliseconds apart.
+	sameEventWindow = 20 * time.Millisecond
+	// suspectTTL is how long a suspect that is not barred is remembered: callers retry within their
+	// deadlines, which are tens of seconds.
+	suspectTTL = 2 * time.Minute
+	// successTTL is how long a success clears a request: a request that succeeds now and then does not
+	// crash every server. One that once succeeded and crashes servers since a new release is barred after
+	// this time.
+	successTTL = time.Minute
+	// firstBarTime is how long a request is barred at first. A request that many callers send identically
+	// may be barred along with a poison request that ran on the same servers, and could never succeed
+	// again: after firstBarTime, when a caller's retries within its deadline are over, it gets a trial. A
+	// request that crashes another server is barred for repeatBarTime, then for twice as long each time, up
+	// to maxBarTime. It is never barred for good, since a new release of the server may withstand it.
+	firstBarTime = 20 * time.Second
+	// earlyTrialDelay is the time after the last crash from which a request may be tried within its first
+	// bar: copies that were in flight have usually ended by then.
+	earlyTrialDelay = time.Second
+	// earlyTrialRefusals is the number of copies that a node refuses before it asks for such a trial.
+	// Requests that many callers send identically come many times a second; the retries of one caller,
+	// whose trial would crash one more server, do not.
+	earlyTrialRefusals = 5
+	repeatBarTime      = 10 * time.Minute
+	maxBarTime         = 2 * time.Hour
+	// maxSuspects bounds the suspects remembered, to about 100 KB: each crashed server makes as many
+	// suspects as it had requests, and a caller may send any number of different bodies. The suspect with
+	// the fewest crashes, and among these the oldest, is evicted first.
+	maxSuspects = 512
+	// maxCrashes bounds the crashes remembered for a request, the latest ones; those beyond CrashLimit
+	// serve to excuse the requests that ran on the same servers.
+	maxCrashes = 8
 )
 
 // Status is what is known of a request.
 type Status int
 
 const (
-	// StatusClear requests have ended no server.
+	// StatusClear requests have crashed no server, or were cleared by a success.
 	StatusClear Status = iota
-	// StatusSuspect ones ran on servers that ended.
+	// StatusSuspect requests were running on servers that crashed.
 	StatusSuspect
-	// StatusOnTrial ones were barred until lately: one node may send them once, after it
-	// claimed that (Tally.ClaimTrial).
+	// StatusOnTrial requests were barred until recently: one node may send them once, after claiming the
+	// trial (Tracker.ClaimTrial).
 	StatusOnTrial
-	// StatusBarred ones ended CrashLimit servers and are sent to none.
+	// StatusBarred requests crashed CrashLimit servers and are not sent to any.
 	StatusBarred
 )
 
-// Report is one server that ended under a request, or, where Acquitted is set, that a
-// suspect ended well.
+// Report says that one server crashed under a request or, if Acquitted is set, that the request
+// succeeded.
 type Report struct {
 	Fingerprint Fingerprint
-	// ServerID is empty where the report tells of a bar alone.
+	// ServerID is empty where the report tells of a bar only.
 	ServerID string
-	// Age is the time since then.
+	// Age is the time since the event.
 	Age time.Duration
-	// RanFor is for how long the server had the request when it ended; 0 where that is not
-	// known. One that got it after a server of its ID had ended is another start of it.
+	// RanFor is how long the server had been running the request when it crashed; 0 if unknown. If the
+	// request reached it after a server of the same ID had crashed, this is another start of that server.
 	RanFor    time.Duration
 	Acquitted bool
-	// BarredFor is how long the request is barred yet; 0 where it is not. A node that did
-	// not see the servers end goes by it.
+	// BarredFor is how much longer the request is barred; 0 if it is not. It informs nodes that did not
+	// see the crashes.
 	BarredFor time.Duration
-	// Lifted is set where an operator ended the bar: what was known of the request is
-	// forgotten. Nothing speaks for it, so that it is barred again as any other.
+	// Lifted is set where an operator lifted the bar: everything known of the request is forgotten. Unlike
+	// a success this does not protect it: new crashes bar it as they would any other request.
 	Lifted bool
 }
 
-// end is a server that ended under a request.
-type end struct {
+// crash is a server that crashed under a request.
+type crash struct {
 	serverID string
 	at       time.Time
-	// ran is for how long it had the request; 0 where that is not known.
-	ran time.Duration
-	// isShared is set where a request that is barred ran there, too: which of them the
-	// server ended under cannot be told.
+	// ranFor is how long the server had been running the request; 0 if unknown.
+	ranFor time.Duration
+	// isShared is set where a barred request was running there, too: which of them caused the crash cannot
+	// be told.
 	isShared bool
 }
 
-// Points that a server counts: one that ended under a barred request as well counts less,
-// so that a request is barred for four servers where it shared some of them. With nothing
-// for those, poison requests that run side by side would excuse each other: of twelve, each
-// coming every 0.3 s, one ended 8 servers even with half. With all for them callers beside
-// a poison request would be barred with it.
+// Points per crash: one that was shared with a barred request counts less, so that a request is barred
+// after four crashes if some of them were shared. If shared crashes counted nothing, poison requests
+// that run in parallel would excuse each other: of twelve such requests, each sent every 0.3 s, one
+// crashed 8 servers even when they counted half. If they counted fully, harmless requests next to a
+// poison request would be barred along with it.
 const (
 	fullPoints   = 4
 	sharedPoints = 3
 	limitPoints  = CrashLimit * fullPoints
 )
 
-// suspect is a request under which servers ended.
+// suspect is a request under which servers crashed.
 type suspect struct {
-	ends []end
-	// clearedAt is when it last ended well: servers that ended before do not count.
-	clearedAt time.Time
-	// barredUntil is zero until it is barred; barred is for how long it was last.
+	crashes []crash
+	// succeededAt is when it last succeeded: earlier crashes do not count.
+	succeededAt time.Time
+	// barredUntil is zero until it is barred; barTime is the length of the current or last bar.
 	barredUntil time.Time
-	barred      time.Duration
-	// trialAt is when the last trial was claimed, zero where none was since the last
-	// bar, and trials the number of those that told nothing.
-	trialAt time.Time
-	trials  int
-	// earlyAt is when a trial within the first bar was claimed here; refused counts the copies
-	// that this node refused in that bar.
-	earlyAt time.Time
-	refused int
-	// triedUntil is until when the outcome of a trial that was claimed here is waited for.
-	triedUntil time.Time
-	// liftedAt is when an operator ended its bar.
+	barTime     time.Duration
+	// trialAt is when the last trial was claimed, zero if none was since the last bar, and
+	// inconclusiveTrials the number of trials without a known result.
+	trialAt            time.Time
+	inconclusiveTrials int
+	// earlyTrialAt is when a trial within the first bar was claimed here; refusals counts the copies that
+	// this node refused.
+	earlyTrialAt time.Time
+	refusals     int
+	// trialPendingUntil is until when the result of a trial claimed here is awaited.
+	trialPendingUntil time.Time
+	// liftedAt is when an operator lifted its bar.
 	liftedAt time.Time
 }
 
-// Tracker is what a node knows of the requests under which servers ended, by its own
-// requests and by what other nodes report. Reports may come often and in any order: a
-// server counts once for each request. It is not safe for concurrent use.
+// Tracker is what a node knows of suspect requests, from its own requests and the reports of other nodes.
+// Reports may be repeated and may come in any order: each crash counts once per request. It is not safe
+// for concurrent use.
 type Tracker struct {
 	suspects map[Fingerprint]*suspect
 }
 
-// NewTracker returns a tally that suspects nobody.
+// NewTracker returns a tracker without suspects.
 func NewTracker() *Tracker { return &Tracker{suspects: make(map[Fingerprint]*suspect)} }
 
 // Size is the number of requests remembered.
 func (t *Tracker) Size() int { return len(t.suspects) }
 
-// Status is what is known of a request.
+// Status is the current status of a request.
 func (t *Tracker) Status(now time.Time, fingerprint Fingerprint) Status {
-	known, ok := t.suspects[fingerprint]
+	entry, ok := t.suspects[fingerprint]
 	switch {
-	case !ok || known.isForgotten(now) || known.isVouched(now):
+	case !ok || entry.isForgotten(now) || entry.succeededRecently(now):
 		return StatusClear
-	case now.Before(known.barredUntil) && (known.refused < earlyCopies || !t.mayTryEarly(now, known)):
+	case now.Before(entry.barredUntil) && (entry.refusals < earlyTrialRefusals || !t.isEarlyTrialDue(now, entry)):
 		return StatusBarred
-	case known.barred > 0:
+	case entry.barTime > 0:
 		return StatusOnTrial
-	case known.points() > 0:
+	case entry.points() > 0:
 		return StatusSuspect
 	default:
 		return StatusClear
 	}
 }
 
-// Record takes a report. It returns false where it says nothing new.
+// Record applies a report. It returns false where the report is not news.
 func (t *Tracker) Record(now time.Time, report Report) bool {
 	at := now.Add(-report.Age)
 	switch {
 	case report.Lifted:
-		return t.lift(now, at, report.Fingerprint)
+		return t.liftBar(now, at, report.Fingerprint)
 	case report.Acquitted:
-		return t.acquit(now, at, report.Fingerprint)
+		return t.recordSuccess(now, at, report.Fingerprint)
 	}
-	if report.Age > suspectTime && report.BarredFor <= 0 {
+	if report.Age > suspectTTL && report.BarredFor <= 0 {
 		return false
 	}
-	known := t.entry(now, report.Fingerprint)
-	wasBarred := now.Before(known.barredUntil)
-	isNew := report.ServerID != "" && known.add(end{serverID: report.ServerID, at: at, ran: report.RanFor, isShared: t.isShared(report.Fingerprint, report.ServerID)})
-	if at.After(known.forgivenAt()) {
-		known.hearBar(now, report.BarredFor)
+	entry := t.suspectFor(now, report.Fingerprint)
+	wasBarred := now.Before(entry.barredUntil)
+	isNew := report.ServerID != "" && entry.addCrash(crash{serverID: report.ServerID, at: at, ranFor: report.RanFor, isShared: t.isShared(report.Fingerprint, report.ServerID)})
+	if at.After(entry.resetAt()) {
+		entry.extendBar(now, report.BarredFor)
 	}
 	if isNew {
-		known.endTrial(at)
-		t.judge(now, at, known)
+		entry.endTrialAt(at)
+		t.updateBar(now, at, entry)
 	}
-	return isNew || !wasBarred && now.Before(known.barredUntil)
+	return isNew || !wasBarred && now.Before(entry.barredUntil)
 }
 
-// entry is what is remembered of the request, from now on.
-func (t *Tracker) entry(now time.Time, fingerprint Fingerprint) *suspect {
-	known, ok := t.suspects[fingerprint]
-	if ok && !known.isForgotten(now) {
-		return known
+// suspectFor returns the entry of the request, creating it if necessary.
+func (t *Tracker) suspectFor(now time.Time, fingerprint Fingerprint) *suspect {
+	entry, ok := t.suspects[fingerprint]
+	if ok && !entry.isForgotten(now) {
+		return entry
 	}
 	delete(t.suspects, fingerprint)
-	t.makeRoom(now)
-	known = &suspect{}
-	t.suspects[fingerprint] = known
-	return known
+	t.evict(now)
+	entry = &suspect{}
+	t.suspects[fingerprint] = entry
+	return entry
 }
 
-// isVouched reports whether the request ended well lately.
-func (s *suspect) isVouched(now time.Time) bool {
-	return !s.clearedAt.IsZero() && now.Sub(s.clearedAt) < vouchTime
+// succeededRecently reports whether the request succeeded within successTTL.
+func (s *suspect) succeededRecently(now time.Time) bool {
+	return !s.succeededAt.IsZero() && now.Sub(s.succeededAt) < successTTL
 }
 
-// add takes a server that ended; it returns false where it is known or does not count.
-// Of several times at which one server ended the earliest counts, in whichever order they
-// are heard.
-func (s *suspect) add(added end) bool {
-	if !added.at.After(s.forgivenAt()) {
+// addCrash adds a crash; it returns false where the crash is already known or does not count. Of several
+// reported times of one crash the earliest counts, in whatever order the reports come.
+func (s *suspect) addCrash(added crash) bool {
+	if !added.at.After(s.resetAt()) {
 		return false
 	}
-	byTime := func(a, b end) int { return a.at.Compare(b.at) }
-	if i := slices.IndexFunc(s.ends, added.isSame); i >= 0 {
-		if added.at.Before(s.ends[i].at) {
-			s.ends[i].at = added.at
-			slices.SortFunc(s.ends, byTime)
+	byTime := func(a, b crash) int { return a.at.Compare(b.at) }
+	if i := slices.IndexFunc(s.crashes, added.isSameCrash); i >= 0 {
+		if added.at.Before(s.crashes[i].at) {
+			s.crashes[i].at = added.at
+			slices.SortFunc(s.crashes, byTime)
 		}
 		return false
 	}
-	if len(s.ends) >= mostEnds && added.at.Before(s.ends[0].at) {
+	if len(s.crashes) >= maxCrashes && added.at.Before(s.crashes[0].at) {
 		return false
 	}
-	s.ends = append(s.ends, added)
-	slices.SortFunc(s.ends, byTime)
-	s.ends = s.ends[max(0, len(s.ends)-mostEnds):]
+	s.crashes = append(s.crashes, added)
+	slices.SortFunc(s.crashes, byTime)
+	s.crashes = s.crashes[max(0, len(s.crashes)-maxCrashes):]
 	return true
 }
 
-// restartMargin is by how much later than an end another start of the server must have got its
-// request: reports tell times as ages, which grow on their way. Servers take longer to start.
-const restartMargin = 200 * time.Millisecond
+// reportDelayMargin is the time after a crash from which a request counts as running on a later start of
+// that server: reports carry ages, which grow in transit. Servers take longer than this to start.
+const reportDelayMargin = 200 * time.Millisecond
 
-// isSame reports whether two ends are of one start of a server.
-func (e end) isSame(other end) bool {
-	if e.serverID != other.serverID {
+// isSameCrash reports whether both are crashes of the same start of a server.
+func (c crash) isSameCrash(other crash) bool {
+	if c.serverID != other.serverID {
 		return false
 	}
-	first, last := e, other
+	first, last := c, other
 	if last.at.Before(first.at) {
 		first, last = last, first
 	}
-	return last.ran == 0 || last.at.Add(-last.ran).Before(first.at.Add(restartMargin))
+	return last.ranFor == 0 || last.at.Add(-last.ranFor).Before(first.at.Add(reportDelayMargin))
 }
 
-// hearBar takes another node's word that the request is barred.
-func (s *suspect) hearBar(now time.Time, barredFor time.Duration) {
-	if barredFor <= 0 || s.isVouched(now) || s.isLifted(now) {
+// extendBar applies another node's report that the request is barred.
+func (s *suspect) extendBar(now time.Time, barredFor time.Duration) {
+	if barredFor <= 0 || s.succeededRecently(now) || s.isLiftedRecently(now) {
 		return
 	}
-	barredFor = min(barredFor, longestBar)
-	s.barred = max(s.barred, barredFor)
+	barredFor = min(barredFor, maxBarTime)
+	s.barTime = max(s.barTime, barredFor)
 	if until := now.Add(barredFor); until.After(s.barredUntil) {
 		s.barredUntil = until
 	}
 }
 
-// points are those of the servers that ended, those of one moment as one.
+// points adds up the crashes, counting those within sameEventWindow as one.
 func (s *suspect) points() int {
-	total, ofMoment := 0, 0
-	var moment time.Time
-	for i, e := range s.ends {
-		if i == 0 || e.at.Sub(moment) > sameMoment {
-			total, ofMoment = total+ofMoment, 0
-			moment = e.at
+	total, ofEvent := 0, 0
+	var eventStart time.Time
+	for i, c := range s.crashes {
+		if i == 0 || c.at.Sub(eventStart) > sameEventWindow {
+			total, ofEvent = total+ofEvent, 0
+			eventStart = c.at
 		}
-		if e.isShared {
-			ofMoment = max(ofMoment, sharedPoints)
+		if c.isShared {
+			ofEvent = max(ofEvent, sharedPoints)
 		} else {
-			ofMoment = fullPoints
+			ofEvent = fullPoints
 		}
 	}
-	return total + ofMoment
+	return total + ofEvent
 }
 
-// judge bars a suspect that ended too many servers, the last one heard of at endedAt; for
-// those that ran there beside it these count less from then on. A server that ended before
-// the last bar was over says nothing of a trial after it.
-func (t *Tracker) judge(now, endedAt time.Time, known *suspect) {
-	if known.isVouched(now) {
+// updateBar bars a suspect that crashed too many servers, the latest of them at crashedAt. From then on
+// these crashes count less for other suspects that ran on the same servers. A crash before the end of
+// the last bar says nothing about a trial after it.
+func (t *Tracker) updateBar(now, crashedAt time.Time, entry *suspect) {
+	if entry.succeededRecently(now) {
 		return
 	}
-	isAgain := known.barred > 0 && (endedAt.After(known.barredUntil) || known.isTried(endedAt))
+	isRepeated := entry.barTime > 0 && (crashedAt.After(entry.barredUntil) || entry.crashedInTrial(crashedAt))
 	switch {
-	case isAgain:
-		known.barred = min(max(barTime, 2*known.barred), longestBar)
-	case known.barred == 0 && known.points() >= limitPoints:
-		known.barred = firstBar
-	case known.barred == 0:
+	case isRepeated:
+		entry.barTime = min(max(repeatBarTime, 2*entry.barTime), maxBarTime)
+	case entry.barTime == 0 && entry.points() >= limitPoints:
+		entry.barTime = firstBarTime
+	case entry.barTime == 0:
 		return
 	}
-	if isAgain || known.barredUntil.IsZero() {
-		known.barredUntil = now.Add(known.barred)
-		known.trialAt, known.trials = time.Time{}, 0
+	if isRepeated || entry.barredUntil.IsZero() {
+		entry.barredUntil = now.Add(entry.barTime)
+		entry.trialAt, entry.inconclusiveTrials = time.Time{}, 0
 	}
 	for _, other := range t.suspects {
-		if other == known || other.barred > 0 {
+		if other == entry || other.barTime > 0 {
 			continue
 		}
-		for i := range other.ends {
-			other.ends[i].isShared = other.ends[i].isShared || known.has(other.ends[i].serverID)
+		for i := range other.crashes {
+			other.crashes[i].isShared = other.crashes[i].isShared || entry.crashed(other.crashes[i].serverID)
 		}
 	}
 }
 
-func (s *suspect) has(serverID string) bool {
-	return slices.ContainsFunc(s.ends, func(e end) bool { return e.serverID == serverID })
+// crashed reports whether the server crashed under the request.
+func (s *suspect) crashed(serverID string) bool {
+	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.serverID == serverID })
 }
 
-// isShared reports whether the server ended under another request that is barred.
+// isShared reports whether the server also crashed under another request that is barred.
 func (t *Tracker) isShared(fingerprint Fingerprint, serverID string) bool {
-	for other, known := range t.suspects {
-		if known.barred > 0 && other != fingerprint && known.has(serverID) {
+	for other, entry := range t.suspects {
+		if entry.barTime > 0 && other != fingerprint && entry.crashed(serverID) {
 			return true
 		}
 	}
 	return false
 }
 
-// acquit takes it that a request ended well at that time. It returns false where that was
-// known, about.
-func (t *Tracker) acquit(now, at time.Time, fingerprint Fingerprint) bool {
-	if now.Sub(at) >= vouchTime {
+// recordSuccess records that a request succeeded at that time. It returns false where a success of about
+// that time is known.
+func (t *Tracker) recordSuccess(now, at time.Time, fingerprint Fingerprint) bool {
+	if now.Sub(at) >= successTTL {
 		return false
 	}
-	known := t.entry(now, fingerprint)
-	if at.Sub(known.clearedAt) < vouchTime/2 {
+	entry := t.suspectFor(now, fingerprint)
+	if at.Sub(entry.succeededAt) < successTTL/2 {
 		return false
 	}
-	known.clearedAt = at
-	known.ends = slices.DeleteFunc(known.ends, func(e end) bool { return !e.at.After(at) })
-	known.endBar()
+	entry.succeededAt = at
+	entry.crashes = slices.DeleteFunc(entry.crashes, func(c crash) bool { return !c.at.After(at) })
+	entry.resetBar()
 	return true
 }
 
-// SucceededRecently reports whether the request is known to have ended well lately.
+// SucceededRecently reports whether the request is known to have succeeded within successTTL.
 func (t *Tracker) SucceededRecently(now time.Time, fingerprint Fingerprint) bool {
-	known, ok := t.suspects[fingerprint]
-	return ok && known.isVouched(now)
+	entry, ok := t.suspects[fingerprint]
+	return ok && entry.succeededRecently(now)
 }
 
-// isForgotten reports whether nothing is remembered of the request any more. One that
-// was barred is remembered as long again, and suspectTime at least, so that one more
-// server bars it anew.
+// isForgotten reports whether the entry has expired. A request that was barred is remembered for the
+// length of its bar after it, and for suspectTTL at least, so that one more crash bars it again.
 func (s *suspect) isForgotten(now time.Time) bool {
-	if s.barred > 0 {
-		return now.After(s.barredUntil.Add(max(s.barred, suspectTime)))
+	if s.barTime > 0 {
+		return now.After(s.barredUntil.Add(max(s.barTime, suspectTTL)))
 	}
-	return now.Sub(s.latest()) > suspectTime
+	return now.Sub(s.lastCrashAt()) > suspectTTL
 }
 
-// latest is when something was last heard of the request.
-func (s *suspect) latest() time.Time {
-	if len(s.ends) == 0 {
-		return s.forgivenAt()
+// lastCrashAt is when a server last crashed under the request, or when it was last cleared.
+func (s *suspect) lastCrashAt() time.Time {
+	if len(s.crashes) == 0 {
+		return s.resetAt()
 	}
-	return s.ends[len(s.ends)-1].at
+	return s.crashes[len(s.crashes)-1].at
 }
 
-// makeRoom forgets what is over and, where the table is full, who counts least.
-func (t *Tracker) makeRoom(now time.Time) {
-	if len(t.suspects) < mostSuspects {
+// evict removes expired entries and, if the table is still full, the least important one.
+func (t *Tracker) evict(now time.Time) {
+	if len(t.suspects) < maxSuspects {
 		return
 	}
-	var least Fingerprint
+	var evicted Fingerprint
 	var weakest *suspect
-	for fingerprint, known := range t.suspects {
-		if known.isForgotten(now) {
+	for fingerprint, entry := range t.suspects {
+		if entry.isForgotten(now) {
 			delete(t.suspects, fingerprint)
 			continue
 		}
-		if weakest == nil || known.weakerThan(weakest) {
-			least, weakest = fingerprint, known
+		if weakest == nil || entry.evictBefore(weakest) {
+			evicted, weakest = fingerprint, entry
 		}
 	}
-	if len(t.suspects) >= mostSuspects {
-		delete(t.suspects, least)
+	if len(t.suspects) >= maxSuspects {
+		delete(t.suspects, evicted)
 	}
 }
 
-func (s *suspect) weakerThan(other *suspect) bool {
-	return cmp.Or(cmp.Compare(s.barred, other.barred), cmp.Compare(len(s.ends), len(other.ends)), s.latest().Compare(other.latest())) < 0
+// evictBefore reports whether the suspect is less important than the other.
+func (s *suspect) evictBefore(other *suspect) bool {
+	return cmp.Or(cmp.Compare(s.barTime, other.barTime), cmp.Compare(len(s.crashes), len(other.crashes)), s.lastCrashAt().Compare(other.lastCrashAt())) < 0
 }
 
-// Sweep forgets what is over.
+// Sweep removes expired entries.
 func (t *Tracker) Sweep(now time.Time) {
-	for fingerprint, known := range t.suspects {
-		if known.isForgotten(now) {
+	for fingerprint, entry := range t.suspects {
+		if entry.isForgotten(now) {
 			delete(t.suspects, fingerprint)
 		}
 	}
 }
 
-// Reports are those of the request, which bring another node to the same standing.
+// Reports are the reports that bring another node to the same status of the request.
 func (t *Tracker) Reports(now time.Time, fingerprint Fingerprint) []Report {
-	known, ok := t.suspects[fingerprint]
+	entry, ok := t.suspects[fingerprint]
 	if !ok {
 		return nil
 	}
 	var reports []Report
-	for _, e := range known.ends {
+	for _, c := range entry.crashes {
 		reports = append(reports, Report{
-			Fingerprint: fingerprint, ServerID: e.serverID, Age: now.Sub(e.at), RanFor: e.ran, BarredFor: t.BarRemaining(now, fingerprint),
+			Fingerprint: fingerprint, ServerID: c.serverID, Age: now.Sub(c.at), RanFor: c.ranFor, BarredFor: t.BarRemaining(now, fingerprint),
 		})
 	}
 	return reports
 }
 
-// LastReport is the last of the request's reports, which bars it at a node that hears it
-// where it is barred here.
+// LastReport is the latest of the request's reports. It carries the bar, so that a node that gets only
+// this report bars the request as well.
 func (t *Tracker) LastReport(now time.Time, fingerprint Fingerprint) Report {
 	reports := t.Reports(now, fingerprint)
 	if len(reports) == 0 {
@@ -411,27 +410,27 @@
 	return reports[len(reports)-1]
 }
 
-// CrashCount is the number of servers that ended under a request.
+// CrashCount is the number of servers known to have crashed under a request.
 func (t *Tracker) CrashCount(fingerprint Fingerprint) int {
-	if known, ok := t.suspects[fingerprint]; ok {
-		return len(known.ends)
+	if entry, ok := t.suspects[fingerprint]; ok {
+		return len(entry.crashes)
 	}
 	return 0
 }
 
-// BarRemaining is for how long the request is barred yet.
+// BarRemaining is how much longer the request is barred.
 func (t *Tracker) BarRemaining(now time.Time, fingerprint Fingerprint) time.Duration {
-	if known, ok := t.suspects[fingerprint]; ok {
-		return max(0, known.barredUntil.Sub(now))
+	if entry, ok := t.suspects[fingerprint]; ok {
+		return max(0, entry.barredUntil.Sub(now))
 	}
 	return 0
 }
 
-// Barred are the requests that are barred now, in order.
+// Barred are the requests that are barred now, sorted.
 func (t *Tracker) Barred(now time.Time) []Fingerprint {
 	var barred []Fingerprint
-	for fingerprint, known := range t.suspects {
-		if now.Before(known.barredUntil) {
+	for fingerprint, entry := range t.suspects {
+		if now.Before(entry.barredUntil) {
 			barred = append(barred, fingerprint)
 		}
 	}
--- a/internal/poison/trial.go
+++ b/internal/poison/trial.go
@@ -5,94 +5,92 @@
 	"time"
 )
 
-// trialPatience is how long a trial that told nothing yet keeps back those of requests that ended
-// the same servers: beside it they would be blamed for its end, or it for theirs. Callers wait
-// for whole answers for seconds.
-const trialPatience = 5 * time.Second
+// trialTimeout is how long a trial without a result blocks trials of requests that ran on the same
+// crashed servers: with both in flight, one would be blamed for a crash caused by the other. Callers wait
+// seconds for whole responses.
+const trialTimeout = 5 * time.Second
 
-// longestTrialStep bounds how often the pause after a trial that told nothing is doubled: the
-// pause is bounded by longestBar anyway.
-const longestTrialStep = 8
+// maxTrialDoublings bounds the doublings of the pause after an inconclusive trial; maxBarTime bounds the
+// pause itself.
+const maxTrialDoublings = 8
 
-// ClaimTrial takes that a request whose bar is over is about to be sent once more, and reports
-// whether it may be. It then is barred again, for as long as before: whatever becomes of the
-// trial, no second one begins beside it, and where nothing is heard of it (the way to its
-// server was cut) the next one waits twice as long. A node that was not told of the bar grants
-// the trial as one after a first bar. Within its first bar a request may be tried early.
+// ClaimTrial claims the one send of a request whose bar is over, and reports whether it is granted. The
+// request is then barred again for the same time: whatever becomes of the trial, no second one starts
+// alongside it, and if its result never arrives (the server could not be reached any more) the next one
+// waits twice as long. A node that was not told of the bar grants the trial as after a first bar. Within
+// its first bar a request may get an early trial.
 func (t *Tracker) ClaimTrial(now time.Time, fingerprint Fingerprint) bool {
-	known := t.entry(now, fingerprint)
+	entry := t.suspectFor(now, fingerprint)
 	switch {
-	case known.isVouched(now):
+	case entry.succeededRecently(now):
 		return true
-	case t.isTrialBeside(now, known):
+	case t.isRelatedTrialPending(now, entry):
 		return false
-	case now.Before(known.barredUntil):
-		return t.claimEarly(now, known)
+	case now.Before(entry.barredUntil):
+		return t.claimEarlyTrial(now, entry)
 	}
-	known.barred = max(known.barred, firstBar)
-	known.barredUntil = now.Add(min(known.barred<<min(known.trials, longestTrialStep), longestBar))
-	known.trialAt, known.triedUntil = now, now.Add(trialPatience)
-	known.trials++
+	entry.barTime = max(entry.barTime, firstBarTime)
+	entry.barredUntil = now.Add(min(entry.barTime<<min(entry.inconclusiveTrials, maxTrialDoublings), maxBarTime))
+	entry.trialAt, entry.trialPendingUntil = now, now.Add(trialTimeout)
+	entry.inconclusiveTrials++
 	return true
 }
 
-// endTrial takes that a server ended under the request: under its trial, where one is under way.
-func (s *suspect) endTrial(endedAt time.Time) {
-	if !endedAt.Before(s.triedUntil.Add(-trialPatience)) {
-		s.triedUntil = time.Time{}
+// endTrialAt ends a pending trial if the crash at that time happened during it.
+func (s *suspect) endTrialAt(crashedAt time.Time) {
+	if !crashedAt.Before(s.trialPendingUntil.Add(-trialTimeout)) {
+		s.trialPendingUntil = time.Time{}
 	}
 }
 
-// isTrialBeside reports whether a request that ended a server of this one's is being tried.
-func (t *Tracker) isTrialBeside(now time.Time, known *suspect) bool {
+// isRelatedTrialPending reports whether another request that ran on one of the same crashed servers is on
+// trial now.
+func (t *Tracker) isRelatedTrialPending(now time.Time, entry *suspect) bool {
 	for _, other := range t.suspects {
-		if other != known && now.Before(other.triedUntil) && slices.ContainsFunc(known.ends, func(e end) bool { return other.has(e.serverID) }) {
+		if other != entry && now.Before(other.trialPendingUntil) && slices.ContainsFunc(entry.crashes, func(c crash) bool { return other.crashed(c.serverID) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// isTried reports whether a server that ended at that time ended under a trial, as far as is
-// known here.
-func (s *suspect) isTried(endedAt time.Time) bool {
-	return !s.trialAt.IsZero() && !endedAt.Before(s.trialAt)
+// crashedInTrial reports whether a crash at that time happened in a trial, as far as this node knows.
+func (s *suspect) crashedInTrial(crashedAt time.Time) bool {
+	return !s.trialAt.IsZero() && !crashedAt.Before(s.trialAt)
 }
 
-// lift takes an operator's word that the request is barred no more. It returns false where
-// that was known.
-func (t *Tracker) lift(now, at time.Time, fingerprint Fingerprint) bool {
-	if now.Sub(at) >= vouchTime {
+// liftBar applies an operator's order to lift the bar. It returns false where it is already known.
+func (t *Tracker) liftBar(now, at time.Time, fingerprint Fingerprint) bool {
+	if now.Sub(at) >= successTTL {
 		return false
 	}
-	known := t.entry(now, fingerprint)
-	if at.Sub(known.liftedAt) < vouchTime/2 {
+	entry := t.suspectFor(now, fingerprint)
+	if at.Sub(entry.liftedAt) < successTTL/2 {
 		return false
 	}
-	known.liftedAt = at
-	known.ends = nil
-	known.endBar()
+	entry.liftedAt = at
+	entry.crashes = nil
+	entry.resetBar()
 	return true
 }
 
-// isLifted reports whether an operator ended the bar lately: what other nodes still tell of it
-// holds no more.
-func (s *suspect) isLifted(now time.Time) bool {
-	return !s.liftedAt.IsZero() && now.Sub(s.liftedAt) < vouchTime
+// isLiftedRecently reports whether an operator lifted the bar within successTTL: reports of the bar from
+// other nodes are out of date then.
+func (s *suspect) isLiftedRecently(now time.Time) bool {
+	return !s.liftedAt.IsZero() && now.Sub(s.liftedAt) < successTTL
 }
 
-// forgivenAt is when the request last ended well or its bar was lifted: servers that ended
-// before do not count.
-func (s *suspect) forgivenAt() time.Time {
-	if s.liftedAt.After(s.clearedAt) {
+// resetAt is when the request last succeeded or its bar was lifted: earlier crashes do not count.
+func (s *suspect) resetAt() time.Time {
+	if s.liftedAt.After(s.succeededAt) {
 		return s.liftedAt
 	}
-	return s.clearedAt
+	return s.succeededAt
 }
 
-// endBar forgets that the request was barred.
-func (s *suspect) endBar() {
-	s.barred, s.barredUntil = 0, time.Time{}
-	s.trialAt, s.trials = time.Time{}, 0
-	s.earlyAt, s.triedUntil, s.refused = time.Time{}, time.Time{}, 0
+// resetBar clears the bar and its trials.
+func (s *suspect) resetBar() {
+	s.barTime, s.barredUntil = 0, time.Time{}
+	s.trialAt, s.inconclusiveTrials = time.Time{}, 0
+	s.earlyTrialAt, s.trialPendingUntil, s.refusals = time.Time{}, time.Time{}, 0
 }
--- a/internal/poison/trial_test.go
+++ b/internal/poison/trial_test.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// barredTally is a tally in which p was barred, and the moment after its first bar.
-func barredTally() (*Tracker, time.Time) {
-	tally := taken(crash{"p", "a", 0, false}, crash{"p", "b", 500, false}, crash{"p", "c", 900, false})
-	return tally, start.Add(900*time.Millisecond + firstBar + time.Millisecond)
+// barredTracker is a tracker in which p was barred, and the time right after its first bar.
+func barredTracker() (*Tracker, time.Time) {
+	tracker := trackerWith(crashAt{"p", "a", 0, false}, crashAt{"p", "b", 500, false}, crashAt{"p", "c", 900, false})
+	return tracker, start.Add(900*time.Millisecond + firstBarTime + time.Millisecond)
 }
 
-// TestTrialIsClaimedOnce: of the copies that come when a bar ends one is sent.
+// Of the copies that arrive when a bar ends only one is granted a trial.
 func TestTrialIsClaimedOnce(t *testing.T) {
-	tally, over := barredTally()
-	if tally.ClaimTrial(over.Add(-time.Second), named("p")) {
+	tracker, over := barredTracker()
+	if tracker.ClaimTrial(over.Add(-time.Second), requestNamed("p")) {
 		t.Fatal("a trial was granted while the request is barred")
 	}
 	granted := 0
 	for i := range 5 {
-		if tally.ClaimTrial(over.Add(time.Duration(i)*time.Millisecond), named("p")) {
+		if tracker.ClaimTrial(over.Add(time.Duration(i)*time.Millisecond), requestNamed("p")) {
 			granted++
 		}
 	}
 	if granted != 1 {
 		t.Errorf("%d of 5 copies were granted a trial, want 1", granted)
 	}
-	if got := tally.Status(over.Add(time.Second), named("p")); got != StatusBarred {
-		t.Errorf("standing %d beside the trial, want barred", got)
+	if got := tracker.Status(over.Add(time.Second), requestNamed("p")); got != StatusBarred {
+		t.Errorf("status %d during the trial, want barred", got)
 	}
 }
 
-// TestTrialThatEndsAServer bars for long, at the node that tried and at those that hear of it.
+// A crash in a trial bars the request for repeatBarTime, at the node that claimed the trial and at those that
+// get its reports.
 func TestTrialThatEndsAServer(t *testing.T) {
-	tally, over := barredTally()
-	tally.ClaimTrial(over, named("p"))
+	tracker, over := barredTracker()
+	tracker.ClaimTrial(over, requestNamed("p"))
 	ended := over.Add(50 * time.Millisecond)
-	tally.Record(ended, Report{Fingerprint: named("p"), ServerID: "d"})
-	if left := tally.BarRemaining(ended, named("p")); left != barTime {
-		t.Errorf("barred for %v after a trial that ended a server, want %v", left, barTime)
+	tracker.Record(ended, Report{Fingerprint: requestNamed("p"), ServerID: "d"})
+	if left := tracker.BarRemaining(ended, requestNamed("p")); left != repeatBarTime {
+		t.Errorf("barred for %v after a trial that crashed a server, want %v", left, repeatBarTime)
 	}
-	other, _ := barredTally()
-	for _, report := range tally.Reports(ended, named("p")) {
+	other, _ := barredTracker()
+	for _, report := range tracker.Reports(ended, requestNamed("p")) {
 		other.Record(ended, report)
 	}
-	if left := other.BarRemaining(ended, named("p")); left != barTime {
-		t.Errorf("barred for %v at a node that was told, want %v", left, barTime)
+	if left := other.BarRemaining(ended, requestNamed("p")); left != repeatBarTime {
+		t.Errorf("barred for %v at a node that got the reports, want %v", left, repeatBarTime)
 	}
 }
 
-// TestTrialThatEndsWell acquits.
+// A successful trial clears the request.
 func TestTrialThatEndsWell(t *testing.T) {
-	tally, over := barredTally()
-	tally.ClaimTrial(over, named("p"))
-	tally.Record(over.Add(time.Second), Report{Fingerprint: named("p"), Acquitted: true})
-	if got := tally.Status(over.Add(2*time.Second), named("p")); got != StatusClear {
-		t.Errorf("standing %d after a trial that ended well, want sound", got)
+	tracker, over := barredTracker()
+	tracker.ClaimTrial(over, requestNamed("p"))
+	tracker.Record(over.Add(time.Second), Report{Fingerprint: requestNamed("p"), Acquitted: true})
+	if got := tracker.Status(over.Add(2*time.Second), requestNamed("p")); got != StatusClear {
+		t.Errorf("status %d after a successful trial, want clear", got)
 	}
 }
 
-// TestTrialsThatTellNothing come ever more rarely: each may have ended a server that nobody
-// saw end.
+// Trials without a known result become ever rarer: each may have crashed a server unnoticed.
 func TestTrialsThatTellNothing(t *testing.T) {
-	tally, now := barredTally()
+	tracker, now := barredTracker()
 	granted := 0
 	for end := now.Add(5 * time.Minute); now.Before(end); now = now.Add(time.Second) {
-		if tally.ClaimTrial(now, named("p")) {
+		if tracker.ClaimTrial(now, requestNamed("p")) {
 			granted++
 		}
 	}
@@ -74,31 +74,31 @@
 	}
 }
 
-// TestTrialOfAnUnknownBar: a coordinator that has just started knows of no bar.
+// A coordinator that has just started and knows of no bar grants one trial.
 func TestTrialOfAnUnknownBar(t *testing.T) {
-	tally := NewTracker()
-	if !tally.ClaimTrial(start, named("p")) || tally.ClaimTrial(start.Add(time.Second), named("p")) {
+	tracker := NewTracker()
+	if !tracker.ClaimTrial(start, requestNamed("p")) || tracker.ClaimTrial(start.Add(time.Second), requestNamed("p")) {
 		t.Error("want one trial")
 	}
 }
 
-// TestLiftedBar: what was known is forgotten, what others still tell of the bar is left out,
-// and the request is barred again as any other.
+// Lifting a bar forgets the request's crashes, later reports of the old bar are ignored, and new crashes bar
+// the request as any other.
 func TestLiftedBar(t *testing.T) {
-	tally, _ := barredTally()
+	tracker, _ := barredTracker()
 	lifted := start.Add(5 * time.Second)
-	if !tally.Record(lifted, Report{Fingerprint: named("p"), Lifted: true}) || tally.Record(lifted, Report{Fingerprint: named("p"), Lifted: true}) {
-		t.Error("a lift is news once")
+	if !tracker.Record(lifted, Report{Fingerprint: requestNamed("p"), Lifted: true}) || tracker.Record(lifted, Report{Fingerprint: requestNamed("p"), Lifted: true}) {
+		t.Error("want a lift to be news exactly once")
 	}
-	tally.Record(lifted.Add(time.Second), Report{Fingerprint: named("p"), ServerID: "a", Age: 5 * time.Second, BarredFor: 10 * time.Second})
-	tally.Record(lifted.Add(time.Second), Report{Fingerprint: named("p"), BarredFor: 10 * time.Second})
-	if got := tally.Status(lifted.Add(time.Second), named("p")); got != StatusClear {
-		t.Errorf("standing %d after the bar was lifted, want sound", got)
+	tracker.Record(lifted.Add(time.Second), Report{Fingerprint: requestNamed("p"), ServerID: "a", Age: 5 * time.Second, BarredFor: 10 * time.Second})
+	tracker.Record(lifted.Add(time.Second), Report{Fingerprint: requestNamed("p"), BarredFor: 10 * time.Second})
+	if got := tracker.Status(lifted.Add(time.Second), requestNamed("p")); got != StatusClear {
+		t.Errorf("status %d after the bar was lifted, want clear", got)
 	}
 	for i, server := range []string{"x", "y", "z"} {
-		tally.Record(lifted.Add(time.Duration(2+i)*time.Second), Report{Fingerprint: named("p"), ServerID: server})
+		tracker.Record(lifted.Add(time.Duration(2+i)*time.Second), Report{Fingerprint: requestNamed("p"), ServerID: server})
 	}
-	if got := tally.Status(lifted.Add(5*time.Second), named("p")); got != StatusBarred {
-		t.Errorf("standing %d after three more servers, want barred", got)
+	if got := tracker.Status(lifted.Add(5*time.Second), requestNamed("p")); got != StatusBarred {
+		t.Errorf("status %d after three more crashes, want barred", got)
 	}
 }
