--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -8,31 +8,29 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Options describe one request. Zero bounds are replaced by the defaults.
+// Options describe one request. Zero limits are replaced by the defaults.
 type Options struct {
 	RequestID fleet.RequestID
-	// Deadline is when the first token, or a plain call's answer, must be there.
+	// Deadline is when the first token, or the whole answer of a plain call, must have arrived.
 	Deadline time.Time
-	// Repeatable allows a second attempt after a byte may have left.
+	// Repeatable allows another attempt after bytes may have been sent.
 	Repeatable bool
-	// Resumable allows resume and continuation of an answer stream.
+	// Resumable allows an answer stream to be resumed, or continued at another back end.
 	Resumable bool
-	// MaxAttempts bounds the attempts that may have run, MaxRefusals those
-	// proved not to have, MaxResumes the resumes in a row that bring nothing
-	// new.
+	// MaxAttempts bounds the attempts that may have run, MaxRefusals those known not to have run, and
+	// MaxResumes the consecutive resumes that deliver nothing new.
 	MaxAttempts int
 	MaxRefusals int
 	MaxResumes  int
 	// StallTimeout bounds the time between two chunks.
 	StallTimeout time.Duration
-	// ResumeTimeout bounds the time until a resume brings its first chunk: an
-	// engine that still has the answer brings it within an iteration or two.
+	// ResumeTimeout bounds the time until the first chunk of a resume: an engine that still has the answer
+	// sends it within one or two iterations.
 	ResumeTimeout time.Duration
-	// HedgeAfter is how long a repeatable request waits for its first token
-	// until it is sent to a second back end as well; zero is never.
+	// HedgeAfter is how long a repeatable request waits for its first token before it is also sent to a
+	// second back end; zero disables hedging.
 	HedgeAfter time.Duration
-	// ContinueTimeout bounds the search for another back end once tokens have
-	// been delivered.
+	// ContinueTimeout bounds the search for another back end once tokens have been delivered.
 	ContinueTimeout time.Duration
 	// MaxKeptBytes bounds the delivered text that is kept for a continuation.
 	MaxKeptBytes int
@@ -40,15 +38,15 @@
 	Defects      Defects
 }
 
-// Defects are faults to plant. Only tests and the simulator set them.
+// Defects are deliberate faults, set only by tests and the simulator to check their checkers.
 type Defects struct {
-	// BlindResend repeats what may not be repeated.
+	// BlindResend repeats requests that are not repeatable.
 	BlindResend bool
-	// NoSequenceCheck takes every chunk as the next one.
+	// NoSequenceCheck accepts every chunk as the next one.
 	NoSequenceCheck bool
-	// PassTruncated takes any end of a stream as the end of the answer.
+	// PassTruncated accepts any end of a stream as the end of the answer.
 	PassTruncated bool
-	// ClaimNotRun calls every failure not-run.
+	// ClaimNotRun reports every failure as not-run.
 	ClaimNotRun bool
 }
 
@@ -77,6 +75,7 @@
 	return o
 }
 
+// phase is the stage that a request is in.
 type phase int
 
 const (
@@ -85,14 +84,14 @@
 	phaseDone
 )
 
-// Dropped counts chunks that were not taken.
+// Dropped counts the chunks that were discarded.
 type Dropped struct {
-	// Crossed chunks belong to another request, Late ones to an earlier
-	// attempt or connection, Duplicated ones were delivered before.
+	// Crossed chunks belong to another request, Late ones to an earlier attempt or connection, and
+	// Duplicated ones were delivered before.
 	Crossed, Late, Duplicated int
 }
 
-// Core is one request.
+// Core is the state machine of one request.
 type Core struct {
 	options    Options
 	random     *rand.Rand
@@ -100,30 +99,30 @@
 	backend    fleet.BackendName
 	attempt    int
 	connection int
-	// attempts and connections count all that were made.
+	// attempts and connections count all that were made; attempt and connection are the current ones.
 	attempts, connections int
 	refusals              int
 	resumes               int
-	// rival is the second connection of a hedged request.
-	rival   *side
-	hedged  bool
-	hedgeAt time.Time
-	// next is the sequence number of the next token.
-	next      int
-	kept      []string
-	keptBytes int
-	finish    string
-	// wake bounds the present phase.
-	wake    time.Time
-	exclude []fleet.BackendName
-	// former is set while the attempt before may still run at the back end.
-	former bool
-	// ran is the worst that any attempt leaves open.
-	ran     exposure
-	last    Failure
-	dropped Dropped
-	deliver Deliver
-	effects []Effect
+	// hedge is the second connection of a hedged request.
+	hedge     *hedgedConnection
+	hasHedged bool
+	hedgeAt   time.Time
+	// nextSequence is the sequence number of the next token.
+	nextSequence int
+	keptTokens   []string
+	keptBytes    int
+	finishReason string
+	// wakeAt is the time limit of the current phase.
+	wakeAt   time.Time
+	excluded []fleet.BackendName
+	// mayStillRun is set while the previous attempt may still run at its back end.
+	mayStillRun bool
+	// worstExposure is the worst case over all attempts.
+	worstExposure exposure
+	lastFailure   Failure
+	dropped       Dropped
+	deliverEffect Deliver
+	effects       []Effect
 }
 
 // New returns a request that waits for its first back end.
@@ -132,11 +131,11 @@
 	return &Core{
 		options: options,
 		random:  rand.New(rand.NewPCG(options.Seed, options.Seed)),
-		wake:    options.Deadline,
+		wakeAt:  options.Deadline,
 	}
 }
 
-// Step takes one message. The effects are valid until the next Step.
+// Step handles one message. The effects are valid until the next Step.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	clear(c.effects)
 	c.effects = c.effects[:0]
@@ -145,39 +144,39 @@
 	}
 	switch message := message.(type) {
 	case Assigned:
-		c.assigned(now, message.Backend)
+		c.handleAssigned(now, message.Backend)
 	case HedgeAssigned:
-		c.hedgeAssigned(message.Backend)
+		c.handleHedgeAssigned(message.Backend)
 	case Unassigned:
-		c.unassigned(message)
+		c.handleUnassigned(message)
 	case *Chunk:
-		c.chunk(now, message)
+		c.handleChunk(now, message)
 	case Ended:
-		c.ended(now, message)
+		c.handleEnded(now, message)
 	case Answered:
-		c.answered(message)
+		c.handleAnswered(message)
 	case Failure:
-		c.broken(now, message)
+		c.handleFailure(now, message)
 	case CallerGone:
-		c.callerGone()
+		c.handleCallerGone()
 	case Tick:
-		c.tick(now)
+		c.handleTick(now)
 	}
 	return c.effects
 }
 
-// NextWake is when the present wait ends.
+// NextWake is when the next Tick is due; zero once the request is over.
 func (c *Core) NextWake() time.Time {
 	if c.phase == phaseDone {
 		return time.Time{}
 	}
-	if c.phase == phaseConnected && c.next == 0 && !c.hedgeAt.IsZero() && c.hedgeAt.Before(c.wake) {
+	if c.phase == phaseConnected && c.nextSequence == 0 && !c.hedgeAt.IsZero() && c.hedgeAt.Before(c.wakeAt) {
 		return c.hedgeAt
 	}
-	return c.wake
+	return c.wakeAt
 }
 
-// Dropped returns the counts of chunks not taken.
+// Dropped returns the counts of discarded chunks.
 func (c *Core) Dropped() Dropped {
 	return c.dropped
 }
@@ -186,80 +185,79 @@
 	c.effects = append(c.effects, effect)
 }
 
-func (c *Core) assigned(now time.Time, backend fleet.BackendName) {
+func (c *Core) handleAssigned(now time.Time, backend fleet.BackendName) {
 	if c.phase != phaseAssigning {
 		return
 	}
 	c.phase = phaseConnected
-	c.cancelFormer(backend)
+	c.cancelPrevious(backend)
 	c.backend = backend
 	c.attempts++
 	c.connections++
 	c.attempt, c.connection = c.attempts, c.connections
 	c.resumes = 0
-	c.last = Failure{}
-	c.wake = c.bound(now)
+	c.lastFailure = Failure{}
+	c.wakeAt = c.chunkDeadline(now)
 	c.hedgeAt = time.Time{}
-	if c.mayHedge() && !c.hedged {
+	if c.mayHedge() && !c.hasHedged {
 		c.hedgeAt = now.Add(c.options.HedgeAfter)
 	}
-	c.emit(Open{Connection: c.connection, Attempt: c.attempt, Backend: backend, ContinueFrom: c.kept})
+	c.emit(Open{Connection: c.connection, Attempt: c.attempt, Backend: backend, ContinueFrom: c.keptTokens})
 }
 
-// bound is when the present connection must bring its next chunk.
-func (c *Core) bound(now time.Time) time.Time {
-	if c.next == 0 {
+// chunkDeadline is when the current connection must deliver its next chunk.
+func (c *Core) chunkDeadline(now time.Time) time.Time {
+	if c.nextSequence == 0 {
 		return c.options.Deadline
 	}
 	return now.Add(c.options.StallTimeout)
 }
 
-func (c *Core) tick(now time.Time) {
-	c.hedge(now)
-	if now.Before(c.wake) {
+func (c *Core) handleTick(now time.Time) {
+	c.hedgeIfDue(now)
+	if now.Before(c.wakeAt) {
 		return
 	}
-	if c.phase == phaseAssigning || c.next == 0 {
-		c.dropRival()
+	if c.phase == phaseAssigning || c.nextSequence == 0 {
+		c.dropHedge()
 		if c.phase == phaseConnected {
-			c.last = Failure{Evidence: MaybeSent, Detail: "no token came before the deadline"}
-			c.cancel()
-			c.ran = max(c.ran, exposedUnknown)
+			c.lastFailure = Failure{Evidence: MaybeSent, Detail: "no token came before the deadline"}
+			c.cancelAttempt()
+			c.worstExposure = max(c.worstExposure, exposedUnknown)
 		}
-		c.cancelFormer("")
+		c.cancelPrevious("")
 		c.giveUp(CodeDeadline, "the deadline passed")
 		return
 	}
-	c.lost(now, Failure{Evidence: MaybeSent, Detail: "no token came in time"})
+	c.resumeOrRetry(now, Failure{Evidence: MaybeSent, Detail: "no token came in time"})
 }
 
-func (c *Core) callerGone() {
-	c.dropRival()
+func (c *Core) handleCallerGone() {
+	c.dropHedge()
 	if c.phase == phaseConnected {
-		c.cancel()
-		c.ran = max(c.ran, exposedUnknown)
+		c.cancelAttempt()
+		c.worstExposure = max(c.worstExposure, exposedUnknown)
 	}
-	c.cancelFormer("")
+	c.cancelPrevious("")
 	c.giveUp(CodeCallerGone, "the caller went away")
 }
 
-func (c *Core) cancel() {
-	c.former = false
+// cancelAttempt cancels the current attempt at its back end.
+func (c *Core) cancelAttempt() {
+	c.mayStillRun = false
 	c.emit(Cancel{Attempt: c.attempt, Backend: c.backend})
 }
 
-// cancelFormer stops the attempt before, unless the next one goes to the same
-// back end: there it takes the place of the former, and a cancel that came
-// late would stop the new one.
-func (c *Core) cancelFormer(next fleet.BackendName) {
-	if c.former && next != c.backend {
-		c.cancel()
+// cancelPrevious cancels the previous attempt if it may still run, unless the next one goes to the same
+// back end: there the new attempt replaces it, and a late cancel would stop the new one.
+func (c *Core) cancelPrevious(next fleet.BackendName) {
+	if c.mayStillRun && next != c.backend {
+		c.cancelAttempt()
 	}
-	c.former = false
+	c.mayStillRun = false
 }
 
-// LastFailure returns what broke the latest attempt; its Evidence is 0 while it has
-// not broken.
+// LastFailure returns what ended the latest attempt; its Evidence is 0 while the attempt has not failed.
 func (c *Core) LastFailure() Failure {
-	return c.last
+	return c.lastFailure
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -25,8 +25,8 @@
 	return &Chunk{Connection: connection, RequestID: "r1", Attempt: attempt, Sequence: sequence, FinishReason: "stop"}
 }
 
-// brief shows effects in short form.
-func brief(effects []Effect) string {
+// describe formats effects in a short form.
+func describe(effects []Effect) string {
 	var shown []string
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -81,7 +81,7 @@
 			{&Chunk{Connection: 1, RequestID: "r2", Attempt: 1, Sequence: 1, Text: "x"}, ""},
 			{chunk(1, 1, 1), "1"},
 		}},
-		"a gap is asked for again": {streamOptions(), []step{
+		"missing chunks are requested again": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{chunk(1, 1, 2), "resume e1 #1 from 1"},
@@ -100,12 +100,12 @@
 			{finishChunk(3, 2, 2), ""},
 			{Ended{3, true}, "finish ok  after 2"},
 		}},
-		"a terminator without the finish chunk is no whole answer": {streamOptions(), []step{
+		"a terminator without the finish chunk does not complete the answer": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{Ended{1, true}, "resume e1 #1 from 1"},
 		}},
-		"a finish chunk that tells of missing tokens is no whole answer": {streamOptions(), []step{
+		"a finish chunk after missing tokens does not complete the answer": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{finishChunk(1, 1, 2), "resume e1 #1 from 1"},
@@ -121,23 +121,23 @@
 			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e2"}, "cancel e1 #1; open e2 #2 from 0"},
 		}},
-		"but not where it takes over itself": {streamOptions(), []step{
+		"the former engine is not cancelled where it takes over itself": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e1"}, "open e1 #2 from 0"},
 		}},
-		"an interrupted answer is said to be one": {streamOptions(), []step{
+		"an interrupted answer is reported as failed": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{Failure{Connection: 1, Evidence: ErrorStatus}, "reassign without [e1]"},
 			{Unassigned{Code: "queue-full"}, "finish failed queue-full after 1"},
 		}},
-		"the caller goes": {streamOptions(), []step{
+		"the caller disconnects": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{chunk(1, 1, 0), "0"},
 			{CallerGone{}, "cancel e1 #1; finish failed caller-gone after 1"},
 		}},
-		"the caller goes while it waits": {streamOptions(), []step{
+		"the caller disconnects while it waits": {streamOptions(), []step{
 			{CallerGone{}, "finish not-run caller-gone after 0"},
 		}},
 		"refused before it ran, everywhere": {streamOptions(), []step{
@@ -147,13 +147,13 @@
 			{Failure{Connection: 2, Evidence: NeverSent}, "reassign without [e1 e2]"},
 			{Unassigned{Code: "deadline-reached"}, "finish not-run deadline-reached after 0"},
 		}},
-		"one attempt that may have run spoils not-run for good": {streamOptions(), []step{
+		"one attempt that may have run rules out not-run": {streamOptions(), []step{
 			{Assigned{"e1"}, "open e1 #1 from 0"},
 			{Failure{Connection: 1, Evidence: MaybeSent}, "reassign without [e1]"},
 			{Assigned{"e2"}, "cancel e1 #1; open e2 #2 from 0"},
 			{Failure{Connection: 2, Evidence: RefusedBeforeRun, Permanent: true}, "finish unknown backend-refused after 0"},
 		}},
-		"not repeatable: unknown after a byte may have left": {plain, []step{
+		"not repeatable: unknown after bytes may have been sent": {plain, []step{
 			{Assigned{"s1"}, "open s1 #1 from 0"},
 			{Failure{Connection: 1, Evidence: MaybeSent}, "finish unknown backend-failed after 0"},
 		}},
@@ -178,7 +178,7 @@
 		t.Run(name, func(t *testing.T) {
 			core := New(test.options)
 			for index, step := range test.steps {
-				if diff := cmp.Diff(step.want, brief(core.Step(epoch, step.message))); diff != "" {
+				if diff := cmp.Diff(step.want, describe(core.Step(epoch, step.message))); diff != "" {
 					t.Fatalf("step %d: %s", index, diff)
 				}
 			}
@@ -209,7 +209,7 @@
 			core.Step(epoch, Assigned{"e1"})
 			for _, effect := range core.Step(epoch, Failure{Connection: attempts, Evidence: evidence}) {
 				if reassign, isReassign := effect.(Reassign); isReassign && reassign.BudgetExempt != (want == 3) {
-					t.Errorf("evidence %d: %+v", evidence, reassign)
+					t.Errorf("evidence %d: unexpected budget exemption in %+v", evidence, reassign)
 				}
 			}
 		}
@@ -223,32 +223,32 @@
 	core := New(streamOptions())
 	core.Step(epoch, Assigned{"e1"})
 	if wake := core.NextWake(); !wake.Equal(epoch.Add(30 * time.Second)) {
-		t.Fatalf("the first token has until %v", wake)
+		t.Fatalf("the first token is due at %v, want the deadline", wake)
 	}
 	core.Step(epoch.Add(5*time.Second), chunk(1, 1, 0))
 	stalled := epoch.Add(5*time.Second + DefaultStallTimeout)
-	if got := brief(core.Step(stalled.Add(-1), Tick{})); got != "" {
-		t.Errorf("before the stall: %s", got)
+	if got := describe(core.Step(stalled.Add(-1), Tick{})); got != "" {
+		t.Errorf("before the stall timeout: got %q, want nothing", got)
 	}
-	if got := brief(core.Step(stalled, Tick{})); got != "resume e1 #1 from 1" {
-		t.Errorf("after the stall: %s", got)
+	if got := describe(core.Step(stalled, Tick{})); got != "resume e1 #1 from 1" {
+		t.Errorf("after the stall timeout: got %q", got)
 	}
 
 	resumed := stalled.Add(DefaultResumeTimeout)
 	if wake := core.NextWake(); !wake.Equal(resumed) {
-		t.Errorf("a resume has until %v, want %v", wake, resumed)
+		t.Errorf("a resume is due at %v, want %v", wake, resumed)
 	}
-	if got := brief(core.Step(resumed, Tick{})); got != "resume e1 #1 from 1" {
-		t.Errorf("after a resume that brought nothing: %s", got)
+	if got := describe(core.Step(resumed, Tick{})); got != "resume e1 #1 from 1" {
+		t.Errorf("after a resume without a chunk: got %q", got)
 	}
-	if got := brief(core.Step(resumed.Add(DefaultResumeTimeout), Tick{})); got != "reassign without [e1]" {
-		t.Errorf("after the last resume: %s", got)
+	if got := describe(core.Step(resumed.Add(DefaultResumeTimeout), Tick{})); got != "reassign without [e1]" {
+		t.Errorf("after the last resume: got %q", got)
 	}
 
 	late := New(streamOptions())
 	late.Step(epoch, Assigned{"e1"})
-	if got := brief(late.Step(epoch.Add(30*time.Second), Tick{})); got != "cancel e1 #1; finish unknown deadline-reached after 0" {
-		t.Errorf("at the deadline: %s", got)
+	if got := describe(late.Step(epoch.Add(30*time.Second), Tick{})); got != "cancel e1 #1; finish unknown deadline-reached after 0" {
+		t.Errorf("at the deadline: got %q", got)
 	}
 }
 
@@ -271,12 +271,12 @@
 	core.Step(epoch, Assigned{"last"})
 	effects := core.Step(epoch.Add(30*time.Second-100*time.Millisecond), Failure{Connection: 9, Evidence: NeverSent})
 	if wait := effects[0].(Reassign).After; wait > 50*time.Millisecond {
-		t.Errorf("waits %v with 100ms left", wait)
+		t.Errorf("waits %v with 100ms left, want 50ms at most", wait)
 	}
 }
 
-// TestRetryAmplification: with every attempt failing, the attempts made are the
-// requests, the share of them that may be retried and the burst, no more.
+// With every attempt failing, the attempts are bounded by the requests, the fraction of them that may be
+// retried and the burst.
 func TestRetryAmplification(t *testing.T) {
 	const requests = 10_000
 	budget := NewBudget(DefaultRetryShare, DefaultRetryBurst)
@@ -289,7 +289,7 @@
 		}
 	}
 	if most := requests + requests/10 + DefaultRetryBurst; attempts > most {
-		t.Errorf("%d attempts, at most %d", attempts, most)
+		t.Errorf("%d attempts, want at most %d", attempts, most)
 	}
 	t.Logf("amplification %.3f", float64(attempts)/requests)
 }
@@ -307,16 +307,16 @@
 	}
 }
 
-// TestDeadlineCountsAgainstASilentBackEnd: routing learns from Last that an
-// engine took a request and brought nothing.
+// Guards against routing that learns nothing from a deadline: LastFailure must show that an engine took a
+// request and delivered nothing.
 func TestDeadlineCountsAgainstASilentBackEnd(t *testing.T) {
 	core := New(streamOptions())
 	core.Step(epoch, Assigned{"e1"})
-	got := brief(core.Step(core.NextWake(), Tick{}))
+	got := describe(core.Step(core.NextWake(), Tick{}))
 	if want := "cancel e1 #1; finish unknown deadline-reached after 0"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 	if evidence := core.LastFailure().Evidence; evidence != MaybeSent {
-		t.Errorf("evidence %d of the silent attempt, want %d", evidence, MaybeSent)
+		t.Errorf("evidence %d for the silent attempt, want %d", evidence, MaybeSent)
 	}
 }
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -1,7 +1,7 @@
 package attempt
 
-// Budget bounds the retries of a node to a share of its traffic, so that a
-// wide fault is not made worse by retries. It is not safe for concurrent use.
+// Budget limits the retries of a node to a fraction of its requests, so that retries do not amplify a
+// widespread failure. It is not safe for concurrent use.
 type Budget struct {
 	share  float64
 	burst  float64
@@ -14,18 +14,18 @@
 	DefaultRetryBurst = 20
 )
 
-// NewBudget returns a full budget: each request earns share of a retry, and at
-// most burst retries are saved up.
+// NewBudget returns a full budget: each request earns a share of a retry, and at most burst retries are
+// saved.
 func NewBudget(share, burst float64) *Budget {
 	return &Budget{share: share, burst: burst, tokens: burst}
 }
 
-// Earn counts a request's first attempt.
+// Earn counts the first attempt of a request.
 func (b *Budget) Earn() {
 	b.tokens = min(b.burst, b.tokens+b.share)
 }
 
-// Spend takes one retry and reports whether it was there.
+// Spend takes one retry and reports whether one was available.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/attempt/hedge.go
+++ b/internal/attempt/hedge.go
@@ -7,108 +7,109 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// side is one connection of a hedged request.
-type side struct {
-	connection int
-	attempt    int
-	backend    fleet.BackendName
+// hedgedConnection is one connection of a hedged request.
+type hedgedConnection struct {
+	number  int
+	attempt int
+	backend fleet.BackendName
 }
 
-// mayHedge: only what is repeatable is sent twice, once for each request, and
-// only while the caller has nothing.
+// mayHedge reports whether the request may be sent to a second back end: only a repeatable request may,
+// and only while the caller has received nothing.
 func (c *Core) mayHedge() bool {
-	return c.options.HedgeAfter > 0 && c.options.Repeatable && c.phase == phaseConnected && c.next == 0 &&
-		c.finish == "" && c.rival == nil
+	return c.options.HedgeAfter > 0 && c.options.Repeatable && c.phase == phaseConnected && c.nextSequence == 0 &&
+		c.finishReason == "" && c.hedge == nil
 }
 
-// hedge asks for a second back end once the first has been silent for long.
-func (c *Core) hedge(now time.Time) {
+// hedgeIfDue asks for a second back end once the first has been silent for HedgeAfter.
+func (c *Core) hedgeIfDue(now time.Time) {
 	if c.hedgeAt.IsZero() || now.Before(c.hedgeAt) {
 		return
 	}
 	c.hedgeAt = time.Time{}
-	if c.mayHedge() && !c.hedged && now.Before(c.wake) {
-		c.hedged = true
-		c.emit(Hedge{Exclude: append(slices.Clone(c.exclude), c.backend)})
+	if c.mayHedge() && !c.hasHedged && now.Before(c.wakeAt) {
+		c.hasHedged = true
+		c.emit(Hedge{Exclude: append(slices.Clone(c.excluded), c.backend)})
 	}
 }
 
-// hedgeAssigned opens the second connection; without an Open the back end is
-// not needed any more.
-func (c *Core) hedgeAssigned(backend fleet.BackendName) {
+// handleHedgeAssigned opens the second connection. If it emits no Open, the back end is no longer needed.
+func (c *Core) handleHedgeAssigned(backend fleet.BackendName) {
 	if !c.mayHedge() || backend == c.backend {
 		return
 	}
 	c.attempts++
 	c.connections++
-	c.rival = &side{connection: c.connections, attempt: c.attempts, backend: backend}
-	c.emit(Open{Connection: c.rival.connection, Attempt: c.rival.attempt, Backend: backend})
+	c.hedge = &hedgedConnection{number: c.connections, attempt: c.attempts, backend: backend}
+	c.emit(Open{Connection: c.hedge.number, Attempt: c.hedge.attempt, Backend: backend})
 }
 
-// settle ends the race in favour of the connection that brought the first
-// chunk, and cancels the other one.
-func (c *Core) settle(chunk *Chunk) {
-	if c.rival == nil || chunk.RequestID != c.options.RequestID {
+// settleHedge keeps the connection that delivered the first chunk and cancels the other one.
+func (c *Core) settleHedge(chunk *Chunk) {
+	if c.hedge == nil || chunk.RequestID != c.options.RequestID {
 		return
 	}
 	switch {
 	case chunk.Connection == c.connection && chunk.Attempt == c.attempt:
-		c.dropSide(*c.rival, Failure{}, true)
-	case chunk.Connection == c.rival.connection && chunk.Attempt == c.rival.attempt:
-		// The former one was silent for as long as it takes to hedge.
-		c.dropSide(c.present(), Failure{Evidence: MaybeSent, Detail: "another back end was sooner"}, true)
-		c.promote()
+		c.dropConnection(*c.hedge, Failure{}, true)
+	case chunk.Connection == c.hedge.number && chunk.Attempt == c.hedge.attempt:
+		// The primary connection was silent for HedgeAfter, which counts as its failure.
+		c.dropConnection(c.primary(), Failure{Evidence: MaybeSent, Detail: "another back end was sooner"}, true)
+		c.promoteHedge()
 	default:
 		return
 	}
-	c.rival = nil
+	c.hedge = nil
 }
 
-// lostSide takes a connection of a race that broke out of it. It reports false
-// where there is no race.
-func (c *Core) lostSide(broken Failure) bool {
-	if c.rival == nil || c.phase != phaseConnected {
+// handleHedgeFailure drops a failed connection of a hedged request and continues with the other one. It
+// reports false where the request is not hedged.
+func (c *Core) handleHedgeFailure(failure Failure) bool {
+	if c.hedge == nil || c.phase != phaseConnected {
 		return false
 	}
-	switch broken.Connection {
+	switch failure.Connection {
 	case c.connection:
-		c.dropSide(c.present(), broken, broken.Evidence == MaybeSent)
-		if !slices.Contains(c.exclude, c.backend) {
-			c.exclude = append(c.exclude, c.backend)
+		c.dropConnection(c.primary(), failure, failure.Evidence == MaybeSent)
+		if !slices.Contains(c.excluded, c.backend) {
+			c.excluded = append(c.excluded, c.backend)
 		}
-		c.promote()
-	case c.rival.connection:
-		c.dropSide(*c.rival, broken, broken.Evidence == MaybeSent)
+		c.promoteHedge()
+	case c.hedge.number:
+		c.dropConnection(*c.hedge, failure, failure.Evidence == MaybeSent)
 	default:
 		return false
 	}
-	c.rival = nil
-	c.expose(broken.Evidence)
-	if broken.provedNotRun() {
+	c.hedge = nil
+	c.recordExposure(failure.Evidence)
+	if failure.isNotRun() {
 		c.refusals++
 	}
 	return true
 }
 
-// dropRival cancels the second connection of a request that is over.
-func (c *Core) dropRival() {
-	if c.rival != nil {
-		c.dropSide(*c.rival, Failure{}, true)
-		c.rival = nil
+// dropHedge cancels the second connection of a request that is over.
+func (c *Core) dropHedge() {
+	if c.hedge != nil {
+		c.dropConnection(*c.hedge, Failure{}, true)
+		c.hedge = nil
 	}
 }
 
-func (c *Core) dropSide(dropped side, broken Failure, cancel bool) {
+// dropConnection closes a connection and, if cancel is set, cancels its attempt.
+func (c *Core) dropConnection(dropped hedgedConnection, failure Failure, cancel bool) {
 	if cancel {
 		c.emit(Cancel{Attempt: dropped.attempt, Backend: dropped.backend})
 	}
-	c.emit(Drop{Connection: dropped.connection, Failure: broken})
+	c.emit(Drop{Connection: dropped.number, Failure: failure})
 }
 
-func (c *Core) present() side {
-	return side{connection: c.connection, attempt: c.attempt, backend: c.backend}
+// primary is the current connection.
+func (c *Core) primary() hedgedConnection {
+	return hedgedConnection{number: c.connection, attempt: c.attempt, backend: c.backend}
 }
 
-func (c *Core) promote() {
-	c.connection, c.attempt, c.backend = c.rival.connection, c.rival.attempt, c.rival.backend
+// promoteHedge makes the second connection the current one.
+func (c *Core) promoteHedge() {
+	c.connection, c.attempt, c.backend = c.hedge.number, c.hedge.attempt, c.hedge.backend
 }
--- a/internal/attempt/message.go
+++ b/internal/attempt/message.go
@@ -12,22 +12,20 @@
 // Assigned names the back end of the next attempt.
 type Assigned struct{ Backend fleet.BackendName }
 
-// HedgeAssigned names the second back end of a request that waits for its first
-// token.
+// HedgeAssigned names the second back end of a request that still waits for its first token.
 type HedgeAssigned struct{ Backend fleet.BackendName }
 
-// Unassigned says that no back end will be had: the request was refused while
-// it waited, or the retry budget is spent.
+// Unassigned says that no back end will be assigned: the request was refused while it waited, or the
+// retry budget is spent.
 type Unassigned struct {
 	Code       string
 	Detail     string
 	RetryAfter time.Duration
 }
 
-// Chunk is one event of an answer stream as it came in.
+// Chunk is one event of an answer stream.
 type Chunk struct {
-	// Connection is the number from the Open or Resume effect whose
-	// connection carried the chunk.
+	// Connection is the number in the Open or Resume effect that opened the connection.
 	Connection   int
 	RequestID    fleet.RequestID
 	Attempt      int
@@ -36,28 +34,28 @@
 	FinishReason string
 }
 
-// Ended says that a connection's stream ended. Terminated tells whether the
-// stream's own terminator came first.
+// Ended says that a connection's stream ended. Terminated says whether the stream's terminator was
+// received before.
 type Ended struct {
 	Connection int
 	Terminated bool
 }
 
-// Answered says that the whole answer of a plain call is there.
+// Answered says that the whole answer of a plain call was received.
 type Answered struct{ Connection int }
 
-// Evidence is what is known of an attempt that broke.
+// Evidence is what is known of a failed attempt.
 type Evidence int
 
-// The evidence, from the strongest proof that nothing ran.
+// The kinds of evidence, strongest proof that nothing ran first.
 const (
-	// NeverSent is proved: no byte can have left.
+	// NeverSent: no byte can have been sent.
 	NeverSent Evidence = iota + 1
-	// RefusedBeforeRun is the back end's own word that nothing ran.
+	// RefusedBeforeRun: the back end says that it did not run the request.
 	RefusedBeforeRun
-	// ErrorStatus is an error status that says nothing of what ran.
+	// ErrorStatus: the back end responded with an error that does not say whether the request ran.
 	ErrorStatus
-	// MaybeSent means that bytes may have left and no answer tells more.
+	// MaybeSent: bytes may have been sent, and no response tells more.
 	MaybeSent
 )
 
@@ -65,23 +63,23 @@
 type Failure struct {
 	Connection int
 	Evidence   Evidence
-	// Status is the back end's status where it answered, else 0.
+	// Status is the status of the back end's response, or 0.
 	Status int
-	// RetryAfter is the back end's own wish, else 0.
+	// RetryAfter is the delay that the back end asked for, or 0.
 	RetryAfter time.Duration
-	// NoResume is set where this back end must not be asked for the rest.
+	// NoResume is set where this back end must not be asked for the rest of the answer.
 	NoResume bool
-	// Permanent is set where another back end would answer the same, such as an
-	// error in the caller's request.
+	// Permanent is set where every other back end would respond the same, as to an error in the caller's
+	// request.
 	Permanent bool
-	// Detail goes to logs and to the caller.
+	// Detail is passed to logs and to the caller.
 	Detail string
 }
 
-// CallerGone says that nobody waits for the answer any more.
+// CallerGone says that the caller closed its connection.
 type CallerGone struct{}
 
-// Tick is wanted at NextWake.
+// Tick is due at NextWake.
 type Tick struct{}
 
 func (Assigned) isMessage()      {}
@@ -102,8 +100,7 @@
 	Connection int
 	Attempt    int
 	Backend    fleet.BackendName
-	// ContinueFrom holds the tokens that the caller already has. It must not
-	// be changed.
+	// ContinueFrom are the tokens that the caller already has. It must not be modified.
 	ContinueFrom []string
 }
 
@@ -112,7 +109,7 @@
 	Connection int
 	Attempt    int
 	Backend    fleet.BackendName
-	// From is the first sequence number wanted.
+	// From is the first missing sequence number.
 	From int
 }
 
@@ -122,42 +119,44 @@
 	Backend fleet.BackendName
 }
 
-// Reassign asks for another back end, not before After has passed.
+// Reassign asks for another back end, no earlier than After from now.
 type Reassign struct {
 	After   time.Duration
 	Exclude []fleet.BackendName
-	// BudgetExempt is set where the next attempt does not count against the retry
-	// budget: the one before is proved not to have run, or tokens have been
-	// delivered and giving up would waste them.
+	// BudgetExempt is set where the next attempt does not count against the retry budget: the previous one
+	// is known not to have run, or tokens have been delivered and giving up would waste them.
 	BudgetExempt bool
 }
 
-// Hedge asks for a second back end beside the present one, within the retry
-// budget. HedgeAssigned answers it; where there is none, nothing does.
+// Hedge asks for a second back end, within the retry budget. The reply is HedgeAssigned; if there is no
+// such back end, there is no reply.
 type Hedge struct{ Exclude []fleet.BackendName }
 
-// Drop ends one connection of a hedged request while the other goes on. Broken
-// is what its back end is to be blamed for; without evidence it is nothing.
+// Drop closes one connection of a hedged request while the other one continues. Failure is what its back
+// end is to be blamed for; without Evidence it is not blamed.
 type Drop struct {
 	Connection int
 	Failure    Failure
 }
 
-// Deliver hands the next token to the caller.
+// Deliver passes the next token to the caller.
 type Deliver struct{ Text string }
 
-// Outcome is what may be said of a request that is over.
+// Outcome is what is known of a request that is over.
 type Outcome string
 
-// The outcomes.
 const (
-	OutcomeOK      Outcome = "ok"
-	OutcomeNotRun  Outcome = "not-run"
+	// OutcomeOK: the caller received the whole answer.
+	OutcomeOK Outcome = "ok"
+	// OutcomeNotRun: no attempt ran.
+	OutcomeNotRun Outcome = "not-run"
+	// OutcomeUnknown: an attempt may have run, and no response tells whether it did.
 	OutcomeUnknown Outcome = "unknown"
-	OutcomeFailed  Outcome = "failed"
+	// OutcomeFailed: an attempt ran into an error, or the answer was interrupted.
+	OutcomeFailed Outcome = "failed"
 )
 
-// Codes of a Finish that is not OK; Unassigned brings further ones.
+// Codes of a Finish that is not OK; Unassigned messages bring others.
 const (
 	CodeDeadline    = "deadline-reached"
 	CodeInterrupted = "answer-interrupted"
@@ -172,11 +171,11 @@
 	Outcome Outcome
 	Code    string
 	Detail  string
-	// Reason is the answer's own finish reason when the outcome is OK.
+	// Reason is the finish reason of the answer when the outcome is OK.
 	Reason     string
 	Status     int
 	RetryAfter time.Duration
-	// Delivered counts the tokens that the caller has.
+	// Delivered is the number of tokens that the caller received.
 	Delivered int
 	Attempts  int
 }
--- a/internal/attempt/outcome.go
+++ b/internal/attempt/outcome.go
@@ -1,37 +1,38 @@
 package attempt
 
-// exposure is the most that the attempts so far leave open. It only grows.
+// exposure is the worst case that the attempts so far allow. It never decreases.
 type exposure int
 
 const (
-	// exposedNothing: each attempt was proved not to have run.
+	// exposedNothing: each attempt is known not to have run.
 	exposedNothing exposure = iota
-	// exposedFailed: a back end answered with an error after it may have run.
+	// exposedFailed: a back end responded with an error and may have run the request.
 	exposedFailed
-	// exposedUnknown: bytes left and no answer came.
+	// exposedUnknown: bytes may have been sent and no response came.
 	exposedUnknown
 )
 
-func (c *Core) expose(evidence Evidence) {
+// recordExposure adds the evidence of a failed attempt.
+func (c *Core) recordExposure(evidence Evidence) {
 	switch evidence {
 	case NeverSent, RefusedBeforeRun:
 	case ErrorStatus:
-		c.ran = max(c.ran, exposedFailed)
+		c.worstExposure = max(c.worstExposure, exposedFailed)
 	default:
-		c.ran = max(c.ran, exposedUnknown)
+		c.worstExposure = max(c.worstExposure, exposedUnknown)
 	}
 }
 
-// outcome is what may be said of a request without a whole answer.
+// outcome is what may be said of a request that ends without a whole answer.
 func (c *Core) outcome() Outcome {
 	switch {
 	case c.options.Defects.ClaimNotRun:
 		return OutcomeNotRun
-	case c.next > 0:
+	case c.nextSequence > 0:
 		return OutcomeFailed
-	case c.ran == exposedNothing:
+	case c.worstExposure == exposedNothing:
 		return OutcomeNotRun
-	case c.ran == exposedFailed:
+	case c.worstExposure == exposedFailed:
 		return OutcomeFailed
 	}
 	return OutcomeUnknown
@@ -39,21 +40,21 @@
 
 func (c *Core) giveUp(code, detail string) {
 	c.phase = phaseDone
-	c.emit(Finish{Outcome: c.outcome(), Code: code, Detail: detail, Status: c.last.Status,
-		RetryAfter: c.last.RetryAfter, Delivered: c.next, Attempts: c.attempts})
+	c.emit(Finish{Outcome: c.outcome(), Code: code, Detail: detail, Status: c.lastFailure.Status,
+		RetryAfter: c.lastFailure.RetryAfter, Delivered: c.nextSequence, Attempts: c.attempts})
 }
 
-func (c *Core) succeed(reason string) {
+func (c *Core) finishOK(reason string) {
 	c.phase = phaseDone
-	c.emit(Finish{Outcome: OutcomeOK, Reason: reason, Delivered: c.next, Attempts: c.attempts})
+	c.emit(Finish{Outcome: OutcomeOK, Reason: reason, Delivered: c.nextSequence, Attempts: c.attempts})
 }
 
-func (c *Core) unassigned(message Unassigned) {
+func (c *Core) handleUnassigned(message Unassigned) {
 	if c.phase != phaseAssigning {
 		return
 	}
-	c.cancelFormer("")
+	c.cancelPrevious("")
 	c.phase = phaseDone
-	c.emit(Finish{Outcome: c.outcome(), Code: message.Code, Detail: message.Detail, Status: c.last.Status,
-		RetryAfter: message.RetryAfter, Delivered: c.next, Attempts: c.attempts})
+	c.emit(Finish{Outcome: c.outcome(), Code: message.Code, Detail: message.Detail, Status: c.lastFailure.Status,
+		RetryAfter: message.RetryAfter, Delivered: c.nextSequence, Attempts: c.attempts})
 }
--- a/internal/attempt/retry.go
+++ b/internal/attempt/retry.go
@@ -5,95 +5,95 @@
 	"time"
 )
 
-func (c *Core) broken(now time.Time, broken Failure) {
-	if c.lostSide(broken) {
+func (c *Core) handleFailure(now time.Time, failure Failure) {
+	if c.handleHedgeFailure(failure) {
 		return
 	}
-	if broken.Connection != c.connection || c.phase != phaseConnected {
+	if failure.Connection != c.connection || c.phase != phaseConnected {
 		return
 	}
-	if c.finish != "" {
-		c.succeed(c.finish)
+	if c.finishReason != "" {
+		c.finishOK(c.finishReason)
 		return
 	}
-	c.lost(now, broken)
+	c.resumeOrRetry(now, failure)
 }
 
-// lost decides what follows a connection that will bring nothing more.
-func (c *Core) lost(now time.Time, broken Failure) {
-	c.last = broken
-	if c.mayResume(broken) {
+// resumeOrRetry decides what follows a connection that will deliver nothing more.
+func (c *Core) resumeOrRetry(now time.Time, failure Failure) {
+	c.lastFailure = failure
+	if c.mayResume(failure) {
 		c.resumes++
 		c.connections++
 		c.connection = c.connections
-		c.wake = now.Add(min(c.options.ResumeTimeout, c.options.StallTimeout))
-		c.emit(Resume{Connection: c.connection, Attempt: c.attempt, Backend: c.backend, From: c.next})
+		c.wakeAt = now.Add(min(c.options.ResumeTimeout, c.options.StallTimeout))
+		c.emit(Resume{Connection: c.connection, Attempt: c.attempt, Backend: c.backend, From: c.nextSequence})
 		return
 	}
-	c.expose(broken.Evidence)
-	if broken.provedNotRun() {
+	c.recordExposure(failure.Evidence)
+	if failure.isNotRun() {
 		c.refusals++
 	}
-	c.former = broken.Evidence == MaybeSent && c.options.Resumable
-	if !c.mayRetry(now, broken) {
-		c.cancelFormer("")
-		c.giveUp(codeOf(broken, c.next), broken.Detail)
+	c.mayStillRun = failure.Evidence == MaybeSent && c.options.Resumable
+	if !c.mayRetry(now, failure) {
+		c.cancelPrevious("")
+		c.giveUp(failureCode(failure, c.nextSequence), failure.Detail)
 		return
 	}
 	c.phase = phaseAssigning
-	if !slices.Contains(c.exclude, c.backend) {
-		c.exclude = append(c.exclude, c.backend)
+	if !slices.Contains(c.excluded, c.backend) {
+		c.excluded = append(c.excluded, c.backend)
 	}
-	if c.next > 0 {
-		c.wake = now.Add(c.options.ContinueTimeout)
+	if c.nextSequence > 0 {
+		c.wakeAt = now.Add(c.options.ContinueTimeout)
 	}
-	c.emit(Reassign{After: c.backoff(now), Exclude: c.exclude, BudgetExempt: broken.provedNotRun() || c.next > 0})
+	c.emit(Reassign{After: c.backoff(now), Exclude: c.excluded, BudgetExempt: failure.isNotRun() || c.nextSequence > 0})
 }
 
-func (b Failure) provedNotRun() bool {
-	return b.Evidence == NeverSent || b.Evidence == RefusedBeforeRun
+// isNotRun reports whether the attempt is known not to have run.
+func (f Failure) isNotRun() bool {
+	return f.Evidence == NeverSent || f.Evidence == RefusedBeforeRun
 }
 
-// mayResume: the same engine may still have the answer, since it took the
-// request and has not said otherwise.
-func (c *Core) mayResume(broken Failure) bool {
-	return c.options.Resumable && !broken.NoResume && broken.Evidence == MaybeSent && c.next > 0 && c.resumes < c.options.MaxResumes
+// mayResume reports whether to ask the same engine for the rest: it accepted the request and may still
+// have the answer.
+func (c *Core) mayResume(failure Failure) bool {
+	return c.options.Resumable && !failure.NoResume && failure.Evidence == MaybeSent && c.nextSequence > 0 && c.resumes < c.options.MaxResumes
 }
 
-func (c *Core) mayRetry(now time.Time, broken Failure) bool {
-	if broken.Permanent || c.attempts-c.refusals >= c.options.MaxAttempts || c.refusals >= c.options.MaxRefusals {
+func (c *Core) mayRetry(now time.Time, failure Failure) bool {
+	if failure.Permanent || c.attempts-c.refusals >= c.options.MaxAttempts || c.refusals >= c.options.MaxRefusals {
 		return false
 	}
-	if c.next == 0 && !now.Before(c.options.Deadline) {
+	if c.nextSequence == 0 && !now.Before(c.options.Deadline) {
 		return false
 	}
-	if c.next > 0 && (!c.options.Resumable || c.keptBytes > c.options.MaxKeptBytes) {
+	if c.nextSequence > 0 && (!c.options.Resumable || c.keptBytes > c.options.MaxKeptBytes) {
 		return false
 	}
 	if c.options.Repeatable || c.options.Defects.BlindResend {
 		return true
 	}
-	return broken.Evidence == NeverSent
+	return failure.Evidence == NeverSent
 }
 
-// maxBackoffSteps keeps the doubling within its range.
-const maxBackoffSteps = 10
+// maxBackoffDoublings keeps the shift in backoff from overflowing.
+const maxBackoffDoublings = 10
 
-// backoff doubles with each attempt, with jitter, and leaves time before the
-// deadline.
+// backoff doubles with each attempt, with jitter, and is at most half of the time left.
 func (c *Core) backoff(now time.Time) time.Duration {
-	full := min(backoffMin<<min(c.attempts-1, maxBackoffSteps), backoffMax)
+	full := min(backoffMin<<min(c.attempts-1, maxBackoffDoublings), backoffMax)
 	wait := full/2 + time.Duration(c.random.Int64N(int64(full/2)))
-	return min(wait, max(0, c.wake.Sub(now)/2))
+	return min(wait, max(0, c.wakeAt.Sub(now)/2))
 }
 
-func codeOf(broken Failure, delivered int) string {
+func failureCode(failure Failure, delivered int) string {
 	switch {
 	case delivered > 0:
 		return CodeInterrupted
-	case broken.Evidence == NeverSent:
+	case failure.Evidence == NeverSent:
 		return CodeUnreachable
-	case broken.Evidence == RefusedBeforeRun:
+	case failure.Evidence == RefusedBeforeRun:
 		return CodeRefused
 	}
 	return CodeBackend
--- a/internal/attempt/schedule_test.go
+++ b/internal/attempt/schedule_test.go
@@ -11,24 +11,24 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// world plays the back ends and keeps the books that judge the core.
+// world simulates the back ends and records what happened, to check the core against it.
 type world struct {
 	core       *Core
 	now        time.Time
 	tokens     int
 	repeatable bool
-	// open is the connection in use, 0 for none.
-	open, attempt, sent int
-	// other is the second connection of a hedged request; hedging is set while
-	// a back end is asked for.
-	other   *world
+	// connection is the one in use, 0 for none.
+	connection, attempt, nextSequence int
+	// hedge is the second connection of a hedged request; hedging is set while a back end for it is
+	// requested.
+	hedge   *world
 	hedging bool
-	// executions counts attempts that ran at a back end.
-	executions int
-	answer     string
-	finish     *Finish
-	assigning  bool
-	fault      string
+	// executions counts the attempts that ran at a back end.
+	executions  int
+	answer      string
+	finish      *Finish
+	isAssigning bool
+	fault       string
 }
 
 func (w *world) report(format string, values ...any) {
@@ -40,29 +40,29 @@
 func (w *world) step(message Message) {
 	if w.finish != nil {
 		if effects := w.core.Step(w.now, message); len(effects) > 0 {
-			w.report("effects after the finish: %s", brief(effects))
+			w.report("effects after the finish: %s", describe(effects))
 		}
 		return
 	}
 	for _, effect := range w.core.Step(w.now, message) {
 		switch effect := effect.(type) {
 		case Open:
-			if w.open != 0 && w.hedging {
-				w.other = &world{open: effect.Connection, attempt: effect.Attempt}
+			if w.connection != 0 && w.hedging {
+				w.hedge = &world{connection: effect.Connection, attempt: effect.Attempt}
 				w.hedging = false
 				w.executions++
 				continue
 			}
-			w.open, w.attempt, w.sent = effect.Connection, effect.Attempt, len(effect.ContinueFrom)
-			w.assigning = false
+			w.connection, w.attempt, w.nextSequence = effect.Connection, effect.Attempt, len(effect.ContinueFrom)
+			w.isAssigning = false
 		case Resume:
-			w.open, w.sent = effect.Connection, effect.From
+			w.connection, w.nextSequence = effect.Connection, effect.From
 		case Hedge:
 			w.hedging = true
 		case Drop:
 			w.drop(effect.Connection)
 		case Reassign:
-			w.open, w.assigning = 0, true
+			w.connection, w.isAssigning = 0, true
 		case *Deliver:
 			w.answer += effect.Text
 		case Finish:
@@ -73,33 +73,33 @@
 
 func (w *world) drop(connection int) {
 	switch {
-	case w.other == nil:
-		w.report("connection %d dropped without another", connection)
-	case connection == w.open:
+	case w.hedge == nil:
+		w.report("connection %d dropped without a second one", connection)
+	case connection == w.connection:
 		w.swap()
-	case connection != w.other.open:
+	case connection != w.hedge.connection:
 		w.report("connection %d dropped, which is not open", connection)
 	}
-	w.other = nil
+	w.hedge = nil
 }
 
-// swap lets the other connection act next.
+// swap makes the other connection of a hedged request act next.
 func (w *world) swap() {
-	if w.other != nil {
-		w.open, w.attempt, w.sent, w.other.open, w.other.attempt, w.other.sent =
-			w.other.open, w.other.attempt, w.other.sent, w.open, w.attempt, w.sent
+	if w.hedge != nil {
+		w.connection, w.attempt, w.nextSequence, w.hedge.connection, w.hedge.attempt, w.hedge.nextSequence =
+			w.hedge.connection, w.hedge.attempt, w.hedge.nextSequence, w.connection, w.attempt, w.nextSequence
 	}
 }
 
 func (w *world) chunk(sequence int) *Chunk {
-	made := &Chunk{Connection: w.open, RequestID: "r1", Attempt: w.attempt, Sequence: sequence, Text: fmt.Sprint(sequence, " ")}
+	made := &Chunk{Connection: w.connection, RequestID: "r1", Attempt: w.attempt, Sequence: sequence, Text: fmt.Sprint(sequence, " ")}
 	if sequence >= w.tokens {
 		made.Sequence, made.Text, made.FinishReason = w.tokens, "", "stop"
 	}
 	return made
 }
 
-func (w *world) whole() string {
+func (w *world) wholeAnswer() string {
 	var whole strings.Builder
 	for sequence := range w.tokens {
 		fmt.Fprint(&whole, sequence, " ")
@@ -107,25 +107,25 @@
 	return whole.String()
 }
 
-// judge holds the finish against what happened.
-func (w *world) judge() {
+// check compares the finish with what happened.
+func (w *world) check() {
 	switch {
 	case w.finish == nil:
 		w.report("no finish")
-	case w.finish.Outcome == OutcomeOK && w.answer != w.whole():
-		w.report("%q passed off as whole", w.answer)
-	case !strings.HasPrefix(w.whole(), w.answer):
-		w.report("%q is no part of the answer", w.answer)
+	case w.finish.Outcome == OutcomeOK && w.answer != w.wholeAnswer():
+		w.report("%q was reported as the whole answer", w.answer)
+	case !strings.HasPrefix(w.wholeAnswer(), w.answer):
+		w.report("%q is not a prefix of the answer", w.answer)
 	case w.finish.Outcome == OutcomeNotRun && w.executions > 0:
-		w.report("said not-run, but %d ran", w.executions)
+		w.report("reported as not-run, but %d attempts ran", w.executions)
 	}
 	if !w.repeatable && w.executions > 1 {
-		w.report("ran %d times", w.executions)
+		w.report("a request that is not repeatable ran %d times", w.executions)
 	}
 }
 
 func runSchedule(t *rapid.T, defects Defects) string {
-	w := &world{now: epoch, tokens: rapid.IntRange(0, 6).Draw(t, "tokens"), repeatable: rapid.Bool().Draw(t, "repeatable"), assigning: true}
+	w := &world{now: epoch, tokens: rapid.IntRange(0, 6).Draw(t, "tokens"), repeatable: rapid.Bool().Draw(t, "repeatable"), isAssigning: true}
 	options := streamOptions()
 	options.Repeatable, options.Resumable, options.Defects = w.repeatable, w.repeatable, defects
 	if !w.repeatable {
@@ -143,12 +143,12 @@
 		w.now = w.core.NextWake()
 		w.step(Tick{})
 	}
-	w.judge()
+	w.check()
 	return w.fault
 }
 
 func (w *world) act(t *rapid.T, act string) {
-	if w.assigning {
+	if w.isAssigning {
 		if rapid.IntRange(0, 9).Draw(t, "none") == 0 {
 			w.step(Unassigned{Code: "queue-full"})
 			return
@@ -160,33 +160,33 @@
 	switch act {
 	case "next":
 		if !w.repeatable {
-			w.step(Answered{w.open})
+			w.step(Answered{w.connection})
 			return
 		}
-		next := w.chunk(w.sent)
-		w.sent++
+		next := w.chunk(w.nextSequence)
+		w.nextSequence++
 		w.step(next)
 		if next.FinishReason != "" {
-			w.step(Ended{w.open, true})
+			w.step(Ended{w.connection, true})
 		}
 	case "old":
-		w.step(w.chunk(max(0, w.sent-2)))
+		w.step(w.chunk(max(0, w.nextSequence-2)))
 	case "skip":
-		w.sent++
-		w.step(w.chunk(w.sent))
+		w.nextSequence++
+		w.step(w.chunk(w.nextSequence))
 	case "crossed":
-		crossed := w.chunk(w.sent)
+		crossed := w.chunk(w.nextSequence)
 		crossed.RequestID, crossed.Text = "r2", "crossed "
 		w.step(crossed)
 	case "late":
-		late := w.chunk(w.sent)
+		late := w.chunk(w.nextSequence)
 		late.Connection--
 		late.Text = "late "
 		w.step(late)
 	case "end":
-		w.step(Ended{w.open, rapid.Bool().Draw(t, "terminated")})
+		w.step(Ended{w.connection, rapid.Bool().Draw(t, "terminated")})
 	case "break":
-		w.step(Failure{Connection: w.open, Evidence: MaybeSent})
+		w.step(Failure{Connection: w.connection, Evidence: MaybeSent})
 	case "hedge":
 		if w.hedging {
 			w.step(HedgeAssigned{"e4"})
@@ -199,16 +199,16 @@
 	}
 }
 
-// begin draws what becomes of a fresh attempt.
+// begin draws the start of a new attempt: whether it fails at once, and whether it ran.
 func (w *world) begin(t *rapid.T) {
 	switch rapid.IntRange(0, 4).Draw(t, "begin") {
 	case 0:
-		w.step(Failure{Connection: w.open, Evidence: NeverSent})
+		w.step(Failure{Connection: w.connection, Evidence: NeverSent})
 	case 1:
-		w.step(Failure{Connection: w.open, Evidence: RefusedBeforeRun})
+		w.step(Failure{Connection: w.connection, Evidence: RefusedBeforeRun})
 	case 2:
 		w.executions++
-		w.step(Failure{Connection: w.open, Evidence: MaybeSent})
+		w.step(Failure{Connection: w.connection, Evidence: MaybeSent})
 	default:
 		w.executions++
 	}
@@ -222,7 +222,7 @@
 	})
 }
 
-// TestCheckerSeesPlantedDefects: a checker that cannot fail proves nothing.
+// Each deliberate defect must be found by the checks, which prove nothing if they cannot fail.
 func TestCheckerSeesPlantedDefects(t *testing.T) {
 	for name, defects := range map[string]Defects{
 		"blind resend":      {BlindResend: true},
@@ -238,7 +238,7 @@
 					return
 				}
 			}
-			t.Error("no schedule showed the defect")
+			t.Error("no schedule revealed the defect")
 		})
 	}
 }
--- a/internal/attempt/stream.go
+++ b/internal/attempt/stream.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// chunk takes a chunk only where request, attempt and sequence fit: a late,
-// crossed or duplicated one is dropped and counted, and a gap breaks the
-// connection so that what is missing is asked for again.
-func (c *Core) chunk(now time.Time, chunk *Chunk) {
-	c.settle(chunk)
+// handleChunk accepts a chunk only if its request, attempt and sequence number match: late, crossed and
+// duplicated chunks are discarded and counted, and a gap ends the connection so that the missing tokens
+// are requested again.
+func (c *Core) handleChunk(now time.Time, chunk *Chunk) {
+	c.settleHedge(chunk)
 	if c.options.Defects.NoSequenceCheck {
-		c.take(now, chunk)
+		c.acceptChunk(now, chunk)
 		return
 	}
 	switch {
@@ -16,65 +16,66 @@
 		c.dropped.Crossed++
 	case c.phase != phaseConnected || chunk.Connection != c.connection || chunk.Attempt != c.attempt:
 		c.dropped.Late++
-	case chunk.Sequence < c.next:
+	case chunk.Sequence < c.nextSequence:
 		c.dropped.Duplicated++
-	case chunk.Sequence > c.next:
-		c.lost(now, Failure{Evidence: MaybeSent, Detail: "a part of the answer is missing"})
+	case chunk.Sequence > c.nextSequence:
+		c.resumeOrRetry(now, Failure{Evidence: MaybeSent, Detail: "a part of the answer is missing"})
 	default:
-		c.take(now, chunk)
+		c.acceptChunk(now, chunk)
 	}
 }
 
-func (c *Core) take(now time.Time, chunk *Chunk) {
+// acceptChunk delivers a token, or remembers the finish reason.
+func (c *Core) acceptChunk(now time.Time, chunk *Chunk) {
 	if chunk.FinishReason != "" {
-		c.finish = chunk.FinishReason
+		c.finishReason = chunk.FinishReason
 		return
 	}
-	if c.finish != "" {
+	if c.finishReason != "" {
 		c.dropped.Duplicated++
 		return
 	}
-	c.next++
+	c.nextSequence++
 	c.resumes = 0
-	c.keep(chunk.Text)
-	c.wake = now.Add(c.options.StallTimeout)
-	c.deliver.Text = chunk.Text
-	c.emit(&c.deliver)
+	c.keepForContinuation(chunk.Text)
+	c.wakeAt = now.Add(c.options.StallTimeout)
+	c.deliverEffect.Text = chunk.Text
+	c.emit(&c.deliverEffect)
 }
 
-// keep remembers a delivered token for a continuation, within the bound.
-func (c *Core) keep(text string) {
+// keepForContinuation keeps a delivered token, within MaxKeptBytes.
+func (c *Core) keepForContinuation(text string) {
 	if !c.options.Resumable {
 		return
 	}
 	c.keptBytes += len(text)
 	if c.keptBytes <= c.options.MaxKeptBytes {
-		c.kept = append(c.kept, text)
+		c.keptTokens = append(c.keptTokens, text)
 	}
 }
 
-// ended takes the end of a stream. Only the finish chunk, whose sequence
-// number proves that no token is missing, makes the answer whole.
-func (c *Core) ended(now time.Time, ended Ended) {
-	if c.lostSide(Failure{Connection: ended.Connection, Evidence: MaybeSent, Detail: "the answer ended before it was whole"}) {
+// handleEnded handles the end of a stream. Only the finish chunk, whose sequence number proves that no
+// token is missing, completes the answer.
+func (c *Core) handleEnded(now time.Time, ended Ended) {
+	if c.handleHedgeFailure(Failure{Connection: ended.Connection, Evidence: MaybeSent, Detail: "the answer ended before it was whole"}) {
 		return
 	}
 	if ended.Connection != c.connection || c.phase != phaseConnected {
 		return
 	}
-	if c.finish != "" {
-		c.succeed(c.finish)
+	if c.finishReason != "" {
+		c.finishOK(c.finishReason)
 		return
 	}
 	if c.options.Defects.PassTruncated {
-		c.succeed("stop")
+		c.finishOK("stop")
 		return
 	}
-	c.lost(now, Failure{Evidence: MaybeSent, Detail: "the answer ended before it was whole"})
+	c.resumeOrRetry(now, Failure{Evidence: MaybeSent, Detail: "the answer ended before it was whole"})
 }
 
-func (c *Core) answered(answered Answered) {
+func (c *Core) handleAnswered(answered Answered) {
 	if answered.Connection == c.connection && c.phase == phaseConnected {
-		c.succeed("")
+		c.finishOK("")
 	}
 }
