--- a/internal/control/candidacy.go
+++ b/internal/control/candidacy.go
@@ -11,42 +11,44 @@
 	"github.com/spanlanding/spanlanding/internal/leadership"
 )
 
-// candidacy is whether this node is to lead its zone.
-type candidacy struct {
-	// since is when the node first found that it should lead; zero where it
-	// should not.
+// candidacyState tracks whether this node should lead its zone.
+type candidacyState struct {
+	// since is when the node first found that it should lead; zero if it should
+	// not.
 	since time.Time
-	// handedOver is set by a leader that stops; it skips the wait.
+	// handedOver is set when a stopping leader hands over; it skips the takeover
+	// delay.
 	handedOver bool
-	// excluded is a leader that said it stops.
+	// excluded is a leader that announced that it is stopping.
 	excluded fleet.NodeName
 	stopping bool
 }
 
 func (c *Core) setMembers(members []fleet.Member) {
 	clear(c.members)
-	clear(c.usable)
+	clear(c.usableByZone)
 	for _, member := range members {
 		c.members[member.Name] = member
 		if member.Usable() {
-			c.usable[member.Zone] = append(c.usable[member.Zone], member)
+			c.usableByZone[member.Zone] = append(c.usableByZone[member.Zone], member)
 		}
 	}
-	for zone, usable := range c.usable {
+	for zone, usable := range c.usableByZone {
 		slices.SortFunc(usable, func(a, b fleet.Member) int { return byRank(zone, a, b) })
 	}
 }
 
-// zoneMembers are the usable members of the zone by rank; the slice is shared.
-func (c *Core) zoneMembers(zone fleet.Zone) []fleet.Member { return c.usable[zone] }
+// zoneMembers returns the usable members of the zone by rank. Callers must not
+// modify the slice.
+func (c *Core) zoneMembers(zone fleet.Zone) []fleet.Member { return c.usableByZone[zone] }
 
-// byRank orders members of a zone alike at all nodes.
+// byRank orders the members of a zone in the same way on all nodes.
 func byRank(zone fleet.Zone, a, b fleet.Member) int {
 	return cmp.Or(cmp.Compare(rank(zone, a.Name), rank(zone, b.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-// peersOfZone are the other usable members of the zone.
-func (c *Core) peersOfZone(zone fleet.Zone) []fleet.Member {
+// peersInZone returns the usable members of the zone other than this node.
+func (c *Core) peersInZone(zone fleet.Zone) []fleet.Member {
 	return slices.DeleteFunc(slices.Clone(c.zoneMembers(zone)), func(member fleet.Member) bool {
 		return member.Name == c.options.Self
 	})
@@ -56,19 +58,19 @@
 	return xxhash.Sum64String(string(zone) + "/" + string(name))
 }
 
-// candidate is the node that should lead the zone: whoever leads it and is
-// heard of, else the first-ranked usable member.
+// candidate returns the node that should lead the zone: the current leader
+// while its table stays fresh, otherwise the first usable member by rank.
 func (c *Core) candidate() fleet.NodeName {
 	members := c.zoneMembers(c.options.Zone)
-	current, heard := c.tables.leader(c.options.Zone)
-	silent := !heard.IsZero() && c.now.Sub(heard) >= c.settings().LeaderTimeout
+	current, updatedAt := c.tables.leader(c.options.Zone)
+	leaderTimedOut := !updatedAt.IsZero() && c.now.Sub(updatedAt) >= c.settings().LeaderTimeout
 	for _, member := range members {
-		if member.Name == current && !silent && current != c.standing.excluded {
+		if member.Name == current && !leaderTimedOut && current != c.candidacy.excluded {
 			return current
 		}
 	}
 	for _, member := range members {
-		if member.Name == c.standing.excluded || (silent && member.Name == current) {
+		if member.Name == c.candidacy.excluded || (leaderTimedOut && member.Name == current) {
 			continue
 		}
 		return member.Name
@@ -79,46 +81,47 @@
 	return ""
 }
 
-// stand tells the leadership core whether to lead.
-func (c *Core) stand() {
-	if c.standing.stopping {
+// updateCandidacy tells the leadership core whether to lead.
+func (c *Core) updateCandidacy() {
+	if c.candidacy.stopping {
 		return
 	}
 	if c.candidate() != c.options.Self {
-		c.standing.since = time.Time{}
-		c.standing.handedOver = false
-		c.forgetAsked()
+		c.candidacy.since = time.Time{}
+		c.candidacy.handedOver = false
+		c.clearUnanswered()
 		c.stepLeader(leadership.LeadershipDesired{Lead: false})
 		return
 	}
-	if c.standing.since.IsZero() {
-		c.standing.since = c.now
-		// What a leader has to write does not wait for the next try to vouch.
-		c.decider.next = c.now
+	if c.candidacy.since.IsZero() {
+		c.candidacy.since = c.now
+		// A new leader's writes must not wait for the next periodic read of the
+		// record.
+		c.recordSync.nextAttempt = c.now
 	}
-	if c.standing.handedOver || c.now.Sub(c.standing.since) >= c.settings().TakeoverDelay {
+	if c.candidacy.handedOver || c.now.Sub(c.candidacy.since) >= c.settings().TakeoverDelay {
 		c.stepLeader(leadership.LeadershipDesired{Lead: true})
 	}
 }
 
-// handOverAsked makes this node the candidate at once.
-func (c *Core) handOverAsked(asked HandOverRequested) {
-	if c.standing.stopping {
+// handOverRequested makes this node the candidate without the takeover delay.
+func (c *Core) handOverRequested(request HandOverRequested) {
+	if c.candidacy.stopping {
 		return
 	}
-	c.standing.excluded = asked.From
-	c.standing.handedOver = c.candidate() == c.options.Self
+	c.candidacy.excluded = request.From
+	c.candidacy.handedOver = c.candidate() == c.options.Self
 }
 
-// stopRequested ends the leadership and hands it to the next-ranked member.
+// stopRequested ends the leadership and hands it to the first peer by rank.
 func (c *Core) stopRequested() {
-	if c.standing.stopping {
+	if c.candidacy.stopping {
 		return
 	}
 	leading, fence := c.Leading()
-	c.standing.stopping = true
+	c.candidacy.stopping = true
 	c.stepLeader(leadership.LeadershipDesired{Lead: false})
-	if peers := c.peersOfZone(c.options.Zone); leading && len(peers) > 0 {
+	if peers := c.peersInZone(c.options.Zone); leading && len(peers) > 0 {
 		c.emit(HandOver{To: peers[0], Fence: fence})
 	}
 }
--- a/internal/control/coldstart_test.go
+++ b/internal/control/coldstart_test.go
@@ -12,17 +12,18 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// weightStore drives the stand-in's weight store on the virtual clock.
+// weightStore runs the simulated weight store on the virtual clock.
 type weightStore struct {
 	core *weights.Core
 	done map[string]func()
-	// wake is the only tick that counts: ticks a nanosecond apart would keep
-	// the store, which counts whole nanoseconds, from any progress.
+	// wake is the time of the only tick that is delivered. The store counts
+	// whole nanoseconds, so it would make no progress on ticks a nanosecond
+	// apart.
 	wake time.Time
 }
 
-// readWeights calls back once the checkpoint was read; at full speed and at
-// once in clusters without a bounded weight store.
+// readWeights calls done once the checkpoint has been read; without a bounded
+// weight store that is after the time that it takes at full speed.
 func (c *cluster) readWeights(id string, fullSpeed time.Duration, done func()) {
 	if c.weights == nil {
 		c.after(fullSpeed, done)
@@ -49,23 +50,23 @@
 	})
 }
 
-// coldStart follows a model from its first want at a node until the node's
-// table shows it ready.
+// coldStart tracks a model from the first want at a node until the node's table
+// shows the model ready.
 type coldStart struct {
-	node                   fleet.NodeName
-	model                  fleet.ModelVersion
-	wanted, ordered, shown time.Time
+	node                         fleet.NodeName
+	model                        fleet.ModelVersion
+	wantedAt, orderedAt, readyAt time.Time
 }
 
-// coldStartAt reports a want at the node now, and each second until the node's
-// table shows the model ready, as the node's queue does.
+// coldStartAt reports a want at the node now and then every second, as the
+// node's queue does, until the node's table shows the model ready.
 func (c *cluster) coldStartAt(name fleet.NodeName, model fleet.ModelVersion) *coldStart {
-	start := &coldStart{node: name, model: model, wanted: c.now}
+	start := &coldStart{node: name, model: model, wantedAt: c.now}
 	c.coldStarts = append(c.coldStarts, start)
 	var report func()
 	report = func() {
-		if start.shown.IsZero() && !c.nodes[name].down {
-			c.want(name, model, 1)
+		if start.readyAt.IsZero() && !c.nodes[name].down {
+			c.reportWant(name, model, 1)
 			c.after(time.Second, report)
 		}
 	}
@@ -75,39 +76,40 @@
 
 func (c *cluster) noteOrdered(model fleet.ModelVersion) {
 	for _, start := range c.coldStarts {
-		if start.model == model && start.ordered.IsZero() {
-			start.ordered = c.now
+		if start.model == model && start.orderedAt.IsZero() {
+			start.orderedAt = c.now
 		}
 	}
 }
 
-func (c *cluster) noteShown(name fleet.NodeName) {
+func (c *cluster) noteReady(name fleet.NodeName) {
 	for _, start := range c.coldStarts {
-		if start.node != name || !start.shown.IsZero() {
+		if start.node != name || !start.readyAt.IsZero() {
 			continue
 		}
 		for _, table := range c.nodes[name].tables {
 			if ready(table, start.model) {
-				start.shown = c.now
+				start.readyAt = c.now
 			}
 		}
 	}
 }
 
-// parts are the parts of the cold starts that have ended, sorted.
-func (c *cluster) parts(t *testing.T) (toOrder, toShown []time.Duration) {
+// durations returns the sorted times from want to load order and from want to
+// ready.
+func (c *cluster) durations(t *testing.T) (toOrder, toReady []time.Duration) {
 	t.Helper()
 	for _, start := range c.coldStarts {
-		if start.shown.IsZero() {
-			t.Errorf("%s wanted at %s was never shown ready", start.model, start.node)
+		if start.readyAt.IsZero() {
+			t.Errorf("%s, wanted at %s, never appeared as ready", start.model, start.node)
 			continue
 		}
-		toOrder = append(toOrder, start.ordered.Sub(start.wanted))
-		toShown = append(toShown, start.shown.Sub(start.wanted))
+		toOrder = append(toOrder, start.orderedAt.Sub(start.wantedAt))
+		toReady = append(toReady, start.readyAt.Sub(start.wantedAt))
 	}
 	slices.Sort(toOrder)
-	slices.Sort(toShown)
-	return toOrder, toShown
+	slices.Sort(toReady)
+	return toOrder, toReady
 }
 
 func quantile(sorted []time.Duration, share float64) time.Duration {
@@ -126,17 +128,18 @@
 	return models
 }
 
-// newColdCluster has four zones and the weight store of the profile with few
-// loads a second.
-func newColdCluster(seed uint64, models []catalog.ModelInfo) *cluster {
-	c := newCluster(clusterOptions{seed: seed, zones: 4, nodes: 2, engins: 5, models: models, boundedStore: true})
+// newBoundedStoreCluster returns a cluster of four zones whose weight store
+// allows only a few loads a second.
+func newBoundedStoreCluster(seed uint64, models []catalog.ModelInfo) *cluster {
+	c := newCluster(clusterOptions{seed: seed, zones: 4, nodes: 2, engines: 5, models: models, boundedStore: true})
 	c.run(10 * time.Second)
 	return c
 }
 
 func TestColdStartsByPart(t *testing.T) {
-	// A load takes two seconds. The bounds leave what the store's rate of three
-	// begins a second asks of the last of a burst, and half a second.
+	// A load takes two seconds. Each bound allows for the time until the last
+	// load of the burst can begin at the store's rate of three loads a second,
+	// plus half a second.
 	cases := map[string]struct {
 		start func(c *cluster, models []catalog.ModelInfo)
 		bound time.Duration
@@ -168,20 +171,21 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			models := manyModels(32, 1)
-			c := newColdCluster(1, models)
+			c := newBoundedStoreCluster(1, models)
 			test.start(c, models)
 			c.run(20 * time.Second)
-			toOrder, toShown := c.parts(t)
-			t.Logf("%d cold starts: to the order p50 %v, p99 %v; until shown at the node p50 %v, p99 %v; at most %d loads at once",
-				len(toShown), quantile(toOrder, 0.5), quantile(toOrder, 0.99), quantile(toShown, 0.5), quantile(toShown, 0.99),
+			toOrder, toReady := c.durations(t)
+			t.Logf("%d cold starts: want to order p50 %v, p99 %v; want to ready at the node p50 %v, p99 %v; at most %d concurrent loads",
+				len(toReady), quantile(toOrder, 0.5), quantile(toOrder, 0.99), quantile(toReady, 0.5), quantile(toReady, 0.99),
 				c.weights.core.Stats().PeakActive)
-			if worst := quantile(toShown, 1); len(toShown) == 0 || worst > test.bound {
-				t.Errorf("the longest took %v, want at most %v", worst, test.bound)
+			if worst := quantile(toReady, 1); len(toReady) == 0 || worst > test.bound {
+				t.Errorf("the longest cold start took %v, want at most %v", worst, test.bound)
 			}
-			// Zones that hear of each other late may begin a few loads too many.
+			// Zones that receive each other's tables late may start a few loads too
+			// many.
 			stats := c.weights.core.Stats()
-			if most := c.settings.Placement.StoreConcurrency + 4; stats.PeakActive > most {
-				t.Errorf("%d loads at once, want at most %d", stats.PeakActive, most)
+			if maxLoads := c.settings.Placement.StoreConcurrency + 4; stats.PeakActive > maxLoads {
+				t.Errorf("%d concurrent loads, want at most %d", stats.PeakActive, maxLoads)
 			}
 			if len(c.violations) > 0 {
 				t.Errorf("violations: %v", c.violations)
@@ -190,33 +194,33 @@
 	}
 }
 
-// TestFirstReplicasAreLoadedBeforeFurtherOnes wants eight models, of which each
-// may have one replica in each zone, at all nodes at once: with loads of two
-// seconds the last first replica should be there when the store has let eight
-// loads begin, and half as many further ones.
+// TestFirstReplicasAreLoadedBeforeFurtherOnes wants eight models at all nodes
+// at once; each model may have one replica in each zone. With loads of two
+// seconds, the last first replica should be ready by the time that the store
+// has let eight loads and half as many loads of further replicas begin.
 func TestFirstReplicasAreLoadedBeforeFurtherOnes(t *testing.T) {
 	models := manyModels(8, 4)
-	c := newColdCluster(2, models)
+	c := newBoundedStoreCluster(2, models)
 	for _, name := range c.nodeNames() {
 		for _, facts := range models {
 			c.coldStartAt(name, facts.Model)
 		}
 	}
 	c.run(30 * time.Second)
-	toOrder, toShown := c.parts(t)
-	t.Logf("%d cold starts, %d loads: to the order p50 %v, p99 %v; until shown at the node p50 %v, p99 %v", len(toShown),
-		c.loads, quantile(toOrder, 0.5), quantile(toOrder, 0.99), quantile(toShown, 0.5), quantile(toShown, 0.99))
-	if worst := quantile(toShown, 1); worst > 7*time.Second {
-		t.Errorf("the longest took %v, want at most 7s", worst)
+	toOrder, toReady := c.durations(t)
+	t.Logf("%d cold starts, %d loads: want to order p50 %v, p99 %v; want to ready at the node p50 %v, p99 %v", len(toReady),
+		c.loads, quantile(toOrder, 0.5), quantile(toOrder, 0.99), quantile(toReady, 0.5), quantile(toReady, 0.99))
+	if worst := quantile(toReady, 1); worst > 7*time.Second {
+		t.Errorf("the longest cold start took %v, want at most 7s", worst)
 	}
 }
 
 // TestWantsDuringARoundAreServedAtItsEnd wants a model while the leader claims
-// its engines anew.
+// its engines again.
 func TestWantsDuringARoundAreServedAtItsEnd(t *testing.T) {
 	for seed := range uint64(10) {
 		models := manyModels(1, 1)
-		c := newCluster(clusterOptions{seed: seed, zones: 1, nodes: 2, engins: 3, models: models})
+		c := newCluster(clusterOptions{seed: seed, zones: 1, nodes: 2, engines: 3, models: models})
 		c.run(6 * time.Second)
 		leader := c.leaderOf("z0")
 		c.stepEngine("z0-e0", engine.Restart{})
@@ -225,7 +229,7 @@
 		}
 		start := c.coldStartAt(c.nodeNames()[int(seed)%2], models[0].Model)
 		c.run(5 * time.Second)
-		if waited := start.ordered.Sub(start.wanted); start.ordered.IsZero() || waited > 700*time.Millisecond {
+		if waited := start.orderedAt.Sub(start.wantedAt); start.orderedAt.IsZero() || waited > 700*time.Millisecond {
 			t.Errorf("seed %d: ordered after %v, want at most 700ms", seed, waited)
 		}
 	}
@@ -236,9 +240,9 @@
 }
 
 // TestNewModelIsNotRefusedWhileItsAllotmentIsDecided wants a model from the
-// moment it is declared.
+// moment that it is declared.
 func TestNewModelIsNotRefusedWhileItsAllotmentIsDecided(t *testing.T) {
-	c := newColdCluster(3, manyModels(4, 1))
+	c := newBoundedStoreCluster(3, manyModels(4, 1))
 	c.models = manyModels(5, 1)
 	declared := c.models[4].Model
 	for _, name := range c.nodeNames() {
@@ -246,22 +250,22 @@
 		c.coldStartAt(name, declared)
 	}
 	c.run(10 * time.Second)
-	_, toShown := c.parts(t)
-	t.Logf("until shown p50 %v, most %v", quantile(toShown, 0.5), quantile(toShown, 1))
+	_, toReady := c.durations(t)
+	t.Logf("want to ready: p50 %v, max %v", quantile(toReady, 0.5), quantile(toReady, 1))
 	if c.refusals > 0 {
-		t.Errorf("%d refusals of a model that is then loaded", c.refusals)
+		t.Errorf("%d refusals of a model that was loaded afterwards", c.refusals)
 	}
 }
 
-// TestRefusalReachesAllNodesThatWait fills every engine with models that are
-// still wanted, and wants one more at all nodes.
+// TestRefusalReachesAllNodesThatWait fills every engine with models that stay
+// in demand, then wants one more model at all nodes.
 func TestRefusalReachesAllNodesThatWait(t *testing.T) {
 	models := manyModels(3, 1)
-	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 4, engins: 1, models: models})
+	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 4, engines: 1, models: models})
 	c.run(5 * time.Second)
 	keep := func() {
 		for _, facts := range models[:2] {
-			c.want("z0-n0", facts.Model, 1)
+			c.reportWant("z0-n0", facts.Model, 1)
 		}
 	}
 	for range 5 {
@@ -270,10 +274,10 @@
 	}
 	last := models[2].Model
 	leader := c.leaderOf("z0")
-	// The nodes ask only once, so that only a push can reach those that are not
-	// the leader.
+	// Each node reports only once, so only a pushed refusal can reach the nodes
+	// other than the leader.
 	for _, name := range c.nodeNames() {
-		c.want(name, last, 1)
+		c.reportWant(name, last, 1)
 	}
 	began := c.now
 	for range 30 {
@@ -282,7 +286,7 @@
 		}
 		if c.now.Sub(began)%time.Second == 0 {
 			keep()
-			c.want(leader, last, 1)
+			c.reportWant(leader, last, 1)
 		}
 		c.run(125 * time.Millisecond)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,19 +15,19 @@
 	modelB = fleet.ModelVersion{Model: "report", Version: "1"}
 )
 
-func facts(model fleet.ModelVersion, most int) catalog.ModelInfo {
-	return catalog.ModelInfo{Model: model, MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
+func facts(model fleet.ModelVersion, maxReplicas int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: model, MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: maxReplicas}
 }
 
 func TestBurstAtManyNodesIsOneLoad(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 4, engins: 3, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 1, zones: 1, nodes: 4, engines: 3, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	if leaders := c.leaders(); len(leaders) != 1 {
 		t.Fatalf("leaders %v, want one", leaders)
 	}
 	for range 5 {
 		for _, name := range c.nodeNames() {
-			c.want(name, modelA, 3)
+			c.reportWant(name, modelA, 3)
 		}
 		c.run(time.Second)
 	}
@@ -53,12 +53,12 @@
 	return false
 }
 
-// wantEverywhere reports the want at all nodes each second.
-func (c *cluster) wantEverywhere(model fleet.ModelVersion, seconds int) {
+// reportWantEverywhere reports the want at all running nodes every second.
+func (c *cluster) reportWantEverywhere(model fleet.ModelVersion, seconds int) {
 	for range seconds {
 		for _, name := range c.nodeNames() {
 			if !c.nodes[name].down {
-				c.want(name, model, 1)
+				c.reportWant(name, model, 1)
 			}
 		}
 		c.run(time.Second)
@@ -66,9 +66,9 @@
 }
 
 func TestLeavingEngineIsMarkedAtEveryNodeAndReplaced(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 2, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 2, zones: 1, nodes: 3, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
-	c.wantEverywhere(modelA, 5)
+	c.reportWantEverywhere(modelA, 5)
 	holder := c.holderOf(modelA)
 	c.stepEngine(holder, engine.Leave{})
 	c.run(1500 * time.Millisecond)
@@ -77,9 +77,9 @@
 			t.Errorf("table of %s does not mark %s as leaving", name, holder)
 		}
 	}
-	c.wantEverywhere(modelA, 6)
+	c.reportWantEverywhere(modelA, 6)
 	if now := c.holderOf(modelA); now == holder || now == "" {
-		t.Errorf("the model is on %q, was on the leaving %q", now, holder)
+		t.Errorf("the model is on %q, want an engine other than the leaving %q", now, holder)
 	}
 	if len(c.violations) > 0 {
 		t.Errorf("violations: %v", c.violations)
@@ -105,7 +105,7 @@
 }
 
 func TestPlannedStopHandsTheLeadershipOver(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 3, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 3, zones: 1, nodes: 3, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	before := c.leaderOf("z0")
 	c.send(before, StopRequested{})
@@ -117,14 +117,14 @@
 }
 
 func TestModelIsLoadedWhileTheStoreIsDown(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 4, zones: 1, nodes: 3, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	c.storeDown = true
 	leader := c.leaderOf("z0")
 	c.nodes[leader].down = true
-	c.spreadMembers()
+	c.distributeMembers()
 	c.run(4 * time.Second)
-	c.wantEverywhere(modelA, 5)
+	c.reportWantEverywhere(modelA, 5)
 	if c.replicas(modelA) != 1 {
 		t.Errorf("%d replicas while the store is down and the leader lost; leaders %v", c.replicas(modelA), c.leaders())
 	}
@@ -133,41 +133,41 @@
 func TestModelThatCannotBeLoadedIsRefusedAtOnce(t *testing.T) {
 	large := facts(modelA, 1)
 	large.MemoryBytes = 100 * gib
-	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelInfo{large}})
+	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 2, engines: 2, models: []catalog.ModelInfo{large}})
 	c.run(4 * time.Second)
 	leader := c.leaderOf("z0")
-	c.want(leader, modelA, 1)
+	c.reportWant(leader, modelA, 1)
 	c.run(100 * time.Millisecond)
 	refused := c.nodes[leader].refused
 	if len(refused) == 0 || refused[0].Reason != "no-memory" || refused[0].RetryAfter <= 0 {
-		t.Errorf("refusals %v, want no-memory with a time to come back", refused)
+		t.Errorf("refusals %v, want no-memory with a retry delay", refused)
 	}
 }
 
 func TestRecordLostByTheStoreIsWrittenAgain(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 6, zones: 1, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 6, zones: 1, nodes: 2, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	before := c.stored().Record
 	c.store = objects.New(0)
-	// The leader notices when it begins a round.
+	// The leader notices the loss when it starts a round.
 	c.stepEngine("z0-e0", engine.Restart{})
 	c.run(5 * time.Second)
 	after := c.stored().Record
 	if after.Generation <= before.Generation || after.Limit(modelA, "z0") != 1 {
-		t.Errorf("the store holds generation %d, had %d", after.Generation, before.Generation)
+		t.Errorf("the store holds generation %d, want one newer than %d", after.Generation, before.Generation)
 	}
 }
 
 func TestWantIsPassedToTheZoneWithAllotment(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 7, zones: 3, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 7, zones: 3, nodes: 2, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
 	record := c.stored().Record
 	if len(record.Models) == 0 {
-		t.Fatal("nothing is decided after five seconds")
+		t.Fatal("no allotment is decided after five seconds")
 	}
-	from := c.nodeWithout(modelA)
+	from := c.nodeWithoutAllotment(modelA)
 	for range 5 {
-		c.want(from, modelA, 1)
+		c.reportWant(from, modelA, 1)
 		c.run(time.Second)
 	}
 	holder := c.holderOf(modelA)
@@ -181,13 +181,13 @@
 }
 
 func TestModelUsedFromAnotherZoneStaysLoaded(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 8, zones: 2, nodes: 2, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 8, zones: 2, nodes: 2, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
-	from := c.nodeWithout(modelA)
-	c.want(from, modelA, 1)
+	from := c.nodeWithoutAllotment(modelA)
+	c.reportWant(from, modelA, 1)
 	c.run(5 * time.Second)
 	for range 25 * 12 {
-		c.arrive(from, modelA)
+		c.reportArrival(from, modelA)
 		c.run(5 * time.Second)
 	}
 	if c.replicas(modelA) != 1 {
@@ -195,12 +195,12 @@
 	}
 	c.run(20 * time.Minute)
 	if c.replicas(modelA) != 0 {
-		t.Error("the model stays loaded although nobody uses it")
+		t.Error("the unused model stays loaded")
 	}
 }
 
-// nodeWithout is a node whose zone has no allotment of the model.
-func (c *cluster) nodeWithout(model fleet.ModelVersion) fleet.NodeName {
+// nodeWithoutAllotment returns a node whose zone has no allotment of the model.
+func (c *cluster) nodeWithoutAllotment(model fleet.ModelVersion) fleet.NodeName {
 	for _, name := range c.nodeNames() {
 		if c.stored().Record.Limit(model, c.nodes[name].member.Zone) == 0 {
 			return name
@@ -209,25 +209,25 @@
 	return ""
 }
 
-// arrive reports a request that did not have to wait.
-func (c *cluster) arrive(name fleet.NodeName, model fleet.ModelVersion) {
+// reportArrival reports a request that did not have to wait.
+func (c *cluster) reportArrival(name fleet.NodeName, model fleet.ModelVersion) {
 	c.send(name, WantsReported{From: name, Wants: []fleet.Want{{
 		Model: model, Node: name, Zone: c.nodes[name].member.Zone, Arrivals: 1,
 	}}})
 }
 
 func TestReplicaMovesWhereItsZoneCannotLoadIt(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 9, zones: 2, nodes: 2, engins: 1, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 9, zones: 2, nodes: 2, engines: 1, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(5 * time.Second)
-	from := c.nodeWithout(modelA)
+	from := c.nodeWithoutAllotment(modelA)
 	full := c.engines["z0-e0"]
 	if c.nodes[from].member.Zone == "z0" {
 		full = c.engines["z1-e0"]
 	}
-	// The engine of the zone with the allotment goes away, no other comes.
+	// The engine of the zone with the allotment is removed and not replaced.
 	c.reclaim(full.backend.Name, 30*time.Second)
 	for range 25 {
-		c.want(from, modelA, 1)
+		c.reportWant(from, modelA, 1)
 		c.run(time.Second)
 	}
 	if holder := c.holderOf(modelA); holder == "" || c.engines[holder].backend.Zone != c.nodes[from].member.Zone {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -22,30 +22,31 @@
 	placement *placement.Core
 
 	members map[fleet.NodeName]fleet.Member
-	// usable are the usable members of each zone by rank.
-	usable       map[fleet.Zone][]fleet.Member
+	// usableByZone holds the usable members of each zone, sorted by rank.
+	usableByZone map[fleet.Zone][]fleet.Member
 	machines     objectstore.MachineList
 	machineIndex machineIndex
 	models       []catalog.ModelInfo
-	places       locality.Map
-
-	record   VersionedRecord
-	decider  deciderState
-	standing candidacy
-	polls    pollState
-	tables   tableState
-	wants    wantState
-	leaving  leavingState
-	evacuees evacuationState
-	gone     goneState
+	topology     locality.Map
+
+	record     VersionedRecord
+	recordSync recordSyncState
+	candidacy  candidacyState
+	polls      pollState
+	tables     tableState
+	wants      wantState
+	leaving    leavingState
+	evacuation evacuationState
+	gone       goneState
 
 	now time.Time
-	// placed is set once placement was stepped in this step.
-	placed  bool
-	effects []Effect
+	// placementStepped is set once placement was stepped during the current
+	// Step.
+	placementStepped bool
+	effects          []Effect
 }
 
-// New returns the core of a node that knows nothing yet.
+// New returns the core of a node that has no state yet.
 func New(options Options) *Core {
 	holder := uint16(xxhash.Sum64String(string(options.Self)) ^ options.BootID)
 	return &Core{
@@ -62,64 +63,67 @@
 				StaleAllotment:      options.Defects.StaleAllotment,
 			},
 		}),
-		placement: placement.New(placement.Options{Settings: options.Settings.Placement}),
-		members:   make(map[fleet.NodeName]fleet.Member),
-		usable:    make(map[fleet.Zone][]fleet.Member),
-		polls:     newPollState(),
-		tables:    newTableState(),
-		wants:     newWantState(),
-		leaving:   newLeavingState(),
-		evacuees:  newEvacuationState(),
-		gone:      newGoneState(),
-		// A core with the planted defect never learns, so it vouches at once.
-		decider: deciderState{vouched: options.Defects.StaleAllotment},
+		placement:    placement.New(placement.Options{Settings: options.Settings.Placement}),
+		members:      make(map[fleet.NodeName]fleet.Member),
+		usableByZone: make(map[fleet.Zone][]fleet.Member),
+		polls:        newPollState(),
+		tables:       newTableState(),
+		wants:        newWantState(),
+		leaving:      newLeavingState(),
+		evacuation:   newEvacuationState(),
+		gone:         newGoneState(),
+		// With the StaleAllotment defect the core never reads the record, so it
+		// has to count as authoritative from the start.
+		recordSync: recordSyncState{authoritative: options.Defects.StaleAllotment},
 	}
 }
 
-// tickInterval is how often the core wants to be stepped.
+// tickInterval is how often the core must be stepped.
 const tickInterval = 100 * time.Millisecond
 
-// NextWake returns when Step(now, Tick{}) is wanted.
+// NextWake returns when Step(now, Tick{}) is due.
 func (c *Core) NextWake() time.Time { return c.now.Add(tickInterval) }
 
 // Leading reports whether the node leads its zone under an established round,
-// and the round's fence.
+// and that round's fence.
 func (c *Core) Leading() (bool, fleet.Fence) { return c.leader.Leading(), c.leader.Fence() }
 
-// Record is the newest record of allotments that the node holds, and its
+// Record returns the newest allotment record that the node has, with its
 // version in the store.
 func (c *Core) Record() VersionedRecord { return c.record }
 
-// Tables are the newest whole route tables, by zone, as leaders sent them.
-func (c *Core) Tables() map[fleet.Zone]fleet.RouteTable { return c.tables.whole() }
+// Tables returns the newest complete route table of each zone, as published by
+// its leader.
+func (c *Core) Tables() map[fleet.Zone]fleet.RouteTable { return c.tables.all() }
 
-// TablesNewerThan are those of which the stamps name an older state or none.
+// TablesNewerThan returns the tables of the zones for which held has no stamp
+// or the stamp of an older state.
 func (c *Core) TablesNewerThan(held []TableStamp) map[fleet.Zone]fleet.RouteTable {
 	return c.tables.newerThan(held)
 }
 
-// Step takes a message and returns what is to be done.
+// Step handles a message and returns the effects to carry out.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	c.now = now
 	c.effects = nil
-	c.placed = false
-	c.take(message)
-	c.stand()
+	c.placementStepped = false
+	c.handleMessage(message)
+	c.updateCandidacy()
 	c.updateGone()
-	c.updateElsewhere()
+	c.updateOtherZones()
 	c.updateDisplaced()
 	c.stepLeader(leadership.Tick{})
 	c.tickPlacement()
-	c.poll()
-	c.decide()
+	c.pollEngines()
+	c.updateRecord()
 	c.reportArrivals()
 	c.flushRefusals()
 	c.publish()
-	c.repair()
+	c.pullStaleTables()
 	return c.effects
 }
 
-func (c *Core) take(message Message) {
+func (c *Core) handleMessage(message Message) {
 	switch message := message.(type) {
 	case Tick:
 	case MembersChanged:
@@ -141,7 +145,7 @@
 	case OrderAnswered:
 		c.orderAnswered(message)
 	case WantsReported:
-		c.takeWants(message)
+		c.handleWants(message)
 	case ForwardAnswered:
 		c.forwardAnswered(message)
 	case TableReceived:
@@ -149,19 +153,19 @@
 	case TablesPulled:
 		c.tablesPulled(message)
 	case LeavingNoticeReceived:
-		c.leavingHeard(message)
+		c.leavingNoticeReceived(message)
 	case HandOverRequested:
-		c.handOverAsked(message)
+		c.handOverRequested(message)
 	case StopRequested:
 		c.stopRequested()
 	}
 }
 
-// tickPlacement lets placement do what is due. Any message makes it plan, which
-// costs as much as the zone is large, so the tick is left out after another one
-// of the same step.
+// tickPlacement runs placement's periodic work. Every message makes placement
+// plan again, which costs time proportional to the size of the zone, so the
+// tick is skipped if another message was sent in the same step.
 func (c *Core) tickPlacement() {
-	if !c.placed {
+	if !c.placementStepped {
 		c.stepPlacement(placement.Tick{})
 	}
 }
@@ -171,8 +175,8 @@
 func (c *Core) settings() Settings { return c.options.Settings }
 
 func (c *Core) setCatalog(changed CatalogChanged) {
-	c.models, c.places = changed.Models, changed.Topology
-	c.takeEvacuations(changed.Evacuations)
+	c.models, c.topology = changed.Models, changed.Topology
+	c.applyEvacuations(changed.Evacuations)
 	c.stepPlacement(placement.CatalogChanged{
 		Models:          changed.Models,
 		Adapters:        changed.Adapters,
@@ -182,5 +186,5 @@
 	c.updateLimits()
 }
 
-// Candidate is the node that the core believes should lead the zone.
+// Candidate returns the node that the core expects to lead the zone.
 func (c *Core) Candidate() fleet.NodeName { return c.candidate() }
--- a/internal/control/decide.go
+++ b/internal/control/decide.go
@@ -9,95 +9,97 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// answerPatience is when a write or read-back without answer is given up.
-const answerPatience = 5 * time.Second
-
-// vouchInterval is the time between two tries to learn the record of a node
-// that does not lead.
-const vouchInterval = 3 * time.Second
-
-// decide writes what this node has to write: as leader the engines and the
-// confirmations of its zone, as decider the decision for the fleet.
-func (c *Core) decide() {
-	if c.now.Before(c.decider.next) || c.awaitingStore() {
+// recordAnswerTimeout is when an unanswered read or write of the record is
+// abandoned.
+const recordAnswerTimeout = 5 * time.Second
+
+// authorityReadInterval is the time between two attempts of a node that does
+// not lead to read the record from the store or a majority.
+const authorityReadInterval = 3 * time.Second
+
+// updateRecord writes the changes to the record that are due: as the zone's
+// leader its engines and confirmations, as the coordinator the allotments of
+// the fleet.
+func (c *Core) updateRecord() {
+	if c.now.Before(c.recordSync.nextAttempt) || c.awaitingRecordAnswer() {
 		return
 	}
-	c.decider.next = c.now.Add(c.settings().DecideInterval)
-	if !c.decider.vouched && !c.leadsByView() {
-		c.decider.next = c.now.Add(vouchInterval)
-		c.readBack()
+	c.recordSync.nextAttempt = c.now.Add(c.settings().DecideInterval)
+	if !c.recordSync.authoritative && !c.shouldLead() {
+		c.recordSync.nextAttempt = c.now.Add(authorityReadInterval)
+		c.readRecord()
 		return
 	}
-	if !c.leadsByView() {
+	if !c.shouldLead() {
 		return
 	}
-	if !c.decider.storeKnown {
-		c.readBack()
+	if !c.recordSync.storeAnswered {
+		c.readRecord()
 		return
 	}
 	if next, changed := c.nextRecord(); changed {
-		c.write(next)
+		c.writeRecord(next)
 	}
 }
 
-func (c *Core) awaitingStore() bool {
-	waiting := c.decider.writing != 0 || c.decider.reading != 0
-	if waiting && c.now.Sub(c.decider.sentAt) >= answerPatience {
-		c.decider.writing, c.decider.reading = 0, 0
-		c.decider.storeKnown = false
+func (c *Core) awaitingRecordAnswer() bool {
+	waiting := c.recordSync.pendingWriteID != 0 || c.recordSync.pendingReadID != 0
+	if waiting && c.now.Sub(c.recordSync.sentAt) >= recordAnswerTimeout {
+		c.recordSync.pendingWriteID, c.recordSync.pendingReadID = 0, 0
+		c.recordSync.storeAnswered = false
 		return false
 	}
 	return waiting
 }
 
-// leadsByView reports whether this node should lead its zone, also while no
-// round can be established yet.
-func (c *Core) leadsByView() bool {
-	return !c.standing.stopping && !c.standing.since.IsZero()
+// shouldLead reports whether this node should lead its zone, even if no round
+// can be established yet.
+func (c *Core) shouldLead() bool {
+	return !c.candidacy.stopping && !c.candidacy.since.IsZero()
 }
 
 func (c *Core) nextRecord() (allotment.Record, bool) {
 	record := c.record.Record
-	if record.Generation == 0 && !c.isDecider() {
+	if record.Generation == 0 && !c.isCoordinator() {
 		return record, false
 	}
-	if c.decider.storeBehind {
+	if c.recordSync.storeOutdated {
 		return record.Restored(), true
 	}
 	present, gone := c.listedEngines(c.options.Zone)
 	if next, changed := allotment.WithEngines(record, c.options.Zone, present, gone); changed {
 		return next, true
 	}
-	if entry := record.Zones[c.options.Zone]; len(entry.Joining) > 0 && c.spreadReached(entry.JoinedAt) {
+	if entry := record.Zones[c.options.Zone]; len(entry.Joining) > 0 && c.generationReplicated(entry.JoinedAt) {
 		return allotment.AdmitEngines(record, c.options.Zone), true
 	}
-	if confirmed := c.confirmable(); len(confirmed) > 0 && c.spreadKnown(confirmed) {
+	if confirmed := c.confirmableModels(); len(confirmed) > 0 && c.loweringsReplicated(confirmed) {
 		return allotment.Confirm(record, c.options.Zone, confirmed), true
 	}
-	if !c.isDecider() || len(c.models) == 0 {
+	if !c.isCoordinator() || len(c.models) == 0 {
 		return record, false
 	}
 	return allotment.Decide(record, c.decisionInput())
 }
 
-// spreadKnown reports whether a majority of the zone holds the lowerings, and
-// asks where that is not known.
-func (c *Core) spreadKnown(models []fleet.ModelVersion) bool {
+// loweringsReplicated reports whether a majority of the zone holds the lowered
+// limits of the models, and starts a check if that is not known.
+func (c *Core) loweringsReplicated(models []fleet.ModelVersion) bool {
 	for _, model := range models {
-		if !c.spreadReached(c.record.Record.Models[model].Zones[c.options.Zone].LoweredAt) {
+		if !c.generationReplicated(c.record.Record.Models[model].Zones[c.options.Zone].LoweredAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// spreadReached reports whether a majority of the zone holds the generation, and
-// asks where that is not known.
-func (c *Core) spreadReached(generation uint64) bool {
-	if generation <= c.decider.spread {
+// generationReplicated reports whether a majority of the zone holds the
+// generation, and starts a check if that is not known.
+func (c *Core) generationReplicated(generation uint64) bool {
+	if generation <= c.recordSync.replicatedGeneration {
 		return true
 	}
-	c.askSpread()
+	c.checkReplication()
 	return false
 }
 
@@ -111,7 +113,7 @@
 		case objectstore.MachineLive:
 			present = append(present, name)
 		case objectstore.MachineGone:
-			if c.gone.effective[name] {
+			if c.gone.confirmed[name] {
 				gone = append(gone, name)
 			}
 		case objectstore.MachineLeaving:
@@ -120,28 +122,29 @@
 	return present, gone
 }
 
-// confirmable are the lowered limits that the round holds: it carries a record
-// at least as new as the lowering, it holds every engine of the zone, and the
-// zone is within the limit.
-func (c *Core) confirmable() []fleet.ModelVersion {
+// confirmableModels returns the models whose lowered limit this zone can
+// confirm: the round was started with a record at least as new as the lowering,
+// it has claimed every engine of the zone, and the zone is within the limit.
+func (c *Core) confirmableModels() []fleet.ModelVersion {
 	if !c.leader.Leading() {
 		return nil
 	}
 	var models []fleet.ModelVersion
-	carried := c.leader.RoundRecord().Generation
+	roundGeneration := c.leader.RoundRecord().Generation
 	for _, model := range c.record.Record.Unconfirmed(c.options.Zone) {
 		share := c.record.Record.Models[model].Zones[c.options.Zone]
-		if share.LoweredAt <= carried && c.placement.ReplicaUpperBound(model) <= share.Limit {
+		if share.LoweredAt <= roundGeneration && c.placement.ReplicaUpperBound(model) <= share.Limit {
 			models = append(models, model)
 		}
 	}
 	return models
 }
 
-// isDecider reports whether this node decides for the fleet: it is to lead the
-// first zone that has a usable node. Two of them only make writes conflict.
-func (c *Core) isDecider() bool {
-	if !c.leadsByView() {
+// isCoordinator reports whether this node decides allotments for the fleet: it
+// should lead the first zone, by name, that has a usable node. Two coordinators
+// at a time are safe; their conditional writes merely conflict.
+func (c *Core) isCoordinator() bool {
+	if !c.shouldLead() {
 		return false
 	}
 	for _, member := range c.members {
--- a/internal/control/defects_test.go
+++ b/internal/control/defects_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// seededFaults draws a schedule without shrinking, for the planted defects.
+// seededFaults generates a schedule without shrinking, for the injected
+// defects.
 func seededFaults(random *rand.Rand, kinds []string) []fault {
 	faults := make([]fault, 4+random.IntN(10))
 	for index := range faults {
@@ -20,7 +21,7 @@
 	return faults
 }
 
-// defectSeeds bounds the search for a schedule that shows a planted defect.
+// defectSeeds is the number of seeds to try until a schedule exposes a defect.
 const defectSeeds = 400
 
 func TestEachPlantedDefectIsCaught(t *testing.T) {
@@ -36,11 +37,11 @@
 				c := newBusyCluster(seed, defects)
 				c.busySchedule(seededFaults(rand.New(rand.NewPCG(seed, 3)), faultKinds))
 				if len(c.violations) > 0 {
-					t.Logf("caught with seed %d: %s", seed, c.violations[0])
+					t.Logf("detected with seed %d: %s", seed, c.violations[0])
 					return
 				}
 			}
-			t.Errorf("not caught in %d schedules", defectSeeds)
+			t.Errorf("not detected in %d schedules", defectSeeds)
 		})
 	}
 }
--- a/internal/control/effects.go
+++ b/internal/control/effects.go
@@ -9,81 +9,86 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// Effect is what the shell is to do.
+// Effect is an action that the caller of Step must carry out.
 type Effect interface{ effect() }
 
-// ReadEngine reads an engine's state; answer with StateRead.
+// ReadEngine reads an engine's state; the answer is StateRead.
 type ReadEngine struct{ leadership.ReadEngine }
 
-// SendClaim claims an engine; answer with ClaimAnswered.
+// SendClaim claims an engine; the answer is ClaimAnswered.
 type SendClaim struct{ leadership.SendClaim }
 
-// SendOrder sends an order; answer with OrderAnswered.
+// SendOrder sends an order; the answer is OrderAnswered.
 type SendOrder struct {
 	Engine  fleet.BackendName
 	Address string
 	Order   backend.Order
 }
 
-// LearnRecord reads the record of allotments from the store, or, where it does
-// not answer, from the members: at least Majority of them, this node included,
-// must answer with a record that they vouch for. Answer with RecordLearned,
-// with the newest of them.
+// LearnRecord reads the allotment record from the store or, if the store does
+// not answer, from the members: at least Majority of them, including this node,
+// must answer with a record that they hold authoritatively (see
+// Core.AuthoritativeRecord). The answer is RecordLearned with the newest of
+// these records.
 type LearnRecord struct {
 	ID       uint64
 	Members  []fleet.Member
 	Majority int
-	// MembersOnly leaves the store out, and AtLeast is the generation that
-	// each member's record must have to count.
+	// MembersOnly skips the store. A member's record must have at least
+	// MinGeneration to count.
 	MembersOnly   bool
 	MinGeneration uint64
 }
 
-// WriteRecord writes the record by compare-and-set; answer with RecordWritten.
+// WriteRecord writes the record by compare-and-set; the answer is
+// RecordWritten.
 type WriteRecord struct {
 	ID       uint64
 	Record   allotment.Record
 	Expected uint64
 }
 
-// PublishTable hands an update to the members.
+// PublishTable sends an update to the members.
 type PublishTable struct {
 	To     []fleet.Member
 	Update TableUpdate
 }
 
-// PullTables asks a member for its tables that are newer than those held;
-// answer with TablesPulled.
+// PullTables requests a member's tables that are newer than those held; the
+// answer is TablesPulled.
 type PullTables struct {
 	From fleet.Member
-	// Held names the tables held, by zone.
+	// Held has a stamp for each table held, sorted by zone.
 	Held []TableStamp
 }
 
-// TableStamp names a state of a zone's table.
+// TableStamp identifies a state of a zone's table.
 type TableStamp struct {
 	Zone     fleet.Zone
 	Fence    fleet.Fence
 	Sequence uint64
 }
 
-// ForwardWants reports wants to another node; answer with ForwardAnswered.
+// ForwardWants sends reports of waiting requests to another node; the answer is
+// ForwardAnswered.
 type ForwardWants struct {
 	To    fleet.Member
 	Wants []fleet.Want
-	// Forwarded is set where they cross from one zone to another.
+	// Forwarded is set if they are sent from one zone to another.
 	Forwarded bool
 }
 
 // RefuseWants tells a node that models cannot be loaded now. For the node
-// itself it goes to whoever asked through fleet.Demand, for another it is the
-// answer to its report. Others in the zone hear it with the table.
+// itself the refusal goes to the callers of fleet.DemandReporter; for another
+// node it is the answer to its report. The other nodes of the zone receive it
+// with the table.
 type RefuseWants struct {
 	Node     fleet.NodeName
 	Refusals []fleet.LoadRefusal
 }
 
-// BroadcastLeaving spreads that back ends go away; it goes before all else.
+// BroadcastLeaving announces that back ends are shutting down; it takes
+// precedence over all other effects.
 type BroadcastLeaving struct {
 	To       []fleet.Member
 	Backends []fleet.BackendName
@@ -95,22 +100,23 @@
 	Fence fleet.Fence
 }
 
-// TablesChanged gives the tables that the node routes by.
+// TablesChanged gives the tables that the node uses for routing.
 type TablesChanged struct {
 	Tables map[fleet.Zone]fleet.RouteTable
 }
 
-// LeadershipChanged tells that the node leads its zone, or no longer does.
+// LeadershipChanged reports that the node started or stopped leading its zone.
 type LeadershipChanged struct {
 	Leading bool
 	Fence   fleet.Fence
 	Reason  string
 }
 
-// LoadFinished tells what the time of a load was spent on, for the log.
+// LoadFinished reports, for the log, where the time of a load was spent.
 type LoadFinished struct{ placement.LoadFinished }
 
-// EvacuationChanged tells that a zone is out of service, or is back, for the log.
+// EvacuationChanged reports, for the log, that a zone was taken out of service
+// or returned to it.
 type EvacuationChanged struct{ evacuation.Change }
 
 func (ReadEngine) effect()        {}
--- a/internal/control/evacuate_test.go
+++ b/internal/control/evacuate_test.go
@@ -11,14 +11,14 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// evacuate puts a configuration in force at all nodes in which just these zones
+// evacuate applies a configuration at all nodes in which exactly these zones
 // are evacuated.
 func (c *cluster) evacuate(zones ...string) {
 	c.evacuations = evacuation.Snapshot{Zones: zones, Position: storepos.At(0, c.evacuations.Position.Revision+1)}
-	c.spreadCatalog()
+	c.distributeCatalog()
 }
 
-// loadsIn counts the model on the engines of a zone.
+// replicasIn counts the replicas of the model on the engines of a zone.
 func (c *cluster) replicasIn(zone fleet.Zone, model fleet.ModelVersion) int {
 	count := 0
 	for _, name := range c.engineNames() {
@@ -29,15 +29,15 @@
 	return count
 }
 
-// loadedCluster has each model loaded in the zone z0 only: the other one has no
-// engines at first.
+// loadedCluster returns a cluster of two zones whose models are loaded in z0
+// only; z1 is added after the loads.
 func loadedCluster(t *testing.T, seed uint64, models ...catalog.ModelInfo) *cluster {
 	t.Helper()
-	c := newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engins: 3, models: models})
+	c := newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engines: 3, models: models})
 	c.run(4 * time.Second)
 	for range 5 {
 		for _, facts := range models {
-			c.want("z0-n0", facts.Model, 1)
+			c.reportWant("z0-n0", facts.Model, 1)
 		}
 		c.run(time.Second)
 	}
@@ -50,7 +50,7 @@
 		c.addEngine("z1", index)
 		c.addNode("z1", index)
 	}
-	c.spreadMachines()
+	c.distributeMachines()
 	for _, name := range c.nodeNames() {
 		if c.nodes[name].core == nil {
 			c.boot(name)
@@ -60,8 +60,9 @@
 	return c
 }
 
-// TestWhatStoodInAnEvacuatedZoneIsLoadedElsewhereUnasked although nobody asks for
-// it, and nothing is loaded in the zone, whoever asks there.
+// TestWhatStoodInAnEvacuatedZoneIsLoadedElsewhereUnasked: the models are loaded
+// in the other zone even if nobody requests them, and nothing is loaded in the
+// evacuated one.
 func TestWhatStoodInAnEvacuatedZoneIsLoadedElsewhereUnasked(t *testing.T) {
 	for seed := range uint64(10) {
 		c := loadedCluster(t, seed, facts(modelA, 1), facts(modelB, 1))
@@ -82,15 +83,16 @@
 	}
 }
 
-// TestWantsOfAnEvacuatedZoneAreServedByAnother: its nodes still have callers.
+// TestWantsOfAnEvacuatedZoneAreServedByAnother: the nodes of an evacuated zone
+// still receive requests.
 func TestWantsOfAnEvacuatedZoneAreServedByAnother(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 1, zones: 2, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 1, zones: 2, nodes: 3, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	for _, zone := range []string{"z0", "z1"} {
 		c.evacuate(zone)
 		c.run(3 * time.Second)
 		for range 10 {
-			c.want(fleet.NodeName(zone+"-n1"), modelA, 1)
+			c.reportWant(fleet.NodeName(zone+"-n1"), modelA, 1)
 			c.run(time.Second)
 		}
 		other := fleet.Zone(map[string]string{"z0": "z1", "z1": "z0"}[zone])
@@ -103,39 +105,39 @@
 	}
 }
 
-// TestAllZonesEvacuatedKeepWhatTheyHold: there is nowhere to move it to.
+// TestAllZonesEvacuatedKeepWhatTheyHold: no zone is left to move the models to.
 func TestAllZonesEvacuatedKeepWhatTheyHold(t *testing.T) {
 	c := loadedCluster(t, 1, facts(modelA, 1))
 	before := c.loads
 	c.evacuate("z0", "z1")
 	for range 6 {
-		c.want("z0-n0", modelA, 1)
-		c.want("z1-n0", modelB, 1)
+		c.reportWant("z0-n0", modelA, 1)
+		c.reportWant("z1-n0", modelB, 1)
 		c.run(time.Second)
 	}
 	if c.replicasIn("z0", modelA) != 1 || c.loads != before {
-		t.Errorf("%d replicas, %d further loads", c.replicasIn("z0", modelA), c.loads-before)
+		t.Errorf("%d replicas in the zone, %d further loads", c.replicasIn("z0", modelA), c.loads-before)
 	}
 	refused := func(refusal fleet.LoadRefusal) bool { return refusal.Reason == "zone-evacuated" }
 	if !slices.ContainsFunc(c.nodes["z0-n0"].refused, refused) {
-		t.Errorf("the node that waits was told %v", c.nodes["z0-n0"].refused)
+		t.Errorf("refusals at the waiting node: %v", c.nodes["z0-n0"].refused)
 	}
 }
 
-// TestEvacuationThatIsTakenBackLetsTheZoneLoadAgain, also where it is set and
-// taken back in one moment.
+// TestEvacuationThatIsTakenBackLetsTheZoneLoadAgain, also if an evacuation
+// starts and ends at the same moment.
 func TestEvacuationThatIsTakenBackLetsTheZoneLoadAgain(t *testing.T) {
-	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 3, engins: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
+	c := newCluster(clusterOptions{seed: 5, zones: 1, nodes: 3, engines: 2, models: []catalog.ModelInfo{facts(modelA, 1)}})
 	c.run(4 * time.Second)
 	c.evacuate("z0")
-	c.wantEverywhere(modelA, 4)
+	c.reportWantEverywhere(modelA, 4)
 	if c.loads != 0 {
 		t.Fatalf("%d loads in the evacuated zone", c.loads)
 	}
 	c.evacuate()
 	c.evacuate("z0")
 	c.evacuate()
-	c.wantEverywhere(modelA, 4)
+	c.reportWantEverywhere(modelA, 4)
 	if c.replicas(modelA) != 1 {
 		t.Errorf("%d replicas after the evacuation", c.replicas(modelA))
 	}
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -9,30 +9,31 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// refused handles a model that the zone cannot load: another zone with
-// allotment is asked; where there is none, all nodes that wait are told, once
-// it has been wanted for some time: the allotment of a model that is new, or of
-// a zone that starts, is decided meanwhile.
-func (c *Core) refused(refusal placement.Refuse) {
-	early := !refusal.Permanent && c.now.Sub(refusal.Since) < c.settings().RefusalGracePeriod
+// handleRefusal handles a model that the zone cannot load. It forwards the
+// wants to another zone with allotment if there is one. Otherwise it refuses
+// all waiting nodes, but only once the model has been wanted for
+// RefusalGracePeriod: the allotment of a new model or a starting zone may be
+// decided in the meantime.
+func (c *Core) handleRefusal(refusal placement.Refuse) {
+	withinGracePeriod := !refusal.Permanent && c.now.Sub(refusal.Since) < c.settings().RefusalGracePeriod
 	for _, key := range c.wants.keysOf(refusal.Refusal.Model) {
-		if !c.allows(key.regions, c.options.Zone) || c.leader.Leading() && c.forwardElsewhere(key) {
+		if !c.allows(key.regions, c.options.Zone) || c.leader.Leading() && c.forwardToOtherZone(key) {
 			continue
 		}
-		told := refusal.Refusal
-		told.Regions = key.regions
+		regional := refusal.Refusal
+		regional.Regions = key.regions
 		for _, node := range slices.Sorted(maps.Keys(c.wants.reporters[key])) {
 			if zone := c.wants.reporters[key][node].Zone; zone != c.options.Zone {
-				c.starve(key.model, c.lackingZone(key, zone))
+				c.noteUnserved(key.model, c.shortageZone(key, zone))
 			}
-			if !early {
-				c.refuse(node, told)
+			if !withinGracePeriod {
+				c.queueRefusal(node, regional)
 			}
 		}
 	}
 }
 
-// keysOf lists the demands for a model.
+// keysOf returns the keys of all wants for a model.
 func (w *wantState) keysOf(model fleet.ModelVersion) []demandKey {
 	var keys []demandKey
 	for key := range w.reporters {
@@ -44,26 +45,26 @@
 	return keys
 }
 
-// forwardElsewhere passes wants of this zone's nodes to a zone that has
-// allotment for the model and a node that is known.
-func (c *Core) forwardElsewhere(key demandKey) bool {
-	wants := c.ownWants(key)
+// forwardToOtherZone forwards the wants of this zone's nodes to a zone that has
+// allotment of the model and a known usable node.
+func (c *Core) forwardToOtherZone(key demandKey) bool {
+	wants := c.zoneWants(key)
 	if len(wants) == 0 {
 		return false
 	}
-	target, found := c.zoneFor(key)
+	target, found := c.forwardTarget(key)
 	if !found {
-		c.reportStarved(key)
+		c.reportUnserved(key)
 		return false
 	}
-	if c.now.Sub(c.wants.forwarded[key]) >= forwardInterval {
-		c.wants.forwarded[key] = c.now
+	if c.now.Sub(c.wants.forwardedAt[key]) >= forwardInterval {
+		c.wants.forwardedAt[key] = c.now
 		c.emit(ForwardWants{To: target, Wants: wants, Forwarded: true})
 	}
 	return true
 }
 
-func (c *Core) ownWants(key demandKey) []fleet.Want {
+func (c *Core) zoneWants(key demandKey) []fleet.Want {
 	var wants []fleet.Want
 	reporters := c.wants.reporters[key]
 	for _, node := range slices.Sorted(maps.Keys(reporters)) {
@@ -74,9 +75,9 @@
 	return wants
 }
 
-// zoneFor is the contact of the zone in service, and in the regions of the demand,
-// with the most allotment of the model.
-func (c *Core) zoneFor(key demandKey) (fleet.Member, bool) {
+// forwardTarget returns a node of the zone with the largest allotment of the
+// model, among the other zones in service that the key's regions allow.
+func (c *Core) forwardTarget(key demandKey) (fleet.Member, bool) {
 	var best fleet.Member
 	limit, found := 0, false
 	shares := c.record.Record.Models[key.model].Zones
@@ -84,41 +85,41 @@
 		if zone == c.options.Zone || c.isEvacuated(zone) || !c.allows(key.regions, zone) || shares[zone].Limit <= limit {
 			continue
 		}
-		if member, known := c.contact(zone); known {
+		if member, known := c.zoneContact(zone); known {
 			best, limit, found = member, shares[zone].Limit, true
 		}
 	}
 	return best, found
 }
 
-// starve notes that no zone could serve what waits in one.
-func (c *Core) starve(model fleet.ModelVersion, zone fleet.Zone) {
+// noteUnserved records that no zone could serve the wants of the given zone.
+func (c *Core) noteUnserved(model fleet.ModelVersion, zone fleet.Zone) {
 	if zone == "" {
 		return
 	}
-	if c.wants.starved[model] == nil {
-		c.wants.starved[model] = make(map[fleet.Zone]time.Time)
+	if c.wants.unservedAt[model] == nil {
+		c.wants.unservedAt[model] = make(map[fleet.Zone]time.Time)
 	}
-	c.wants.starved[model][zone] = c.now
+	c.wants.unservedAt[model][zone] = c.now
 }
 
-// reportStarved notes that no zone could serve the model for this one, and
-// tells the decider.
-func (c *Core) reportStarved(key demandKey) {
-	c.starve(key.model, c.lackingZone(key, c.options.Zone))
-	decider, found := c.deciderMember()
-	if !found || c.now.Sub(c.wants.complained[key]) < complainInterval {
+// reportUnserved records that no zone could serve the model for this zone and
+// reports it to the coordinator.
+func (c *Core) reportUnserved(key demandKey) {
+	c.noteUnserved(key.model, c.shortageZone(key, c.options.Zone))
+	coordinator, found := c.coordinatorMember()
+	if !found || c.now.Sub(c.wants.unservedReportedAt[key]) < unservedReportInterval {
 		return
 	}
-	if wants := c.ownWants(key); len(wants) > 0 {
-		c.wants.complained[key] = c.now
-		c.emit(ForwardWants{To: decider, Wants: wants, Forwarded: true})
+	if wants := c.zoneWants(key); len(wants) > 0 {
+		c.wants.unservedReportedAt[key] = c.now
+		c.emit(ForwardWants{To: coordinator, Wants: wants, Forwarded: true})
 	}
 }
 
-// deciderMember is a node of the first zone that has a usable one, where that
-// is not this zone: its leader where that is known.
-func (c *Core) deciderMember() (fleet.Member, bool) {
+// coordinatorMember returns a node of the first zone by name with a usable
+// node, its leader if known. It returns false if that zone is this one.
+func (c *Core) coordinatorMember() (fleet.Member, bool) {
 	first := c.options.Zone
 	for _, member := range c.members {
 		if member.Usable() && member.Zone < first {
@@ -128,11 +129,11 @@
 	if first == c.options.Zone {
 		return fleet.Member{}, false
 	}
-	return c.contact(first)
+	return c.zoneContact(first)
 }
 
-// contact is a usable node of a zone, its leader where that is known.
-func (c *Core) contact(zone fleet.Zone) (fleet.Member, bool) {
+// zoneContact returns a usable node of the zone, its leader if known.
+func (c *Core) zoneContact(zone fleet.Zone) (fleet.Member, bool) {
 	if leader, _ := c.tables.leader(zone); c.members[leader].Usable() {
 		return c.members[leader], true
 	}
@@ -143,21 +144,22 @@
 	return members[0], true
 }
 
-// forwardAnswered takes the refusals of whoever was asked.
+// forwardAnswered handles the refusals of the node that wants were forwarded
+// to.
 func (c *Core) forwardAnswered(answer ForwardAnswered) {
 	if answer.Failed {
 		for _, want := range answer.Wants {
-			c.reportStarved(keyOf(want))
+			c.reportUnserved(keyOf(want))
 		}
 		return
 	}
 	for _, refusal := range answer.Refusals {
 		key := keyOfRefusal(refusal)
-		c.wants.remote[key] = remoteRefusal{refusal, c.now.Add(refusalLifetime)}
-		c.reportStarved(key)
+		c.wants.remoteRefusals[key] = remoteRefusal{refusal, c.now.Add(refusalLifetime)}
+		c.reportUnserved(key)
 		for _, want := range answer.Wants {
 			if keyOf(want) == key {
-				c.refuse(want.Node, refusal)
+				c.queueRefusal(want.Node, refusal)
 			}
 		}
 	}
--- a/internal/control/harness_effects_test.go
+++ b/internal/control/harness_effects_test.go
@@ -32,7 +32,7 @@
 	case SendClaim:
 		answer := leadership.ClaimAnswered{ID: effect.ID, Engine: effect.Engine}
 		claim := backend.Claim{Fence: effect.Fence, Incarnation: effect.Incarnation, Holder: name}
-		c.call(effect.Engine, c.heldBack(name, effect.Engine), engine.TakeClaim{Claim: claim}, func(got engine.Effect) {
+		c.call(effect.Engine, c.claimDelayOf(name, effect.Engine), engine.TakeClaim{Claim: claim}, func(got engine.Effect) {
 			switch got := got.(type) {
 			case engine.StateRead:
 				answer.Result, answer.State = leadership.ClaimGranted, got.State
@@ -82,7 +82,7 @@
 		c.sendLossy(effect.To.Name, HandOverRequested{From: name, Fence: effect.Fence})
 	case TablesChanged:
 		c.nodes[name].tables = effect.Tables
-		c.noteShown(name)
+		c.noteReady(name)
 	case RefuseWants:
 		c.refusals++
 		c.nodes[name].refused = append(c.nodes[name].refused, effect.Refusals...)
@@ -91,21 +91,22 @@
 }
 
 func (c *cluster) sendLossy(name fleet.NodeName, message Message) {
-	if c.random.Float64() >= c.lossShare {
+	if c.random.Float64() >= c.lossRate {
 		c.send(name, message)
 	}
 }
 
-// call makes one call to an engine. A lost call may still arrive, even late.
-func (c *cluster) call(name fleet.BackendName, held time.Duration, message engine.Message, answered func(engine.Effect)) {
-	lost := c.random.Float64() < c.lossShare
+// call sends one call to an engine. A lost call may still arrive, even much
+// later.
+func (c *cluster) call(name fleet.BackendName, extraDelay time.Duration, message engine.Message, answered func(engine.Effect)) {
+	lost := c.random.Float64() < c.lossRate
 	if lost {
 		c.after(900*time.Millisecond, func() { answered(nil) })
 		if c.random.IntN(2) == 0 {
 			return
 		}
 	}
-	delay := c.latency() + held
+	delay := c.latency() + extraDelay
 	if lost && c.random.IntN(2) == 0 {
 		delay += time.Duration(c.random.IntN(5000)) * time.Millisecond
 	}
@@ -117,21 +118,21 @@
 	})
 }
 
-func (c *cluster) heldBack(from fleet.NodeName, target fleet.BackendName) time.Duration {
-	if c.hold == nil {
+func (c *cluster) claimDelayOf(from fleet.NodeName, target fleet.BackendName) time.Duration {
+	if c.claimDelay == nil {
 		return 0
 	}
-	return c.hold(from, target)
+	return c.claimDelay(from, target)
 }
 
-// stepEngine feeds an engine and returns its answer to the message, nil where
-// it is down.
+// stepEngine passes a message to an engine and returns its answer, nil if the
+// engine is down.
 func (c *cluster) stepEngine(name fleet.BackendName, message engine.Message) engine.Effect {
 	target := c.engines[name]
 	if target.down {
 		return nil
 	}
-	c.unjudged = true
+	c.needsCheck = true
 	var answer engine.Effect
 	for _, effect := range target.core.Step(c.now, message) {
 		switch effect := effect.(type) {
@@ -153,7 +154,7 @@
 	return objectstore.Key{Kind: objectstore.KindAllotments, Name: allotment.ObjectName}
 }
 
-// stored is the record that stands in the store.
+// stored returns the record in the store.
 func (c *cluster) stored() VersionedRecord {
 	object, found := c.store.Get(recordKey())
 	if !found {
@@ -171,32 +172,32 @@
 }
 
 func (c *cluster) learn(name fleet.NodeName, effect LearnRecord, reply func(Message)) {
-	lost := c.random.Float64() < c.lossShare
+	lost := c.random.Float64() < c.lossRate
 	c.after(c.latency(), func() {
 		if !c.storeDown && !lost && !effect.MembersOnly {
 			reply(RecordLearned{ID: effect.ID, VersionedRecord: c.stored(), FromStore: true})
 			return
 		}
 		answer := RecordLearned{ID: effect.ID, Failed: true}
-		vouching := 0
-		for _, asked := range append([]fleet.Member{{Name: name}}, effect.Members...) {
-			node := c.nodes[asked.Name]
-			held, vouched := node.core.AuthoritativeRecord()
-			if node.down || !vouched || c.now.Before(node.pausedUntil) || held.Record.Generation < effect.MinGeneration {
+		answered := 0
+		for _, member := range append([]fleet.Member{{Name: name}}, effect.Members...) {
+			node := c.nodes[member.Name]
+			held, authoritative := node.core.AuthoritativeRecord()
+			if node.down || !authoritative || c.now.Before(node.pausedUntil) || held.Record.Generation < effect.MinGeneration {
 				continue
 			}
-			vouching++
+			answered++
 			if held.Record.Generation > answer.Record.Generation {
 				answer.VersionedRecord = held
 			}
 		}
-		answer.Failed = vouching < effect.Majority
+		answer.Failed = answered < effect.Majority
 		reply(answer)
 	})
 }
 
 func (c *cluster) write(effect WriteRecord, reply func(Message)) {
-	lost := c.random.Float64() < c.lossShare
+	lost := c.random.Float64() < c.lossRate
 	c.after(c.latency(), func() {
 		if c.storeDown {
 			reply(RecordWritten{ID: effect.ID})
@@ -207,15 +208,15 @@
 			panic(err)
 		}
 		object := objectstore.Object{Kind: objectstore.KindAllotments, Name: allotment.ObjectName, Spec: body}
-		c.unjudged = true
+		c.needsCheck = true
 		before := c.stored().Record
 		written, conflict := c.store.Write(objectstore.WriteRequest{Object: object, ExpectedVersion: effect.Expected})
 		answer := RecordWritten{ID: effect.ID, Result: WriteDone}
 		if conflict != nil {
 			written, answer.Result = conflict.Current, WriteConflict
 		} else {
-			c.judgeChange(before, c.stored().Record)
-			c.spreadRecord()
+			c.checkWrittenRecord(before, c.stored().Record)
+			c.distributeRecord()
 		}
 		if lost {
 			reply(RecordWritten{ID: effect.ID})
@@ -226,12 +227,12 @@
 	})
 }
 
-// spreadRecord hands the stored record to all nodes, as the configuration
-// does: late, and lost by some.
-func (c *cluster) spreadRecord() {
+// distributeRecord sends the stored record to all nodes as the configuration
+// distribution does: with a delay and with losses.
+func (c *cluster) distributeRecord() {
 	stored := c.stored()
 	for _, name := range c.nodeNames() {
-		if !c.nodes[name].deaf {
+		if !c.nodes[name].missesRecords {
 			c.sendLossy(name, AllotmentsChanged{stored})
 		}
 	}
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -20,7 +20,7 @@
 )
 
 // cluster runs control cores, engines and a store on a virtual clock. The
-// engines' own state is the judge.
+// invariants are checked against the actual state of the engines.
 type cluster struct {
 	now      time.Time
 	random   *rand.Rand
@@ -29,29 +29,29 @@
 	nodes    map[fleet.NodeName]*testNode
 	engines  map[fleet.BackendName]*testEngine
 	store    *objects.Store
-	// storeDown lets every call to the store fail.
+	// storeDown makes every call to the store fail.
 	storeDown bool
-	// lossShare is the share of calls whose answer is lost; half of them are
-	// carried out nevertheless, some much later.
-	lossShare float64
-	defects   Defects
-	faulty    fleet.NodeName
-	settings  Settings
-	// hold delays a claim on its way to the engine; nil for none.
-	hold   func(from fleet.NodeName, engine fleet.BackendName) time.Duration
-	models []catalog.ModelInfo
-	// evacuations are in force beside the models.
+	// lossRate is the fraction of calls whose answer is lost; half of these
+	// calls are carried out nevertheless, some of them much later.
+	lossRate   float64
+	defects    Defects
+	faultyNode fleet.NodeName
+	settings   Settings
+	// claimDelay delays a claim on its way to the engine; nil for no delay.
+	claimDelay func(from fleet.NodeName, engine fleet.BackendName) time.Duration
+	models     []catalog.ModelInfo
+	// evacuations is part of the catalog in force.
 	evacuations evacuation.Snapshot
-	places      locality.Map
-	// regional lets some nodes want models in one region only.
-	regional bool
-	// unjudged is set where an engine or the record changed.
-	unjudged   bool
+	topology    locality.Map
+	// regionalDemand makes some nodes want models in one region only.
+	regionalDemand bool
+	// needsCheck is set when an engine or the record has changed.
+	needsCheck bool
 	violations []string
 	loads      int
 	refusals   int
 	machines   objectstore.MachineList
-	// weights bounds the loads; nil for none.
+	// weights limits the loads; nil for no limit.
 	weights    *weightStore
 	coldStarts []*coldStart
 }
@@ -64,10 +64,10 @@
 	pausedUntil time.Time
 	tables      map[fleet.Zone]fleet.RouteTable
 	refused     []fleet.LoadRefusal
-	// deaf nodes hear no records from others.
-	deaf bool
-	// suspects are members that this node takes for dead.
-	suspects map[fleet.NodeName]bool
+	// missesRecords keeps records from reaching the node.
+	missesRecords bool
+	// suspected are the members that this node considers dead.
+	suspected map[fleet.NodeName]bool
 }
 
 type testEngine struct {
@@ -102,23 +102,23 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clusterOptions size a cluster.
+// clusterOptions set the size and behavior of a cluster.
 type clusterOptions struct {
-	seed                 uint64
-	zones, nodes, engins int
-	models               []catalog.ModelInfo
-	defects              Defects
-	// faulty bounds the defects to one node; empty for all.
-	faulty fleet.NodeName
-	// boundedStore gives the weight store the bounds of the settings.
+	seed                  uint64
+	zones, nodes, engines int
+	models                []catalog.ModelInfo
+	defects               Defects
+	// faultyNode restricts the defects to one node; empty for all nodes.
+	faultyNode fleet.NodeName
+	// boundedStore gives the weight store the limits of the default settings.
 	boundedStore bool
 }
 
 func newCluster(options clusterOptions) *cluster {
 	settings := DefaultSettings()
-	var bounded *weightStore
+	var boundedStore *weightStore
 	if options.boundedStore {
-		bounded = &weightStore{done: make(map[string]func()), core: weights.New(weights.Options{
+		boundedStore = &weightStore{done: make(map[string]func()), core: weights.New(weights.Options{
 			ReadsPerSecond: settings.Placement.StoreLoadsPerSecond,
 			Concurrency:    settings.Placement.StoreConcurrency,
 		})}
@@ -127,19 +127,19 @@
 		settings.Placement.StoreConcurrency = 100
 	}
 	c := &cluster{
-		now:      testStart,
-		random:   rand.New(rand.NewPCG(options.seed, 7)),
-		nodes:    make(map[fleet.NodeName]*testNode),
-		engines:  make(map[fleet.BackendName]*testEngine),
-		store:    objects.New(0),
-		defects:  options.defects,
-		faulty:   options.faulty,
-		settings: settings,
-		models:   options.models,
-		weights:  bounded,
+		now:        testStart,
+		random:     rand.New(rand.NewPCG(options.seed, 7)),
+		nodes:      make(map[fleet.NodeName]*testNode),
+		engines:    make(map[fleet.BackendName]*testEngine),
+		store:      objects.New(0),
+		defects:    options.defects,
+		faultyNode: options.faultyNode,
+		settings:   settings,
+		models:     options.models,
+		weights:    boundedStore,
 	}
 	for zone := range options.zones {
-		for index := range options.engins {
+		for index := range options.engines {
 			c.addEngine(fleet.Zone(fmt.Sprintf("z%d", zone)), index)
 		}
 		for index := range options.nodes {
@@ -150,29 +150,29 @@
 	for _, name := range c.nodeNames() {
 		c.boot(name)
 	}
-	c.repairRecords()
+	c.redistributeRecord()
 	return c
 }
 
-// repairRecords hands the record out again from time to time, as the digests of
-// the configuration do for what a push missed.
-func (c *cluster) repairRecords() {
+// redistributeRecord sends the record again at intervals, as the
+// configuration's digests do to repair lost pushes.
+func (c *cluster) redistributeRecord() {
 	if !c.storeDown {
-		c.spreadRecord()
+		c.distributeRecord()
 	}
-	c.after(3*time.Second, c.repairRecords)
+	c.after(3*time.Second, c.redistributeRecord)
 }
 
 const gib = int64(1) << 30
 
 func (c *cluster) addEngine(zone fleet.Zone, index int) {
 	name := fleet.BackendName(fmt.Sprintf("%s-e%d", zone, index))
-	described := fleet.Backend{Name: name, Kind: fleet.KindEngine, Zone: zone, Address: string(name)}
+	backend := fleet.Backend{Name: name, Kind: fleet.KindEngine, Zone: zone, Address: string(name)}
 	c.engines[name] = &testEngine{
-		backend: described,
+		backend: backend,
 		state:   objectstore.MachineLive,
 		core: engine.New(engine.Options{
-			Backend:     described,
+			Backend:     backend,
 			Incarnation: 1,
 			MemoryBytes: 40 * gib,
 			Timing:      engine.Timing{RemoteLoad: 2 * time.Second},
@@ -183,8 +183,8 @@
 func (c *cluster) addNode(zone fleet.Zone, index int) {
 	name := fleet.NodeName(fmt.Sprintf("%s-n%d", zone, index))
 	c.nodes[name] = &testNode{
-		member:   fleet.Member{Name: name, Zone: zone, State: fleet.MemberAlive},
-		suspects: make(map[fleet.NodeName]bool),
+		member:    fleet.Member{Name: name, Zone: zone, State: fleet.MemberAlive},
+		suspected: make(map[fleet.NodeName]bool),
 	}
 }
 
@@ -195,9 +195,9 @@
 func (c *cluster) listMachines() {
 	c.machines = objectstore.MachineList{AsOfUnixMilli: c.machines.AsOfUnixMilli + 1}
 	for _, name := range c.engineNames() {
-		described, state := c.engines[name].backend, c.engines[name].state
+		backend, state := c.engines[name].backend, c.engines[name].state
 		c.machines.Machines = append(c.machines.Machines, objectstore.Machine{
-			Role: "engine", Name: string(name), Zone: described.Zone, State: state, Address: string(name),
+			Role: "engine", Name: string(name), Zone: backend.Zone, State: state, Address: string(name),
 		})
 	}
 	for _, name := range c.nodeNames() {
@@ -207,13 +207,13 @@
 	}
 }
 
-// boot starts a node's process: it knows nothing of what it knew before.
+// boot starts a new process of a node without any state of the previous one.
 func (c *cluster) boot(name fleet.NodeName) {
 	node := c.nodes[name]
 	node.boot++
 	node.down = false
 	defects := c.defects
-	if c.faulty != "" && c.faulty != name {
+	if c.faultyNode != "" && c.faultyNode != name {
 		defects = Defects{}
 	}
 	node.core = New(Options{
@@ -228,21 +228,21 @@
 	c.step(name, boot, MachinesChanged{List: c.machines})
 	c.step(name, boot, c.catalog())
 	c.tick(name, boot)
-	c.spreadMembers()
+	c.distributeMembers()
 }
 
-// catalog is what is declared.
+// catalog returns the declared models and related configuration.
 func (c *cluster) catalog() CatalogChanged {
-	return CatalogChanged{Models: c.models, ColdStartWeight: 0.5, Evacuations: c.evacuations, Topology: c.places}
+	return CatalogChanged{Models: c.models, ColdStartWeight: 0.5, Evacuations: c.evacuations, Topology: c.topology}
 }
 
-func (c *cluster) spreadCatalog() {
+func (c *cluster) distributeCatalog() {
 	for _, name := range c.nodeNames() {
 		c.send(name, c.catalog())
 	}
 }
 
-func (c *cluster) spreadMembers() {
+func (c *cluster) distributeMembers() {
 	for _, name := range c.nodeNames() {
 		c.sendMembers(name)
 	}
@@ -253,7 +253,7 @@
 	var members []fleet.Member
 	for _, other := range c.nodeNames() {
 		member := c.nodes[other].member
-		if c.nodes[other].down || node.suspects[other] {
+		if c.nodes[other].down || node.suspected[other] {
 			member.State = fleet.MemberDead
 		}
 		members = append(members, member)
@@ -270,7 +270,7 @@
 	return time.Duration(1+c.random.IntN(30)) * time.Millisecond
 }
 
-// send delivers a message to the present process of a node.
+// send delivers a message to the current process of a node.
 func (c *cluster) send(name fleet.NodeName, message Message) {
 	boot := c.nodes[name].boot
 	c.after(c.latency(), func() { c.step(name, boot, message) })
@@ -283,7 +283,7 @@
 	}
 }
 
-// step feeds a core; a paused node takes its messages when it goes on.
+// step passes a message to a core; a paused node handles it after the pause.
 func (c *cluster) step(name fleet.NodeName, boot uint64, message Message) {
 	node := c.nodes[name]
 	if node.boot != boot || node.down {
@@ -298,24 +298,24 @@
 	}
 }
 
-// run lets the virtual clock run for the span.
+// run advances the virtual clock by span.
 func (c *cluster) run(span time.Duration) {
 	end := c.now.Add(span)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		next := heap.Pop(&c.queue).(event)
 		c.now = next.at
 		next.run()
-		if c.unjudged {
-			c.unjudged = false
-			c.judge()
+		if c.needsCheck {
+			c.needsCheck = false
+			c.checkInvariants()
 		}
 	}
 	c.now = end
 }
 
-// want reports waiting requests at a node, as the node's queue does each
+// reportWant reports waiting requests at a node, as the node's queue does every
 // second.
-func (c *cluster) want(name fleet.NodeName, model fleet.ModelVersion, waiting int) {
+func (c *cluster) reportWant(name fleet.NodeName, model fleet.ModelVersion, waiting int) {
 	node := c.nodes[name]
 	c.send(name, WantsReported{From: name, Wants: []fleet.Want{{
 		Model: model, Node: name, Zone: node.member.Zone, Waiting: waiting, Arrivals: waiting,
@@ -323,8 +323,8 @@
 	}}})
 }
 
-// judge holds the engines' own books against what is recorded.
-func (c *cluster) judge() {
+// checkInvariants checks the engines' actual state against the record.
+func (c *cluster) checkInvariants() {
 	record := c.stored().Record
 	total := make(map[fleet.ModelVersion]int)
 	for _, name := range c.engineNames() {
@@ -333,37 +333,37 @@
 		}
 		state := c.engines[name].core.State(c.now)
 		if state.UsedBytes() > state.MemoryBytes-state.KVReserveBytes {
-			c.violate("memory overcommitted on %s", name)
+			c.addViolation("memory overcommitted on %s", name)
 		}
 		for _, loaded := range state.Models {
 			total[loaded.Model]++
 		}
 	}
 	for _, model := range slices.SortedFunc(maps.Keys(total), fleet.ModelVersion.Compare) {
-		if decided := record.Models[model].ReplicaLimit; total[model] > decided {
-			c.violate("%d replicas of %s, decided %d", total[model], model, decided)
+		if limit := record.Models[model].ReplicaLimit; total[model] > limit {
+			c.addViolation("%d replicas of %s, replica limit %d", total[model], model, limit)
 		}
 	}
 	for _, model := range record.Overcommitted() {
-		c.violate("ceilings of %s exceed what was decided", model)
+		c.addViolation("ceilings of %s exceed the replica limit", model)
 	}
 }
 
-// judgeChange holds a written record against the one before: the decided number
-// grows only where the declared one does.
-func (c *cluster) judgeChange(before, after allotment.Record) {
+// checkWrittenRecord compares a written record with the previous one: the
+// replica limit may rise only up to the declared target.
+func (c *cluster) checkWrittenRecord(before, after allotment.Record) {
 	for model, decision := range after.Models {
 		if decision.ReplicaLimit > max(before.Models[model].ReplicaLimit, decision.Target) {
-			c.violate("decided number of %s raised to %d, target %d", model, decision.ReplicaLimit, decision.Target)
+			c.addViolation("replica limit of %s raised to %d, target %d", model, decision.ReplicaLimit, decision.Target)
 		}
 	}
 }
 
-func (c *cluster) violate(format string, arguments ...any) {
+func (c *cluster) addViolation(format string, arguments ...any) {
 	c.violations = append(c.violations, c.now.Sub(testStart).String()+": "+fmt.Sprintf(format, arguments...))
 }
 
-// replicas counts the model on all engines.
+// replicas counts the replicas of the model on all engines.
 func (c *cluster) replicas(model fleet.ModelVersion) int {
 	count := 0
 	for _, name := range c.engineNames() {
@@ -375,7 +375,7 @@
 	return count
 }
 
-// leaders are the nodes that lead under an established round.
+// leaders returns the nodes that lead under an established round.
 func (c *cluster) leaders() []fleet.NodeName {
 	var leaders []fleet.NodeName
 	for _, name := range c.nodeNames() {
--- a/internal/control/lead.go
+++ b/internal/control/lead.go
@@ -12,55 +12,55 @@
 
 const roleEngine = "engine"
 
-// stepLeader feeds the leadership core and carries its effects on.
+// stepLeader passes a message to the leadership core and handles its effects.
 func (c *Core) stepLeader(message leadership.Message) {
 	for _, effect := range c.leader.Step(c.now, message) {
 		switch effect := effect.(type) {
 		case leadership.ReadEngine:
-			c.engineAsked(effect.Engine)
+			c.noteEngineRequest(effect.Engine)
 			c.emit(ReadEngine{effect})
 		case leadership.SendClaim:
-			c.engineAsked(effect.Engine)
+			c.noteEngineRequest(effect.Engine)
 			c.emit(SendClaim{effect})
 		case leadership.LearnRecord:
-			c.emit(c.learnRecord(effect.ID))
+			c.emit(c.newLearnRecord(effect.ID))
 		case leadership.RoundEstablished:
-			c.established(effect)
+			c.roundEstablished(effect)
 		case leadership.RoundEnded:
-			c.ended(effect)
+			c.roundEnded(effect)
 		}
 	}
 }
 
-func (c *Core) established(round leadership.RoundEstablished) {
+func (c *Core) roundEstablished(round leadership.RoundEstablished) {
 	c.adoptRecord(VersionedRecord{Record: round.Record})
 	c.beginTable(round)
 	c.polls.clear()
-	c.standing.excluded = ""
+	c.candidacy.excluded = ""
 	c.emit(LeadershipChanged{Leading: true, Fence: round.Fence})
-	c.reportAgain(c.options.Self)
+	c.resendReport(c.options.Self)
 	c.stepPlacement(placement.RoundBegan{Fence: round.Fence, Held: round.Held, AssumedFull: round.AssumedFull})
 	for _, name := range slices.Sorted(maps.Keys(round.Held)) {
-		c.noticeLeaving(round.Held[name])
+		c.announceIfLeaving(round.Held[name])
 	}
 }
 
-func (c *Core) ended(ended leadership.RoundEnded) {
-	c.emit(LeadershipChanged{Fence: c.leader.Fence(), Reason: ended.Reason})
+func (c *Core) roundEnded(roundEnded leadership.RoundEnded) {
+	c.emit(LeadershipChanged{Fence: c.leader.Fence(), Reason: roundEnded.Reason})
 	if !c.options.Defects.NoFence {
 		c.stepPlacement(placement.RoundEnded{})
 	}
 }
 
-// stepPlacement feeds the placement core and carries its effects on.
+// stepPlacement passes a message to the placement core and handles its effects.
 func (c *Core) stepPlacement(message placement.Message) {
-	c.placed = true
+	c.placementStepped = true
 	for _, effect := range c.placement.Step(c.now, message) {
 		switch effect := effect.(type) {
 		case placement.SendOrder:
 			c.sendOrder(effect)
 		case placement.Refuse:
-			c.refused(effect)
+			c.handleRefusal(effect)
 		case placement.LoadFinished:
 			c.emit(LoadFinished{effect})
 		case placement.RequestNewRound:
@@ -69,14 +69,14 @@
 	}
 }
 
-func (c *Core) sendOrder(sent placement.SendOrder) {
-	c.polls.ordered(c.now, sent.Engine, c.leader.NextRequestID())
-	order := sent.Order
+func (c *Core) sendOrder(request placement.SendOrder) {
+	c.polls.noteOrder(c.now, request.Engine, c.leader.NextRequestID())
+	order := request.Order
 	if c.options.Defects.NoFence {
-		shown := c.polls.shown[sent.Engine]
-		order.Fence, order.Incarnation = shown.Fence, shown.Incarnation
+		lastState := c.polls.lastStates[request.Engine]
+		order.Fence, order.Incarnation = lastState.Fence, lastState.Incarnation
 	}
-	c.emit(SendOrder{Engine: sent.Engine, Address: c.engineAddress(sent.Engine), Order: order})
+	c.emit(SendOrder{Engine: request.Engine, Address: c.engineAddress(request.Engine), Order: order})
 }
 
 func (c *Core) orderAnswered(answer OrderAnswered) {
@@ -95,32 +95,32 @@
 	})
 }
 
-// stateRead takes an engine's state, whoever asked for it.
-func (c *Core) stateRead(read leadership.StateRead) {
-	if isSilent, news := c.polls.answered(read); news {
-		c.stepPlacement(placement.EngineUnresponsive{Engine: read.Engine, Unresponsive: isSilent})
+// stateRead handles an engine's state, whichever core requested it.
+func (c *Core) stateRead(answer leadership.StateRead) {
+	if unresponsive, changed := c.polls.noteAnswer(answer); changed {
+		c.stepPlacement(placement.EngineUnresponsive{Engine: answer.Engine, Unresponsive: unresponsive})
 	}
-	if !read.Failed {
-		c.engineAnswered(read.Engine)
+	if !answer.Failed {
+		c.noteEngineAnswer(answer.Engine)
 	}
-	c.stepLeader(read)
-	if read.Failed {
+	c.stepLeader(answer)
+	if answer.Failed {
 		return
 	}
 	if c.options.Defects.NoFence {
-		c.polls.shown[read.Engine] = read.State
-		read.State.Fence = c.leader.Fence()
+		c.polls.lastStates[answer.Engine] = answer.State
+		answer.State.Fence = c.leader.Fence()
 	} else if !c.leader.Leading() {
 		return
 	}
-	if !c.polls.beforeOrder(read) {
-		c.stepPlacement(placement.EngineStateReceived{QuerySequence: read.ID, State: read.State})
+	if !c.polls.predatesOrder(answer) {
+		c.stepPlacement(placement.EngineStateReceived{QuerySequence: answer.ID, State: answer.State})
 	}
-	c.noticeLeaving(read.State)
-	c.showEngine(read.State)
+	c.announceIfLeaving(answer.State)
+	c.updateEngine(answer.State)
 }
 
-// updateLimits hands the zone's part of the record to placement.
+// updateLimits passes the zone's part of the record to placement.
 func (c *Core) updateLimits() {
 	changed := placement.LimitsChanged{
 		Limits:   make(map[fleet.ModelVersion]int),
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -13,35 +13,36 @@
 	machineLeaving = objectstore.MachineLeaving
 )
 
-// leavingState holds the back ends that were heard to go away. A back end that
-// comes back does so with another incarnation, or another name.
+// leavingState holds the back ends that were reported to be shutting down. A
+// back end that comes back has another incarnation or another name.
 type leavingState struct {
-	// names maps a back end to the incarnation that leaves; 0 where it is not
-	// known.
-	names map[fleet.BackendName]uint64
-	// listed are those that the machine list has shown as leaving: one that it
-	// shows live after that has come back. Before that the list may only lag.
+	// incarnations maps a back end to the incarnation that is shutting down; 0
+	// if that is not known.
+	incarnations map[fleet.BackendName]uint64
+	// listed are the back ends that the machine list has shown as leaving. If
+	// the list shows one of them as live afterwards, it has come back; before
+	// that, a list that still shows it as live may just be outdated.
 	listed map[fleet.BackendName]bool
 }
 
 func newLeavingState() leavingState {
 	return leavingState{
-		names:  make(map[fleet.BackendName]uint64),
-		listed: make(map[fleet.BackendName]bool),
+		incarnations: make(map[fleet.BackendName]uint64),
+		listed:       make(map[fleet.BackendName]bool),
 	}
 }
 
 func (l *leavingState) has(name fleet.BackendName) bool {
-	_, found := l.names[name]
+	_, found := l.incarnations[name]
 	return found
 }
 
-// list takes the state that the machine list shows and reports whether it is
-// leaving.
-func (l *leavingState) list(name fleet.BackendName, state objectstore.MachineState) bool {
+// updateListed applies the state that the machine list shows and reports
+// whether it is leaving.
+func (l *leavingState) updateListed(name fleet.BackendName, state objectstore.MachineState) bool {
 	isLeaving := state == objectstore.MachineLeaving
 	if state == objectstore.MachineGone || state == objectstore.MachineLive && l.listed[name] {
-		delete(l.names, name)
+		delete(l.incarnations, name)
 	}
 	if !isLeaving {
 		delete(l.listed, name)
@@ -51,61 +52,64 @@
 	return true
 }
 
-// mark sets the leaving flag of a state where the news is ahead of it.
+// mark sets the leaving flag of a state that does not show it yet.
 func (l *leavingState) mark(state fleet.EngineState) fleet.EngineState {
-	incarnation, found := l.names[state.Name]
+	incarnation, found := l.incarnations[state.Name]
 	if found && (incarnation == 0 || incarnation == state.Incarnation) {
 		state.Leaving = true
 	}
 	return state
 }
 
-// noticeLeaving spreads the news where a state shows it first.
-func (c *Core) noticeLeaving(state fleet.EngineState) {
+// announceIfLeaving broadcasts that an engine is leaving if its own state is
+// the first sign of it.
+func (c *Core) announceIfLeaving(state fleet.EngineState) {
 	if !state.Leaving || c.leaving.has(state.Name) {
 		return
 	}
-	c.leaving.names[state.Name] = state.Incarnation
-	c.spreadLeaving([]fleet.BackendName{state.Name})
+	c.leaving.incarnations[state.Name] = state.Incarnation
+	c.broadcastLeaving([]fleet.BackendName{state.Name})
 }
 
-// machinesLeaving spreads what the machine list shows first.
-func (c *Core) machinesLeaving() {
-	var news []fleet.BackendName
+// announceLeavingMachines broadcasts the back ends of which the machine list is
+// the first to show that they are leaving.
+func (c *Core) announceLeavingMachines() {
+	var announced []fleet.BackendName
 	for _, machine := range c.machines.Machines {
 		name := fleet.BackendName(machine.Name)
 		if machine.Role != roleEngine && machine.Role != roleService {
 			continue
 		}
-		if c.leaving.list(name, machine.State) && machine.Zone == c.options.Zone && !c.leaving.has(name) {
-			c.leaving.names[name] = 0
-			news = append(news, name)
+		if c.leaving.updateListed(name, machine.State) && machine.Zone == c.options.Zone && !c.leaving.has(name) {
+			c.leaving.incarnations[name] = 0
+			announced = append(announced, name)
 		}
 	}
-	c.leavingChanged()
-	if len(news) > 0 {
-		c.spreadLeaving(news)
+	c.invalidateViews()
+	if len(announced) > 0 {
+		c.broadcastLeaving(announced)
 	}
 }
 
-// leavingHeard takes the news from a peer; it is passed on by whoever heard it
-// first only.
-func (c *Core) leavingHeard(heard LeavingNoticeReceived) {
-	var news []fleet.BackendName
-	for _, name := range heard.Backends {
+// leavingNoticeReceived handles a notice from a peer. Only the node that
+// learned of it first broadcasts it: a notice without a sender is broadcast, a
+// peer's is not.
+func (c *Core) leavingNoticeReceived(notice LeavingNoticeReceived) {
+	var announced []fleet.BackendName
+	for _, name := range notice.Backends {
 		if !c.leaving.has(name) {
-			c.leaving.names[name] = c.incarnationOf(name)
-			news = append(news, name)
+			c.leaving.incarnations[name] = c.incarnationOf(name)
+			announced = append(announced, name)
 		}
 	}
-	if len(news) == 0 {
+	if len(announced) == 0 {
 		return
 	}
-	if heard.From == "" {
-		c.spreadLeaving(news)
+	if notice.From == "" {
+		c.broadcastLeaving(announced)
 		return
 	}
-	c.applyLeaving(news)
+	c.applyLeaving(announced)
 }
 
 func (c *Core) incarnationOf(name fleet.BackendName) uint64 {
@@ -117,22 +121,22 @@
 	return 0
 }
 
-func (c *Core) spreadLeaving(news []fleet.BackendName) {
-	slices.Sort(news)
-	c.emit(BroadcastLeaving{To: c.audience(), Backends: news})
-	c.applyLeaving(news)
+func (c *Core) broadcastLeaving(backends []fleet.BackendName) {
+	slices.Sort(backends)
+	c.emit(BroadcastLeaving{To: c.broadcastTargets(), Backends: backends})
+	c.applyLeaving(backends)
 }
 
-func (c *Core) applyLeaving(news []fleet.BackendName) {
-	c.leavingChanged()
-	c.stepPlacement(placement.EnginesLeaving{Engines: news})
+func (c *Core) applyLeaving(backends []fleet.BackendName) {
+	c.invalidateViews()
+	c.stepPlacement(placement.EnginesLeaving{Engines: backends})
 	table := c.ownTable()
 	if table == nil {
 		return
 	}
-	for _, name := range news {
+	for _, name := range backends {
 		if state, found := table.engines[name]; found {
-			c.showEngine(state)
+			c.updateEngine(state)
 		}
 	}
 }
--- a/internal/control/leaving_test.go
+++ b/internal/control/leaving_test.go
@@ -7,9 +7,8 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// TestBackEndThatComesBackGetsWorkAgain: a service back end leaves and is
-// started anew under its name, so soon that the machine list never shows it
-// gone.
+// TestBackEndThatComesBackGetsWorkAgain: a service back end leaves and restarts
+// under the same name so soon that the machine list never shows it as gone.
 func TestBackEndThatComesBackGetsWorkAgain(t *testing.T) {
 	core := New(Options{Self: "n1", Zone: "z", Settings: DefaultSettings()})
 	list := func(state objectstore.MachineState) objectstore.MachineList {
@@ -27,20 +26,20 @@
 				return service.Leaving
 			}
 		}
-		t.Fatal("the service is not shown")
+		t.Fatal("the service is missing from the view")
 		return false
 	}
-	heard := LeavingNoticeReceived{From: "n2", Backends: []fleet.BackendName{"stops"}}
+	notice := LeavingNoticeReceived{From: "n2", Backends: []fleet.BackendName{"stops"}}
 	if leaving(MachinesChanged{List: list(objectstore.MachineLive)}) {
-		t.Error("a live back end counts as leaving")
+		t.Error("a live back end is marked as leaving")
 	}
-	if !leaving(heard, MachinesChanged{List: list(objectstore.MachineLive)}) {
-		t.Error("a list that lags took back what a peer said")
+	if !leaving(notice, MachinesChanged{List: list(objectstore.MachineLive)}) {
+		t.Error("an outdated machine list cleared the mark set by a peer's notice")
 	}
 	if !leaving(MachinesChanged{List: list(objectstore.MachineLeaving)}) {
-		t.Error("a leaving back end gets work")
+		t.Error("a leaving back end is not marked as leaving")
 	}
 	if leaving(MachinesChanged{List: list(objectstore.MachineLive)}) {
-		t.Error("a back end that came back gets no work")
+		t.Error("a back end that came back is still marked as leaving")
 	}
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -11,35 +11,36 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// goneState holds the engines that the machine list calls gone. The list lags
-// and knows names only: an engine that was started anew under its name may
-// still be called gone. So an engine counts as gone only once it has also left
-// this node's own questions without an answer for GoneSilence: the silence of an
-// engine that nobody asked says nothing.
+// goneState holds the engines that the machine list calls gone. The list is
+// delayed and contains names only, so it may still call an engine gone that was
+// restarted under the same name. An engine therefore counts as gone only once
+// it has also left this node's own requests unanswered for GoneTimeout; if
+// nobody sent it requests, the absence of answers proves nothing.
 type goneState struct {
-	// since is when the list first called the engine gone, or when it last
-	// answered after that.
+	// since is when the list first called the engine gone, or when the engine
+	// last answered after that.
 	since map[fleet.BackendName]time.Time
-	// asked are the questions of this node that have no answer.
-	asked     map[fleet.BackendName]questions
-	effective map[fleet.BackendName]bool
+	// unanswered are the requests of this node that have no answer.
+	unanswered map[fleet.BackendName]requestSpan
+	confirmed  map[fleet.BackendName]bool
 }
 
-// questions are one engine's unanswered questions, the first and the last.
-type questions struct {
+// requestSpan gives the times of the first and the last of an engine's
+// unanswered requests.
+type requestSpan struct {
 	first time.Time
 	last  time.Time
 }
 
 func newGoneState() goneState {
 	return goneState{
-		asked:     make(map[fleet.BackendName]questions),
-		since:     make(map[fleet.BackendName]time.Time),
-		effective: make(map[fleet.BackendName]bool),
+		unanswered: make(map[fleet.BackendName]requestSpan),
+		since:      make(map[fleet.BackendName]time.Time),
+		confirmed:  make(map[fleet.BackendName]bool),
 	}
 }
 
-// setMachines takes a newer machine list.
+// setMachines applies a newer machine list.
 func (c *Core) setMachines(list objectstore.MachineList) {
 	if list.AsOfUnixMilli < c.machines.AsOfUnixMilli {
 		return
@@ -58,86 +59,86 @@
 	}
 	c.updateGone()
 	c.listEngines()
-	c.machinesLeaving()
+	c.announceLeavingMachines()
 }
 
-// engineAnswered notes that an engine is not gone, whatever the list says.
-func (c *Core) engineAnswered(name fleet.BackendName) {
-	delete(c.gone.asked, name)
+// noteEngineAnswer records that an engine is not gone, whatever the list says.
+func (c *Core) noteEngineAnswer(name fleet.BackendName) {
+	delete(c.gone.unanswered, name)
 	if _, listed := c.gone.since[name]; listed {
 		c.gone.since[name] = c.now
 		c.updateGone()
 	}
 }
 
-// engineAsked notes a question to an engine.
-func (c *Core) engineAsked(name fleet.BackendName) {
-	asked, ok := c.gone.asked[name]
-	if !ok || c.now.Sub(asked.last) > c.settings().GoneTimeout {
-		asked.first = c.now
+// noteEngineRequest records that a request was sent to an engine.
+func (c *Core) noteEngineRequest(name fleet.BackendName) {
+	span, ok := c.gone.unanswered[name]
+	if !ok || c.now.Sub(span.last) > c.settings().GoneTimeout {
+		span.first = c.now
 	}
-	asked.last = c.now
-	c.gone.asked[name] = asked
+	span.last = c.now
+	c.gone.unanswered[name] = span
 }
 
-// forgetAsked ends this node's questions: what it learned of silence holds only
-// while it goes on asking.
-func (c *Core) forgetAsked() {
-	if len(c.gone.asked) > 0 {
-		clear(c.gone.asked)
+// clearUnanswered discards the unanswered requests: they are evidence only
+// while this node keeps sending requests.
+func (c *Core) clearUnanswered() {
+	if len(c.gone.unanswered) > 0 {
+		clear(c.gone.unanswered)
 		c.updateGone()
 	}
 }
 
-// isSilent reports whether an engine that the list calls gone since then has
-// been silent for long enough.
-func (c *Core) isSilent(name fleet.BackendName, since time.Time) bool {
-	asked, ok := c.gone.asked[name]
-	silence := c.settings().GoneTimeout
+// isUnresponsive reports whether an engine that the list has called gone since the
+// given time has been unresponsive for long enough.
+func (c *Core) isUnresponsive(name fleet.BackendName, since time.Time) bool {
+	span, ok := c.gone.unanswered[name]
+	timeout := c.settings().GoneTimeout
 	if !ok {
 		return false
 	}
-	if c.gone.effective[name] {
+	if c.gone.confirmed[name] {
 		return true
 	}
-	if asked.first.After(since) {
-		since = asked.first
+	if span.first.After(since) {
+		since = span.first
 	}
-	return c.now.Sub(asked.last) <= silence && c.now.Sub(since) >= silence
+	return c.now.Sub(span.last) <= timeout && c.now.Sub(since) >= timeout
 }
 
-// updateGone moves engines in and out of those that count as gone.
+// updateGone recomputes which engines count as gone.
 func (c *Core) updateGone() {
-	effective := make(map[fleet.BackendName]bool)
+	confirmed := make(map[fleet.BackendName]bool)
 	for name, since := range c.gone.since {
-		if c.isSilent(name, since) {
-			effective[name] = true
+		if c.isUnresponsive(name, since) {
+			confirmed[name] = true
 		}
 	}
-	if maps.Equal(effective, c.gone.effective) {
+	if maps.Equal(confirmed, c.gone.confirmed) {
 		return
 	}
-	before := c.gone.effective
-	c.gone.effective = effective
+	before := c.gone.confirmed
+	c.gone.confirmed = confirmed
 	c.listEngines()
-	c.countAgain(before)
-	c.stepPlacement(placement.EnginesGone{Engines: slices.Sorted(maps.Keys(effective))})
-	c.dropEngines(effective)
+	c.restartRoundIfReturned(before)
+	c.stepPlacement(placement.EnginesGone{Engines: slices.Sorted(maps.Keys(confirmed))})
+	c.removeEngines(confirmed)
 }
 
-// countAgain begins a new round where an engine that counted as gone does so no
-// more: the present round has dropped it, and what it holds would count as
-// nothing.
-func (c *Core) countAgain(before map[fleet.BackendName]bool) {
+// restartRoundIfReturned starts a new round if an engine that counted as gone
+// no longer does: the current round has dropped the engine, so the models it
+// holds would not be counted.
+func (c *Core) restartRoundIfReturned(before map[fleet.BackendName]bool) {
 	for name := range before {
-		if !c.gone.effective[name] {
+		if !c.gone.confirmed[name] {
 			c.stepLeader(leadership.RestartRound{})
 			return
 		}
 	}
 }
 
-// listEngines tells the leadership core which engines there are.
+// listEngines passes the engines of the zone to the leadership core.
 func (c *Core) listEngines() {
 	addresses := make(map[fleet.BackendName]string, len(c.machineIndex.addresses))
 	for _, machine := range c.machines.Machines {
@@ -146,5 +147,5 @@
 		}
 	}
 	c.machineIndex.addresses = addresses
-	c.stepLeader(leadership.EnginesListed{Addresses: addresses, Gone: maps.Clone(c.gone.effective)})
+	c.stepLeader(leadership.EnginesListed{Addresses: addresses, Gone: maps.Clone(c.gone.confirmed)})
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -11,47 +11,49 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// Message is what the core is told.
+// Message is an input of the core.
 type Message interface{ message() }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// MembersChanged gives the members of the zone, the node itself included, and
-// the delegates known of other zones.
+// MembersChanged gives the members of the zone, including the node itself, and
+// the known delegates of other zones.
 type MembersChanged struct{ Members []fleet.Member }
 
 // MachinesChanged gives a newer machine list.
 type MachinesChanged struct{ List objectstore.MachineList }
 
-// CatalogChanged gives what is declared.
+// CatalogChanged gives the declared models and adapters and the related
+// settings.
 type CatalogChanged struct {
 	Models          []catalog.ModelInfo
 	Adapters        []catalog.AdapterInfo
 	ColdStartWeight float64
-	// Evacuations are the zones that are out of service.
+	// Evacuations lists the zones that are out of service.
 	Evacuations evacuation.Snapshot
-	// Topology tells the region of each zone.
+	// Topology maps each zone to its region.
 	Topology locality.Map
 }
 
-// VersionedRecord is the record of allotments with the version of its object
-// in the store, which the next write expects; 0 where there is none.
+// VersionedRecord is the allotment record with the version of its object in the
+// store, which the next conditional write expects; 0 if there is no object.
 type VersionedRecord struct {
 	Record       allotment.Record
 	StoreVersion uint64
 }
 
-// AllotmentsChanged is a record heard from the store's watch or from peers.
+// AllotmentsChanged gives a record received from the store's watch or from
+// peers.
 type AllotmentsChanged struct{ VersionedRecord }
 
 // RecordLearned answers LearnRecord.
 type RecordLearned struct {
 	ID uint64
 	VersionedRecord
-	// Failed is set where neither the store nor a majority answered.
+	// Failed is set if neither the store nor a majority answered.
 	Failed bool
-	// FromStore is set where the store itself answered.
+	// FromStore is set if the store itself answered.
 	FromStore bool
 }
 
@@ -59,16 +61,17 @@
 type RecordWritten struct {
 	ID     uint64
 	Result WriteResult
-	// Current is the record that stands, for WriteDone and WriteConflict.
+	// Current is the stored record, for WriteDone and WriteConflict.
 	Current VersionedRecord
 }
 
-// WriteResult is how a write ended.
+// WriteResult is the outcome of a write.
 type WriteResult int
 
-// The ends of a write.
+// The outcomes of a write.
 const (
-	// WriteUnanswered means that no answer came: it may have taken effect.
+	// WriteUnanswered means that no answer arrived; the write may have taken
+	// effect.
 	WriteUnanswered WriteResult = iota
 	WriteDone
 	WriteConflict
@@ -85,23 +88,24 @@
 	Engine  fleet.BackendName
 	OrderID string
 	Result  placement.OrderResult
-	// Reason is set for a refusal that was not for the fence.
+	// Reason is set if the order was refused for a reason other than its fence.
 	Reason string
-	// Fence is set for a refusal for the fence: the one the engine holds.
+	// Fence is the fence that the engine holds, if the order was refused because
+	// of its fence.
 	Fence      fleet.Fence
 	FenceStale bool
 }
 
-// WantsReported gives what waits at a node. Refusals come back in the same
-// step as RefuseWants.
+// WantsReported gives the waiting requests of a node. Refusals are returned by
+// the same step as RefuseWants.
 type WantsReported struct {
 	From  fleet.NodeName
 	Wants []fleet.Want
-	// Forwarded is set where the leader of another zone passed them on.
+	// Forwarded is set if the leader of another zone forwarded them.
 	Forwarded bool
 }
 
-// ForwardAnswered tells how a ForwardWants ended.
+// ForwardAnswered gives the result of a ForwardWants.
 type ForwardAnswered struct {
 	To       fleet.NodeName
 	Wants    []fleet.Want
@@ -109,20 +113,21 @@
 	Failed   bool
 }
 
-// TableUpdate is a whole route table, or the change of one.
+// TableUpdate is a complete route table or a change to one.
 type TableUpdate struct {
-	// Table holds the engines and services; for a change only the engines
-	// that changed, and all services.
+	// Table holds the engines and services. For a change it holds only the
+	// changed engines, but all services.
 	Table fleet.RouteTable
-	// BaseSequence is the sequence that the change builds on; 0 for a whole table.
+	// BaseSequence is the sequence that the change applies to; 0 for a complete
+	// table.
 	BaseSequence uint64
-	// Reports are of engines of which nothing else changed.
+	// Reports are the load reports of engines of which nothing else changed.
 	Reports []EngineReport
-	// Removed names engines that are no longer in the table.
+	// Removed lists engines that are no longer in the table.
 	Removed []fleet.BackendName
 }
 
-// EngineReport is one engine's newer report of load.
+// EngineReport is a newer load report of one engine.
 type EngineReport struct {
 	Engine fleet.BackendName
 	Report fleet.LoadReport
@@ -134,26 +139,27 @@
 	Update TableUpdate
 }
 
-// TablesPulled answers PullTables; the tables are whole.
+// TablesPulled answers PullTables; its tables are complete.
 type TablesPulled struct {
 	From   fleet.NodeName
 	Tables []fleet.RouteTable
 }
 
-// LeavingNoticeReceived names back ends that go away.
+// LeavingNoticeReceived lists back ends that are shutting down.
 type LeavingNoticeReceived struct {
 	From     fleet.NodeName
 	Backends []fleet.BackendName
 }
 
-// HandOverRequested asks the node to lead the zone in place of one that stops.
+// HandOverRequested asks the node to lead the zone in place of a node that is
+// stopping.
 type HandOverRequested struct {
 	From  fleet.NodeName
 	Fence fleet.Fence
 }
 
-// StopRequested says that the node stops: it hands its leadership over and
-// does not lead again.
+// StopRequested reports that the node is stopping: it hands its leadership over
+// and does not lead again.
 type StopRequested struct{}
 
 func (Tick) message()                  {}
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -8,36 +8,39 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// Settings are the times and bounds of the core; none of the times bears on
-// safety.
+// Settings are the intervals and timeouts of the core. None of the durations
+// affects safety.
 type Settings struct {
 	Leadership leadership.Settings
 	Placement  placement.Settings
-	// TakeoverDelay is how long a node waits, once it finds that it should
-	// lead, before it acts.
+	// TakeoverDelay is how long a node waits after it finds that it should lead
+	// before it starts to.
 	TakeoverDelay time.Duration
-	// LeaderTimeout is how long a leader may be silent before the next node
-	// takes over.
+	// LeaderTimeout is how long a leader may go without publishing its table
+	// before the next node takes over.
 	LeaderTimeout time.Duration
-	// BusyPollInterval and PollIdle are the times between two reads of an engine
-	// while something loads, waits or was ordered, and else.
+	// BusyPollInterval is the time between two reads of an engine while a model
+	// is loading, requests wait or an order was just sent; IdlePollInterval
+	// applies otherwise.
 	BusyPollInterval time.Duration
 	IdlePollInterval time.Duration
-	// HeartbeatInterval is the longest time between two publications of a table.
+	// HeartbeatInterval is the maximum time between two publications of a table.
 	HeartbeatInterval time.Duration
-	// ReportInterval is the least time between two publications of a table of
+	// ReportInterval is the minimum time between two publications of a table in
 	// which only load reports changed.
 	ReportInterval time.Duration
-	// RemoteReportInterval and FarHeartbeat are those for other zones.
+	// RemoteReportInterval and RemoteHeartbeatInterval are the same limits for
+	// publications to other zones.
 	RemoteReportInterval    time.Duration
 	RemoteHeartbeatInterval time.Duration
-	// PullInterval is the time between two repairs of the tables.
+	// PullInterval is the minimum time between two pulls of missing or stale
+	// tables.
 	PullInterval time.Duration
-	// GoneTimeout is how long an engine must have been silent, once the machine
-	// list calls it gone, until it counts as gone.
+	// GoneTimeout is how long an engine that the machine list calls gone must
+	// leave requests unanswered before the core treats it as gone.
 	GoneTimeout time.Duration
-	// RefusalGracePeriod is how long a model must have been wanted in vain until the
-	// nodes that wait are refused.
+	// RefusalGracePeriod is how long a model must have been wanted without
+	// success before the waiting nodes are refused.
 	RefusalGracePeriod time.Duration
 	// DecideInterval is the time between two decisions on allotments.
 	DecideInterval time.Duration
@@ -63,27 +66,30 @@
 	}
 }
 
-// Defects are planted faults. Only tests and the simulator set them.
+// Defects are deliberately injected faults. Only tests and the simulator set
+// them.
 type Defects struct {
-	// NoFence sends orders under the fence that the engine shows.
+	// NoFence sends orders under the fence that the engine reports instead of
+	// the round's.
 	NoFence bool
-	// NoConservativeCount counts engines that are not held as empty.
+	// NoConservativeCount counts unclaimed engines as empty.
 	NoConservativeCount bool
-	// NoVerify counts engines by the inventory of their grant alone.
+	// NoVerify trusts the inventory of an engine's grant without reading it
+	// again.
 	NoVerify bool
-	// NoConfirmBeforeRaise raises a limit before the zone that gave it up has
-	// confirmed.
+	// NoConfirmBeforeRaise raises a zone's limit before the zone that gave the
+	// replica up has confirmed its own lower limit.
 	NoConfirmBeforeRaise bool
-	// StaleAllotment claims without learning the record anew.
+	// StaleAllotment claims engines without reading the current record first.
 	StaleAllotment bool
 }
 
-// Options make a core.
+// Options configure a Core.
 type Options struct {
 	Self   fleet.NodeName
 	Zone   fleet.Zone
 	BootID uint64
-	// Seed drives the choice of peers to repair from.
+	// Seed drives the choice of peers to pull tables from.
 	Seed     uint64
 	Settings Settings
 	Defects  Defects
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -8,95 +8,96 @@
 	"github.com/spanlanding/spanlanding/internal/leadership"
 )
 
-// silentAfter is the number of failed reads after which an engine counts as
-// silent.
-const silentAfter = 2
+// unresponsiveThreshold is the number of consecutive failed reads after which an
+// engine counts as unresponsive.
+const unresponsiveThreshold = 2
 
-// pollTimeout is when a read without answer is put again.
+// pollTimeout is when an unanswered read is sent again.
 const pollTimeout = 2 * time.Second
 
-// afterOrder is how long an engine is read often after an order: a state does
-// not show that an adapter loads, only that it is there.
-const afterOrder = 3 * time.Second
+// busyAfterOrder is how long an engine is polled at the short interval after an
+// order. The engine's state alone is not enough to tell: it does not show that
+// an adapter is loading, only that it is loaded.
+const busyAfterOrder = 3 * time.Second
 
-// pollState is what the leader knows of its reads of engines.
+// pollState tracks the leader's reads of engines.
 type pollState struct {
 	engines map[fleet.BackendName]*enginePoll
-	// shown are the newest states, for the planted defect only.
-	shown map[fleet.BackendName]fleet.EngineState
+	// lastStates are the newest states; only the NoFence defect uses them.
+	lastStates map[fleet.BackendName]fleet.EngineState
 }
 
 type enginePoll struct {
-	asked   uint64
-	askedAt time.Time
-	due     time.Time
-	// failures counts the reads without an answer since the last one.
+	pendingID uint64
+	sentAt    time.Time
+	nextAt    time.Time
+	// failures counts the failed reads since the last successful one.
 	failures int
-	// told is what placement was told last of the engine's silence.
-	told silence
-	// orderedAt is the point in the sequence of questions of the last order:
-	// states asked for before do not show it.
-	orderedAt uint64
-	// orderedUntil is how long the engine is read often after its last order.
-	orderedUntil time.Time
+	// reported is the responsiveness last reported to placement.
+	reported responsiveness
+	// orderSequence is the request sequence number at the engine's last order:
+	// states requested earlier do not show the order's effect.
+	orderSequence uint64
+	// busyUntil is when polling at the short interval after the last order ends.
+	busyUntil time.Time
 }
 
-// silence is what placement was told of an engine.
-type silence int
+// responsiveness is what was reported to placement about an engine.
+type responsiveness int
 
 const (
-	untold silence = iota
-	answering
-	silent
+	responsivenessUnknown responsiveness = iota
+	responding
+	unresponsive
 )
 
 func newPollState() pollState {
 	return pollState{
-		engines: make(map[fleet.BackendName]*enginePoll),
-		shown:   make(map[fleet.BackendName]fleet.EngineState),
+		engines:    make(map[fleet.BackendName]*enginePoll),
+		lastStates: make(map[fleet.BackendName]fleet.EngineState),
 	}
 }
 
 func (p *pollState) clear() { clear(p.engines) }
 
-func (p *pollState) of(name fleet.BackendName) *enginePoll {
-	known := p.engines[name]
-	if known == nil {
-		known = &enginePoll{}
-		p.engines[name] = known
+func (p *pollState) engine(name fleet.BackendName) *enginePoll {
+	poll := p.engines[name]
+	if poll == nil {
+		poll = &enginePoll{}
+		p.engines[name] = poll
 	}
-	return known
+	return poll
 }
 
-func (p *pollState) ordered(now time.Time, name fleet.BackendName, id uint64) {
-	known := p.of(name)
-	known.orderedAt = id
-	known.due = time.Time{}
-	known.orderedUntil = now.Add(afterOrder)
+func (p *pollState) noteOrder(now time.Time, name fleet.BackendName, id uint64) {
+	poll := p.engine(name)
+	poll.orderSequence = id
+	poll.nextAt = time.Time{}
+	poll.busyUntil = now.Add(busyAfterOrder)
 }
 
-func (p *pollState) beforeOrder(read leadership.StateRead) bool {
-	return read.ID < p.of(read.Engine).orderedAt
+func (p *pollState) predatesOrder(read leadership.StateRead) bool {
+	return read.ID < p.engine(read.Engine).orderSequence
 }
 
-// answered notes the answer and reports whether the engine counts as silent, and
-// whether that is news.
-func (p *pollState) answered(read leadership.StateRead) (isSilent, news bool) {
-	known := p.of(read.Engine)
-	if known.asked == read.ID {
-		known.asked = 0
+// noteAnswer records the answer. It returns whether the engine counts as
+// unresponsive and whether that has changed.
+func (p *pollState) noteAnswer(read leadership.StateRead) (isUnresponsive, changed bool) {
+	poll := p.engine(read.Engine)
+	if poll.pendingID == read.ID {
+		poll.pendingID = 0
 	}
-	known.failures++
+	poll.failures++
 	if !read.Failed {
-		known.failures = 0
+		poll.failures = 0
 	}
-	now := answering
-	if known.failures >= silentAfter {
-		now = silent
+	status := responding
+	if poll.failures >= unresponsiveThreshold {
+		status = unresponsive
 	}
-	news = now != known.told
-	known.told = now
-	return now == silent, news
+	changed = status != poll.reported
+	poll.reported = status
+	return status == unresponsive, changed
 }
 
 // sentInRound reports whether the order was sent under the fence.
@@ -104,33 +105,33 @@
 	return strings.HasPrefix(orderID, fence.String()+"-")
 }
 
-// poll reads the engines of the round that are due. Engines that the round
-// does not hold are read too, so that it is noticed when they can be claimed.
-func (c *Core) poll() {
+// pollEngines reads the engines of the zone that are due. It also reads engines
+// that the round has not claimed, to notice when they can be claimed.
+func (c *Core) pollEngines() {
 	if !c.leader.Leading() && !(c.options.Defects.NoFence && c.leader.Fence() != 0) {
 		return
 	}
 	for _, name := range c.leader.RoundRecord().Engines(c.options.Zone) {
 		address := c.engineAddress(name)
-		known := c.polls.of(name)
-		if address == "" || c.now.Before(known.due) {
+		poll := c.polls.engine(name)
+		if address == "" || c.now.Before(poll.nextAt) {
 			continue
 		}
-		if known.asked != 0 && c.now.Sub(known.askedAt) < pollTimeout {
+		if poll.pendingID != 0 && c.now.Sub(poll.sentAt) < pollTimeout {
 			continue
 		}
-		known.asked, known.askedAt = c.leader.NextRequestID(), c.now
-		known.due = c.now.Add(c.pollInterval(name, known, c.ownTable()))
-		c.engineAsked(name)
-		c.emit(ReadEngine{leadership.ReadEngine{ID: known.asked, Engine: name, Address: address}})
+		poll.pendingID, poll.sentAt = c.leader.NextRequestID(), c.now
+		poll.nextAt = c.now.Add(c.pollInterval(name, poll, c.ownTable()))
+		c.noteEngineRequest(name)
+		c.emit(ReadEngine{leadership.ReadEngine{ID: poll.pendingID, Engine: name, Address: address}})
 	}
 }
 
-// pollInterval is short for engines at which something is under way, and for
-// all of them while something waits in the zone: what waits is served sooner
-// where any engine's change is seen sooner.
-func (c *Core) pollInterval(name fleet.BackendName, known *enginePoll, table *zoneTable) time.Duration {
-	if c.placement.Busy() || c.now.Before(known.orderedUntil) {
+// pollInterval returns the short interval for engines on which something is in
+// progress, and for all engines while requests wait in the zone: the sooner a
+// change of any engine is seen, the sooner a waiting request is served.
+func (c *Core) pollInterval(name fleet.BackendName, poll *enginePoll, table *zoneTable) time.Duration {
+	if c.placement.Busy() || c.now.Before(poll.busyUntil) {
 		return c.settings().BusyPollInterval
 	}
 	if table != nil {
--- a/internal/control/polls_test.go
+++ b/internal/control/polls_test.go
@@ -17,8 +17,8 @@
 	core.tables.zones["z"] = &zoneTable{engines: map[fleet.BackendName]fleet.EngineState{
 		"ready": loaded(fleet.LoadReady), "loading": loaded(fleet.LoadLoading), "unloading": loaded(fleet.LoadUnloading),
 	}}
-	core.polls.ordered(start, "ordered", 1)
-	core.polls.ordered(start.Add(-afterOrder), "ordered long ago", 1)
+	core.polls.noteOrder(start, "ordered", 1)
+	core.polls.noteOrder(start.Add(-busyAfterOrder), "ordered long ago", 1)
 	for name, want := range map[fleet.BackendName]time.Duration{
 		"ready":            core.settings().IdlePollInterval,
 		"loading":          core.settings().BusyPollInterval,
@@ -27,8 +27,8 @@
 		"ordered long ago": core.settings().IdlePollInterval,
 		"unknown":          core.settings().IdlePollInterval,
 	} {
-		if got := core.pollInterval(name, core.polls.of(name), core.tables.zones["z"]); got != want {
-			t.Errorf("%s is read each %s, want %s", name, got, want)
+		if got := core.pollInterval(name, core.polls.engine(name), core.tables.zones["z"]); got != want {
+			t.Errorf("%s is read every %s, want %s", name, got, want)
 		}
 	}
 }
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -10,64 +10,67 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// stream is what one audience of the leader's table has not yet been sent. The
-// zone's own members hear every change that matters to routing; other zones
-// hear at once only what an engine holds, and the rest now and then.
-type stream struct {
-	// fresh is set where the whole table is to be sent.
-	fresh bool
-	// urgent changes go out at once, pending ones with the next update.
-	urgent  bool
-	pending map[fleet.BackendName]bool
-	// loads are engines of which only the report of load is pending.
-	loads   map[fleet.BackendName]bool
-	removed map[fleet.BackendName]bool
-	// reports are those that were sent last.
-	reports map[fleet.BackendName]fleet.LoadReport
-	// since is the sequence of the last update.
-	since     uint64
-	published time.Time
+// pendingUpdate collects the changes of the leader's table that one group of
+// recipients has not been sent yet. The members of the zone are sent every
+// change that affects routing. Other zones are sent changes of an engine's
+// contents at once, and load reports at longer intervals.
+type pendingUpdate struct {
+	// sendWhole is set if the complete table has to be sent.
+	sendWhole bool
+	// With urgent set, the update is sent at once. changedEngines are the
+	// engines whose complete state has to be sent.
+	urgent         bool
+	changedEngines map[fleet.BackendName]bool
+	// changedReports are the engines of which the load report changed.
+	changedReports map[fleet.BackendName]bool
+	removedEngines map[fleet.BackendName]bool
+	// sentReports are the load reports last sent.
+	sentReports map[fleet.BackendName]fleet.LoadReport
+	// lastSequence is the sequence of the last update.
+	lastSequence uint64
+	lastSent     time.Time
 }
 
-func newStream() stream {
-	return stream{
-		pending: make(map[fleet.BackendName]bool),
-		loads:   make(map[fleet.BackendName]bool),
-		removed: make(map[fleet.BackendName]bool),
-		reports: make(map[fleet.BackendName]fleet.LoadReport),
+func newPendingUpdate() pendingUpdate {
+	return pendingUpdate{
+		changedEngines: make(map[fleet.BackendName]bool),
+		changedReports: make(map[fleet.BackendName]bool),
+		removedEngines: make(map[fleet.BackendName]bool),
+		sentReports:    make(map[fleet.BackendName]fleet.LoadReport),
 	}
 }
 
-// changed notes an engine's newer state.
-func (s *stream) changed(before, after fleet.EngineState) {
-	delete(s.removed, after.Name)
-	if !sameHoldings(before, after) {
+// noteChange records an engine's newer state.
+func (s *pendingUpdate) noteChange(before, after fleet.EngineState) {
+	delete(s.removedEngines, after.Name)
+	if !equalExceptReport(before, after) {
 		s.urgent = true
-		s.pending[after.Name] = true
+		s.changedEngines[after.Name] = true
 	}
-	if !similarReport(s.reports[after.Name], after.Report) {
-		s.loads[after.Name] = true
+	if !similarReports(s.sentReports[after.Name], after.Report) {
+		s.changedReports[after.Name] = true
 	}
 }
 
-func (s *stream) dropped(name fleet.BackendName) {
-	delete(s.pending, name)
-	delete(s.loads, name)
-	delete(s.reports, name)
-	s.removed[name] = true
+func (s *pendingUpdate) noteRemoval(name fleet.BackendName) {
+	delete(s.changedEngines, name)
+	delete(s.changedReports, name)
+	delete(s.sentReports, name)
+	s.removedEngines[name] = true
 	s.urgent = true
 }
 
-// sameHoldings compares all but the report of load.
-func sameHoldings(a, b fleet.EngineState) bool {
+// equalExceptReport compares two states without their load reports.
+func equalExceptReport(a, b fleet.EngineState) bool {
 	a.Report, b.Report = fleet.LoadReport{}, fleet.LoadReport{}
 	return reflect.DeepEqual(a, b)
 }
 
-// reportTolerance is the relative change of a report that is not worth sending.
+// reportTolerance is the relative change of a report that is too small to be
+// sent.
 const reportTolerance = 0.25
 
-func similarReport(a, b fleet.LoadReport) bool {
+func similarReports(a, b fleet.LoadReport) bool {
 	return similar(float64(a.Running), float64(b.Running)) &&
 		similar(float64(a.Waiting), float64(b.Waiting)) &&
 		similar(float64(a.QueuedTokens), float64(b.QueuedTokens)) &&
@@ -79,44 +82,45 @@
 	return math.Abs(a-b) <= reportTolerance*max(math.Abs(a), math.Abs(b))
 }
 
-// due reports whether an update is to be sent now.
-func (s *stream) due(now time.Time, reports, heartbeat time.Duration) bool {
-	elapsed := now.Sub(s.published)
-	return s.fresh || s.urgent || (len(s.loads) > 0 && elapsed >= reports) || elapsed >= heartbeat
+// due reports whether an update has to be sent now.
+func (s *pendingUpdate) due(now time.Time, reportInterval, heartbeatInterval time.Duration) bool {
+	elapsed := now.Sub(s.lastSent)
+	return s.sendWhole || s.urgent || (len(s.changedReports) > 0 && elapsed >= reportInterval) || elapsed >= heartbeatInterval
 }
 
-// publishOwn sends the leader's table to both audiences.
-func (c *Core) publishOwn(table *zoneTable) {
+// publishOwnTable sends the leader's table to its own zone and to the others.
+func (c *Core) publishOwnTable(table *zoneTable) {
 	if services := c.services(); !slices.Equal(services, table.services) {
 		table.services = services
-		c.tables.near.urgent, c.tables.far.urgent = true, true
+		c.tables.local.urgent, c.tables.remote.urgent = true, true
 	}
 	if waiting := c.placement.WaitingLoads(); waiting != table.waitingLoads {
 		table.waitingLoads = waiting
-		c.tables.far.urgent = true
+		c.tables.remote.urgent = true
 	}
 	settings := c.settings()
-	near := c.tables.near.due(c.now, settings.ReportInterval, settings.HeartbeatInterval)
-	far := c.tables.far.due(c.now, settings.RemoteReportInterval, settings.RemoteHeartbeatInterval)
-	if !near && !far {
+	sendLocal := c.tables.local.due(c.now, settings.ReportInterval, settings.HeartbeatInterval)
+	sendRemote := c.tables.remote.due(c.now, settings.RemoteReportInterval, settings.RemoteHeartbeatInterval)
+	if !sendLocal && !sendRemote {
 		return
 	}
 	table.sequence++
-	table.heard = c.now
-	if near {
+	table.updatedAt = c.now
+	if sendLocal {
 		c.tables.viewChanged = true
-		update := c.update(table, &c.tables.near)
-		update.Table.Refusals, c.tables.refused = c.tables.refused, nil
-		c.emit(PublishTable{To: c.peersOfZone(c.options.Zone), Update: update})
+		update := c.tableUpdate(table, &c.tables.local)
+		update.Table.Refusals, c.tables.pendingRefusals = c.tables.pendingRefusals, nil
+		c.emit(PublishTable{To: c.peersInZone(c.options.Zone), Update: update})
 	}
-	if far {
-		c.emit(PublishTable{To: c.relays(), Update: c.update(table, &c.tables.far)})
+	if sendRemote {
+		c.emit(PublishTable{To: c.relays(), Update: c.tableUpdate(table, &c.tables.remote)})
 	}
 }
 
-// update is what the audience lacks; it counts as sent.
-func (c *Core) update(table *zoneTable, stream *stream) TableUpdate {
-	update := TableUpdate{Table: fleet.RouteTable{
+// tableUpdate returns the changes that the recipients lack and marks them as
+// sent.
+func (c *Core) tableUpdate(table *zoneTable, pendingUpdate *pendingUpdate) TableUpdate {
+	tableUpdate := TableUpdate{Table: fleet.RouteTable{
 		Zone:     c.options.Zone,
 		Leader:   table.leader,
 		Fence:    table.fence,
@@ -125,41 +129,42 @@
 
 		WaitingLoads: table.waitingLoads,
 	}}
-	if stream.fresh {
-		update.Table.Engines = table.export(c.options.Zone).Engines
+	if pendingUpdate.sendWhole {
+		tableUpdate.Table.Engines = table.routeTable(c.options.Zone).Engines
 	} else {
-		update.BaseSequence = stream.since
-		for _, name := range slices.Sorted(maps.Keys(stream.pending)) {
-			update.Table.Engines = append(update.Table.Engines, table.engines[name])
+		tableUpdate.BaseSequence = pendingUpdate.lastSequence
+		for _, name := range slices.Sorted(maps.Keys(pendingUpdate.changedEngines)) {
+			tableUpdate.Table.Engines = append(tableUpdate.Table.Engines, table.engines[name])
 		}
-		for _, name := range slices.Sorted(maps.Keys(stream.loads)) {
-			if !stream.pending[name] {
+		for _, name := range slices.Sorted(maps.Keys(pendingUpdate.changedReports)) {
+			if !pendingUpdate.changedEngines[name] {
 				report := table.engines[name].Report
-				update.Reports = append(update.Reports, EngineReport{Engine: name, Report: report})
-				stream.reports[name] = report
+				tableUpdate.Reports = append(tableUpdate.Reports, EngineReport{Engine: name, Report: report})
+				pendingUpdate.sentReports[name] = report
 			}
 		}
-		update.Removed = slices.Sorted(maps.Keys(stream.removed))
+		tableUpdate.Removed = slices.Sorted(maps.Keys(pendingUpdate.removedEngines))
 	}
-	for _, state := range update.Table.Engines {
-		stream.reports[state.Name] = state.Report
+	for _, state := range tableUpdate.Table.Engines {
+		pendingUpdate.sentReports[state.Name] = state.Report
 	}
-	stream.fresh, stream.urgent = false, false
-	clear(stream.pending)
-	clear(stream.loads)
-	clear(stream.removed)
-	stream.since, stream.published = table.sequence, c.now
-	return update
+	pendingUpdate.sendWhole, pendingUpdate.urgent = false, false
+	clear(pendingUpdate.changedEngines)
+	clear(pendingUpdate.changedReports)
+	clear(pendingUpdate.removedEngines)
+	pendingUpdate.lastSequence, pendingUpdate.lastSent = table.sequence, c.now
+	return tableUpdate
 }
 
-// relaysPerZone is how many nodes of another zone hear of a table from its
-// leader; each passes it on, and one may fail.
+// relaysPerZone is the number of nodes in another zone that the leader sends
+// its table to. Each of them relays it within its zone; with two, one may fail.
 const relaysPerZone = 2
 
-// relays are the first-ranked usable members of each other zone.
+// relays returns the first relaysPerZone usable members by rank of every other
+// zone.
 func (c *Core) relays() []fleet.Member {
 	byZone := make(map[fleet.Zone][]fleet.Member)
-	for _, member := range c.strangers() {
+	for _, member := range c.otherZoneMembers() {
 		byZone[member.Zone] = append(byZone[member.Zone], member)
 	}
 	var relays []fleet.Member
@@ -171,18 +176,19 @@
 	return relays
 }
 
-// strangers are the known usable nodes of other zones, by name.
-func (c *Core) strangers() []fleet.Member {
-	var strangers []fleet.Member
+// otherZoneMembers returns the known usable nodes of other zones by name.
+func (c *Core) otherZoneMembers() []fleet.Member {
+	var otherZoneMembers []fleet.Member
 	for _, name := range slices.Sorted(maps.Keys(c.members)) {
 		if member := c.members[name]; member.Zone != c.options.Zone && member.Usable() {
-			strangers = append(strangers, member)
+			otherZoneMembers = append(otherZoneMembers, member)
 		}
 	}
-	return strangers
+	return otherZoneMembers
 }
 
-// audience are all nodes that are told at once of back ends that leave.
-func (c *Core) audience() []fleet.Member {
-	return append(c.peersOfZone(c.options.Zone), c.strangers()...)
+// broadcastTargets returns all nodes that are notified at once of back ends
+// that are shutting down.
+func (c *Core) broadcastTargets() []fleet.Member {
+	return append(c.peersInZone(c.options.Zone), c.otherZoneMembers()...)
 }
--- a/internal/control/pulls_test.go
+++ b/internal/control/pulls_test.go
@@ -9,9 +9,10 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// pullsOf steps the core by ticks until the time is up and returns its pulls;
-// each second it is given a heartbeat of the zone's leader, if any is wanted.
-func pullsOf(core *Core, from time.Time, length time.Duration, heartbeat func() Message) []PullTables {
+// pullsDuring steps the core by ticks for the given time and returns its pulls.
+// If heartbeat is not nil, the core receives one from the zone's leader every
+// second.
+func pullsDuring(core *Core, from time.Time, length time.Duration, heartbeat func() Message) []PullTables {
 	var pulls []PullTables
 	for at := from; at.Before(from.Add(length)); at = at.Add(tickInterval) {
 		var message Message = Tick{}
@@ -35,23 +36,23 @@
 	core := New(Options{Self: "b", Zone: "z", Settings: DefaultSettings()})
 	core.Step(start, MembersChanged{Members: []fleet.Member{member("a"), member("b")}})
 	table := fleet.RouteTable{Zone: "z", Leader: "a", Fence: 9}
-	beat := func() Message {
+	heartbeat := func() Message {
 		update := TableUpdate{BaseSequence: table.Sequence}
 		table.Sequence++
 		update.Table = table
 		return TableReceived{From: "a", Update: update}
 	}
-	if pulls := pullsOf(core, start, 10*time.Second, beat); len(pulls) != 0 {
-		t.Errorf("pulled %d times though every update came", len(pulls))
+	if pulls := pullsDuring(core, start, 10*time.Second, heartbeat); len(pulls) != 0 {
+		t.Errorf("pulled %d times although no update was lost", len(pulls))
 	}
 	table.Sequence++
-	lost := pullsOf(core, start.Add(10*time.Second), 100*time.Millisecond, beat)
+	lost := pullsDuring(core, start.Add(10*time.Second), 100*time.Millisecond, heartbeat)
 	held := []TableStamp{{Zone: "z", Fence: 9, Sequence: 10}}
 	if want := []PullTables{{From: member("a"), Held: held}}; !cmp.Equal(want, lost) {
 		t.Errorf("after a lost update: %s", cmp.Diff(want, lost))
 	}
-	if pulls := pullsOf(core, start.Add(20*time.Second), 4*time.Second, nil); len(pulls) < 2 {
-		t.Errorf("pulled %d times in four seconds of silence", len(pulls))
+	if pulls := pullsDuring(core, start.Add(20*time.Second), 4*time.Second, nil); len(pulls) < 2 {
+		t.Errorf("pulled %d times in four seconds without updates", len(pulls))
 	}
 	for stamp, want := range map[TableStamp]int{
 		{Zone: "z", Fence: 9, Sequence: 10}: 0,
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -9,48 +9,53 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// deciderState is what the node knows of its writes of the record.
-type deciderState struct {
-	// writing is the ID of the write whose answer is awaited.
-	writing uint64
-	// reading is the ID of a question put beside a round.
-	reading uint64
-	sentAt  time.Time
-	next    time.Time
-	// spreading is the ID of the question whether a majority of the zone holds
-	// the generation asked for, spread the generation that one does.
-	spreading uint64
-	asked     uint64
-	spread    uint64
-	// vouched is set once this process has learned the record from the store
-	// or a majority: from then on it counts in a majority itself.
-	vouched bool
-	// storeBehind is set while the store holds an older record than this node.
-	storeBehind bool
-	// storeKnown is set once the store itself has answered.
-	storeKnown bool
+// recordSyncState tracks this node's reads and writes of the allotment record.
+type recordSyncState struct {
+	// pendingWriteID is the ID of the write whose answer is awaited.
+	pendingWriteID uint64
+	// pendingReadID is the ID of a read made outside of a round.
+	pendingReadID uint64
+	sentAt        time.Time
+	nextAttempt   time.Time
+	// replicationCheckID is the ID of the check whether a majority of the zone
+	// holds checkedGeneration; replicatedGeneration is the newest generation
+	// known to be held by a majority.
+	replicationCheckID   uint64
+	checkedGeneration    uint64
+	replicatedGeneration uint64
+	// authoritative is set once this process has read the record from the store
+	// or from a majority. Only then does its own copy count towards a majority.
+	authoritative bool
+	// storeOutdated is set while the store holds an older record than this node.
+	storeOutdated bool
+	// storeAnswered is set once the store itself has answered.
+	storeAnswered bool
 }
 
 const roleNode = "node"
 
-// writePause goes at least between two writes; up to as much again is drawn, so
-// that writers whose writes met do not meet again.
-const writePause = 100 * time.Millisecond
+// minWriteInterval is the minimum time between two writes. A random delay of up
+// to the same length is added so that writers whose writes conflicted do not
+// conflict again.
+const minWriteInterval = 100 * time.Millisecond
 
-// vouchSpread is the time over which the nodes that hear a record read it anew.
-const vouchSpread = 200 * time.Millisecond
+// authorityReadJitter is the time over which the reads of nodes that receive a
+// record are spread.
+const authorityReadJitter = 200 * time.Millisecond
 
-// spreadRetry is when it is asked again whether a majority holds a generation.
-const spreadRetry = 200 * time.Millisecond
+// replicationRetryInterval is the time until a failed replication check is
+// repeated.
+const replicationRetryInterval = 200 * time.Millisecond
 
-// learnRecord asks for the record as it is after this moment.
-func (c *Core) learnRecord(id uint64) LearnRecord {
-	members := c.peersOfZone(c.options.Zone)
+// newLearnRecord returns the effect that reads the current record.
+func (c *Core) newLearnRecord(id uint64) LearnRecord {
+	members := c.peersInZone(c.options.Zone)
 	return LearnRecord{ID: id, Members: members, Majority: c.zoneSize()/2 + 1}
 }
 
-// zoneSize counts the nodes of the zone by the machine list and the members,
-// whichever shows more: a cut-off part must not take itself for a majority.
+// zoneSize returns the number of nodes of the zone by the machine list and the
+// members together: the nodes on the smaller side of a network partition must
+// not take themselves for a majority.
 func (c *Core) zoneSize() int {
 	names := map[fleet.NodeName]bool{c.options.Self: true}
 	for _, machine := range c.machines.Machines {
@@ -66,46 +71,46 @@
 	return len(names)
 }
 
-// adoptRecord takes a record that is newer than the one held.
-func (c *Core) adoptRecord(heard VersionedRecord) {
-	if heard.Record.Generation == c.record.Record.Generation {
-		c.record.StoreVersion = max(c.record.StoreVersion, heard.StoreVersion)
+// adoptRecord replaces the held record by a newer one.
+func (c *Core) adoptRecord(received VersionedRecord) {
+	if received.Record.Generation == c.record.Record.Generation {
+		c.record.StoreVersion = max(c.record.StoreVersion, received.StoreVersion)
 		return
 	}
-	if heard.Record.Generation < c.record.Record.Generation {
+	if received.Record.Generation < c.record.Record.Generation {
 		return
 	}
-	c.record = heard
-	c.vouchSoon()
+	c.record = received
+	c.scheduleAuthorityRead()
 	c.updateLimits()
-	c.stepLeader(leadership.RecordReceived{Record: heard.Record})
+	c.stepLeader(leadership.RecordReceived{Record: received.Record})
 }
 
-// vouchSoon lets a node that does not vouch yet learn the record soon after it
-// heard of one: engines are admitted, and lowerings confirmed, only once a
-// majority vouches.
-func (c *Core) vouchSoon() {
-	if c.decider.vouched {
+// scheduleAuthorityRead makes a node whose record is not yet authoritative read
+// it soon after it received one: engines are admitted and lowered limits
+// confirmed only once a majority of the zone holds the record authoritatively.
+func (c *Core) scheduleAuthorityRead() {
+	if c.recordSync.authoritative {
 		return
 	}
-	if soon := c.now.Add(time.Duration(c.random.Int64N(int64(vouchSpread)))); soon.Before(c.decider.next) {
-		c.decider.next = soon
+	if attempt := c.now.Add(time.Duration(c.random.Int64N(int64(authorityReadJitter)))); attempt.Before(c.recordSync.nextAttempt) {
+		c.recordSync.nextAttempt = attempt
 	}
 }
 
 func (c *Core) recordLearned(learned RecordLearned) {
-	if learned.ID == c.decider.spreading && learned.ID != 0 {
-		c.recordSpread(learned)
+	if learned.ID == c.recordSync.replicationCheckID && learned.ID != 0 {
+		c.replicationChecked(learned)
 		return
 	}
 	if !learned.Failed {
-		c.decider.vouched = c.decider.vouched || learned.Record.Generation > 0
-		c.decider.storeKnown = c.decider.storeKnown || learned.FromStore
+		c.recordSync.authoritative = c.recordSync.authoritative || learned.Record.Generation > 0
+		c.recordSync.storeAnswered = c.recordSync.storeAnswered || learned.FromStore
 		c.adoptRecord(learned.VersionedRecord)
-		c.noteStore(learned)
+		c.compareWithStore(learned)
 	}
-	if learned.ID == c.decider.reading {
-		c.decider.reading = 0
+	if learned.ID == c.recordSync.pendingReadID {
+		c.recordSync.pendingReadID = 0
 		return
 	}
 	c.stepLeader(leadership.RecordLearned{
@@ -116,74 +121,75 @@
 	})
 }
 
-// noteStore compares what the store holds with the record held here. A store
-// that was set back, or lost the record, is given the newer one again: records
-// only grow, and engines refuse fences of the older one.
-func (c *Core) noteStore(learned RecordLearned) {
+// compareWithStore compares the store's record with the one held here. A store
+// that was rolled back or lost the record gets the newer one written again:
+// generations only grow, and engines refuse the fences of an older generation.
+func (c *Core) compareWithStore(learned RecordLearned) {
 	if !learned.FromStore {
 		return
 	}
-	c.decider.storeBehind = learned.Record.Generation < c.record.Record.Generation
-	if c.decider.storeBehind {
+	c.recordSync.storeOutdated = learned.Record.Generation < c.record.Record.Generation
+	if c.recordSync.storeOutdated {
 		c.record.StoreVersion = learned.StoreVersion
 	}
 }
 
-// write sends the record where no other write is under way.
-func (c *Core) write(record allotment.Record) {
-	c.decider.writing = c.leader.NextRequestID()
-	c.decider.sentAt = c.now
-	c.emit(WriteRecord{ID: c.decider.writing, Record: record, Expected: c.record.StoreVersion})
+// writeRecord starts a write of the record; no other write may be in progress.
+func (c *Core) writeRecord(record allotment.Record) {
+	c.recordSync.pendingWriteID = c.leader.NextRequestID()
+	c.recordSync.sentAt = c.now
+	c.emit(WriteRecord{ID: c.recordSync.pendingWriteID, Record: record, Expected: c.record.StoreVersion})
 }
 
-// recordWritten takes the record that stands. Where the answer was lost, the
-// record is read back before anything else is written.
+// recordWritten handles the outcome of a write. If the answer was lost, the
+// record is read again before anything else is written.
 func (c *Core) recordWritten(written RecordWritten) {
-	if written.ID == c.decider.writing {
-		c.decider.writing = 0
+	if written.ID == c.recordSync.pendingWriteID {
+		c.recordSync.pendingWriteID = 0
 	}
 	if written.Result == WriteUnanswered {
-		c.readBack()
+		c.readRecord()
 		return
 	}
-	c.decider.storeBehind = false
-	c.decider.next = c.now.Add(writePause + time.Duration(c.random.Int64N(int64(writePause))))
+	c.recordSync.storeOutdated = false
+	c.recordSync.nextAttempt = c.now.Add(minWriteInterval + time.Duration(c.random.Int64N(int64(minWriteInterval))))
 	c.adoptRecord(written.Current)
-	c.noteStore(RecordLearned{VersionedRecord: written.Current, FromStore: true})
+	c.compareWithStore(RecordLearned{VersionedRecord: written.Current, FromStore: true})
 }
 
-func (c *Core) readBack() {
-	c.decider.reading = c.leader.NextRequestID()
-	c.decider.sentAt = c.now
-	c.emit(c.learnRecord(c.decider.reading))
+func (c *Core) readRecord() {
+	c.recordSync.pendingReadID = c.leader.NextRequestID()
+	c.recordSync.sentAt = c.now
+	c.emit(c.newLearnRecord(c.recordSync.pendingReadID))
 }
 
-// askSpread asks whether a majority of the zone holds the record: a limit may be
-// confirmed as lowered only then, so that a later leader that cannot reach the
-// store still learns of it.
-func (c *Core) askSpread() {
-	if c.decider.spreading != 0 && c.now.Sub(c.decider.sentAt) < answerPatience {
+// checkReplication asks whether a majority of the zone holds the record. A
+// lowered limit may be confirmed only then, so that a later leader that cannot
+// reach the store still learns of it.
+func (c *Core) checkReplication() {
+	if c.recordSync.replicationCheckID != 0 && c.now.Sub(c.recordSync.sentAt) < recordAnswerTimeout {
 		return
 	}
-	c.decider.spreading = c.leader.NextRequestID()
-	c.decider.asked = c.record.Record.Generation
-	c.decider.sentAt = c.now
-	question := c.learnRecord(c.decider.spreading)
-	question.MembersOnly, question.MinGeneration = true, c.decider.asked
-	c.emit(question)
+	c.recordSync.replicationCheckID = c.leader.NextRequestID()
+	c.recordSync.checkedGeneration = c.record.Record.Generation
+	c.recordSync.sentAt = c.now
+	request := c.newLearnRecord(c.recordSync.replicationCheckID)
+	request.MembersOnly, request.MinGeneration = true, c.recordSync.checkedGeneration
+	c.emit(request)
 }
 
-func (c *Core) recordSpread(learned RecordLearned) {
-	c.decider.spreading = 0
-	c.decider.next = c.now.Add(spreadRetry)
+func (c *Core) replicationChecked(learned RecordLearned) {
+	c.recordSync.replicationCheckID = 0
+	c.recordSync.nextAttempt = c.now.Add(replicationRetryInterval)
 	if !learned.Failed {
-		c.decider.spread = max(c.decider.spread, c.decider.asked)
-		c.decider.next = c.now
+		c.recordSync.replicatedGeneration = max(c.recordSync.replicatedGeneration, c.recordSync.checkedGeneration)
+		c.recordSync.nextAttempt = c.now
 	}
 }
 
-// AuthoritativeRecord is the record, or false where this process has it from hearsay only
-// and so must not count in a majority.
+// AuthoritativeRecord returns the record, and false if this process did not
+// read it from the store or a majority, so that it must not count towards a
+// majority.
 func (c *Core) AuthoritativeRecord() (VersionedRecord, bool) {
-	return c.record, c.decider.vouched
+	return c.record, c.recordSync.authoritative
 }
--- a/internal/control/relays_test.go
+++ b/internal/control/relays_test.go
@@ -39,6 +39,6 @@
 	}
 	after := namesFrom("z1", members)
 	if len(after) != 4 || after[0] != first[1] || !cmp.Equal(after[2:], first[2:]) {
-		t.Errorf("after the end of %s relays are %v, before %v", first[0], after, first)
+		t.Errorf("after the death of %s relays are %v, before %v", first[0], after, first)
 	}
 }
--- a/internal/control/reports_test.go
+++ b/internal/control/reports_test.go
@@ -21,24 +21,24 @@
 		"e1": engine("e1", 0), "e2": engine("e2", 0), "e3": engine("e3", 0),
 	}}
 	leader := New(Options{Self: "a", Zone: "z", Settings: DefaultSettings()})
-	sent := newStream()
-	sent.fresh = true
-	whole := leader.update(table, &sent)
+	sent := newPendingUpdate()
+	sent.sendWhole = true
+	whole := leader.tableUpdate(table, &sent)
 	for _, state := range []fleet.EngineState{engine("e1", 7), engine("e2", 8, ready)} {
-		sent.changed(table.engines[state.Name], state)
+		sent.noteChange(table.engines[state.Name], state)
 		table.engines[state.Name] = state
 	}
 	table.sequence++
-	change := leader.update(table, &sent)
+	change := leader.tableUpdate(table, &sent)
 	want := []EngineReport{{Engine: "e1", Report: fleet.LoadReport{Running: 7}}}
 	if !cmp.Equal(want, change.Reports) || len(change.Table.Engines) != 1 || change.Table.Engines[0].Name != "e2" {
-		t.Errorf("reports %v, whole engines %v; want that of e1 and all of e2", change.Reports, change.Table.Engines)
+		t.Errorf("reports %v, complete engines %v; want the report of e1 and all of e2", change.Reports, change.Table.Engines)
 	}
 	other := New(Options{Self: "b", Zone: "z", Settings: DefaultSettings()})
 	other.Step(now, TableReceived{From: "a", Update: whole})
 	other.Step(now, TableReceived{From: "a", Update: change})
 	taken := other.Tables()["z"].Engines
-	if exported := table.export("z").Engines; !cmp.Equal(exported, taken) {
-		t.Errorf("the other node holds another table: %s", cmp.Diff(exported, taken))
+	if exported := table.routeTable("z").Engines; !cmp.Equal(exported, taken) {
+		t.Errorf("the other node holds a different table: %s", cmp.Diff(exported, taken))
 	}
 }
--- a/internal/control/schedule_test.go
+++ b/internal/control/schedule_test.go
@@ -15,11 +15,11 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// fault is one entry of a schedule.
+// fault is one entry of a fault schedule.
 type fault struct {
 	Kind   string
 	Target int
-	// Pause goes before the fault, Length is how long it lasts.
+	// Pause is the time before the fault, Length its duration.
 	Pause  time.Duration
 	Length time.Duration
 }
@@ -41,7 +41,7 @@
 	}), 1, 14).Draw(t, "faults")
 }
 
-// inject brings the fault about and takes it back after its length.
+// inject applies the fault and reverts it after its length.
 func (c *cluster) inject(f fault) {
 	nodes, engines := c.nodeNames(), c.engineNames()
 	name, target := nodes[f.Target%len(nodes)], engines[f.Target%len(engines)]
@@ -49,10 +49,10 @@
 	switch f.Kind {
 	case "pause-node":
 		node.pausedUntil = c.now.Add(f.Length)
-		c.suspect(name, f.Length/3, f.Length)
+		c.suspectNode(name, f.Length/3, f.Length)
 	case "restart-node":
 		node.down = true
-		c.spreadMembers()
+		c.distributeMembers()
 		c.after(f.Length, func() { c.boot(name) })
 	case "stop-node":
 		c.send(name, StopRequested{})
@@ -78,29 +78,29 @@
 		c.storeDown = true
 		c.after(f.Length, func() { c.storeDown = false })
 	case "suspect":
-		c.suspect(name, 0, f.Length)
+		c.suspectNode(name, 0, f.Length)
 	case "loss":
-		c.lossShare = 0.2
-		c.after(f.Length, func() { c.lossShare = 0 })
+		c.lossRate = 0.2
+		c.after(f.Length, func() { c.lossRate = 0 })
 	case "reclaim-engine":
 		c.reclaim(target, f.Length)
 	case "add-engine":
 		c.addEngine(c.engines[target].backend.Zone, len(engines))
-		c.spreadMachines()
+		c.distributeMachines()
 	case "evacuate":
 		c.evacuate("z" + string('0'+rune(f.Target%2)))
 		c.after(f.Length, func() { c.evacuate() })
 	case "regions":
-		c.places = locality.NewMap(map[string]string{"z" + string('0'+rune(f.Target%2)): "north"})
-		c.spreadCatalog()
+		c.topology = locality.NewMap(map[string]string{"z" + string('0'+rune(f.Target%2)): "north"})
+		c.distributeCatalog()
 	case "move-replica":
-		c.lower(fleet.Zone("z" + string('0'+rune(f.Target%2))))
+		c.lowerLimit(fleet.Zone("z" + string('0'+rune(f.Target%2))))
 	case "limits":
 		c.changeLimits(f.Target)
 	}
 }
 
-// reclaim takes an engine's machine away after the length.
+// reclaim removes an engine's machine after the given time.
 func (c *cluster) reclaim(name fleet.BackendName, length time.Duration) {
 	target := c.engines[name]
 	if target.state != objectstore.MachineLive {
@@ -108,17 +108,18 @@
 	}
 	target.state = objectstore.MachineLeaving
 	c.stepEngine(name, engine.Leave{})
-	c.spreadMachines()
+	c.distributeMachines()
 	c.after(length, func() {
 		target.down = true
 		target.state = objectstore.MachineGone
 		c.stepEngine(name, engine.Tick{})
-		c.spreadMachines()
+		c.distributeMachines()
 	})
 }
 
-// spreadMachines hands the machine list to all nodes, late by up to a second.
-func (c *cluster) spreadMachines() {
+// distributeMachines sends the machine list to all nodes with delays of up to a
+// second.
+func (c *cluster) distributeMachines() {
 	c.listMachines()
 	list := c.machines
 	for _, name := range c.nodeNames() {
@@ -127,28 +128,29 @@
 	}
 }
 
-// suspect lets all others take the node for dead for a time; the node itself
-// goes on believing in itself.
-func (c *cluster) suspect(name fleet.NodeName, delay, length time.Duration) {
+// suspectNode makes all other nodes consider the node dead for a time; the node
+// itself still considers itself alive.
+func (c *cluster) suspectNode(name fleet.NodeName, delay, length time.Duration) {
 	set := func(suspected bool) {
 		for _, other := range c.nodeNames() {
 			if other != name {
-				c.nodes[other].suspects[name] = suspected
+				c.nodes[other].suspected[name] = suspected
 			}
 		}
-		c.spreadMembers()
+		c.distributeMembers()
 	}
 	c.after(delay, func() { set(true) })
 	c.after(length, func() { set(false) })
 }
 
-// changeLimits declares other bounds of replicas.
+// changeLimits declares different replica limits.
 func (c *cluster) changeLimits(number int) {
 	c.models = []catalog.ModelInfo{facts(modelA, 1+number%3), facts(modelB, 1+number%2)}
-	c.spreadCatalog()
+	c.distributeCatalog()
 }
 
-// busySchedule keeps wants coming at all nodes while the faults come about.
+// busySchedule keeps reporting wants at all nodes while the faults are
+// injected.
 func (c *cluster) busySchedule(faults []fault) {
 	c.run(4 * time.Second)
 	begin := c.now
@@ -162,11 +164,11 @@
 			if c.nodes[name].down {
 				continue
 			}
-			c.want(name, modelA, 1+9*(index%2))
+			c.reportWant(name, modelA, 1+9*(index%2))
 			if index%2 == 0 {
-				c.want(name, modelB, 4)
-			} else if c.regional {
-				c.wantIn(name, modelB, "north")
+				c.reportWant(name, modelB, 4)
+			} else if c.regionalDemand {
+				c.reportRegionalWant(name, modelB, "north")
 			}
 		}
 		c.run(700 * time.Millisecond)
@@ -175,7 +177,7 @@
 
 func newBusyCluster(seed uint64, defects Defects) *cluster {
 	return newCluster(clusterOptions{
-		seed: seed, zones: 2, nodes: 3, engins: 2, defects: defects,
+		seed: seed, zones: 2, nodes: 3, engines: 2, defects: defects,
 		models: []catalog.ModelInfo{facts(modelA, 1), facts(modelB, 2)},
 	})
 }
@@ -184,15 +186,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		faults := drawFaults(t)
 		c := newBusyCluster(rapid.Uint64().Draw(t, "seed"), Defects{})
-		c.regional = rapid.Bool().Draw(t, "regional")
+		c.regionalDemand = rapid.Bool().Draw(t, "regional")
 		c.busySchedule(faults)
 		if len(c.violations) > 0 {
 			t.Fatalf("violations: %v", c.violations[:min(3, len(c.violations))])
 		}
-		c.storeDown, c.lossShare = false, 0
+		c.storeDown, c.lossRate = false, 0
 		c.run(30 * time.Second)
 		for _, name := range c.nodeNames() {
-			c.want(name, modelA, 1)
+			c.reportWant(name, modelA, 1)
 		}
 		c.run(10 * time.Second)
 		if c.replicas(modelA) == 0 {
@@ -201,8 +203,9 @@
 	})
 }
 
-// TestLoweredLimitIsConfirmedAfterLostPushes is a schedule that rapid drew: the
-// pushes of a lowered limit are lost, so that no majority holds it at first.
+// TestLoweredLimitIsConfirmedAfterLostPushes replays a schedule found by rapid:
+// the pushes of a lowered limit are lost, so that no majority holds it at
+// first.
 func TestLoweredLimitIsConfirmedAfterLostPushes(t *testing.T) {
 	c := newBusyCluster(0x363, Defects{})
 	c.busySchedule([]fault{
--- a/internal/control/services.go
+++ b/internal/control/services.go
@@ -9,20 +9,20 @@
 
 const roleService = "service"
 
-// machineIndex is the machine list as the core looks it up.
+// machineIndex indexes the machine list for the core's lookups.
 type machineIndex struct {
 	services  map[fleet.Zone][]fleet.Backend
 	addresses map[fleet.BackendName]string
 }
 
-// services are the zone's service back ends by the machine list.
+// services returns the zone's service back ends by the machine list.
 func (c *Core) services() []fleet.Backend { return c.machineIndex.services[c.options.Zone] }
 
-// engineAddress is where an engine of the zone listens.
+// engineAddress returns the address of an engine of the zone.
 func (c *Core) engineAddress(name fleet.BackendName) string { return c.machineIndex.addresses[name] }
 
-// indexServices reads the services of all zones from the machine list; those
-// given out before are not changed.
+// indexServices rebuilds the index of services from the machine list. It does
+// not modify slices that were returned earlier.
 func (c *Core) indexServices() {
 	services := make(map[fleet.Zone][]fleet.Backend)
 	for _, machine := range c.machines.Machines {
--- a/internal/control/store_use.go
+++ b/internal/control/store_use.go
@@ -7,53 +7,54 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// countLoads notes the engines' loads that read from the weight store, and the
-// models that they hold ready or load.
+// countLoads recomputes the number of the zone's loads that read from the
+// weight store, and the models that its engines hold ready or are loading.
 func (z *zoneTable) countLoads() {
-	z.loading = 0
-	z.held = make(map[fleet.ModelVersion]bool)
+	z.storeLoads = 0
+	z.heldModels = make(map[fleet.ModelVersion]bool)
 	for _, state := range z.engines {
 		for _, loaded := range state.Models {
 			if loaded.State != fleet.LoadUnloading && !state.Leaving {
-				z.held[loaded.Model] = true
+				z.heldModels[loaded.Model] = true
 			}
 			tier, known := state.Tiers[loaded.Model]
 			if loaded.State == fleet.LoadLoading && (!known || tier == fleet.TierRemote) {
-				z.loading++
+				z.storeLoads++
 			}
 		}
 	}
 }
 
-// updateElsewhere tells placement what the other zones in service hold, and what
-// all others take of the weight store, by their tables.
-func (c *Core) updateElsewhere() {
+// updateOtherZones tells placement, by the other zones' tables, which models
+// the zones in service hold and how much of the weight store's capacity all
+// other zones use.
+func (c *Core) updateOtherZones() {
 	if !c.leader.Leading() {
 		return
 	}
-	used := placement.StoreUsage{}
+	usage := placement.StoreUsage{}
 	held := make(map[fleet.ModelVersion]bool)
 	for zone := range c.record.Record.Zones {
 		if zone == c.options.Zone {
 			continue
 		}
-		known := c.tables.zones[zone]
-		if known == nil || c.now.Sub(known.heard) > silentBeats*c.settings().RemoteHeartbeatInterval {
-			used.UnknownZones++
+		table := c.tables.zones[zone]
+		if table == nil || c.now.Sub(table.updatedAt) > maxMissedHeartbeats*c.settings().RemoteHeartbeatInterval {
+			usage.UnknownZones++
 			continue
 		}
-		used.Loading += known.loading
-		used.Waiting += known.waitingLoads
+		usage.Loading += table.storeLoads
+		usage.Waiting += table.waitingLoads
 		if !c.isEvacuated(zone) {
-			maps.Copy(held, known.held)
+			maps.Copy(held, table.heldModels)
 		}
 	}
-	if used != c.tables.storeUsed {
-		c.tables.storeUsed = used
-		c.stepPlacement(used)
+	if usage != c.tables.storeUsage {
+		c.tables.storeUsage = usage
+		c.stepPlacement(usage)
 	}
-	if !maps.Equal(held, c.tables.heldElsewhere) {
-		c.tables.heldElsewhere = held
+	if !maps.Equal(held, c.tables.replicasElsewhere) {
+		c.tables.replicasElsewhere = held
 		c.stepPlacement(placement.ReplicasElsewhere{Models: held})
 	}
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -17,61 +17,65 @@
 	leader   fleet.NodeName
 	engines  map[fleet.BackendName]fleet.EngineState
 	services []fleet.Backend
-	// loading and waitingLoads are the zone's use of the weight store.
-	loading, waitingLoads int
-	// held are the models that its engines hold ready or load.
-	held map[fleet.ModelVersion]bool
-	// heard is when the newest update came.
-	heard time.Time
-	// shown is what was given out of the table last; nil once it changed.
-	shown *fleet.RouteTable
-}
-
-// tableState holds the tables of all zones, and what the leader has not yet
-// published of its own.
+	// storeLoads and waitingLoads describe the zone's use of the weight store:
+	// loads in progress and loads waiting to start.
+	storeLoads, waitingLoads int
+	// heldModels are the models that its engines hold ready or are loading.
+	heldModels map[fleet.ModelVersion]bool
+	// updatedAt is when the newest update was received.
+	updatedAt time.Time
+	// cachedView is the routing view of the table; nil once the table has
+	// changed.
+	cachedView *fleet.RouteTable
+}
+
+// tableState holds the tables of all zones and the unpublished changes of this
+// leader's own table.
 type tableState struct {
-	zones  map[fleet.Zone]*zoneTable
-	near   stream
-	far    stream
-	pulled time.Time
-	// viewChanged is set where the node's own view must be given out anew.
+	zones    map[fleet.Zone]*zoneTable
+	local    pendingUpdate
+	remote   pendingUpdate
+	lastPull time.Time
+	// viewChanged is set if the node's routing view has to be published again.
 	viewChanged bool
-	// storeUsed and heldElsewhere are what placement was told of other zones.
-	// refused goes to the zone's members with the next update.
-	refused       []fleet.LoadRefusal
-	storeUsed     placement.StoreUsage
-	heldElsewhere map[fleet.ModelVersion]bool
+	// pendingRefusals are sent to the zone's members with the next update;
+	// storeUsage and replicasElsewhere are what placement was last told about
+	// other zones.
+	pendingRefusals   []fleet.LoadRefusal
+	storeUsage        placement.StoreUsage
+	replicasElsewhere map[fleet.ModelVersion]bool
 }
 
 func newTableState() tableState {
 	return tableState{
-		zones: make(map[fleet.Zone]*zoneTable),
-		near:  newStream(),
-		far:   newStream(),
+		zones:  make(map[fleet.Zone]*zoneTable),
+		local:  newPendingUpdate(),
+		remote: newPendingUpdate(),
 	}
 }
 
-// leader is the leader of the zone by its newest table, and when it was heard.
+// leader returns the leader of the zone by its newest table, and when that
+// table was updated.
 func (t *tableState) leader(zone fleet.Zone) (fleet.NodeName, time.Time) {
-	known := t.zones[zone]
-	if known == nil {
+	table := t.zones[zone]
+	if table == nil {
 		return "", time.Time{}
 	}
-	return known.leader, known.heard
+	return table.leader, table.updatedAt
 }
 
-// stamps name the tables held, by zone.
+// stamps identifies the tables held, sorted by zone.
 func (t *tableState) stamps() []TableStamp {
 	stamps := make([]TableStamp, 0, len(t.zones))
 	for _, zone := range slices.Sorted(maps.Keys(t.zones)) {
-		known := t.zones[zone]
-		stamps = append(stamps, TableStamp{Zone: zone, Fence: known.fence, Sequence: known.sequence})
+		table := t.zones[zone]
+		stamps = append(stamps, TableStamp{Zone: zone, Fence: table.fence, Sequence: table.sequence})
 	}
 	return stamps
 }
 
-// newerThan returns the whole tables of the zones of which the stamps name an
-// older state or none.
+// newerThan returns the complete tables of the zones for which held has no
+// stamp or the stamp of an older state.
 func (t *tableState) newerThan(held []TableStamp) map[fleet.Zone]fleet.RouteTable {
 	tables := make(map[fleet.Zone]fleet.RouteTable)
 	for zone, known := range t.zones {
@@ -80,21 +84,21 @@
 			return stamp.Zone == zone && !(fleet.RouteTable{Fence: known.fence, Sequence: known.sequence}).Newer(table)
 		})
 		if !current {
-			tables[zone] = known.export(zone)
+			tables[zone] = known.routeTable(zone)
 		}
 	}
 	return tables
 }
 
-func (t *tableState) whole() map[fleet.Zone]fleet.RouteTable {
+func (t *tableState) all() map[fleet.Zone]fleet.RouteTable {
 	tables := make(map[fleet.Zone]fleet.RouteTable, len(t.zones))
 	for zone, known := range t.zones {
-		tables[zone] = known.export(zone)
+		tables[zone] = known.routeTable(zone)
 	}
 	return tables
 }
 
-func (z *zoneTable) export(zone fleet.Zone) fleet.RouteTable {
+func (z *zoneTable) routeTable(zone fleet.Zone) fleet.RouteTable {
 	table := fleet.RouteTable{
 		Zone:     zone,
 		Leader:   z.leader,
@@ -110,24 +114,25 @@
 	return table
 }
 
-// beginTable starts the table of an established round.
+// beginTable creates the zone's table for an established round.
 func (c *Core) beginTable(round leadership.RoundEstablished) {
 	table := &zoneTable{
-		fence:    round.Fence,
-		leader:   c.options.Self,
-		engines:  make(map[fleet.BackendName]fleet.EngineState, len(round.Held)),
-		services: c.services(),
-		heard:    c.now,
+		fence:     round.Fence,
+		leader:    c.options.Self,
+		engines:   make(map[fleet.BackendName]fleet.EngineState, len(round.Held)),
+		services:  c.services(),
+		updatedAt: c.now,
 	}
 	for name, state := range round.Held {
 		table.engines[name] = c.leaving.mark(state)
 	}
 	c.tables.zones[c.options.Zone] = table
-	c.tables.near.fresh, c.tables.far.fresh = true, true
+	c.tables.local.sendWhole, c.tables.remote.sendWhole = true, true
 	c.tables.viewChanged = true
 }
 
-// ownTable is the zone's table while this node leads it.
+// ownTable returns the zone's table while this node leads the zone, otherwise
+// nil.
 func (c *Core) ownTable() *zoneTable {
 	if !c.leader.Leading() {
 		return nil
@@ -135,24 +140,24 @@
 	return c.tables.zones[c.options.Zone]
 }
 
-// showEngine puts an engine's newer state into the table.
-func (c *Core) showEngine(state fleet.EngineState) {
+// updateEngine stores an engine's newer state in the table.
+func (c *Core) updateEngine(state fleet.EngineState) {
 	table := c.ownTable()
 	if table == nil {
 		return
 	}
 	state = c.leaving.mark(state)
-	known, found := table.engines[state.Name]
+	previous, found := table.engines[state.Name]
 	table.engines[state.Name] = state
-	table.shown = nil
+	table.cachedView = nil
 	if !found {
-		known = fleet.EngineState{}
+		previous = fleet.EngineState{}
 	}
-	c.tables.near.changed(known, state)
-	c.tables.far.changed(known, state)
+	c.tables.local.noteChange(previous, state)
+	c.tables.remote.noteChange(previous, state)
 }
 
-func (c *Core) dropEngines(gone map[fleet.BackendName]bool) {
+func (c *Core) removeEngines(gone map[fleet.BackendName]bool) {
 	table := c.ownTable()
 	if table == nil {
 		return
@@ -160,18 +165,18 @@
 	for name := range gone {
 		if _, found := table.engines[name]; found {
 			delete(table.engines, name)
-			table.shown = nil
-			c.tables.near.dropped(name)
-			c.tables.far.dropped(name)
+			table.cachedView = nil
+			c.tables.local.noteRemoval(name)
+			c.tables.remote.noteRemoval(name)
 		}
 	}
 }
 
-// publish hands the leader's changes to the members of the zone and to the
-// delegates of others, and the node's view to its own readers.
+// publish sends the leader's changes to the members of the zone and to the
+// relays of other zones, and updates this node's own routing view.
 func (c *Core) publish() {
 	if table := c.ownTable(); table != nil {
-		c.publishOwn(table)
+		c.publishOwnTable(table)
 	}
 	if c.tables.viewChanged {
 		c.tables.viewChanged = false
@@ -179,15 +184,16 @@
 	}
 }
 
-// view is what the node routes by: the tables, with what it has itself heard
-// of leaving, and services by the machine list where no table names them.
+// view returns the tables that this node routes by. They include the leaving
+// marks that it knows of, and for zones without a table the services of the
+// machine list.
 func (c *Core) view() map[fleet.Zone]fleet.RouteTable {
 	tables := make(map[fleet.Zone]fleet.RouteTable, len(c.tables.zones))
 	for zone, known := range c.tables.zones {
-		if known.shown == nil {
-			known.shown = c.show(zone, known)
+		if known.cachedView == nil {
+			known.cachedView = c.buildView(zone, known)
 		}
-		tables[zone] = *known.shown
+		tables[zone] = *known.cachedView
 	}
 	for zone, services := range c.machineIndex.services {
 		if _, found := tables[zone]; !found {
@@ -197,9 +203,10 @@
 	return tables
 }
 
-// show is a zone's table with the leaving marks that this node has heard.
-func (c *Core) show(zone fleet.Zone, known *zoneTable) *fleet.RouteTable {
-	table := known.export(zone)
+// buildView returns a zone's table with the leaving marks that this node knows
+// of.
+func (c *Core) buildView(zone fleet.Zone, known *zoneTable) *fleet.RouteTable {
+	table := known.routeTable(zone)
 	for index := range table.Engines {
 		table.Engines[index] = c.leaving.mark(table.Engines[index])
 	}
@@ -210,10 +217,10 @@
 	return &table
 }
 
-// leavingChanged lets all tables be shown anew.
-func (c *Core) leavingChanged() {
+// invalidateViews discards all cached views.
+func (c *Core) invalidateViews() {
 	for _, known := range c.tables.zones {
-		known.shown = nil
+		known.cachedView = nil
 	}
 	c.indexServices()
 	c.tables.viewChanged = true
--- a/internal/control/unheard_test.go
+++ b/internal/control/unheard_test.go
@@ -8,26 +8,26 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// addUnheardEngine adds an engine of which only the leader's process hears:
-// the others miss the record that names it. The leader loads a model there and
-// stops; the store goes down, the older engine restarts, and another leader
-// learns the older record from a majority.
-func addUnheardEngine(seed uint64) (c *cluster, loadedOnNew bool) {
+// addEngineKnownToLeaderOnly adds an engine that only the leader knows: the
+// other nodes miss the record that names it. The leader tries to load a model
+// there and stops; the store goes down, the older engine restarts, and another
+// leader reads the older record from a majority.
+func addEngineKnownToLeaderOnly(seed uint64) (c *cluster, loadedOnNew bool) {
 	large := facts(modelB, 1)
 	large.MemoryBytes = 30 * gib
-	c = newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engins: 1, models: []catalog.ModelInfo{facts(modelA, 1), large}})
+	c = newCluster(clusterOptions{seed: seed, zones: 1, nodes: 3, engines: 1, models: []catalog.ModelInfo{facts(modelA, 1), large}})
 	c.run(5 * time.Second)
 	leader := c.leaderOf("z0")
-	c.wantEverywhere(modelB, 4)
+	c.reportWantEverywhere(modelB, 4)
 	for _, name := range c.nodeNames() {
-		c.nodes[name].deaf = name != leader
+		c.nodes[name].missesRecords = name != leader
 	}
-	// The older engine has no room, so that the model goes to the new one.
+	// The older engine is full, so the model goes to the new one.
 	c.addEngine("z0", 1)
 	c.listMachines()
 	c.send(leader, MachinesChanged{List: c.machines})
 	for range 30 {
-		c.want(leader, modelA, 1)
+		c.reportWant(leader, modelA, 1)
 		c.run(100 * time.Millisecond)
 		if c.holderOf(modelA) == "z0-e1" {
 			break
@@ -37,11 +37,11 @@
 	c.nodes[leader].down = true
 	c.storeDown = true
 	c.stepEngine("z0-e0", engine.Restart{})
-	c.spreadMembers()
+	c.distributeMembers()
 	for range 8 {
 		for _, name := range c.nodeNames() {
 			if name != leader {
-				c.want(name, modelA, 1)
+				c.reportWant(name, modelA, 1)
 			}
 		}
 		c.run(time.Second)
@@ -49,11 +49,11 @@
 	return c, loadedOnNew
 }
 
-// TestEngineThatAMajorityHasNotHeardOfIsNotUsed holds the argument's step on
-// engines unknown to a round against a store that goes down.
+// TestEngineThatAMajorityHasNotHeardOfIsNotUsed checks, with a store that goes
+// down, that an engine unknown to a later round cannot have been used.
 func TestEngineThatAMajorityHasNotHeardOfIsNotUsed(t *testing.T) {
 	for seed := range uint64(20) {
-		c, used := addUnheardEngine(seed)
+		c, used := addEngineKnownToLeaderOnly(seed)
 		if used {
 			t.Errorf("seed %d: the engine was used although one node of three knows of it", seed)
 		}
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -4,13 +4,13 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// tableReceived takes an update where it is newer than what is held.
+// tableReceived applies an update that is newer than the table held.
 func (c *Core) tableReceived(received TableReceived) {
 	update := received.Update
 	zone := update.Table.Zone
 	known := c.tables.zones[zone]
-	c.hearRefusals(update.Table)
-	if known != nil && !newer(update.Table, known) {
+	c.deliverLeaderRefusals(update.Table)
+	if known != nil && !isNewer(update.Table, known) {
 		return
 	}
 	if update.BaseSequence == 0 {
@@ -26,7 +26,7 @@
 	c.relay(received)
 }
 
-func newer(table fleet.RouteTable, known *zoneTable) bool {
+func isNewer(table fleet.RouteTable, known *zoneTable) bool {
 	if table.Fence != known.fence {
 		return table.Fence > known.fence
 	}
@@ -35,12 +35,12 @@
 
 func (c *Core) replaceTable(table fleet.RouteTable) {
 	replaced := &zoneTable{
-		sequence: table.Sequence,
-		fence:    table.Fence,
-		leader:   table.Leader,
-		engines:  make(map[fleet.BackendName]fleet.EngineState, len(table.Engines)),
-		services: table.Services,
-		heard:    c.now,
+		sequence:  table.Sequence,
+		fence:     table.Fence,
+		leader:    table.Leader,
+		engines:   make(map[fleet.BackendName]fleet.EngineState, len(table.Engines)),
+		services:  table.Services,
+		updatedAt: c.now,
 
 		waitingLoads: table.WaitingLoads,
 	}
@@ -51,7 +51,7 @@
 	before := c.tables.zones[table.Zone]
 	c.tables.zones[table.Zone] = replaced
 	if table.Zone == c.options.Zone && before != nil && before.leader != table.Leader {
-		c.reportAgain(table.Leader)
+		c.resendReport(table.Leader)
 	}
 	c.tables.viewChanged = true
 }
@@ -59,16 +59,16 @@
 func (c *Core) changeTable(known *zoneTable, update TableUpdate) {
 	known.sequence = update.Table.Sequence
 	known.leader = update.Table.Leader
-	known.heard = c.now
+	known.updatedAt = c.now
 	known.services = update.Table.Services
-	known.shown = nil
+	known.cachedView = nil
 	for _, state := range update.Table.Engines {
 		known.engines[state.Name] = state
 	}
-	for _, news := range update.Reports {
-		if state, found := known.engines[news.Engine]; found {
-			state.Report = news.Report
-			known.engines[news.Engine] = state
+	for _, report := range update.Reports {
+		if state, found := known.engines[report.Engine]; found {
+			state.Report = report.Report
+			known.engines[report.Engine] = state
 		}
 	}
 	for _, name := range update.Removed {
@@ -79,48 +79,49 @@
 	c.tables.viewChanged = true
 }
 
-// relay passes an update that came from another zone to the members of this
-// one.
+// relay forwards an update from another zone to the members of this one.
 func (c *Core) relay(received TableReceived) {
 	sender, known := c.members[received.From]
 	if !known || sender.Zone == c.options.Zone || received.Update.Table.Zone == c.options.Zone {
 		return
 	}
-	c.emit(PublishTable{To: c.peersOfZone(c.options.Zone), Update: received.Update})
+	c.emit(PublishTable{To: c.peersInZone(c.options.Zone), Update: received.Update})
 }
 
-// tablesPulled takes the tables that a peer holds.
+// tablesPulled applies the tables pulled from a peer.
 func (c *Core) tablesPulled(pulled TablesPulled) {
 	for _, table := range pulled.Tables {
-		if known := c.tables.zones[table.Zone]; known == nil || newer(table, known) {
+		if known := c.tables.zones[table.Zone]; known == nil || isNewer(table, known) {
 			c.replaceTable(table)
 		}
 	}
 }
 
-// repair pulls from one peer while a zone's table is missing or silent. A lost
-// update needs no more: the next one names the sequence that it builds on.
-func (c *Core) repair() {
-	if c.now.Sub(c.tables.pulled) < c.settings().PullInterval || !c.lacksTable() {
+// pullStaleTables pulls from one peer while a zone's table is missing or stale.
+// It does not have to handle a lost update: the next update names the sequence
+// that it applies to, which reveals the gap.
+func (c *Core) pullStaleTables() {
+	if c.now.Sub(c.tables.lastPull) < c.settings().PullInterval || !c.hasStaleTable() {
 		return
 	}
-	peers := c.peersOfZone(c.options.Zone)
+	peers := c.peersInZone(c.options.Zone)
 	if len(peers) == 0 {
-		peers = c.audience()
+		peers = c.broadcastTargets()
 	}
 	if len(peers) == 0 {
 		return
 	}
-	c.tables.pulled = c.now
+	c.tables.lastPull = c.now
 	c.emit(PullTables{From: peers[c.random.IntN(len(peers))], Held: c.tables.stamps()})
 }
 
-// silentBeats is how many heartbeats may pass without news of a table.
-const silentBeats = 3
+// maxMissedHeartbeats is the number of heartbeats without an update after which
+// a table is stale.
+const maxMissedHeartbeats = 3
 
-// lacksTable reports whether a zone that has members has no table here, or one
-// that was not heard of for long.
-func (c *Core) lacksTable() bool {
+// hasStaleTable reports whether the table of a zone with usable members is
+// missing or stale.
+func (c *Core) hasStaleTable() bool {
 	for _, member := range c.members {
 		if !member.Usable() {
 			continue
@@ -130,7 +131,7 @@
 			heartbeat = c.settings().HeartbeatInterval
 		}
 		known := c.tables.zones[member.Zone]
-		if known == nil || c.now.Sub(known.heard) > silentBeats*heartbeat {
+		if known == nil || c.now.Sub(known.updatedAt) > maxMissedHeartbeats*heartbeat {
 			return true
 		}
 	}
--- a/internal/control/wants.go
+++ b/internal/control/wants.go
@@ -8,7 +8,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// demandKey names a demand: wants for one model that may run in the same regions.
+// demandKey identifies wants for the same model that may run in the same
+// regions.
 type demandKey struct {
 	model   fleet.ModelVersion
 	regions fleet.Regions
@@ -24,35 +25,37 @@
 	return cmp.Or(a.model.Compare(b.model), cmp.Compare(a.regions, b.regions))
 }
 
-// wantState is what the node knows of wants that others may have to serve.
+// wantState tracks the wants that this or other nodes may have to serve.
 type wantState struct {
-	// reporters are the nodes that want a model, with when they last said so.
+	// reporters holds the last want of each node that waits for a model.
 	reporters map[demandKey]map[fleet.NodeName]fleet.Want
-	// forwarded is when wants for a model last went to another zone.
-	forwarded map[demandKey]time.Time
-	// remote are refusals of the zones that were asked.
-	remote map[demandKey]remoteRefusal
-	// starved counts what waits in a zone and could not be served, for the
-	// decider.
-	starved map[fleet.ModelVersion]map[fleet.Zone]time.Time
-	// complained is when the decider was last told.
-	complained map[demandKey]time.Time
-	// lacking is since when a demand that may not run in this zone has no zone to go
-	// to.
-	lacking map[demandKey]time.Time
-	// arrivals counts requests of this zone for models that only other zones
-	// hold; those must learn that the model is in use.
-	arrivals   map[fleet.ModelVersion]int
-	arrivalsAt time.Time
-	// own is what this node itself reported last, at ownAt.
-	own   []fleet.Want
-	ownAt time.Time
-	// refusals are those of this step, by node.
-	refusals map[fleet.NodeName][]fleet.LoadRefusal
-	// reporting are the nodes whose report this step answers.
-	reporting map[fleet.NodeName]bool
-	// pushed is when a model was last refused to the zone unasked.
-	pushed map[demandKey]time.Time
+	// forwardedAt is when wants were last forwarded to another zone.
+	forwardedAt map[demandKey]time.Time
+	// remoteRefusals are the refusals of zones that wants were forwarded to.
+	remoteRefusals map[demandKey]remoteRefusal
+	// unservedAt is when wants of a zone last could not be served; the
+	// coordinator uses it as demand.
+	unservedAt map[fleet.ModelVersion]map[fleet.Zone]time.Time
+	// unservedReportedAt is when unserved wants were last reported to the
+	// coordinator.
+	unservedReportedAt map[demandKey]time.Time
+	// noTargetSince is since when a want that may not run in this zone has had
+	// no zone to be forwarded to.
+	noTargetSince map[demandKey]time.Time
+	// arrivalCounts counts this zone's requests for models that only other zones
+	// hold; those zones must learn that the models are in use.
+	arrivalCounts      map[fleet.ModelVersion]int
+	arrivalsReportedAt time.Time
+	// lastReport is what this node itself last reported, at lastReportAt.
+	lastReport   []fleet.Want
+	lastReportAt time.Time
+	// queuedRefusals are the refusals of the current step by node.
+	queuedRefusals map[fleet.NodeName][]fleet.LoadRefusal
+	// awaitingReply are the nodes whose report the current step answers.
+	awaitingReply map[fleet.NodeName]bool
+	// pushedAt is when a refusal of the model was last pushed to the zone's
+	// nodes.
+	pushedAt map[demandKey]time.Time
 }
 
 type remoteRefusal struct {
@@ -61,37 +64,37 @@
 }
 
 const (
-	forwardInterval  = 500 * time.Millisecond
-	complainInterval = time.Second
-	arrivalsInterval = 2 * time.Second
-	refusalLifetime  = 2 * time.Second
-	starvedLifetime  = 5 * time.Second
-	// ownReportAge is the age at which a node's report is not given out again:
-	// what still waits is reported every second.
-	ownReportAge = 1500 * time.Millisecond
+	forwardInterval        = 500 * time.Millisecond
+	unservedReportInterval = time.Second
+	arrivalsReportInterval = 2 * time.Second
+	refusalLifetime        = 2 * time.Second
+	unservedLifetime       = 5 * time.Second
+	// maxOwnReportAge is the age from which a node's report is not sent again:
+	// requests that still wait are reported every second.
+	maxOwnReportAge = 1500 * time.Millisecond
 )
 
 func newWantState() wantState {
 	return wantState{
-		reporters:  make(map[demandKey]map[fleet.NodeName]fleet.Want),
-		forwarded:  make(map[demandKey]time.Time),
-		remote:     make(map[demandKey]remoteRefusal),
-		lacking:    make(map[demandKey]time.Time),
-		starved:    make(map[fleet.ModelVersion]map[fleet.Zone]time.Time),
-		complained: make(map[demandKey]time.Time),
-		arrivals:   make(map[fleet.ModelVersion]int),
-		refusals:   make(map[fleet.NodeName][]fleet.LoadRefusal),
-		reporting:  make(map[fleet.NodeName]bool),
-		pushed:     make(map[demandKey]time.Time),
+		reporters:          make(map[demandKey]map[fleet.NodeName]fleet.Want),
+		forwardedAt:        make(map[demandKey]time.Time),
+		remoteRefusals:     make(map[demandKey]remoteRefusal),
+		noTargetSince:      make(map[demandKey]time.Time),
+		unservedAt:         make(map[fleet.ModelVersion]map[fleet.Zone]time.Time),
+		unservedReportedAt: make(map[demandKey]time.Time),
+		arrivalCounts:      make(map[fleet.ModelVersion]int),
+		queuedRefusals:     make(map[fleet.NodeName][]fleet.LoadRefusal),
+		awaitingReply:      make(map[fleet.NodeName]bool),
+		pushedAt:           make(map[demandKey]time.Time),
 	}
 }
 
-// unserved is what the decider knows of zones whose wants no zone served.
+// unserved returns the demand of zones whose wants no zone has served lately.
 func (w *wantState) unserved(now time.Time) map[fleet.ModelVersion]map[fleet.Zone]int {
 	demand := make(map[fleet.ModelVersion]map[fleet.Zone]int)
-	for model, zones := range w.starved {
+	for model, zones := range w.unservedAt {
 		for zone, at := range zones {
-			if now.Sub(at) > starvedLifetime {
+			if now.Sub(at) > unservedLifetime {
 				delete(zones, zone)
 				continue
 			}
@@ -104,38 +107,39 @@
 	return demand
 }
 
-// takeWants serves wants where this node leads, else passes them to the leader.
-func (c *Core) takeWants(reported WantsReported) {
+// handleWants serves wants if this node leads, otherwise forwards them to the
+// leader.
+func (c *Core) handleWants(reported WantsReported) {
 	if reported.From == c.options.Self {
-		c.keepOwn(reported.Wants)
+		c.keepOwnReport(reported.Wants)
 	}
 	if !c.leader.Leading() {
-		c.passToLeader(reported)
+		c.forwardToLeader(reported)
 		return
 	}
-	if reported.Forwarded && c.noteStarved(reported.Wants) {
+	if reported.Forwarded && c.noteUnservedWants(reported.Wants) {
 		return
 	}
 	for _, want := range reported.Wants {
-		c.wants.note(want)
-		c.wants.reporting[want.Node] = true
+		c.wants.record(want)
+		c.wants.awaitingReply[want.Node] = true
 		if reported.Forwarded {
 			continue
 		}
 		c.countArrivals(want)
-		if refusal, found := c.wants.remote[keyOf(want)]; found && c.now.Before(refusal.until) && want.Waiting > 0 {
-			c.refuse(want.Node, refusal.LoadRefusal)
+		if refusal, found := c.wants.remoteRefusals[keyOf(want)]; found && c.now.Before(refusal.until) && want.Waiting > 0 {
+			c.queueRefusal(want.Node, refusal.LoadRefusal)
 		}
 	}
 	c.serveWants(reported.Wants, reported.Forwarded)
 }
 
-func (w *wantState) note(want fleet.Want) {
+func (w *wantState) record(want fleet.Want) {
 	key := keyOf(want)
 	if want.Waiting == 0 {
 		delete(w.reporters[key], want.Node)
 		if len(w.reporters[key]) == 0 {
-			delete(w.lacking, key)
+			delete(w.noTargetSince, key)
 		}
 		return
 	}
@@ -145,64 +149,64 @@
 	w.reporters[key][want.Node] = want
 }
 
-// noteStarved takes wants that came from another zone although that zone has
-// allotment or was refused: they tell the decider where replicas are missing.
-// It reports whether this zone cannot serve any of them.
-func (c *Core) noteStarved(wants []fleet.Want) bool {
-	useless := true
+// noteUnservedWants records wants from another zone that has allotment itself
+// or was refused by the zone that it asked: they tell the coordinator where
+// replicas are missing. It reports whether this zone cannot serve any of them.
+func (c *Core) noteUnservedWants(wants []fleet.Want) bool {
+	noneServable := true
 	for _, want := range wants {
 		if c.record.Record.Limit(want.Model, c.options.Zone) > 0 && c.allows(want.Regions, c.options.Zone) {
-			useless = false
+			noneServable = false
 			continue
 		}
 		if want.Waiting > 0 {
-			c.starve(want.Model, c.lackingZone(keyOf(want), want.Zone))
+			c.noteUnserved(want.Model, c.shortageZone(keyOf(want), want.Zone))
 		}
 	}
-	return useless
+	return noneServable
 }
 
-// keepWants holds wants that came while a round is being claimed.
-func (c *Core) keepWants(reported WantsReported) {
+// holdWants keeps wants that arrive while a round is still being established.
+func (c *Core) holdWants(reported WantsReported) {
 	for _, want := range reported.Wants {
-		c.wants.note(want)
+		c.wants.record(want)
 	}
 	c.serveWants(reported.Wants, reported.Forwarded)
 }
 
-// keepOwn keeps what this node reports for a leader that takes over.
-func (c *Core) keepOwn(wants []fleet.Want) {
-	c.wants.own, c.wants.ownAt = slices.Clone(wants), c.now
-	for index := range c.wants.own {
-		// Arrivals count once.
-		c.wants.own[index].Arrivals = 0
+// keepOwnReport keeps this node's report for a leader that takes over.
+func (c *Core) keepOwnReport(wants []fleet.Want) {
+	c.wants.lastReport, c.wants.lastReportAt = slices.Clone(wants), c.now
+	for index := range c.wants.lastReport {
+		// Arrivals must be counted only once.
+		c.wants.lastReport[index].Arrivals = 0
 	}
 }
 
-// reportAgain gives a new leader of the zone what was last reported to the one
-// before, instead of letting it wait for the next report.
-func (c *Core) reportAgain(leader fleet.NodeName) {
-	if len(c.wants.own) == 0 || c.now.Sub(c.wants.ownAt) >= ownReportAge {
+// resendReport sends the last report to a new leader of the zone so that it
+// does not have to wait for the next one.
+func (c *Core) resendReport(leader fleet.NodeName) {
+	if len(c.wants.lastReport) == 0 || c.now.Sub(c.wants.lastReportAt) >= maxOwnReportAge {
 		return
 	}
 	if leader == c.options.Self {
-		c.keepWants(WantsReported{From: leader, Wants: c.wants.own})
+		c.holdWants(WantsReported{From: leader, Wants: c.wants.lastReport})
 	} else if member, found := c.members[leader]; found {
-		c.emit(ForwardWants{To: member, Wants: c.wants.own})
+		c.emit(ForwardWants{To: member, Wants: c.wants.lastReport})
 	}
 }
 
-// passToLeader passes on what this node wants itself and what another zone
-// sent. What comes from the own zone is not passed on again: two nodes that take
-// each other for the leader would pass it back and forth.
-func (c *Core) passToLeader(reported WantsReported) {
+// forwardToLeader forwards this node's own wants and those from other zones.
+// Wants from another node of the zone are not forwarded: two nodes that each
+// take the other for the leader would send them back and forth.
+func (c *Core) forwardToLeader(reported WantsReported) {
 	name := c.candidate()
 	if reported.From != c.options.Self && c.members[reported.From].Zone == c.options.Zone && name != c.options.Self {
 		return
 	}
 	if name == c.options.Self {
-		// They are served once the round is established.
-		c.keepWants(reported)
+		// The wants are served once the round is established.
+		c.holdWants(reported)
 		return
 	}
 	member, found := c.members[name]
