--- a/internal/leadership/answers.go
+++ b/internal/leadership/answers.go
@@ -2,60 +2,61 @@
 
 import "time"
 
-// takeState takes a state that was read, in whatever step.
-func (c *Core) takeState(now time.Time, read StateRead) {
-	engine := c.engines[read.Engine]
+// stateRead handles the state read from an engine, in any phase.
+func (c *Core) stateRead(now time.Time, answer StateRead) {
+	engine := c.engines[answer.Engine]
 	if engine == nil {
 		return
 	}
 	if c.phase == phaseLeading {
-		c.watch(now, read, engine)
+		c.checkWhileLeading(now, answer, engine)
 		return
 	}
-	if engine.asked == 0 || engine.asked != read.ID {
+	if engine.asked == 0 || engine.asked != answer.ID {
 		return
 	}
 	engine.asked = 0
-	if read.Failed {
+	if answer.Failed {
 		return
 	}
 	switch c.phase {
 	case phaseReading:
 		engine.read = true
-		engine.incarnation = read.State.Incarnation
-		c.highest = max(c.highest, read.State.Fence)
+		engine.incarnation = answer.State.Incarnation
+		c.highest = max(c.highest, answer.State.Fence)
 	case phaseVerifying:
-		c.verify(read, engine)
+		c.verify(answer, engine)
 	}
 }
 
-func (c *Core) verify(read StateRead, engine *engineProgress) {
-	c.highest = max(c.highest, read.State.Fence)
-	if read.State.Incarnation != engine.incarnation || read.State.Fence != c.fence {
+func (c *Core) verify(answer StateRead, engine *engineProgress) {
+	c.highest = max(c.highest, answer.State.Fence)
+	if answer.State.Incarnation != engine.incarnation || answer.State.Fence != c.fence {
 		return
 	}
 	engine.verified = true
-	engine.state = read.State
+	engine.state = answer.State
 }
 
-// watch ends the round where a state shows that the engine restarted, was
-// claimed by another leader, or can be held now and was not before.
-func (c *Core) watch(now time.Time, read StateRead, engine *engineProgress) {
-	if read.Failed {
+// checkWhileLeading ends the round if a state shows that the engine has
+// restarted, was claimed by another leader, or can be claimed now but was not
+// before.
+func (c *Core) checkWhileLeading(now time.Time, answer StateRead, engine *engineProgress) {
+	if answer.Failed {
 		return
 	}
-	c.highest = max(c.highest, read.State.Fence)
+	c.highest = max(c.highest, answer.State.Fence)
 	switch {
 	case !engine.verified:
-		c.end(now, "an engine can be claimed", 0)
-	case read.State.Incarnation != engine.incarnation:
-		c.end(now, "an engine restarted", 0)
-	case read.State.Fence > c.fence:
-		c.end(now, "an engine was claimed by another leader", c.options.Settings.YieldDelay)
+		c.endRound(now, "an engine outside the round can be claimed", 0)
+	case answer.State.Incarnation != engine.incarnation:
+		c.endRound(now, "an engine restarted", 0)
+	case answer.State.Fence > c.fence:
+		c.endRound(now, "an engine was claimed by another leader", c.options.Settings.YieldDelay)
 	}
 }
 
-func (c *Core) takeClaim(now time.Time, answer ClaimAnswered) {
+func (c *Core) claimAnswered(now time.Time, answer ClaimAnswered) {
 	engine := c.engines[answer.Engine]
 	if engine == nil || c.phase != phaseClaiming || engine.asked == 0 || engine.asked != answer.ID {
 		return
@@ -68,7 +69,7 @@
 	case ClaimRefused:
 		c.highest = max(c.highest, answer.Fence)
 		if answer.Fence > c.fence {
-			c.end(now, "claim refused by a greater fence", c.options.Settings.YieldDelay)
+			c.endRound(now, "claim refused by a greater fence", c.options.Settings.YieldDelay)
 		}
 	case ClaimUnanswered:
 	}
--- a/internal/leadership/core.go
+++ b/internal/leadership/core.go
@@ -9,19 +9,22 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Settings are the times of the core; none of them bears on safety.
+// Settings are the intervals and timeouts of the core. None of them affects
+// safety.
 type Settings struct {
-	// AnswerTimeout bounds the wait for engines in each step of a round.
+	// AnswerTimeout limits the wait for engines in each step of a round.
 	AnswerTimeout time.Duration
-	// YieldDelay is how long a node waits after a greater fence was met.
+	// YieldDelay is how long a node waits before its next round after it met a
+	// greater fence.
 	YieldDelay time.Duration
-	// MinRoundInterval is the least time between the starts of two rounds. It
-	// doubles, up to LongestInterval, for each round that did not last so long.
+	// MinRoundInterval is the minimum time between the starts of two rounds. It
+	// doubles, up to MaxRoundInterval, with each round that ends sooner than
+	// MaxRoundInterval.
 	MinRoundInterval time.Duration
 	MaxRoundInterval time.Duration
 }
 
-// DefaultSettings returns the times used outside tests.
+// DefaultSettings returns the settings used outside tests.
 func DefaultSettings() Settings {
 	return Settings{
 		AnswerTimeout:    time.Second,
@@ -31,27 +34,31 @@
 	}
 }
 
-// Defects are planted faults. Only tests and the simulator set them.
+// Defects are deliberately injected faults. Only tests and the simulator set
+// them.
 type Defects struct {
 	// NoVerify establishes a round without reading the engines again.
 	NoVerify bool
-	// NoConservativeCount counts engines that the round does not hold as empty.
+	// NoConservativeCount counts the engines that the round has not claimed as
+	// empty.
 	NoConservativeCount bool
-	// StaleAllotment claims under the record heard last without learning it.
+	// StaleAllotment claims engines under the last received record without
+	// reading the current one.
 	StaleAllotment bool
 }
 
-// Options make a core.
+// Options configure a Core.
 type Options struct {
 	Self     fleet.NodeName
 	Zone     fleet.Zone
 	Settings Settings
-	// Holder marks the fences of this process; a hash of name and boot.
+	// Holder identifies this process in its fences; it is a hash of the node's
+	// name and boot ID.
 	Holder  uint16
 	Defects Defects
 }
 
-// phase is the step of the round.
+// phase is the current step of the round.
 type phase int
 
 const (
@@ -63,9 +70,9 @@
 	phaseLeading
 )
 
-// engineProgress is one engine's way through the round.
+// engineProgress tracks one engine through the round.
 type engineProgress struct {
-	// asked is the ID of the question whose answer is awaited; 0 for none.
+	// asked is the ID of the request whose answer is awaited; 0 for none.
 	asked       uint64
 	read        bool
 	incarnation uint64
@@ -87,14 +94,15 @@
 	deadline time.Time
 	// notBefore is the earliest start of the next round.
 	notBefore time.Time
-	// interval is the present least time between rounds, began when the round
-	// did.
-	interval time.Duration
-	began    time.Time
-	sequence uint64
-	learnID  uint64
-	learned  allotment.Record
-	// followed is the generation up to which the record asks for no new round.
+	// interval is the current minimum time between rounds, startedAt the start
+	// of the latest round.
+	interval  time.Duration
+	startedAt time.Time
+	sequence  uint64
+	learnID   uint64
+	learned   allotment.Record
+	// followed is the newest generation that was checked for changes that
+	// require a new round.
 	followed uint64
 	fence    fleet.Fence
 	highest  fleet.Fence
@@ -110,10 +118,10 @@
 // Leading reports whether a round is established.
 func (c *Core) Leading() bool { return c.phase == phaseLeading }
 
-// Fence is the fence of the round.
+// Fence returns the fence of the round.
 func (c *Core) Fence() fleet.Fence { return c.fence }
 
-// NextWake returns when Step(now, Tick{}) is wanted; zero for none.
+// NextWake returns when Step(now, Tick{}) is due; zero if it is not needed.
 func (c *Core) NextWake() time.Time {
 	switch {
 	case c.phase == phaseIdle && c.desired:
@@ -125,7 +133,7 @@
 	}
 }
 
-// Step takes a message and returns what is to be done.
+// Step handles a message and returns the effects to carry out.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	c.effects = nil
 	switch message := message.(type) {
@@ -135,17 +143,17 @@
 	case EnginesListed:
 		c.setEngines(message)
 	case RecordReceived:
-		c.hear(message.Record)
+		c.adoptRecord(message.Record)
 	case RecordLearned:
-		c.learn(now, message)
+		c.recordLearned(now, message)
 	case StateRead:
-		c.takeState(now, message)
+		c.stateRead(now, message)
 	case ClaimAnswered:
-		c.takeClaim(now, message)
+		c.claimAnswered(now, message)
 	case OrderRefused:
 		c.orderRefused(now, message)
 	case RestartRound:
-		c.end(now, "renewed", 0)
+		c.endRound(now, "renewed", 0)
 	}
 	c.advance(now)
 	return c.effects
@@ -161,7 +169,7 @@
 func (c *Core) setDesired(lead bool) {
 	c.desired = lead
 	if !lead {
-		c.stop("not wanted")
+		c.stopRound("leadership no longer wanted")
 	}
 }
 
@@ -170,29 +178,29 @@
 	c.gone = listed.Gone
 }
 
-func (c *Core) hear(record allotment.Record) {
+func (c *Core) adoptRecord(record allotment.Record) {
 	if record.Generation > c.record.Generation {
 		c.record = record
 	}
 }
 
-// followRecord ends the round where the newer record asks for one that carries
-// it: an engine was added, or a limit of the zone was lowered.
+// followRecord ends the round if a newer record requires a round under it: if
+// an engine was added or a limit of the zone was lowered.
 func (c *Core) followRecord(now time.Time) {
 	if c.record.Generation <= c.followed {
 		return
 	}
 	c.followed = c.record.Generation
-	for _, name := range c.counted(c.record) {
+	for _, name := range c.countedEngines(c.record) {
 		if c.engines[name] == nil {
-			c.end(now, "an engine was added", 0)
+			c.endRound(now, "an engine was added", 0)
 			return
 		}
 	}
 	for _, decision := range c.record.Models {
 		share := decision.Zones[c.options.Zone]
 		if share.Ceiling > share.Limit && share.LoweredAt > c.learned.Generation {
-			c.end(now, "a limit was lowered", 0)
+			c.endRound(now, "a limit was lowered", 0)
 			return
 		}
 	}
@@ -200,40 +208,41 @@
 
 func (c *Core) orderRefused(now time.Time, refused OrderRefused) {
 	c.highest = max(c.highest, refused.Fence)
-	pause := time.Duration(0)
+	delay := time.Duration(0)
 	if refused.Fence > c.fence {
-		pause = c.options.Settings.YieldDelay
+		delay = c.options.Settings.YieldDelay
 	}
-	c.end(now, "order refused by "+string(refused.Engine), pause)
+	c.endRound(now, "order refused by "+string(refused.Engine), delay)
 }
 
-// end ends the round and allows the next after the pause.
-func (c *Core) end(now time.Time, reason string, pause time.Duration) {
+// endRound ends the round and delays the start of the next one.
+func (c *Core) endRound(now time.Time, reason string, delay time.Duration) {
 	if c.phase == phaseIdle {
 		return
 	}
 	c.adjustInterval(now)
-	c.stop(reason)
-	if next := c.began.Add(c.interval); next.After(c.notBefore) {
+	c.stopRound(reason)
+	if next := c.startedAt.Add(c.interval); next.After(c.notBefore) {
 		c.notBefore = next
 	}
-	if next := now.Add(pause); next.After(c.notBefore) {
+	if next := now.Add(delay); next.After(c.notBefore) {
 		c.notBefore = next
 	}
 }
 
-// adjustInterval slows rounds down that end soon, such as those over an engine
-// that answers reads but no claims. Waiting for a record does not count.
+// adjustInterval increases the interval after rounds that ended soon, for
+// example because an engine answers reads but no claims. The wait for a record
+// does not count.
 func (c *Core) adjustInterval(now time.Time) {
 	settings := c.options.Settings
-	if now.Sub(c.began) >= settings.MaxRoundInterval || c.phase == phaseLearning {
+	if now.Sub(c.startedAt) >= settings.MaxRoundInterval || c.phase == phaseLearning {
 		c.interval = settings.MinRoundInterval
 		return
 	}
 	c.interval = min(max(2*c.interval, settings.MinRoundInterval), settings.MaxRoundInterval)
 }
 
-func (c *Core) stop(reason string) {
+func (c *Core) stopRound(reason string) {
 	if c.phase == phaseLeading {
 		c.emit(RoundEnded{Reason: reason})
 	}
@@ -241,14 +250,14 @@
 	c.engines = nil
 }
 
-// counted are the engines that the zone may use and must count: those recorded,
-// but for those gone. One that answered in this round is not gone, whatever the
-// machine list says.
-func (c *Core) counted(record allotment.Record) []fleet.BackendName {
+// countedEngines returns the engines that the zone may use and must count:
+// those in the record except those that are gone. An engine that answered in
+// this round is not gone, whatever the machine list says.
+func (c *Core) countedEngines(record allotment.Record) []fleet.BackendName {
 	var names []fleet.BackendName
 	for _, name := range record.Engines(c.options.Zone) {
-		progress := c.engines[name]
-		if !c.gone[name] || (progress != nil && progress.read) {
+		engine := c.engines[name]
+		if !c.gone[name] || (engine != nil && engine.read) {
 			names = append(names, name)
 		}
 	}
@@ -259,12 +268,12 @@
 	return slices.Sorted(maps.Keys(c.engines))
 }
 
-// NextRequestID returns the next number of the sequence of questions, for questions
-// that are put beside the round's own.
+// NextRequestID returns the next request sequence number, for requests sent
+// outside of the round.
 func (c *Core) NextRequestID() uint64 { return c.nextID() }
 
-// LastRequestID returns the number of the newest question.
+// LastRequestID returns the sequence number of the newest request.
 func (c *Core) LastRequestID() uint64 { return c.sequence }
 
-// RoundRecord is the record that the round carries.
+// RoundRecord returns the record that the round was started with.
 func (c *Core) RoundRecord() allotment.Record { return c.learned }
--- a/internal/leadership/messages.go
+++ b/internal/leadership/messages.go
@@ -5,35 +5,36 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Message is what the core is told.
+// Message is an input of the core.
 type Message interface{ message() }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// LeadershipDesired says whether this node is to lead its zone.
+// LeadershipDesired sets whether this node should lead its zone.
 type LeadershipDesired struct{ Lead bool }
 
 // EnginesListed gives the engines that the machine list shows in the zone.
 type EnginesListed struct {
-	// Addresses are those of all engines listed, also of those gone.
+	// Addresses has the addresses of all listed engines, including those that
+	// are gone.
 	Addresses map[fleet.BackendName]string
-	// Gone names the engines whose machines are gone for good, by the list and
-	// by their own silence.
+	// Gone are the engines whose machines are permanently gone, by the list and
+	// because they do not answer.
 	Gone map[fleet.BackendName]bool
 }
 
-// RecordReceived is a newer record of allotments, from whoever it came.
+// RecordReceived gives a newer allotment record from any source.
 type RecordReceived struct{ Record allotment.Record }
 
-// RecordLearned answers LearnRecord: the record as the store or a majority of
-// the zone's members held it after the question was put.
+// RecordLearned answers LearnRecord with the record as the store or a majority
+// of the zone's members held it after the request.
 type RecordLearned struct {
 	ID     uint64
 	Record allotment.Record
-	// Failed is set where neither answered.
+	// Failed is set if neither answered.
 	Failed bool
-	// FromStore is set where the store itself answered.
+	// FromStore is set if the store itself answered.
 	FromStore bool
 }
 
@@ -42,7 +43,7 @@
 	ID     uint64
 	Engine fleet.BackendName
 	State  fleet.EngineState
-	// Failed is set where the engine did not answer.
+	// Failed is set if the engine did not answer.
 	Failed bool
 }
 
@@ -51,32 +52,34 @@
 	ID     uint64
 	Engine fleet.BackendName
 	Result ClaimResult
-	// State is the inventory, where the claim was granted.
+	// State is the engine's inventory, if the claim was granted.
 	State fleet.EngineState
-	// Fence is the greater fence, where it was refused.
+	// Fence is the greater fence, if the claim was refused.
 	Fence fleet.Fence
 }
 
-// ClaimResult is how a claim ended.
+// ClaimResult is the outcome of a claim.
 type ClaimResult int
 
-// The ends of a claim.
+// The outcomes of a claim.
 const (
-	// ClaimUnanswered means that no answer came; it may have been granted.
+	// ClaimUnanswered means that no answer arrived; the claim may have been
+	// granted.
 	ClaimUnanswered ClaimResult = iota
 	ClaimGranted
 	ClaimRefused
 )
 
-// OrderRefused says that an engine refused an order of the round for its
-// fence or incarnation.
+// OrderRefused reports that an engine refused an order of the round because of
+// its fence or incarnation.
 type OrderRefused struct {
 	Engine fleet.BackendName
-	// Fence is the one that the engine holds.
+	// Fence is the fence that the engine holds.
 	Fence fleet.Fence
 }
 
-// RestartRound asks for a new round, so that orders still on their way are refused.
+// RestartRound requests a new round, so that orders still in transit are
+// refused.
 type RestartRound struct{}
 
 func (Tick) message()              {}
@@ -89,21 +92,21 @@
 func (OrderRefused) message()      {}
 func (RestartRound) message()      {}
 
-// Effect is what the shell is to do.
+// Effect is an action that the caller of Step must carry out.
 type Effect interface{ effect() }
 
-// ReadEngine reads an engine's state and answers with StateRead.
+// ReadEngine reads an engine's state; the answer is StateRead.
 type ReadEngine struct {
 	ID      uint64
 	Engine  fleet.BackendName
 	Address string
 }
 
-// LearnRecord asks the store, or a majority of the zone's members, for the
-// record of allotments and answers with RecordLearned.
+// LearnRecord reads the allotment record from the store or from a majority of
+// the zone's members; the answer is RecordLearned.
 type LearnRecord struct{ ID uint64 }
 
-// SendClaim claims an engine and answers with ClaimAnswered.
+// SendClaim claims an engine; the answer is ClaimAnswered.
 type SendClaim struct {
 	ID          uint64
 	Engine      fleet.BackendName
@@ -112,20 +115,20 @@
 	Incarnation uint64
 }
 
-// RoundEstablished says that the round counts: from now on orders may be sent under
-// its fence to the engines that it holds.
+// RoundEstablished reports that the round is established: from now on orders
+// may be sent under its fence to the engines that it holds.
 type RoundEstablished struct {
 	Fence fleet.Fence
-	// Record is the one that the round carries.
+	// Record is the record that the round was started with.
 	Record allotment.Record
-	// Held are the engines granted and verified, with their inventories.
+	// Held has the granted and verified engines with their inventories.
 	Held map[fleet.BackendName]fleet.EngineState
-	// AssumedFull are the other engines that are not gone: each counts as holding
-	// every model.
+	// AssumedFull are the other engines that are not gone; each of them counts
+	// as holding every model.
 	AssumedFull []fleet.BackendName
 }
 
-// RoundEnded says that the round is over: no further order may be sent.
+// RoundEnded reports that the round has ended: no further orders may be sent.
 type RoundEnded struct{ Reason string }
 
 func (ReadEngine) effect()       {}
--- a/internal/leadership/round.go
+++ b/internal/leadership/round.go
@@ -7,7 +7,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// advance moves the round on as far as what is known allows.
+// advance takes as many steps of the round as possible.
 func (c *Core) advance(now time.Time) {
 	for c.advanceOnce(now) {
 	}
@@ -19,16 +19,16 @@
 	case phaseIdle:
 		return c.desired && !now.Before(c.notBefore) && c.startReading(now)
 	case phaseReading:
-		return (expired || c.settled()) && c.startLearning(now)
+		return (expired || c.allAnswered()) && c.startLearning(now)
 	case phaseLearning:
 		if expired {
-			c.end(now, "record not learned", 0)
+			c.endRound(now, "record could not be read", 0)
 		}
 		return false
 	case phaseClaiming:
-		return (expired || c.settled()) && c.startVerifying(now)
+		return (expired || c.allAnswered()) && c.startVerifying(now)
 	case phaseVerifying:
-		return (expired || c.settled()) && c.establish()
+		return (expired || c.allAnswered()) && c.establish()
 	case phaseLeading:
 		c.followRecord(now)
 		return false
@@ -36,8 +36,8 @@
 	return false
 }
 
-// settled reports whether no answer is awaited.
-func (c *Core) settled() bool {
+// allAnswered reports whether no answer is awaited.
+func (c *Core) allAnswered() bool {
 	for _, engine := range c.engines {
 		if engine.asked != 0 {
 			return false
@@ -46,22 +46,22 @@
 	return true
 }
 
-// startReading is step 1: the incarnations are read before the record is
-// learned, so that a claim cannot name an incarnation younger than the record.
+// startReading is step 1. The incarnations are read before the record, so that
+// a claim cannot name an incarnation that is newer than the record.
 func (c *Core) startReading(now time.Time) bool {
 	c.phase = phaseReading
-	c.began = now
+	c.startedAt = now
 	c.notBefore = now.Add(c.options.Settings.MinRoundInterval)
 	c.deadline = now.Add(c.options.Settings.AnswerTimeout)
 	c.engines = make(map[fleet.BackendName]*engineProgress)
 	for _, name := range c.record.Engines(c.options.Zone) {
 		c.engines[name] = &engineProgress{}
-		c.ask(name)
+		c.readEngine(name)
 	}
 	return true
 }
 
-func (c *Core) ask(name fleet.BackendName) {
+func (c *Core) readEngine(name fleet.BackendName) {
 	address, found := c.addresses[name]
 	if !found {
 		return
@@ -71,7 +71,7 @@
 	c.emit(ReadEngine{ID: id, Engine: name, Address: address})
 }
 
-// startLearning is step 2.
+// startLearning is step 2: it reads the current record.
 func (c *Core) startLearning(now time.Time) bool {
 	c.phase = phaseLearning
 	if c.options.Defects.StaleAllotment {
@@ -83,27 +83,28 @@
 	return false
 }
 
-func (c *Core) learn(now time.Time, learned RecordLearned) {
+func (c *Core) recordLearned(now time.Time, learned RecordLearned) {
 	if !learned.Failed {
-		c.hear(learned.Record)
+		c.adoptRecord(learned.Record)
 	}
 	if c.phase != phaseLearning || learned.ID != c.learnID {
 		return
 	}
 	if learned.Failed || learned.Record.Generation == 0 {
-		c.end(now, "record not learned", 0)
+		c.endRound(now, "record could not be read", 0)
 		return
 	}
 	c.startClaiming(now, c.record)
 	if !learned.FromStore {
-		c.countJoining()
+		c.assumeJoiningFull()
 	}
 }
 
-// countJoining counts the engines that join as full: a record learned from a
-// majority may miss that they were admitted. One learned from the store does
-// not: whoever admits them later holds no engine that this round can claim.
-func (c *Core) countJoining() {
+// assumeJoiningFull adds the joining engines as full, since a record learned
+// from a majority may not show yet that they were admitted. A record learned
+// from the store needs no such addition: whoever admits them later holds no
+// engine that this round can claim.
+func (c *Core) assumeJoiningFull() {
 	for _, name := range c.record.Zones[c.options.Zone].Joining {
 		if c.phase == phaseClaiming && !c.gone[name] && c.engines[name] == nil {
 			c.engines[name] = &engineProgress{}
@@ -111,12 +112,12 @@
 	}
 }
 
-// startClaiming is step 3. Engines that the learned record names and that were
-// not read before count as full; one that shows a later record than the one
-// learned ends the round.
+// startClaiming is step 3. Engines in the record that were not read before
+// count as full. If an engine shows a newer record than the one learned, the
+// round ends.
 func (c *Core) startClaiming(now time.Time, record allotment.Record) bool {
 	if c.highest.AllotmentVersion() > record.Generation {
-		c.end(now, "an engine knows a later record", c.options.Settings.YieldDelay)
+		c.endRound(now, "an engine holds the fence of a newer record", c.options.Settings.YieldDelay)
 		return false
 	}
 	c.phase = phaseClaiming
@@ -126,7 +127,7 @@
 	c.fence = c.nextFence(record.Generation)
 	c.highest = c.fence
 	inRecord := make(map[fleet.BackendName]bool)
-	for _, name := range c.counted(record) {
+	for _, name := range c.countedEngines(record) {
 		inRecord[name] = true
 		if c.engines[name] == nil {
 			c.engines[name] = &engineProgress{}
@@ -157,7 +158,7 @@
 	})
 }
 
-// nextFence is above every fence seen.
+// nextFence returns a fence above every fence seen.
 func (c *Core) nextFence(generation uint64) fleet.Fence {
 	term := uint64(1)
 	if c.highest.AllotmentVersion() == generation {
@@ -166,10 +167,10 @@
 	return fleet.NewFence(generation, term, c.options.Holder)
 }
 
-// startVerifying reads the granted engines again. Those that still hold the
-// fence held it all together at one moment: after the last grant and before
-// the first of these reads. Without this an engine that restarted after its
-// grant would be counted by an inventory that is no longer its own.
+// startVerifying reads the granted engines again. All engines that still hold
+// the fence held it at the same moment: after the last grant and before the
+// first of these reads. Without this step, an engine that restarted after its
+// grant would be counted with an outdated inventory.
 func (c *Core) startVerifying(now time.Time) bool {
 	c.phase = phaseVerifying
 	c.deadline = now.Add(c.options.Settings.AnswerTimeout)
@@ -183,7 +184,7 @@
 			engine.verified = true
 			continue
 		}
-		c.ask(name)
+		c.readEngine(name)
 	}
 	return true
 }
