--- a/internal/waiting/decide.go
+++ b/internal/waiting/decide.go
@@ -2,67 +2,72 @@
 
 import "time"
 
-// Verdict is what becomes of a request that has no server now.
+// Verdict is the outcome of Decide for a request that currently has no server.
 type Verdict int
 
 const (
-	// KeepWaiting lets it wait on.
+	// KeepWaiting leaves the request waiting.
 	KeepWaiting Verdict = iota + 1
-	// CallerGone ends it without an answer: the caller is gone.
+	// CallerGone ends the request without a response because the caller has disconnected.
 	CallerGone
-	// FailDeadline ends it, since its deadline passes.
+	// FailDeadline fails the request because its deadline is reached.
 	FailDeadline
-	// RefuseBarred refuses it for good.
+	// RefuseBarred refuses the request permanently because it is barred (see State.IsBarred).
 	RefuseBarred
-	// RefuseOnTrial refuses it until its trial is over.
+	// RefuseOnTrial refuses the request until its trial is over (see State.IsOnTrial).
 	RefuseOnTrial
-	// FailNodeStopping ends it, since the node stops.
+	// FailNodeStopping fails the request because the node is shutting down.
 	FailNodeStopping
-	// FailAllServersTried ends it, since no server of its service takes it.
+	// FailAllServersTried fails the request because every server of its service was tried.
 	FailAllServersTried
-	// RefuseLoadTooSlow refuses it, since its model comes after the caller's patience.
+	// RefuseLoadTooSlow refuses the request because its model would be loaded only after
+	// Request.MaxWait.
 	RefuseLoadTooSlow
-	// RefuseNoServer refuses it, since its service has no server.
+	// RefuseNoServer refuses the request because its service has no server.
 	RefuseNoServer
 )
 
-// Decision is a verdict, and for those that refuse when a place is expected.
+// Decision is a verdict with the time after which a refused caller may retry.
 type Decision struct {
 	Verdict Verdict
+	// ReadyIn is the time until the request can be expected to be served. It is set for
+	// RefuseOnTrial, RefuseLoadTooSlow and RefuseNoServer.
 	ReadyIn time.Duration
 }
 
 const (
-	// AnnouncementGracePeriod is left for news that are under way before it is decided on a request
-	// whose model nobody has announced: an order takes up to a period of the leader's,
-	// and what it decided another to come here.
+	// AnnouncementGracePeriod is how long a request waits before it can be refused because
+	// no load of its model is announced. The announcement may still be on its way: up to one
+	// leader period passes until the load is ordered, and another until the announcement
+	// reaches this node.
 	AnnouncementGracePeriod = 100 * time.Millisecond
-	// refusalMargin covers what a caller's clock and the network add.
-	refusalMargin = 20 * time.Millisecond
-	// readTime is taken to pass between a server being ready and the answer's
-	// first byte.
-	readTime = 100 * time.Millisecond
-	// ResponseMargin is left before the deadline for the final answer.
+	// retryAfterMargin covers network latency and the inaccuracy of the caller's timer.
+	retryAfterMargin = 20 * time.Millisecond
+	// firstByteTime is the assumed time from a server being ready to the first byte of
+	// its response.
+	firstByteTime = 100 * time.Millisecond
+	// ResponseMargin is reserved before the deadline for sending the final response.
 	ResponseMargin = 10 * time.Millisecond
-	// ServerRegistrationTime is when a service that has no server is expected to have one
-	// again: servers enter themselves in the store about every second. No request
-	// waits longer than that for one.
+	// ServerRegistrationTime is the time within which a service without a server is
+	// expected to have one again: servers register in the store about every second. No
+	// request waits longer than that for a server.
 	ServerRegistrationTime = time.Second
 )
 
-// Decide says what becomes of a request that has no server now. What can be served
-// within the caller's patience is kept; what cannot is refused at once.
-func Decide(now time.Time, request Request, state State, expected ReadinessEstimate) Decision {
-	left := request.Deadline.Sub(now)
+// Decide decides on a request that currently has no server. A request that can be served
+// within its MaxWait is kept; any other is refused at once, so that its caller can retry or
+// give up early.
+func Decide(now time.Time, request Request, state State, estimate ReadinessEstimate) Decision {
+	remaining := request.Deadline.Sub(now)
 	switch {
 	case state.CallerGone:
 		return Decision{Verdict: CallerGone}
-	case left <= ResponseMargin:
+	case remaining <= ResponseMargin:
 		return Decision{Verdict: FailDeadline}
 	case state.IsBarred:
 		return Decision{Verdict: RefuseBarred}
 	case state.IsOnTrial:
-		return Decision{Verdict: RefuseOnTrial, ReadyIn: expected.returnIn()}
+		return Decision{Verdict: RefuseOnTrial, ReadyIn: estimate.retryAfter()}
 	case state.NodeStopping:
 		return Decision{Verdict: FailNodeStopping}
 	case state.AllServersTried:
@@ -70,40 +75,41 @@
 	}
 	elapsed := now.Sub(request.Arrived)
 	switch {
-	case state.MayHaveRun, !expected.Announced && elapsed < AnnouncementGracePeriod:
+	case state.MayHaveRun, !estimate.Announced && elapsed < AnnouncementGracePeriod:
 		return Decision{Verdict: KeepWaiting}
-	case !request.NeedsModel && !expected.Announced:
-		return decideForServer(request, elapsed, left)
-	case elapsed+expected.WorstCase()+readTime > request.MaxWait():
-		return Decision{Verdict: RefuseLoadTooSlow, ReadyIn: expected.returnIn()}
+	case !request.NeedsModel && !estimate.Announced:
+		return decideWithoutServer(request, elapsed, remaining)
+	case elapsed+estimate.WorstCase()+firstByteTime > request.MaxWait():
+		return Decision{Verdict: RefuseLoadTooSlow, ReadyIn: estimate.retryAfter()}
 	default:
 		return Decision{Verdict: KeepWaiting}
 	}
 }
 
-// decideForServer decides on a request of a plain service that has no server, once
-// news had a moment to come: one that came back waits if a server is expected before
-// its deadline and within ServerReturnTime of its arrival.
-func decideForServer(request Request, elapsed, left time.Duration) Decision {
-	if request.IsRetry && left > ServerRegistrationTime && elapsed < ServerRegistrationTime {
+// decideWithoutServer decides on a request to a plain service that has no server, after
+// AnnouncementGracePeriod. A retry waits if a server is expected before its deadline and
+// it arrived less than ServerRegistrationTime ago; a first attempt is refused.
+func decideWithoutServer(request Request, elapsed, remaining time.Duration) Decision {
+	if request.IsRetry && remaining > ServerRegistrationTime && elapsed < ServerRegistrationTime {
 		return Decision{Verdict: KeepWaiting}
 	}
 	return Decision{Verdict: RefuseNoServer, ReadyIn: ServerRegistrationTime}
 }
 
-// RecheckInterval bounds how long a waiting request sleeps: the leader's views come about
-// that often, and one that is lost is made up for.
+// RecheckInterval bounds the time between two decisions on a waiting request. It is about
+// the interval of the leader's view updates and makes up for an update that is lost.
 const RecheckInterval = 250 * time.Millisecond
 
-// RecheckDelay is how long a request sleeps that was kept, unless news come before: until
-// its model is expected, it is decided on for the first time, or its deadline.
-func RecheckDelay(now, since time.Time, request Request, expected ReadinessEstimate) time.Duration {
-	pause := min(RecheckInterval, request.Deadline.Sub(now)-ResponseMargin)
-	if decided := AnnouncementGracePeriod - now.Sub(since); decided > 0 {
-		pause = min(pause, decided+time.Millisecond)
+// RecheckDelay returns how long a kept request sleeps before the next decision, unless an
+// update arrives earlier: until its model is expected to be ready, AnnouncementGracePeriod
+// ends or its deadline is reached, but at most RecheckInterval.
+func RecheckDelay(now, waitingSince time.Time, request Request, estimate ReadinessEstimate) time.Duration {
+	delay := min(RecheckInterval, request.Deadline.Sub(now)-ResponseMargin)
+	if graceLeft := AnnouncementGracePeriod - now.Sub(waitingSince); graceLeft > 0 {
+		delay = min(delay, graceLeft+time.Millisecond)
 	}
-	if expected.Announced && expected.ReadyIn > 0 {
-		pause = min(pause, expected.ReadyIn+time.Millisecond)
+	if estimate.Announced && estimate.ReadyIn > 0 {
+		delay = min(delay, estimate.ReadyIn+time.Millisecond)
 	}
-	return max(pause, time.Millisecond)
+	return max(delay, time.Millisecond)
 }
--- a/internal/waiting/expect.go
+++ b/internal/waiting/expect.go
@@ -3,84 +3,88 @@
 import "time"
 
 const (
-	// announcedError and guessedError are by how much the time until a model is there
-	// may be wrong, in parts of it: of a load that the leader has announced, and of one
-	// that nobody has begun.
-	announcedError = 0.15
-	guessedError   = 0.5
-	// orderTime is what passes before a load begins that nobody has announced.
-	orderTime = 250 * time.Millisecond
-	// swapTime is taken for a server to finish the runs of the model that makes
-	// room.
-	swapTime = 500 * time.Millisecond
+	// announcedLoadError and unannouncedLoadError are the relative errors allowed for in the
+	// estimated time until a model is loaded: for a load that the leader has announced, and
+	// for one that has not been ordered yet.
+	announcedLoadError   = 0.15
+	unannouncedLoadError = 0.5
+	// loadOrderDelay is the time until an unannounced load begins.
+	loadOrderDelay = 250 * time.Millisecond
+	// evictionTime is the assumed time for a server to finish the running requests of the
+	// model that is evicted for the new one.
+	evictionTime = 500 * time.Millisecond
 )
 
-// ReadinessEstimate is when a model that a request waits for, or a server that takes it, is
-// expected to be there.
+// ReadinessEstimate estimates when the model that a request waits for is loaded, or a server
+// accepts the request.
 type ReadinessEstimate struct {
 	ReadyIn time.Duration
-	// Announced is set where the leader has announced the load, or the server told when.
+	// Announced is set if the leader has announced the load or the server has stated when
+	// it accepts requests again.
 	Announced bool
-	// Overdue is how long ago it should have been there.
+	// Overdue is the time since ReadyIn of an announcement reached zero.
 	Overdue time.Duration
 }
 
-// WorstCase is the time until the model is there, as long as it may well become. What is
-// overdue is expected to take as long again.
+// WorstCase returns a pessimistic estimate of the time until the model is ready. What is
+// overdue is expected to take as long again as it is overdue.
 func (e ReadinessEstimate) WorstCase() time.Duration {
-	share := guessedError
+	margin := unannouncedLoadError
 	if e.Announced {
-		share = announcedError
+		margin = announcedLoadError
 	}
-	return time.Duration((1+share)*float64(e.ReadyIn)) + e.Overdue
+	return time.Duration((1+margin)*float64(e.ReadyIn)) + e.Overdue
 }
 
-// returnIn is when somebody who is sent away is to come back.
-func (e ReadinessEstimate) returnIn() time.Duration { return max(e.ReadyIn, e.Overdue) + refusalMargin }
+// retryAfter returns the time after which a refused caller should retry.
+func (e ReadinessEstimate) retryAfter() time.Duration {
+	return max(e.ReadyIn, e.Overdue) + retryAfterMargin
+}
 
-// OverdueTracker notes for one request since when its model is overdue.
+// OverdueTracker records since when the model of one request has been overdue.
 type OverdueTracker struct {
 	overdueSince time.Time
 }
 
-// Estimate takes the time until the model is there, as announced or guessed.
-func (w *OverdueTracker) Estimate(now time.Time, readyIn time.Duration, announced bool) ReadinessEstimate {
+// Estimate returns the estimate for a model that is expected to be ready in readyIn, which is
+// either announced or estimated locally.
+func (t *OverdueTracker) Estimate(now time.Time, readyIn time.Duration, announced bool) ReadinessEstimate {
 	if !announced || readyIn > 0 {
-		w.overdueSince = time.Time{}
+		t.overdueSince = time.Time{}
 		return ReadinessEstimate{ReadyIn: readyIn, Announced: announced}
 	}
-	if w.overdueSince.IsZero() {
-		w.overdueSince = now
+	if t.overdueSince.IsZero() {
+		t.overdueSince = now
 	}
-	return ReadinessEstimate{Announced: true, Overdue: now.Sub(w.overdueSince)}
+	return ReadinessEstimate{Announced: true, Overdue: now.Sub(t.overdueSince)}
 }
 
-// CopyLocation is where the weights nearest to a free place lie.
+// CopyLocation is the place from which a model's weights can be loaded fastest.
 type CopyLocation int
 
 const (
-	// CopyInStore are weights in the weight store alone.
+	// CopyInStore means that only the weight store has the weights.
 	CopyInStore CopyLocation = iota
-	// CopyOnDisk are weights on some server's disk.
+	// CopyOnDisk means that a server has the weights on its disk.
 	CopyOnDisk
-	// CopyInMemory are weights in some server's memory.
+	// CopyInMemory means that a server has the weights in its memory.
 	CopyInMemory
 )
 
-// LoadTimes are a model's, by where its weights lie.
+// LoadTimes holds the load times of a model by CopyLocation.
 type LoadTimes struct {
 	Store, Disk, Memory time.Duration
 }
 
-// EstimateLoad is the time of a load that nobody has announced yet, and that can be ordered in
-// ordersIn.
-func EstimateLoad(ordersIn time.Duration, nearest CopyLocation, times LoadTimes) time.Duration {
-	takes := times.Store
+// EstimateLoad estimates the time until a model is ready whose load is not announced yet and
+// can be ordered in orderableIn.
+func EstimateLoad(orderableIn time.Duration, nearest CopyLocation, times LoadTimes) time.Duration {
+	loadTime := times.Store
 	switch nearest {
 	case CopyInMemory:
-		takes = swapTime + times.Memory
+		loadTime = evictionTime + times.Memory
 	case CopyOnDisk:
-		takes = swapTime + times.Disk
+		loadTime = evictionTime + times.Disk
 	}
-	return ordersIn + orderTime + takes
+	return orderableIn + loadOrderDelay + loadTime
 }
--- a/internal/waiting/lines.go
+++ b/internal/waiting/lines.go
@@ -3,64 +3,70 @@
 import "time"
 
 const (
-	// comeBackTime is when a caller should come back where nothing tells better: the
-	// servers were full, or the node stops.
-	comeBackTime = 200 * time.Millisecond
-	// returnGap is the least time between two callers of one kind that are told to
-	// come back: places come free one after the other.
-	returnGap = 10 * time.Millisecond
-	// longestLine bounds how much later than the first the last of them is told.
-	longestLine = 500 * time.Millisecond
-	// returnShare is the part of the time left up to which callers wait before they come
-	// back; who is told later does not.
-	returnShare = 1.0 / 3
+	// defaultRetryAfter is the retry delay without a better estimate: the servers were
+	// full or the node is shutting down.
+	defaultRetryAfter = 200 * time.Millisecond
+	// minRetrySpacing is the minimum time between the retries of two callers of the same
+	// target: capacity becomes free one slot at a time.
+	minRetrySpacing = 10 * time.Millisecond
+	// maxRetrySpread bounds how far minRetrySpacing can delay a retry beyond the time at
+	// which capacity is expected.
+	maxRetrySpread = 500 * time.Millisecond
+	// maxRetryShare is the largest part of its remaining time that a caller waits before a
+	// retry. Callers that are told to wait longer don't retry.
+	maxRetryShare = 1.0 / 3
 )
 
-// RetrySchedule are the times that callers were told to come back at. Callers of one kind
-// stand in a line, the urgent ones before the others, each kind of its own. They are
-// not safe for concurrent use.
+// RetrySchedule spreads the retries of refused callers over time, so that callers of the same
+// target don't all retry at the same instant. Callers of a higher priority retry first.
+// It is not safe for concurrent use.
 type RetrySchedule struct {
-	last map[lineKey]time.Time
+	lastRetryAt map[retryKey]time.Time
 }
 
-// lineKey is a line of callers: what they want, and their priority, 0 first.
-type lineKey struct {
-	wanted   string
+// retryKey identifies callers that share a sequence of retry times.
+type retryKey struct {
+	// target names what the callers wait for, such as a model.
+	target string
+	// priority 0 is the highest.
 	priority int
 }
 
-// NewRetrySchedule returns lines in which nobody stands.
-func NewRetrySchedule() *RetrySchedule { return &RetrySchedule{last: make(map[lineKey]time.Time)} }
+// NewRetrySchedule returns an empty schedule.
+func NewRetrySchedule() *RetrySchedule {
+	return &RetrySchedule{lastRetryAt: make(map[retryKey]time.Time)}
+}
 
-// RetryAfter is when the next caller is to come back, where a place is expected in ready:
-// then, or behind the last one that is as urgent or more.
-func (l *RetrySchedule) RetryAfter(now time.Time, wanted string, priority int, ready time.Duration) time.Duration {
-	at := now.Add(ready)
-	latest := at.Add(longestLine)
-	for key, last := range l.last {
+// RetryAfter returns the retry delay of the next caller if capacity is expected in readyIn:
+// readyIn, or minRetrySpacing after the last scheduled retry of the same or a higher
+// priority, whichever is later.
+func (s *RetrySchedule) RetryAfter(now time.Time, target string, priority int, readyIn time.Duration) time.Duration {
+	retryAt := now.Add(readyIn)
+	latest := retryAt.Add(maxRetrySpread)
+	for key, last := range s.lastRetryAt {
 		if last.Before(now) {
-			delete(l.last, key)
+			delete(s.lastRetryAt, key)
 			continue
 		}
-		if next := last.Add(returnGap); key.wanted == wanted && key.priority <= priority && next.After(at) {
-			at = next
+		if next := last.Add(minRetrySpacing); key.target == target && key.priority <= priority && next.After(retryAt) {
+			retryAt = next
 		}
 	}
-	if at.After(latest) {
-		at = latest
+	if retryAt.After(latest) {
+		retryAt = latest
 	}
-	l.last[lineKey{wanted: wanted, priority: priority}] = at
-	return at.Sub(now)
+	s.lastRetryAt[retryKey{target: target, priority: priority}] = retryAt
+	return retryAt.Sub(now)
 }
 
-// DefaultRetryAfter is when the caller of a request is to come back that nothing better is
-// known of: soon enough to be served in the time left.
-func (l *RetrySchedule) DefaultRetryAfter(now time.Time, wanted string, priority int, left time.Duration) time.Duration {
-	return min(l.RetryAfter(now, wanted, priority, comeBackTime), MaxRetryDelay(left))
+// DefaultRetryAfter returns the retry delay of a caller if no readiness estimate is known. It
+// is short enough to leave time for serving the retry before the deadline.
+func (s *RetrySchedule) DefaultRetryAfter(now time.Time, target string, priority int, remaining time.Duration) time.Duration {
+	return min(s.RetryAfter(now, target, priority, defaultRetryAfter), MaxRetryDelay(remaining))
 }
 
-// MaxRetryDelay is the longest time that a caller with the time left waits before it
-// comes back.
-func MaxRetryDelay(left time.Duration) time.Duration {
-	return max(time.Duration(returnShare*float64(left)), time.Millisecond)
+// MaxRetryDelay returns the longest time that a caller waits before a retry if its deadline
+// is remaining away.
+func MaxRetryDelay(remaining time.Duration) time.Duration {
+	return max(time.Duration(maxRetryShare*float64(remaining)), time.Millisecond)
 }
--- a/internal/waiting/rank.go
+++ b/internal/waiting/rank.go
@@ -1,25 +1,26 @@
 package waiting
 
 const (
-	// LowestRank is the least urgent rank that can be said.
+	// LowestRank is the least urgent rank that a request can be sent with.
 	LowestRank = 9
-	// ranksOfTenant is the number of ranks of one priority of tenants: among requests of
-	// tenants of one priority the routes' priorities decide, up to that many.
-	ranksOfTenant = 3
+	// ranksPerTenantPriority is the number of ranks for each tenant priority. Requests of
+	// tenants of equal priority are ordered by route priority, at most that many of which
+	// are distinguished.
+	ranksPerTenantPriority = 3
 )
 
-// Rank is the order of a request at its server, 0 first: by its route's priority, and
-// among those of one priority who came back goes before who is new.
-func Rank(priority int, returned bool) int {
+// Rank returns the position of a request in the order of its server, 0 first. Requests are
+// ordered by route priority; at equal priority, retries go before first attempts.
+func Rank(priority int, isRetry bool) int {
 	rank := 2 * priority
-	if !returned {
+	if !isRetry {
 		rank++
 	}
 	return min(LowestRank, rank)
 }
 
-// TenantRank is the order of a request whose tenant has a priority, which goes before
-// that of the route.
-func TenantRank(tenant, route int) int {
-	return min(LowestRank, ranksOfTenant*tenant+min(route, ranksOfTenant-1))
+// TenantRank returns the position of a request whose tenant has a priority. The tenant's
+// priority takes precedence over the route's.
+func TenantRank(tenantPriority, routePriority int) int {
+	return min(LowestRank, ranksPerTenantPriority*tenantPriority+min(routePriority, ranksPerTenantPriority-1))
 }
--- a/internal/waiting/request.go
+++ b/internal/waiting/request.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// Request is what decisions go by of one request.
+// Request holds the properties of a request that decisions depend on.
 type Request struct {
 	Arrived  time.Time
 	Deadline time.Time
-	// Stream is set where the caller waits for the first event of a stream.
+	// Stream is set if the response is a stream, so that the caller waits for its first event.
 	Stream bool
-	// LatencyGoal is the latency objective, and GapGoal the longest pause between events that
-	// is in time; 0 is none.
+	// LatencyGoal is the objective for the time to the first event, and EventGapGoal the
+	// objective for the longest gap between events; 0 means none.
 	LatencyGoal  time.Duration
 	EventGapGoal time.Duration
-	// NeedsModel is set where it takes a model's server; others take any of a service.
+	// NeedsModel is set if only a server that has a certain model loaded can serve the
+	// request. Otherwise any server of the service can.
 	NeedsModel bool
-	// IsRetry is set where the caller was told to come back before.
+	// IsRetry is set if the caller was refused with a retry delay before.
 	IsRetry bool
 }
 
-// Callers give up a stream whose first event, or next, does not come within the
-// longest of these: a fixed time, a multiple of the objective, and one of the
-// longest pause that is in time.
+// Callers abandon a stream if its first or next event doesn't arrive within the longest of
+// these: a fixed time, a multiple of LatencyGoal and a multiple of EventGapGoal.
 const (
-	patienceLeast = 2 * time.Second
-	patienceGoals = 4
-	patienceGaps  = 8
+	minStreamWait       = 2 * time.Second
+	latencyGoalMultiple = 4
+	eventGapMultiple    = 8
 )
 
-// MaxWait is how long the caller waits for an answer to begin, from its arrival.
+// MaxWait returns how long after the arrival of the request the caller waits for the response
+// to begin.
 func (r Request) MaxWait() time.Duration {
-	held := r.Deadline.Sub(r.Arrived)
+	timeout := r.Deadline.Sub(r.Arrived)
 	if !r.Stream {
-		return held
+		return timeout
 	}
-	return min(held, max(patienceLeast, patienceGoals*r.LatencyGoal, patienceGaps*r.EventGapGoal))
+	return min(timeout, max(minStreamWait, latencyGoalMultiple*r.LatencyGoal, eventGapMultiple*r.EventGapGoal))
 }
 
-// State is how a request stands that has no server now.
+// State is the current state of a request that has no server.
 type State struct {
-	// CallerGone is set where nobody waits for the answer any more.
+	// CallerGone is set if the caller no longer waits for the response.
 	CallerGone bool
-	// IsBarred is set where the request ends servers, and IsOnTrial while it is tried
-	// whether it does: copies that waited at several nodes would be tried together.
+	// IsBarred is set if the request is known to crash servers, and IsOnTrial while a single
+	// trial run tests whether it still does. A request on trial must not wait: copies that
+	// waited at several nodes would be tried together.
 	IsBarred, IsOnTrial bool
-	// NodeStopping is set where the node's time for what waits is over.
+	// NodeStopping is set once the drain period of a node that shuts down is over.
 	NodeStopping bool
-	// AllServersTried is set where every server of a plain service has had it.
+	// AllServersTried is set if every server of a plain service was tried.
 	AllServersTried bool
-	// MayHaveRun is set where it may have run, or its answer has begun: it must not be
-	// refused as one that has not run.
+	// MayHaveRun is set if a server may have run the request or its response has begun. Such
+	// a request must not be refused, as a refusal states that it did not run.
 	MayHaveRun bool
 }
--- a/internal/waiting/trace_test.go
+++ b/internal/waiting/trace_test.go
@@ -9,61 +9,61 @@
 	"time"
 )
 
-// traceKind is one kind of request of a trace.
+// traceKind is a kind of request in a trace.
 type traceKind struct {
 	name     string
 	priority int
-	// goal is the time until the first event that is in time, and deadline how long
-	// callers wait at all.
+	// goal is the objective for the time to the first event, and deadline the longest time
+	// that callers wait.
 	goal, deadline time.Duration
-	// worth is what a request in time is worth.
+	// worth is the value of a request served within its goal.
 	worth float64
-	// work is how long one runs.
+	// work is the run time of a request.
 	work time.Duration
 }
 
-// traceArrival is one request of a trace.
+// traceArrival is the arrival of one request.
 type traceArrival struct {
 	at    time.Duration
 	kind  *traceKind
 	model string
 }
 
-// trace is a recorded time of arrivals, in the order of their times.
+// trace is a recorded sequence of arrivals, ordered by time.
 type trace struct {
 	kinds    map[string]*traceKind
 	arrivals []traceArrival
 }
 
-// parseTrace reads lines of "kind NAME key=value..." and "MILLISECONDS KIND MODEL". What
-// it cannot read is a finding with its line.
+// parseTrace reads lines of the forms "kind NAME key=value..." and "MILLISECONDS KIND MODEL".
+// It skips invalid lines and returns a problem with the line number for each.
 func parseTrace(reader io.Reader) (*trace, []string) {
-	t := &trace{kinds: make(map[string]*traceKind)}
-	var findings []string
+	parsed := &trace{kinds: make(map[string]*traceKind)}
+	var problems []string
 	scanner := bufio.NewScanner(reader)
-	for number := 1; scanner.Scan(); number++ {
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
 		fields := strings.Fields(scanner.Text())
 		var err error
 		switch {
 		case len(fields) == 0 || strings.HasPrefix(fields[0], "#"):
 		case fields[0] == "kind":
-			err = t.addKind(fields[1:])
+			err = parsed.addKind(fields[1:])
 		default:
-			err = t.addArrival(fields)
+			err = parsed.addArrival(fields)
 		}
 		if err != nil {
-			findings = append(findings, fmt.Sprintf("line %d: %v", number, err))
+			problems = append(problems, fmt.Sprintf("line %d: %v", lineNumber, err))
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		findings = append(findings, err.Error())
+		problems = append(problems, err.Error())
 	}
-	return t, findings
+	return parsed, problems
 }
 
 func (t *trace) addKind(fields []string) error {
 	if len(fields) == 0 {
-		return fmt.Errorf("a kind without a name")
+		return fmt.Errorf("missing name of kind")
 	}
 	kind := &traceKind{name: fields[0], priority: -1}
 	for _, field := range fields[1:] {
@@ -74,7 +74,7 @@
 	}
 	switch {
 	case t.kinds[kind.name] != nil:
-		return fmt.Errorf("kind %s comes twice", kind.name)
+		return fmt.Errorf("duplicate kind %s", kind.name)
 	case kind.priority < 0:
 		return fmt.Errorf("kind %s has no priority", kind.name)
 	case kind.worth <= 0:
@@ -82,9 +82,9 @@
 	case kind.deadline <= 0:
 		return fmt.Errorf("kind %s has no deadline", kind.name)
 	case kind.goal <= 0 || kind.goal > kind.deadline:
-		return fmt.Errorf("kind %s has the goal %v, its deadline is %v", kind.name, kind.goal, kind.deadline)
+		return fmt.Errorf("kind %s has goal %v outside its deadline %v", kind.name, kind.goal, kind.deadline)
 	case kind.work <= 0:
-		return fmt.Errorf("kind %s takes no time", kind.name)
+		return fmt.Errorf("kind %s has no work", kind.name)
 	}
 	t.kinds[kind.name] = kind
 	return nil
@@ -104,7 +104,7 @@
 	case "work":
 		k.work, err = time.ParseDuration(value)
 	default:
-		err = fmt.Errorf("not known")
+		err = fmt.Errorf("unknown key")
 	}
 	return err
 }
@@ -115,14 +115,14 @@
 	}
 	milliseconds, err := strconv.Atoi(fields[0])
 	if err != nil || milliseconds < 0 {
-		return fmt.Errorf("%q is no time", fields[0])
+		return fmt.Errorf("invalid time %q", fields[0])
 	}
 	arrival := traceArrival{at: time.Duration(milliseconds) * time.Millisecond, kind: t.kinds[fields[1]], model: fields[2]}
 	if arrival.kind == nil {
 		return fmt.Errorf("unknown kind %q", fields[1])
 	}
 	if count := len(t.arrivals); count > 0 && arrival.at < t.arrivals[count-1].at {
-		return fmt.Errorf("the time goes back to %v", arrival.at)
+		return fmt.Errorf("time %v is before the previous arrival", arrival.at)
 	}
 	t.arrivals = append(t.arrivals, arrival)
 	return nil
--- a/internal/waiting/world_test.go
+++ b/internal/waiting/world_test.go
@@ -10,161 +10,164 @@
 	"time"
 )
 
-// The world that traces are replayed in: servers that hold some models each and run some
-// requests at a time, a leader that loads what is waited for, and callers who come back
-// once. All of it goes by a virtual clock.
+// Parameters of the simulation in which traces are replayed. It consists of servers that each
+// hold a few models and run a few requests at a time, a leader that loads the models that
+// requests wait for, and callers that retry once. All of them use a virtual clock.
 const (
-	worldSlots = 4
-	// worldQueue is the number of requests that a server lets wait, by rank.
-	worldQueue = 12
-	// worldPlaces is the number of models that a server holds.
-	worldPlaces = 3
-	// worldLoads is the number of loads from the weight store at a time.
-	worldLoads = 4
-	// worldPeriod is the time between two steps of the leader.
-	worldPeriod = 50 * time.Millisecond
-	// worldLate is how much longer loads take than the leader says.
-	worldLate = 1.1
-	// worldFirst is the time from a start to the first event.
-	worldFirst = 40 * time.Millisecond
+	slotsPerServer = 4
+	// maxServerQueue is the number of requests that a server queues, ordered by rank.
+	maxServerQueue = 12
+	// modelsPerServer is the number of models that a server keeps loaded.
+	modelsPerServer = 3
+	// maxStoreLoads is the number of concurrent loads from the weight store.
+	maxStoreLoads = 4
+	// leaderInterval is the time between two runs of the leader.
+	leaderInterval = 50 * time.Millisecond
+	// loadOverrun is the ratio of actual to announced load times.
+	loadOverrun = 1.1
+	// firstEventTime is the time from the start of a request to its first event.
+	firstEventTime = 40 * time.Millisecond
 )
 
-var worldTimes = LoadTimes{Store: 6 * time.Second, Disk: 1700 * time.Millisecond, Memory: 600 * time.Millisecond}
+var simLoadTimes = LoadTimes{Store: 6 * time.Second, Disk: 1700 * time.Millisecond, Memory: 600 * time.Millisecond}
 
-var worldBegin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+var simStart = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// worldRequest is one caller's request; it may come twice.
-type worldRequest struct {
-	kind     *traceKind
-	model    string
-	first    time.Time
-	request  Request
-	watch    OverdueTracker
-	since    time.Time
-	waits    bool
-	returned bool
-	done     bool
+// simRequest is one caller's request, which may be submitted twice.
+type simRequest struct {
+	kind         *traceKind
+	model        string
+	firstArrived time.Time
+	request      Request
+	tracker      OverdueTracker
+	waitingSince time.Time
+	isWaiting    bool
+	isRetry      bool
+	isDone       bool
 }
 
-type worldServer struct {
-	held map[string]time.Time // when it was last used
-	disk map[string]bool
-	// running counts requests by model.
-	running map[string]int
-	total   int
-	queue   []*worldRequest
-	loading string
-	ready   time.Time
-	isGone  bool
-	// coldTill is until when it takes coldPerS requests a second, and limitedTill until when
-	// limitPerS.
-	coldTill, limitedTill time.Time
-	took                  []time.Time
+type simServer struct {
+	models map[string]time.Time // time of the last use of each loaded model
+	onDisk map[string]bool
+	// running is the number of running requests by model, total their sum.
+	running  map[string]int
+	total    int
+	queue    []*simRequest
+	loading  string
+	loadedAt time.Time
+	isGone   bool
+	// Until coldUntil the server accepts coldRate requests a second, and until limitedUntil
+	// limitRate.
+	coldUntil, limitedUntil time.Time
+	acceptedAt              []time.Time
 }
 
-// tally is what the callers of a kind got.
-type tally struct {
-	sent, inTime, late, refusedAtOnce, refusedLater, gaveUp int
+// outcomes counts the requests of a kind by outcome.
+type outcomes struct {
+	sent, onTime, late, refusedImmediately, refusedAfterWait, timedOut int
 }
 
-func (t tally) served() float64 { return float64(t.inTime+t.late) / float64(max(1, t.sent)) }
-func (t tally) inTimeShare() float64 {
-	return float64(t.inTime) / float64(max(1, t.sent))
+func (o outcomes) servedShare() float64 { return float64(o.onTime+o.late) / float64(max(1, o.sent)) }
+func (o outcomes) onTimeShare() float64 {
+	return float64(o.onTime) / float64(max(1, o.sent))
 }
 
-// worldOptions are what is played beside the arrivals.
-type worldOptions struct {
+// simOptions configure the servers and the events other than arrivals.
+type simOptions struct {
 	servers int
-	// loseAt, where it is set, takes a third of the servers away.
-	loseAt time.Duration
-	// coldAt, where it is set, makes all servers start anew: they hold nothing, keep their
-	// disks, and take coldPerS requests a second for coldFor.
-	coldAt, coldFor time.Duration
-	coldPerS        int
-	// limitAt, where it is set, lets a third of the servers take limitPerS requests a second for
-	// limitFor. What they hold is loaded elsewhere, unless keepsLimited is set.
-	limitAt, limitFor time.Duration
-	limitPerS         int
-	keepsLimited      bool
-	// rank orders requests at servers; nil is Rank.
-	rank func(r *worldRequest) float64
-	// keepAll holds all until their deadlines, in place of Decide.
-	keepAll bool
-}
-
-type world struct {
-	options worldOptions
-	now     time.Time
-	events  worldEvents
-	number  int
-	servers []*worldServer
-	waiting map[string][]*worldRequest
-	// asked is when each model was asked for last: the leader counts who was refused, too.
-	asked   map[string]time.Time
-	lines   *RetrySchedule
-	tallies map[string]*tally
-}
-
-type worldEvent struct {
-	at     time.Time
-	number int
-	do     func()
-}
-
-type worldEvents []worldEvent
-
-func (e worldEvents) Len() int { return len(e) }
-func (e worldEvents) Less(a, b int) bool {
-	return e[a].at.Before(e[b].at) || e[a].at.Equal(e[b].at) && e[a].number < e[b].number
-}
-func (e worldEvents) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *worldEvents) Push(x any)   { *e = append(*e, x.(worldEvent)) }
-func (e *worldEvents) Pop() any {
+	// failAt, if set, is when a third of the servers is lost.
+	failAt time.Duration
+	// restartAt, if set, is when all servers restart: they have no model loaded, keep their
+	// disks and accept coldRate requests a second for coldFor.
+	restartAt, coldFor time.Duration
+	coldRate           int
+	// limitAt, if set, is when a third of the servers is limited to limitRate requests a
+	// second for limitFor. Their models are loaded on other servers unless
+	// countsLimitedCopies is set.
+	limitAt, limitFor   time.Duration
+	limitRate           int
+	countsLimitedCopies bool
+	// rank orders the requests at a server; nil means Rank.
+	rank func(r *simRequest) float64
+	// neverRefuse overrides Decide and keeps all requests until their deadline.
+	neverRefuse bool
+}
+
+type simulation struct {
+	options      simOptions
+	now          time.Time
+	events       simEvents
+	nextSequence int
+	servers      []*simServer
+	waiting      map[string][]*simRequest
+	// lastRequested is the time of the last request for each model, including refused ones:
+	// the leader counts these, too.
+	lastRequested map[string]time.Time
+	retries       *RetrySchedule
+	results       map[string]*outcomes
+}
+
+type simEvent struct {
+	at       time.Time
+	sequence int
+	run      func()
+}
+
+type simEvents []simEvent
+
+func (e simEvents) Len() int { return len(e) }
+func (e simEvents) Less(a, b int) bool {
+	return e[a].at.Before(e[b].at) || e[a].at.Equal(e[b].at) && e[a].sequence < e[b].sequence
+}
+func (e simEvents) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func (w *world) after(pause time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.events, worldEvent{at: w.now.Add(max(0, pause)), number: w.number, do: do})
+func (sim *simulation) schedule(delay time.Duration, run func()) {
+	sim.nextSequence++
+	heap.Push(&sim.events, simEvent{at: sim.now.Add(max(0, delay)), sequence: sim.nextSequence, run: run})
 }
 
-// play replays the trace and returns what callers got, by kind.
-func play(t *trace, options worldOptions) map[string]*tally {
-	w := &world{
-		options: options, now: worldBegin, waiting: make(map[string][]*worldRequest), asked: make(map[string]time.Time), lines: NewRetrySchedule(), tallies: make(map[string]*tally),
+// replay runs the trace through a simulation and returns the outcomes by kind.
+func replay(input *trace, options simOptions) map[string]*outcomes {
+	sim := &simulation{
+		options: options, now: simStart, waiting: make(map[string][]*simRequest), lastRequested: make(map[string]time.Time), retries: NewRetrySchedule(), results: make(map[string]*outcomes),
 	}
 	for range options.servers {
-		w.servers = append(w.servers, &worldServer{held: make(map[string]time.Time), disk: make(map[string]bool), running: make(map[string]int)})
+		sim.servers = append(sim.servers, &simServer{models: make(map[string]time.Time), onDisk: make(map[string]bool), running: make(map[string]int)})
 	}
-	w.preload(t)
-	for _, arrival := range t.arrivals {
-		w.after(arrival.at, func() { w.arrive(arrival) })
+	sim.placeModels(input)
+	for _, arrival := range input.arrivals {
+		sim.schedule(arrival.at, func() { sim.arrive(arrival) })
 	}
-	if options.loseAt > 0 {
-		w.after(options.loseAt, w.lose)
+	if options.failAt > 0 {
+		sim.schedule(options.failAt, sim.failServers)
 	}
-	if options.coldAt > 0 {
-		w.after(options.coldAt, w.startAnew)
+	if options.restartAt > 0 {
+		sim.schedule(options.restartAt, sim.restartServers)
 	}
 	if options.limitAt > 0 {
-		w.after(options.limitAt, w.limit)
+		sim.schedule(options.limitAt, sim.limitServers)
 	}
-	end := worldBegin.Add(time.Minute)
-	w.after(0, w.lead)
-	for len(w.events) > 0 && w.now.Before(end) {
-		event := heap.Pop(&w.events).(worldEvent)
-		w.now = event.at
-		event.do()
+	end := simStart.Add(time.Minute)
+	sim.schedule(0, sim.runLeader)
+	for len(sim.events) > 0 && sim.now.Before(end) {
+		event := heap.Pop(&sim.events).(simEvent)
+		sim.now = event.at
+		event.run()
 	}
-	return w.tallies
+	return sim.results
 }
 
-// preload places the models by how often they are asked for, as calm times leave them.
-func (w *world) preload(t *trace) {
+// placeModels distributes the models by request frequency, which is the state after a period of
+// low load.
+func (sim *simulation) placeModels(input *trace) {
 	counts := make(map[string]int)
-	for _, arrival := range t.arrivals {
+	for _, arrival := range input.arrivals {
 		counts[arrival.model]++
 	}
 	models := make([]string, 0, len(counts))
@@ -172,92 +175,93 @@
 		models = append(models, model)
 	}
 	slices.SortFunc(models, func(a, b string) int { return cmp.Or(cmp.Compare(counts[b], counts[a]), strings.Compare(a, b)) })
-	places := len(w.servers) * worldPlaces
-	for i := range places {
+	slots := len(sim.servers) * modelsPerServer
+	for i := range slots {
 		if len(models) == 0 {
 			return
 		}
-		s, model := w.servers[i%len(w.servers)], models[i%len(models)]
-		s.held[model] = w.now
-		s.disk[model] = true
+		server, model := sim.servers[i%len(sim.servers)], models[i%len(models)]
+		server.models[model] = sim.now
+		server.onDisk[model] = true
 	}
 	for i, model := range models {
-		w.servers[i%len(w.servers)].disk[model] = true
+		sim.servers[i%len(sim.servers)].onDisk[model] = true
 	}
 }
 
-func (w *world) lose() {
-	for i, s := range w.servers {
+func (sim *simulation) failServers() {
+	for i, s := range sim.servers {
 		if i%3 == 0 {
 			s.isGone = true
-			w.requeue(s)
+			sim.requeue(s)
 		}
 	}
 }
 
-func (w *world) startAnew() {
-	for _, s := range w.servers {
-		clear(s.held)
+func (sim *simulation) restartServers() {
+	for _, s := range sim.servers {
+		clear(s.models)
 		s.loading = ""
-		s.coldTill = w.now.Add(w.options.coldFor)
-		w.requeue(s)
+		s.coldUntil = sim.now.Add(sim.options.coldFor)
+		sim.requeue(s)
 	}
 }
 
-// limit lets a third of the servers name a rate limit.
-func (w *world) limit() {
-	for i, s := range w.servers {
+// limitServers sets a rate limit on a third of the servers.
+func (sim *simulation) limitServers() {
+	for i, s := range sim.servers {
 		if i%3 == 0 {
-			s.limitedTill = w.now.Add(w.options.limitFor)
-			w.requeue(s)
+			s.limitedUntil = sim.now.Add(sim.options.limitFor)
+			sim.requeue(s)
 		}
 	}
 }
 
-// requeue lets what waits at a server that ended choose again; what ran there goes on,
-// as on another one that has it from its caller.
-func (w *world) requeue(s *worldServer) {
+// requeue dispatches the requests queued at a server again. Running requests continue, as if
+// they had been resumed on another server.
+func (sim *simulation) requeue(s *simServer) {
 	queue := s.queue
 	s.queue = nil
 	for _, r := range queue {
-		w.after(0, func() { w.pick(r) })
+		sim.schedule(0, func() { sim.dispatch(r) })
 	}
 }
 
-func (w *world) tally(kind *traceKind) *tally {
-	known, ok := w.tallies[kind.name]
+func (sim *simulation) outcomes(kind *traceKind) *outcomes {
+	known, ok := sim.results[kind.name]
 	if !ok {
-		known = &tally{}
-		w.tallies[kind.name] = known
+		known = &outcomes{}
+		sim.results[kind.name] = known
 	}
 	return known
 }
 
-func (w *world) arrive(arrival traceArrival) {
-	w.tally(arrival.kind).sent++
-	r := &worldRequest{kind: arrival.kind, model: arrival.model, first: w.now}
-	w.come(r)
+func (sim *simulation) arrive(arrival traceArrival) {
+	sim.outcomes(arrival.kind).sent++
+	r := &simRequest{kind: arrival.kind, model: arrival.model, firstArrived: sim.now}
+	sim.submit(r)
 }
 
-func (w *world) come(r *worldRequest) {
+func (sim *simulation) submit(r *simRequest) {
 	r.request = Request{
-		Arrived: w.now, Deadline: r.first.Add(r.kind.deadline), Stream: true, LatencyGoal: r.kind.goal,
-		NeedsModel: true, IsRetry: r.returned,
+		Arrived: sim.now, Deadline: r.firstArrived.Add(r.kind.deadline), Stream: true, LatencyGoal: r.kind.goal,
+		NeedsModel: true, IsRetry: r.isRetry,
 	}
-	r.watch = OverdueTracker{}
-	r.since = w.now
-	w.asked[r.model] = w.now
-	w.pick(r)
+	r.tracker = OverdueTracker{}
+	r.waitingSince = sim.now
+	sim.lastRequested[r.model] = sim.now
+	sim.dispatch(r)
 }
 
-// pick sends the request to a server that holds its model, or decides on it.
-func (w *world) pick(r *worldRequest) {
-	if r.done {
+// dispatch sends the request to the least loaded server that has its model, or else decides
+// whether it waits.
+func (sim *simulation) dispatch(r *simRequest) {
+	if r.isDone {
 		return
 	}
-	var best *worldServer
-	for _, s := range w.servers {
-		if _, ok := s.held[r.model]; !ok || s.isGone || !s.takesNow(w) || len(s.queue) >= worldQueue {
+	var best *simServer
+	for _, s := range sim.servers {
+		if _, ok := s.models[r.model]; !ok || s.isGone || !s.acceptsRequests(sim) || len(s.queue) >= maxServerQueue {
 			continue
 		}
 		if best == nil || s.total+len(s.queue) < best.total+len(best.queue) {
@@ -265,235 +269,239 @@
 		}
 	}
 	if best != nil {
-		w.leaveLine(r)
-		best.took = append(best.took, w.now)
+		sim.removeWaiting(r)
+		best.acceptedAt = append(best.acceptedAt, sim.now)
 		best.queue = append(best.queue, r)
-		w.serve(best)
+		sim.serve(best)
 		return
 	}
-	w.decide(r)
+	sim.decide(r)
 }
 
-// takesNow reports whether a cold or limited server bears one more within the second.
-func (s *worldServer) takesNow(w *world) bool {
-	if !s.isBounded(w) {
+// acceptsRequests reports whether the rate limit of a cold or limited server, if any, allows
+// another request now.
+func (s *simServer) acceptsRequests(sim *simulation) bool {
+	if !s.isThrottled(sim) {
 		return true
 	}
-	s.took = slices.DeleteFunc(s.took, func(at time.Time) bool { return w.now.Sub(at) >= time.Second })
-	if w.now.Before(s.limitedTill) {
-		return len(s.took) < w.options.limitPerS
+	s.acceptedAt = slices.DeleteFunc(s.acceptedAt, func(at time.Time) bool { return sim.now.Sub(at) >= time.Second })
+	if sim.now.Before(s.limitedUntil) {
+		return len(s.acceptedAt) < sim.options.limitRate
 	}
-	return len(s.took) < w.options.coldPerS
+	return len(s.acceptedAt) < sim.options.coldRate
 }
 
-func (s *worldServer) isBounded(w *world) bool {
-	return w.now.Before(s.coldTill) || w.now.Before(s.limitedTill)
+func (s *simServer) isThrottled(sim *simulation) bool {
+	return sim.now.Before(s.coldUntil) || sim.now.Before(s.limitedUntil)
 }
 
-// isAway reports whether the leader takes what the server holds for missing.
-func (s *worldServer) isAway(w *world) bool {
-	return s.isGone || w.now.Before(s.limitedTill) && !w.options.keepsLimited
+// isUnavailable reports whether the leader ignores the models loaded on the server.
+func (s *simServer) isUnavailable(sim *simulation) bool {
+	return s.isGone || sim.now.Before(s.limitedUntil) && !sim.options.countsLimitedCopies
 }
 
-func (w *world) leaveLine(r *worldRequest) {
-	if !r.waits {
+func (sim *simulation) removeWaiting(r *simRequest) {
+	if !r.isWaiting {
 		return
 	}
-	r.waits = false
-	w.waiting[r.model] = slices.DeleteFunc(w.waiting[r.model], func(other *worldRequest) bool { return other == r })
+	r.isWaiting = false
+	sim.waiting[r.model] = slices.DeleteFunc(sim.waiting[r.model], func(other *simRequest) bool { return other == r })
 }
 
-func (w *world) decide(r *worldRequest) {
-	readyIn, announced := w.readyIn(r.model)
-	expected := r.watch.Estimate(w.now, readyIn, announced)
-	decision := Decide(w.now, r.request, State{}, expected)
-	if w.options.keepAll && decision.Verdict == RefuseLoadTooSlow {
+func (sim *simulation) decide(r *simRequest) {
+	readyIn, announced := sim.readyIn(r.model)
+	estimate := r.tracker.Estimate(sim.now, readyIn, announced)
+	decision := Decide(sim.now, r.request, State{}, estimate)
+	if sim.options.neverRefuse && decision.Verdict == RefuseLoadTooSlow {
 		decision.Verdict = KeepWaiting
 	}
-	tally := w.tally(r.kind)
+	results := sim.outcomes(r.kind)
 	switch decision.Verdict {
 	case KeepWaiting:
-		if !r.waits {
-			r.waits = true
-			w.waiting[r.model] = append(w.waiting[r.model], r)
+		if !r.isWaiting {
+			r.isWaiting = true
+			sim.waiting[r.model] = append(sim.waiting[r.model], r)
 		}
-		w.after(RecheckDelay(w.now, r.since, r.request, expected), func() {
-			if r.waits {
-				w.pick(r)
+		sim.schedule(RecheckDelay(sim.now, r.waitingSince, r.request, estimate), func() {
+			if r.isWaiting {
+				sim.dispatch(r)
 			}
 		})
 		return
 	case RefuseLoadTooSlow:
-		w.leaveLine(r)
-		back := w.lines.RetryAfter(w.now, r.model, r.kind.priority, decision.ReadyIn)
-		if !r.returned && w.now.Add(back).Before(r.request.Deadline) {
-			r.returned = true
-			w.after(back, func() { w.come(r) })
+		sim.removeWaiting(r)
+		retryAfter := sim.retries.RetryAfter(sim.now, r.model, r.kind.priority, decision.ReadyIn)
+		if !r.isRetry && sim.now.Add(retryAfter).Before(r.request.Deadline) {
+			r.isRetry = true
+			sim.schedule(retryAfter, func() { sim.submit(r) })
 			return
 		}
-		if w.now.Sub(r.request.Arrived) <= AnnouncementGracePeriod+worldPeriod {
-			tally.refusedAtOnce++
+		if sim.now.Sub(r.request.Arrived) <= AnnouncementGracePeriod+leaderInterval {
+			results.refusedImmediately++
 		} else {
-			tally.refusedLater++
+			results.refusedAfterWait++
 		}
 	default:
-		w.leaveLine(r)
-		tally.gaveUp++
+		sim.removeWaiting(r)
+		results.timedOut++
 	}
-	r.done = true
+	r.isDone = true
 }
 
-// readyIn is what the leader says of a model, or a guess.
-func (w *world) readyIn(model string) (time.Duration, bool) {
+// readyIn returns the announced time until the model is ready, or a local estimate.
+func (sim *simulation) readyIn(model string) (time.Duration, bool) {
 	nearest := CopyInStore
-	for _, s := range w.servers {
+	for _, s := range sim.servers {
 		if s.isGone {
 			continue
 		}
-		if _, ok := s.held[model]; ok && s.isBounded(w) && len(s.took) > 0 {
-			return time.Second - w.now.Sub(s.took[0]), true
+		if _, ok := s.models[model]; ok && s.isThrottled(sim) && len(s.acceptedAt) > 0 {
+			return time.Second - sim.now.Sub(s.acceptedAt[0]), true
 		}
 		if s.loading == model {
-			said := time.Duration(float64(s.ready.Sub(w.now)) / worldLate)
-			return max(0, said), true
+			announced := time.Duration(float64(s.loadedAt.Sub(sim.now)) / loadOverrun)
+			return max(0, announced), true
 		}
-		if s.disk[model] {
+		if s.onDisk[model] {
 			nearest = CopyOnDisk
 		}
 	}
-	return EstimateLoad(0, nearest, worldTimes), false
+	return EstimateLoad(0, nearest, simLoadTimes), false
 }
 
-func (w *world) rankOf(r *worldRequest) float64 {
-	if w.options.rank != nil {
-		return w.options.rank(r)
+func (sim *simulation) rankOf(r *simRequest) float64 {
+	if sim.options.rank != nil {
+		return sim.options.rank(r)
 	}
-	return float64(Rank(r.kind.priority, r.returned))
+	return float64(Rank(r.kind.priority, r.isRetry))
 }
 
-// serve starts what a server has free slots for.
-func (w *world) serve(s *worldServer) {
-	sort.SliceStable(s.queue, func(a, b int) bool { return w.rankOf(s.queue[a]) < w.rankOf(s.queue[b]) })
-	for len(s.queue) > 0 && s.total < worldSlots {
+// serve starts queued requests while the server has free slots.
+func (sim *simulation) serve(s *simServer) {
+	sort.SliceStable(s.queue, func(a, b int) bool { return sim.rankOf(s.queue[a]) < sim.rankOf(s.queue[b]) })
+	for len(s.queue) > 0 && s.total < slotsPerServer {
 		r := s.queue[0]
 		s.queue = s.queue[1:]
-		if w.now.After(r.request.Deadline) {
-			w.tally(r.kind).gaveUp++
-			r.done = true
+		if sim.now.After(r.request.Deadline) {
+			sim.outcomes(r.kind).timedOut++
+			r.isDone = true
 			continue
 		}
-		w.start(s, r)
+		sim.start(s, r)
 	}
 }
 
-func (w *world) start(s *worldServer, r *worldRequest) {
+func (sim *simulation) start(s *simServer, r *simRequest) {
 	s.total++
 	s.running[r.model]++
-	s.held[r.model] = w.now
-	r.done = true
-	if w.now.Add(worldFirst).Sub(r.first) <= r.kind.goal {
-		w.tally(r.kind).inTime++
+	s.models[r.model] = sim.now
+	r.isDone = true
+	if sim.now.Add(firstEventTime).Sub(r.firstArrived) <= r.kind.goal {
+		sim.outcomes(r.kind).onTime++
 	} else {
-		w.tally(r.kind).late++
+		sim.outcomes(r.kind).late++
 	}
-	w.after(r.kind.work, func() {
+	sim.schedule(r.kind.work, func() {
 		s.total--
 		s.running[r.model]--
 		if !s.isGone {
-			w.serve(s)
+			sim.serve(s)
 		}
 	})
 }
 
-// worldInterest is how long a model that was asked for is loaded though nobody waits.
-const worldInterest = 3 * time.Second
+// recentRequestWindow is how long after its last request a model is still loaded although no
+// request waits for it.
+const recentRequestWindow = 3 * time.Second
 
-// lead loads what is waited for, the longest line first, and then what was asked for.
-func (w *world) lead() {
+// runLeader loads the models that requests wait for, those with the most waiting requests first,
+// and then recently requested models.
+func (sim *simulation) runLeader() {
 	loads := 0
-	for _, s := range w.servers {
-		if s.loading != "" && !s.disk[s.loading] {
+	for _, s := range sim.servers {
+		if s.loading != "" && !s.onDisk[s.loading] {
 			loads++
 		}
 	}
-	models := make([]string, 0, len(w.waiting))
-	for model, at := range w.asked {
-		if len(w.waiting[model]) > 0 || w.now.Sub(at) < worldInterest {
+	models := make([]string, 0, len(sim.waiting))
+	for model, at := range sim.lastRequested {
+		if len(sim.waiting[model]) > 0 || sim.now.Sub(at) < recentRequestWindow {
 			models = append(models, model)
 		}
 	}
 	slices.SortFunc(models, func(a, b string) int {
-		return cmp.Or(cmp.Compare(len(w.waiting[b]), len(w.waiting[a])), strings.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(sim.waiting[b]), len(sim.waiting[a])), strings.Compare(a, b))
 	})
 	for _, model := range models {
-		if w.load(model, loads < worldLoads) {
+		if sim.load(model, loads < maxStoreLoads) {
 			loads++
 		}
 	}
-	w.after(worldPeriod, w.lead)
+	sim.schedule(leaderInterval, sim.runLeader)
 }
 
-// load begins a load of the model where a server has room for it, and reports whether
-// it is one from the weight store.
-func (w *world) load(model string, mayAskStore bool) (fromStore bool) {
-	var best *worldServer
-	for _, s := range w.servers {
-		if s.isAway(w) {
+// load begins to load the model if a server has room for it, and reports whether the load is
+// from the weight store.
+func (sim *simulation) load(model string, mayLoadFromStore bool) (fromStore bool) {
+	var best *simServer
+	for _, s := range sim.servers {
+		if s.isUnavailable(sim) {
 			continue
 		}
-		if _, ok := s.held[model]; ok || s.loading == model {
+		if _, ok := s.models[model]; ok || s.loading == model {
 			return false
 		}
-		if s.loading != "" || len(s.held) >= worldPlaces && s.idle() == "" {
+		if s.loading != "" || len(s.models) >= modelsPerServer && s.leastRecentlyUsed() == "" {
 			continue
 		}
-		if best == nil || s.disk[model] && !best.disk[model] {
+		if best == nil || s.onDisk[model] && !best.onDisk[model] {
 			best = s
 		}
 	}
-	if best == nil || !best.disk[model] && !mayAskStore {
+	if best == nil || !best.onDisk[model] && !mayLoadFromStore {
 		return false
 	}
-	if len(best.held) >= worldPlaces {
-		delete(best.held, best.idle())
+	if len(best.models) >= modelsPerServer {
+		delete(best.models, best.leastRecentlyUsed())
 	}
-	takes := worldTimes.Store
-	fromStore = !best.disk[model]
+	loadTime := simLoadTimes.Store
+	fromStore = !best.onDisk[model]
 	if !fromStore {
-		takes = worldTimes.Disk
+		loadTime = simLoadTimes.Disk
 	}
 	best.loading = model
-	best.ready = w.now.Add(time.Duration(float64(takes) * worldLate))
-	w.after(best.ready.Sub(w.now), func() {
+	best.loadedAt = sim.now.Add(time.Duration(float64(loadTime) * loadOverrun))
+	sim.schedule(best.loadedAt.Sub(sim.now), func() {
 		if best.isGone || best.loading != model {
 			return
 		}
 		best.loading = ""
-		best.held[model] = w.now
-		best.disk[model] = true
-		for _, r := range slices.Clone(w.waiting[model]) {
-			w.pick(r)
+		best.models[model] = sim.now
+		best.onDisk[model] = true
+		for _, r := range slices.Clone(sim.waiting[model]) {
+			sim.dispatch(r)
 		}
 	})
 	return fromStore
 }
 
-// idle is the model that was used longest ago and runs nothing; empty where all run.
-func (s *worldServer) idle() string {
+// leastRecentlyUsed returns the least recently used model without running or queued requests;
+// it is empty if there is none.
+func (s *simServer) leastRecentlyUsed() string {
 	oldest := ""
-	for model, used := range s.held {
-		if s.running[model] > 0 || slices.ContainsFunc(s.queue, func(r *worldRequest) bool { return r.model == model }) {
+	for model, used := range s.models {
+		if s.running[model] > 0 || slices.ContainsFunc(s.queue, func(r *simRequest) bool { return r.model == model }) {
 			continue
 		}
-		if oldest == "" || used.Before(s.held[oldest]) || used.Equal(s.held[oldest]) && model < oldest {
+		if oldest == "" || used.Before(s.models[oldest]) || used.Equal(s.models[oldest]) && model < oldest {
 			oldest = model
 		}
 	}
 	return oldest
 }
 
-func (t tally) String() string {
-	return fmt.Sprintf("sent %d, in time %.3f, late %.3f, refused at once %.3f, refused later %.3f, gave up %.3f", t.sent,
-		t.inTimeShare(), float64(t.late)/float64(t.sent), float64(t.refusedAtOnce)/float64(t.sent),
-		float64(t.refusedLater)/float64(t.sent), float64(t.gaveUp)/float64(t.sent))
+func (o outcomes) String() string {
+	return fmt.Sprintf("sent %d, on time %.3f, late %.3f, refused immediately %.3f, refused after wait %.3f, timed out %.3f", o.sent,
+		o.onTimeShare(), float64(o.late)/float64(o.sent), float64(o.refusedImmediately)/float64(o.sent),
+		float64(o.refusedAfterWait)/float64(o.sent), float64(o.timedOut)/float64(o.sent))
 }
