--- a/internal/queue/admit.go
+++ b/internal/queue/admit.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// minRetryAfter keeps callers from asking again at once.
+// minRetryAfter keeps callers from retrying immediately.
 const minRetryAfter = time.Second
 
 func (c *Core) arrive(now time.Time, item Item) {
-	line := c.line(item.line())
+	sub := c.subqueueFor(item.key())
 	if !item.Requeued {
-		line.arrivals++
-		c.arrived = true
+		sub.arrivals++
+		c.hasUnreportedArrivals = true
 	}
 	if item.ArrivedAt.IsZero() {
 		item.ArrivedAt = now
 	}
-	if c.closed != nil {
-		c.refuse(item, c.closed.Reason, c.closed.RetryAfter)
+	if c.closedWith != nil {
+		c.refuse(item, c.closedWith.Reason, c.closedWith.RetryAfter)
 		return
 	}
 	if !item.Deadline.After(now) {
 		c.refuse(item, ReasonDeadlineExceeded, 0)
 		return
 	}
-	entry := &waiting{Item: item, cold: line.ready == 0, rank: c.rank(item)}
-	if low, likely := line.expectedWait(now, entry, c.options.AgingStep); !item.Requeued && now.Add(low).After(item.Deadline) {
-		c.miss(now, line, item, likely)
+	queued := &queuedItem{Item: item, coldStart: sub.ready == 0, rank: c.rank(item)}
+	if optimistic, expected := sub.estimateWait(now, queued, c.options.AgingStep); !item.Requeued && now.Add(optimistic).After(item.Deadline) {
+		c.refuseUnreachable(now, sub, item, expected)
 		return
 	}
-	if !c.makeRoom(entry) {
+	if !c.makeRoom(queued) {
 		c.refuse(item, ReasonFull, 0)
 		return
 	}
-	c.insert(line, entry)
+	c.insert(sub, queued)
 	if !item.Requeued {
-		line.inflow.note(now, item.Priority)
+		sub.arrivalRates.record(now, item.Priority)
 	}
-	if entry.cold && line.coldFrom.IsZero() {
-		line.coldFrom = now
+	if queued.coldStart && sub.coldSince.IsZero() {
+		sub.coldSince = now
 	}
-	c.release(now, line)
-	if c.byTicket[item.Ticket] != nil && (c.nextWant.IsZero() || len(line.items) == 1) {
-		c.nextWant = now
+	c.release(now, sub)
+	if c.byTicket[item.Ticket] != nil && (c.nextReport.IsZero() || len(sub.items) == 1) {
+		c.nextReport = now
 	}
 }
 
@@ -55,52 +55,54 @@
 	return item.ArrivedAt.UnixNano()/int64(c.options.AgingStep) - int64(item.Priority)
 }
 
-// miss refuses at once what cannot make its deadline. The wish for the model
-// is reported all the same, or a model that loads slowly would never be loaded.
-func (c *Core) miss(now time.Time, line *line, item Item, likely time.Duration) {
-	c.refuse(item, ReasonDeadlineUnreachable, likely)
-	if line.ready > 0 {
+// refuseUnreachable refuses a request that cannot meet its deadline. If the model
+// has no ready replica, the request is still reported as a want; otherwise a model
+// that loads slowly would never be loaded.
+func (c *Core) refuseUnreachable(now time.Time, sub *subqueue, item Item, expectedWait time.Duration) {
+	c.refuse(item, ReasonDeadlineUnreachable, expectedWait)
+	if sub.ready > 0 {
 		return
 	}
-	if line.missed == 0 || item.Priority > line.missedPriority {
-		line.missedPriority = item.Priority
+	if sub.unreachable == 0 || item.Priority > sub.unreachablePriority {
+		sub.unreachablePriority = item.Priority
 	}
-	line.missed++
-	line.missedDeadline = now.Add(likely)
-	if c.nextWant.IsZero() {
-		c.nextWant = now
+	sub.unreachable++
+	sub.unreachableDeadline = now.Add(expectedWait)
+	if c.nextReport.IsZero() {
+		c.nextReport = now
 	}
 }
 
-// expectedWait estimates the time until the entry's first token: a low one
-// that only luck beats, and a likely one.
-func (l *line) expectedWait(now time.Time, entry *waiting, agingStep time.Duration) (low, likely time.Duration) {
-	low, likely = l.firstToken.low, l.firstToken.value
-	if l.ready == 0 {
+// estimateWait estimates the time until the item's first token. Few requests are
+// faster than the optimistic estimate.
+func (s *subqueue) estimateWait(now time.Time, queued *queuedItem, agingStep time.Duration) (optimistic, expected time.Duration) {
+	optimistic, expected = s.firstToken.optimistic, s.firstToken.mean
+	if s.ready == 0 {
 		var loading time.Duration
-		if !l.coldFrom.IsZero() {
-			loading = now.Sub(l.coldFrom)
+		if !s.coldSince.IsZero() {
+			loading = now.Sub(s.coldSince)
 		}
-		low += max(0, l.load.low-loading)
-		likely += max(0, l.load.value-loading)
-		return low, likely
-	}
-	ahead, _ := slices.BinarySearchFunc(l.items, entry, compareWaiting)
-	l.inflow.roll(now)
-	pace := max(l.pace.value, l.service.value/time.Duration(max(1, l.slots)))
-	low += l.inflow.withOvertaking(time.Duration(ahead)*l.pace.low, l.pace.low, agingStep, entry.Priority)
-	likely += l.inflow.withOvertaking(time.Duration(ahead)*pace, pace, agingStep, entry.Priority)
-	return low, likely
+		optimistic += max(0, s.loadTime.optimistic-loading)
+		expected += max(0, s.loadTime.mean-loading)
+		return optimistic, expected
+	}
+	ahead, _ := slices.BinarySearchFunc(s.items, queued, compareQueued)
+	s.arrivalRates.update(now)
+	interval := max(s.releaseInterval.mean, s.serviceTime.mean/time.Duration(max(1, s.slots)))
+	optimistic += s.arrivalRates.withOvertaking(time.Duration(ahead)*s.releaseInterval.optimistic, s.releaseInterval.optimistic, agingStep, queued.Priority)
+	expected += s.arrivalRates.withOvertaking(time.Duration(ahead)*interval, interval, agingStep, queued.Priority)
+	return optimistic, expected
 }
 
-// makeRoom sheds items of a lower priority until the new one fits.
-func (c *Core) makeRoom(entry *waiting) bool {
-	if entry.Bytes > c.options.MaxBytes {
+// makeRoom sheds items of a lower priority until the new item fits. It reports
+// whether the item fits.
+func (c *Core) makeRoom(queued *queuedItem) bool {
+	if queued.Bytes > c.options.MaxBytes {
 		return false
 	}
-	for len(c.byTicket) >= c.options.MaxItems || c.bytes+entry.Bytes > c.options.MaxBytes {
-		victim := c.lowest()
-		if victim == nil || victim.Priority >= entry.Priority {
+	for len(c.byTicket) >= c.options.MaxItems || c.bytes+queued.Bytes > c.options.MaxBytes {
+		victim := c.lowestPriority()
+		if victim == nil || victim.Priority >= queued.Priority {
 			return false
 		}
 		c.remove(victim.Ticket)
@@ -111,13 +113,14 @@
 	return true
 }
 
-// lowest returns the item of the lowest priority, among equals the last.
-func (c *Core) lowest() *waiting {
-	var lowest *waiting
+// lowestPriority returns the item of the lowest priority, among several the one
+// that would be released last.
+func (c *Core) lowestPriority() *queuedItem {
+	var lowest *queuedItem
 	for _, key := range c.order {
-		for _, item := range c.lines[key].items {
+		for _, item := range c.subqueues[key].items {
 			if lowest == nil || item.Priority < lowest.Priority ||
-				item.Priority == lowest.Priority && compareWaiting(item, lowest) > 0 {
+				item.Priority == lowest.Priority && compareQueued(item, lowest) > 0 {
 				lowest = item
 			}
 		}
@@ -125,7 +128,7 @@
 	return lowest
 }
 
-// expire refuses all whose deadline has come.
+// expire refuses all items whose deadline has been reached.
 func (c *Core) expire(now time.Time) {
 	if c.options.Defects.ForgetDeadlines {
 		return
@@ -137,13 +140,13 @@
 	}
 }
 
-func (c *Core) close(closed Close) {
-	closed.Reason = cmp.Or(closed.Reason, ReasonStopping)
-	c.closed = &closed
+func (c *Core) close(message Close) {
+	message.Reason = cmp.Or(message.Reason, ReasonStopping)
+	c.closedWith = &message
 	for _, key := range c.order {
-		for _, item := range slices.Clone(c.lines[key].items) {
+		for _, item := range slices.Clone(c.subqueues[key].items) {
 			c.remove(item.Ticket)
-			c.refuse(item.Item, closed.Reason, closed.RetryAfter)
+			c.refuse(item.Item, message.Reason, message.RetryAfter)
 		}
 	}
 }
--- a/internal/queue/deadlines.go
+++ b/internal/queue/deadlines.go
@@ -5,38 +5,38 @@
 	"container/heap"
 )
 
-// deadlines is a heap of the waiting items, the earliest deadline first. It
-// implements heap.Interface.
-type deadlines []*waiting
+// deadlineHeap is a heap of the waiting items, ordered by deadline. It implements
+// heap.Interface.
+type deadlineHeap []*queuedItem
 
-var _ heap.Interface = (*deadlines)(nil)
+var _ heap.Interface = (*deadlineHeap)(nil)
 
 // Len implements heap.Interface.
-func (d deadlines) Len() int { return len(d) }
+func (d deadlineHeap) Len() int { return len(d) }
 
 // Less implements heap.Interface.
-func (d deadlines) Less(i, j int) bool {
+func (d deadlineHeap) Less(i, j int) bool {
 	return cmp.Or(d[i].Deadline.Compare(d[j].Deadline), cmp.Compare(d[i].Ticket, d[j].Ticket)) < 0
 }
 
 // Swap implements heap.Interface.
-func (d deadlines) Swap(i, j int) {
+func (d deadlineHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (d *deadlines) Push(entry any) {
-	added := entry.(*waiting)
-	added.place = len(*d)
-	*d = append(*d, added)
+func (d *deadlineHeap) Push(entry any) {
+	queued := entry.(*queuedItem)
+	queued.heapIndex = len(*d)
+	*d = append(*d, queued)
 }
 
 // Pop implements heap.Interface.
-func (d *deadlines) Pop() any {
+func (d *deadlineHeap) Pop() any {
 	last := len(*d) - 1
-	taken := (*d)[last]
+	earliest := (*d)[last]
 	(*d)[last] = nil
 	*d = (*d)[:last]
-	return taken
+	return earliest
 }
--- a/internal/queue/doc.go
+++ b/internal/queue/doc.go
@@ -1,7 +1,11 @@
-// Package queue is the core that holds a node's waiting model requests: it
-// admits, orders, releases and refuses them. Every request that arrives leaves
-// again by exactly one effect, Release or Refuse, at or before its deadline, or
-// by the message Leave.
+// Package queue implements a node's queue of model requests that wait for a
+// replica with free capacity. It admits, orders, releases and refuses them:
+// requests are ordered by priority, which rises as they age, and are refused as
+// soon as they cannot meet their deadline. Each request that arrives leaves the
+// queue exactly once: at or before its deadline by an effect, Release or Refuse,
+// or by the message Cancel.
 //
-// It may import fleet. No I/O, no clock, no goroutine.
+// The package is a deterministic state machine (Core.Step) without I/O, clock or
+// goroutines. Package gateway drives it in a node, and the simulator in tests.
+// It may import fleet.
 package queue
--- a/internal/queue/estimate.go
+++ b/internal/queue/estimate.go
@@ -3,29 +3,31 @@
 import "time"
 
 const (
-	// estimateWeight is the share that a new sample has in an estimate.
+	// estimateWeight is the weight of a new sample in the mean.
 	estimateWeight = 0.2
-	// lowWeight is how fast the low estimate follows when samples are larger.
-	lowWeight = 0.05
+	// optimisticRiseWeight is the weight of a new sample in the optimistic estimate
+	// if the sample is larger. Smaller samples replace the estimate.
+	optimisticRiseWeight = 0.05
 )
 
-// estimate is a smoothed duration, and a low one that only a lucky request
-// falls below. Both are zero until the first sample.
+// estimate is an exponentially weighted mean of durations, together with an
+// optimistic estimate that few durations fall below. Both are zero until the first
+// sample.
 type estimate struct {
-	known bool
-	value time.Duration
-	low   time.Duration
+	known      bool
+	mean       time.Duration
+	optimistic time.Duration
 }
 
 func (e *estimate) add(sample time.Duration) {
 	if !e.known {
-		e.known, e.value, e.low = true, sample, sample
+		e.known, e.mean, e.optimistic = true, sample, sample
 		return
 	}
-	e.value += time.Duration(estimateWeight * float64(sample-e.value))
-	if sample < e.low {
-		e.low = sample
+	e.mean += time.Duration(estimateWeight * float64(sample-e.mean))
+	if sample < e.optimistic {
+		e.optimistic = sample
 		return
 	}
-	e.low += time.Duration(lowWeight * float64(sample-e.low))
+	e.optimistic += time.Duration(optimisticRiseWeight * float64(sample-e.optimistic))
 }
--- a/internal/queue/inflow.go
+++ b/internal/queue/inflow.go
@@ -7,70 +7,71 @@
 )
 
 const (
-	// inflowWindow is the least time over which arrivals are counted.
-	inflowWindow = time.Second
-	// inflowKept is the part of a rate that is left after a second.
-	inflowKept = 0.8
-	// overtakeRounds is how often the wait is worked out again with those that
-	// arrive in it. Each round adds to it, so that it stays a low estimate.
-	overtakeRounds = 8
-	// overtakeShare is the part of a rate that is counted on: rates are noisy,
-	// and a request refused in error is lost.
-	overtakeShare = 0.85
+	// arrivalRateWindow is the minimum time over which arrivals are counted.
+	arrivalRateWindow = time.Second
+	// arrivalRateDecay is the weight of a previous rate after one second.
+	arrivalRateDecay = 0.8
+	// overtakingIterations is the number of times that the wait is recomputed with
+	// the requests that arrive during it. The wait grows with each iteration, so
+	// that stopping early gives a lower bound.
+	overtakingIterations = 8
+	// overtakingRateShare is the share of an arrival rate that the estimate assumes.
+	// Rates are noisy, and a request that is refused by mistake is lost.
+	overtakingRateShare = 0.85
 )
 
-// inflow is how many requests of each priority come into a line.
-type inflow struct {
-	from       time.Time
-	priorities []priorityInflow
+// arrivalRates tracks the arrival rate of requests in one subqueue by priority.
+type arrivalRates struct {
+	windowStart time.Time
+	priorities  []priorityArrivals
 }
 
-type priorityInflow struct {
+type priorityArrivals struct {
 	priority int
 	count    int
-	// rate is in requests a second.
+	// rate is in requests per second.
 	rate float64
 }
 
-func (i *inflow) note(now time.Time, priority int) {
-	i.roll(now)
-	at, found := slices.BinarySearchFunc(i.priorities, priority, func(p priorityInflow, wanted int) int {
-		return p.priority - wanted
+func (a *arrivalRates) record(now time.Time, priority int) {
+	a.update(now)
+	at, found := slices.BinarySearchFunc(a.priorities, priority, func(p priorityArrivals, target int) int {
+		return p.priority - target
 	})
 	if !found {
-		i.priorities = slices.Insert(i.priorities, at, priorityInflow{priority: priority})
+		a.priorities = slices.Insert(a.priorities, at, priorityArrivals{priority: priority})
 	}
-	i.priorities[at].count++
+	a.priorities[at].count++
 }
 
-func (i *inflow) roll(now time.Time) {
-	elapsed := now.Sub(i.from)
-	if elapsed < inflowWindow {
+func (a *arrivalRates) update(now time.Time) {
+	elapsed := now.Sub(a.windowStart)
+	if elapsed < arrivalRateWindow {
 		return
 	}
-	kept := math.Pow(inflowKept, elapsed.Seconds())
-	for index := range i.priorities {
-		each := &i.priorities[index]
-		each.rate = kept*each.rate + (1-kept)*float64(each.count)/elapsed.Seconds()
-		each.count = 0
+	decay := math.Pow(arrivalRateDecay, elapsed.Seconds())
+	for index := range a.priorities {
+		arrivals := &a.priorities[index]
+		arrivals.rate = decay*arrivals.rate + (1-decay)*float64(arrivals.count)/elapsed.Seconds()
+		arrivals.count = 0
 	}
-	i.from = now
+	a.windowStart = now
 }
 
-// withOvertaking adds to a wait the time for requests of higher priorities that
-// arrive in it. They overtake only for as many steps of aging as their
-// priority is higher.
-func (i *inflow) withOvertaking(wait, pace, agingStep time.Duration, priority int) time.Duration {
-	full := wait
-	for range overtakeRounds {
-		longer := wait
-		for _, each := range i.priorities {
-			if each.priority > priority {
-				open := min(full, time.Duration(each.priority-priority)*agingStep)
-				longer += time.Duration(overtakeShare * each.rate * open.Seconds() * float64(pace))
+// withOvertaking adds to a wait the time for requests of a higher priority that
+// arrive during it. A request with a priority higher by n overtakes only if it
+// arrives within n aging steps.
+func (a *arrivalRates) withOvertaking(wait, releaseInterval, agingStep time.Duration, priority int) time.Duration {
+	total := wait
+	for range overtakingIterations {
+		next := wait
+		for _, arrivals := range a.priorities {
+			if arrivals.priority > priority {
+				window := min(total, time.Duration(arrivals.priority-priority)*agingStep)
+				next += time.Duration(overtakingRateShare * arrivals.rate * window.Seconds() * float64(releaseInterval))
 			}
 		}
-		full = longer
+		total = next
 	}
-	return full
+	return total
 }
--- a/internal/queue/inflow_test.go
+++ b/internal/queue/inflow_test.go
@@ -7,17 +7,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestThoseThatWillBeOvertakenAreRefusedAtOnce: one request a second is
-// released, and as many of a higher priority come in.
+// TestThoseThatWillBeOvertakenAreRefusedAtOnce: one request per second is released
+// and one of a higher priority arrives, so that a request of a lower priority with
+// a near deadline cannot be reached in time.
 func TestThoseThatWillBeOvertakenAreRefusedAtOnce(t *testing.T) {
 	core := New(Options{})
-	core.Step(at(0), room(0))
+	core.Step(at(0), capacity(0))
 	core.Step(at(0), Arrive{item(1, 5, 100)})
-	ticket := Ticket(2)
+	nextTicket := Ticket(2)
 	for second := 1.0; second <= 10; second++ {
-		core.Step(at(second-0.5), Arrive{item(ticket, 5, second+100)})
-		ticket++
-		core.Step(at(second), room(1))
+		core.Step(at(second-0.5), Arrive{item(nextTicket, 5, second+100)})
+		nextTicket++
+		core.Step(at(second), capacity(1))
 	}
 	tests := map[string]struct {
 		item Item
@@ -28,7 +29,7 @@
 		"lower priority, far deadline":  {item(102, 0, 100), []string{}},
 	}
 	for name, test := range tests {
-		got := brief(core.Step(at(10), Arrive{test.item}))
+		got := summarize(core.Step(at(10), Arrive{test.item}))
 		if diff := cmp.Diff(test.want, got); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
@@ -37,20 +38,20 @@
 }
 
 func TestInflowFollowsAndFades(t *testing.T) {
-	var in inflow
+	var rates arrivalRates
 	for tenth := range 100 {
-		in.note(epoch.Add(time.Duration(tenth)*100*time.Millisecond), 1)
+		rates.record(epoch.Add(time.Duration(tenth)*100*time.Millisecond), 1)
 	}
-	in.roll(at(10))
-	full := in.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 0)
-	if full < 1050*time.Millisecond || full > 1120*time.Millisecond {
-		t.Errorf("a wait of 1 s becomes %v with a tenth of the pace overtaking", full)
+	rates.update(at(10))
+	loaded := rates.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 0)
+	if loaded < 1050*time.Millisecond || loaded > 1120*time.Millisecond {
+		t.Errorf("a wait of 1s becomes %v if overtaking arrivals are a tenth of the release rate", loaded)
 	}
-	if same := in.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 1); same != time.Second {
-		t.Errorf("the same priority does not overtake, but a wait of 1 s becomes %v", same)
+	if unchanged := rates.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 1); unchanged != time.Second {
+		t.Errorf("a wait of 1s becomes %v, but the same priority does not overtake", unchanged)
 	}
-	in.roll(at(70))
-	if faded := in.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 0); faded > 1001*time.Millisecond {
-		t.Errorf("after a minute without arrivals a wait of 1 s becomes %v", faded)
+	rates.update(at(70))
+	if faded := rates.withOvertaking(time.Second, 10*time.Millisecond, DefaultAgingStep, 0); faded > 1001*time.Millisecond {
+		t.Errorf("a wait of 1s becomes %v after a minute without arrivals", faded)
 	}
 }
--- a/internal/queue/message.go
+++ b/internal/queue/message.go
@@ -7,7 +7,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Ticket names one waiting request within a node.
+// Ticket identifies a waiting request within a node.
 type Ticket uint64
 
 // Item is one request as the queue sees it.
@@ -15,92 +15,93 @@
 	Ticket  Ticket
 	Model   fleet.ModelVersion
 	Adapter fleet.AdapterName
-	// Regions are those in which the request may run.
+	// Regions are the regions in which the request may run.
 	Regions fleet.Regions
-	// Priority orders items; larger goes first.
+	// Priority orders items; a larger value goes first.
 	Priority int
-	// Deadline is when the first token must be there.
+	// Deadline is the time by which the first token must be received.
 	Deadline time.Time
-	// Bytes is the memory that the item holds while it waits.
+	// Bytes is the memory that the item occupies while it waits.
 	Bytes int64
-	// ArrivedAt is when the request came to the node; zero for now. A request
-	// that is put back keeps its place.
+	// ArrivedAt is when the request arrived at the node; zero means now. A requeued
+	// request sets it to keep its place.
 	ArrivedAt time.Time
-	// Requeued is set for a request that was released before: it is not
-	// estimated again and is no new arrival.
+	// Requeued is set for a request that was released before. It is not refused for
+	// an estimated wait and not counted as an arrival.
 	Requeued bool
 }
 
 // Message is an input of the core.
 type Message interface{ isMessage() }
 
-// Arrive hands in a request.
+// Arrive adds a request.
 type Arrive struct{ Item Item }
 
-// Cancel takes a request out whose caller has gone.
+// Cancel removes a request whose caller has disconnected.
 type Cancel struct{ Ticket Ticket }
 
-// Replica is one ready replica of a model with room for Free more requests.
+// Replica is a ready replica of a model that can accept FreeSlots more requests.
 type Replica struct {
 	Name      fleet.BackendName
 	FreeSlots int
 	Adapters  []fleet.AdapterName
 }
 
-// Key names what waits together: requests for one model that may run in the same
-// regions.
+// Key identifies a subqueue, which holds the requests for one model that may run
+// in the same regions.
 type Key struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
 }
 
-func compareLines(a, b Key) int {
+func compareKeys(a, b Key) int {
 	return cmp.Or(a.Model.Compare(b.Model), cmp.Compare(a.Regions, b.Regions))
 }
 
-// CapacityChanged tells the room of the replicas that a line's requests may go to; it replaces
-// the offer before.
+// CapacityChanged reports the capacity of the replicas that can serve the requests
+// of one subqueue. It replaces the previous report.
 type CapacityChanged struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
-	// Ready counts the replicas that have the model loaded and do not leave,
-	// also those that cannot be sent to for the moment.
+	// Ready is the number of replicas that have the model loaded and are not
+	// draining, including those that temporarily accept no requests.
 	Ready int
-	// Replicas are those that may be sent to.
+	// Replicas are the replicas that accept requests.
 	Replicas []Replica
-	// Slots is the number of requests that the replicas run at a time.
+	// Slots is the number of requests that the replicas can run concurrently.
 	Slots int
 }
 
-// FirstTokenReceived tells how long a released request waited for its first token.
+// FirstTokenReceived reports the time from a request's release to its first token.
 type FirstTokenReceived struct {
 	Model   fleet.ModelVersion
 	Regions fleet.Regions
 	Latency time.Duration
 }
 
-// Completed tells how long a released request took from its release to its end,
-// so that later waits can be estimated.
+// Completed reports the time from a request's release to its end, from which
+// later waits are estimated.
 type Completed struct {
 	Model       fleet.ModelVersion
 	Regions     fleet.Regions
 	ServiceTime time.Duration
 }
 
-// LoadRefused says that a model cannot be loaded now.
+// LoadRefused reports models that cannot be loaded at the moment.
 type LoadRefused struct{ Refusals []fleet.LoadRefusal }
 
-// Close refuses all that waits, and all that arrives until Open.
+// Close refuses all waiting requests, and all that arrive before Open.
 type Close struct {
-	// Reason is ReasonStopping where it is empty.
+	// Reason defaults to ReasonStopping.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Open ends a Close.
+// Open lets a closed queue accept requests again.
 type Open struct{}
 
-// Tick is wanted at NextWake.
+// Tick lets the core handle deadlines and reports that are due. It must be sent at
+// Core.NextWake.
 type Tick struct{}
 
 func (Arrive) isMessage()             {}
@@ -116,19 +117,20 @@
 // Effect is an output of the core.
 type Effect interface{ isEffect() }
 
-// Release sends the request on: a ready replica has room for it.
+// Release tells the caller to send the request to a replica: one with a free slot
+// is ready.
 type Release struct {
 	Item Item
 	// Waited is the time from arrival to release.
 	Waited time.Duration
-	// ColdStart is set when the request waited for a load.
+	// ColdStart is set if no replica was ready when the request arrived.
 	ColdStart bool
 }
 
-// Reason says why a request was refused.
+// Reason is the reason for a refusal.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons for a refusal.
 const (
 	ReasonFull                Reason = "queue-full"
 	ReasonDeadlineUnreachable Reason = "deadline-cannot-be-met"
@@ -139,7 +141,7 @@
 	ReasonEvacuated           Reason = "all-zones-evacuated"
 )
 
-// Refuse is the final answer to a request that never ran.
+// Refuse tells the caller to refuse a request that did not run.
 type Refuse struct {
 	Item       Item
 	Reason     Reason
@@ -147,7 +149,8 @@
 	RetryAfter time.Duration
 }
 
-// ReportWants carries what waits to whoever decides on loads.
+// ReportWants reports the waiting requests to the leader, which decides which models
+// are loaded.
 type ReportWants struct{ Wants []fleet.Want }
 
 func (Release) isEffect()     {}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -9,28 +9,28 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Options are the bounds and constants of a queue. Zero values are replaced by
-// the defaults.
+// Options configure a queue. Zero values are replaced by the defaults.
 type Options struct {
 	Node fleet.NodeName
 	Zone fleet.Zone
-	// MaxItems and MaxBytes bound what waits at the node.
+	// MaxItems and MaxBytes bound the waiting requests of the node.
 	MaxItems int
 	MaxBytes int64
-	// AgingStep is the wait that is worth one step of priority.
+	// AgingStep is the waiting time that raises the effective priority by one.
 	AgingStep time.Duration
-	// WantInterval is how often wants are repeated while requests wait.
+	// WantInterval is the interval of ReportWants while requests wait.
 	WantInterval time.Duration
 	Defects      Defects
 }
 
-// Defects are faults to plant. Only tests and the simulator set them.
+// Defects injects faults, to show that tests detect them. Only tests and the
+// simulator set it.
 type Defects struct {
-	// ForgetDeadlines leaves requests waiting beyond their deadline.
+	// ForgetDeadlines keeps requests waiting beyond their deadline.
 	ForgetDeadlines bool
-	// DropShed sheds without a word.
+	// DropShed drops shed requests without a Refuse.
 	DropShed bool
-	// NoAging orders by priority alone.
+	// NoAging orders requests by priority alone.
 	NoAging bool
 }
 
@@ -50,70 +50,74 @@
 	return o
 }
 
-// waiting is an item with what the queue notes of it.
-type waiting struct {
+// queuedItem is a waiting item with the queue's state for it.
+type queuedItem struct {
 	Item
-	// rank is the epoch of arrival less the priority, an epoch being one
-	// AgingStep long: a request gains one priority over newer ones for each
-	// epoch that it waits. All items age alike, so the rank stays as it is.
+	// rank is the epoch of the arrival minus the priority, with epochs of one
+	// AgingStep: a request gains one priority over newer ones for each epoch that
+	// it waits. All items age at the same rate, so that the rank is constant.
 	rank int64
-	cold bool
-	// place is the index in the heap of deadlines.
-	place int
+	// coldStart is set if no replica was ready when the item was added.
+	coldStart bool
+	// heapIndex is the index in Core.deadlines.
+	heapIndex int
 }
 
-// line is what waits for one model version in the same regions.
-type line struct {
+// subqueue holds the requests that wait for one model version in the same regions.
+type subqueue struct {
 	key      Key
-	items    []*waiting
+	items    []*queuedItem
 	replicas []Replica
 	ready    int
 	slots    int
-	// service is the time from release to end, pace the time between two
-	// releases while requests wait, firstToken from release to first token,
-	// load from the first waiting request to a ready replica.
-	service, pace, firstToken, load estimate
-
-	inflow      inflow
-	lastRelease time.Time
-	// paced counts the releases since paceFrom while requests waited.
-	paceFrom time.Time
-	paced    int
-	coldFrom time.Time
-	refusals refusals
-	// arrivals and missed count since the last report: all that came, and
-	// those refused because a load would take too long.
-	arrivals, missed int
-	missedPriority   int
-	missedDeadline   time.Time
+	// serviceTime is the time from release to end, releaseInterval the time between
+	// two releases while requests wait, firstToken the time from release to first
+	// token, and loadTime the time from the first waiting request to a ready replica.
+	serviceTime, releaseInterval, firstToken, loadTime estimate
+
+	arrivalRates arrivalRates
+	lastRelease  time.Time
+	// intervalReleases counts the releases since intervalSince while requests waited.
+	intervalSince    time.Time
+	intervalReleases int
+	// coldSince is when requests began to wait without a ready replica; loadTime is
+	// measured from it.
+	coldSince time.Time
+	refusals  refusals
+	// arrivals counts the arrivals since the last report, and unreachable those
+	// of them that were refused because a load would take too long.
+	arrivals, unreachable int
+	unreachablePriority   int
+	unreachableDeadline   time.Time
 }
 
 // Core is the queue of one node.
 type Core struct {
 	options   Options
-	lines     map[Key]*line
+	subqueues map[Key]*subqueue
 	order     []Key
-	byTicket  map[Ticket]*waiting
-	deadlines deadlines
+	byTicket  map[Ticket]*queuedItem
+	deadlines deadlineHeap
 	bytes     int64
-	// arrived is set while some arrival is not reported yet.
-	arrived  bool
-	nextWant time.Time
-	// closed is what all are refused with; nil while the queue is open.
-	closed  *Close
-	effects []Effect
+	// hasUnreportedArrivals is set if requests arrived since the last report.
+	hasUnreportedArrivals bool
+	// nextReport is when the next ReportWants is due, zero if none is.
+	nextReport time.Time
+	// closedWith is the message that closed the queue, nil while it is open.
+	closedWith *Close
+	effects    []Effect
 }
 
 // New returns an empty queue.
 func New(options Options) *Core {
 	return &Core{
-		options:  options.withDefaults(),
-		lines:    make(map[Key]*line),
-		byTicket: make(map[Ticket]*waiting),
+		options:   options.withDefaults(),
+		subqueues: make(map[Key]*subqueue),
+		byTicket:  make(map[Ticket]*queuedItem),
 	}
 }
 
-// Step takes one message. The effects are valid until the next Step.
+// Step processes one message. The returned effects are valid until the next Step.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	clear(c.effects)
 	c.effects = c.effects[:0]
@@ -124,26 +128,27 @@
 	case Cancel:
 		c.remove(message.Ticket)
 	case CapacityChanged:
-		c.offer(now, message)
+		c.updateCapacity(now, message)
 	case FirstTokenReceived:
-		c.line(Key{message.Model, message.Regions}).firstToken.add(message.Latency)
+		c.subqueueFor(Key{message.Model, message.Regions}).firstToken.add(message.Latency)
 	case Completed:
-		c.line(Key{message.Model, message.Regions}).service.add(message.ServiceTime)
+		c.subqueueFor(Key{message.Model, message.Regions}).serviceTime.add(message.ServiceTime)
 	case LoadRefused:
 		c.loadRefused(now, message.Refusals)
 	case Close:
 		c.close(message)
 	case Open:
-		c.closed = nil
+		c.closedWith = nil
 	case Tick:
 	}
 	c.reportWants(now)
 	return c.effects
 }
 
-// NextWake is the earliest deadline, or the time of the next report of wants.
+// NextWake returns the time at which a Tick is due: the earliest deadline or the
+// next ReportWants. It is zero if none is due.
 func (c *Core) NextWake() time.Time {
-	wake := c.nextWant
+	wake := c.nextReport
 	if len(c.deadlines) > 0 && (wake.IsZero() || c.deadlines[0].Deadline.Before(wake)) {
 		wake = c.deadlines[0].Deadline
 	}
@@ -155,49 +160,49 @@
 	return len(c.byTicket), c.bytes
 }
 
-// QueueInfo describes what waits in one line.
+// QueueInfo describes one subqueue.
 type QueueInfo struct {
 	Key
 	Waiting  int
 	Replicas int
-	// Oldest is when the oldest of the waiting requests came.
+	// Oldest is the arrival time of the oldest waiting request.
 	Oldest time.Time
 }
 
-// Queues describes the lines in which something waits, in order.
+// Queues describes the subqueues with waiting requests, ordered by key.
 func (c *Core) Queues() []QueueInfo {
 	var infos []QueueInfo
 	for _, key := range c.order {
-		if line := c.lines[key]; len(line.items) > 0 {
-			infos = append(infos, QueueInfo{Key: key, Waiting: len(line.items), Replicas: line.ready, Oldest: line.oldest()})
+		if sub := c.subqueues[key]; len(sub.items) > 0 {
+			infos = append(infos, QueueInfo{Key: key, Waiting: len(sub.items), Replicas: sub.ready, Oldest: sub.oldestArrival()})
 		}
 	}
 	return infos
 }
 
-func (l *line) oldest() time.Time {
-	oldest := l.items[0].ArrivedAt
-	for _, item := range l.items[1:] {
-		if item.ArrivedAt.Before(oldest) {
-			oldest = item.ArrivedAt
+func (s *subqueue) oldestArrival() time.Time {
+	earliest := s.items[0].ArrivedAt
+	for _, item := range s.items[1:] {
+		if item.ArrivedAt.Before(earliest) {
+			earliest = item.ArrivedAt
 		}
 	}
-	return oldest
+	return earliest
 }
 
-func (c *Core) line(key Key) *line {
-	if known, found := c.lines[key]; found {
+func (c *Core) subqueueFor(key Key) *subqueue {
+	if known, found := c.subqueues[key]; found {
 		return known
 	}
-	created := &line{key: key}
-	c.lines[key] = created
-	at, _ := slices.BinarySearchFunc(c.order, key, compareLines)
+	created := &subqueue{key: key}
+	c.subqueues[key] = created
+	at, _ := slices.BinarySearchFunc(c.order, key, compareKeys)
 	c.order = slices.Insert(c.order, at, key)
 	return created
 }
 
-// line is the one that the item waits in.
-func (i Item) line() Key { return Key{Model: i.Model, Regions: i.Regions} }
+// key returns the key of the subqueue in which the item waits.
+func (i Item) key() Key { return Key{Model: i.Model, Regions: i.Regions} }
 
 func (c *Core) emit(effect Effect) {
 	c.effects = append(c.effects, effect)
@@ -207,31 +212,31 @@
 	c.emit(Refuse{Item: item, Reason: reason, RetryAfter: max(retryAfter, minRetryAfter)})
 }
 
-// insert puts an entry at its place.
-func (c *Core) insert(line *line, entry *waiting) {
-	at, _ := slices.BinarySearchFunc(line.items, entry, compareWaiting)
-	line.items = slices.Insert(line.items, at, entry)
-	c.byTicket[entry.Ticket] = entry
-	c.bytes += entry.Bytes
-	heap.Push(&c.deadlines, entry)
+// insert adds an item in the order of compareQueued.
+func (c *Core) insert(sub *subqueue, queued *queuedItem) {
+	at, _ := slices.BinarySearchFunc(sub.items, queued, compareQueued)
+	sub.items = slices.Insert(sub.items, at, queued)
+	c.byTicket[queued.Ticket] = queued
+	c.bytes += queued.Bytes
+	heap.Push(&c.deadlines, queued)
 }
 
 func (c *Core) remove(ticket Ticket) {
-	entry, found := c.byTicket[ticket]
+	queued, found := c.byTicket[ticket]
 	if !found {
 		return
 	}
 	delete(c.byTicket, ticket)
-	c.bytes -= entry.Bytes
-	heap.Remove(&c.deadlines, entry.place)
-	line := c.lines[entry.line()]
-	if at, found := slices.BinarySearchFunc(line.items, entry, compareWaiting); found {
-		line.items = slices.Delete(line.items, at, at+1)
+	c.bytes -= queued.Bytes
+	heap.Remove(&c.deadlines, queued.heapIndex)
+	sub := c.subqueues[queued.key()]
+	if at, found := slices.BinarySearchFunc(sub.items, queued, compareQueued); found {
+		sub.items = slices.Delete(sub.items, at, at+1)
 	}
 }
 
-// compareWaiting orders by rank, then deadline, then arrival.
-func compareWaiting(a, b *waiting) int {
+// compareQueued orders items by rank, then deadline, then ticket.
+func compareQueued(a, b *queuedItem) int {
 	return cmp.Or(
 		cmp.Compare(a.rank, b.rank),
 		a.Deadline.Compare(b.Deadline),
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -24,49 +24,49 @@
 }
 
 func itemIn(ticket Ticket, regions fleet.Regions) Item {
-	bound := item(ticket, 0, 9)
-	bound.Regions = regions
-	return bound
+	restricted := item(ticket, 0, 9)
+	restricted.Regions = regions
+	return restricted
 }
 
-func roomIn(regions fleet.Regions) CapacityChanged {
-	bound := room(1)
-	bound.Regions = regions
-	return bound
+func capacityIn(regions fleet.Regions) CapacityChanged {
+	restricted := capacity(1)
+	restricted.Regions = regions
+	return restricted
 }
 
-func room(free int) CapacityChanged {
+func capacity(free int) CapacityChanged {
 	return CapacityChanged{Model: notes, Ready: 1, Slots: 4, Replicas: []Replica{{Name: "e1", FreeSlots: free}}}
 }
 
-func refusedFor(wait time.Duration) LoadRefused {
-	return LoadRefused{[]fleet.LoadRefusal{{Model: notes, Reason: "no-allotment", RetryAfter: wait}}}
+func loadRefused(retryAfter time.Duration) LoadRefused {
+	return LoadRefused{[]fleet.LoadRefusal{{Model: notes, Reason: "no-allotment", RetryAfter: retryAfter}}}
 }
 
-// brief shows releases as +ticket and refusals as -ticket:reason.
-func brief(effects []Effect) []string {
-	shown := []string{}
+// summarize formats releases as +ticket and refusals as -ticket:reason.
+func summarize(effects []Effect) []string {
+	summary := []string{}
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case Release:
-			shown = append(shown, fmt.Sprintf("+%d", effect.Item.Ticket))
+			summary = append(summary, fmt.Sprintf("+%d", effect.Item.Ticket))
 		case Refuse:
-			shown = append(shown, fmt.Sprintf("-%d:%s", effect.Item.Ticket, effect.Reason))
+			summary = append(summary, fmt.Sprintf("-%d:%s", effect.Item.Ticket, effect.Reason))
 		}
 	}
-	return shown
+	return summary
 }
 
-type scheduled struct {
+type scheduledStep struct {
 	at      float64
 	message Message
 	want    []string
 }
 
-func run(t *testing.T, core *Core, steps []scheduled) {
+func run(t *testing.T, core *Core, steps []scheduledStep) {
 	t.Helper()
 	for index, step := range steps {
-		got := brief(core.Step(at(step.at), step.message))
+		got := summarize(core.Step(at(step.at), step.message))
 		if step.want == nil {
 			step.want = []string{}
 		}
@@ -79,147 +79,147 @@
 func TestOrderAndBounds(t *testing.T) {
 	tests := map[string]struct {
 		options Options
-		steps   []scheduled
+		steps   []scheduledStep
 	}{
-		"priority, then deadline, then arrival": {steps: []scheduled{
+		"priority, then deadline, then arrival": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 9)}, nil},
 			{0, Arrive{item(2, 5, 9)}, nil},
 			{0, Arrive{item(3, 5, 8)}, nil},
 			{0, Arrive{item(4, 5, 8)}, nil},
-			{1, room(4), []string{"+3", "+4", "+2", "+1"}},
+			{1, capacity(4), []string{"+3", "+4", "+2", "+1"}},
 		}},
-		"release only up to the room, the rest at the next": {steps: []scheduled{
+		"releases are limited to the free slots, the rest follow with the next capacity": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 9)}, nil},
 			{0, Arrive{item(2, 0, 9)}, nil},
-			{1, room(1), []string{"+1"}},
+			{1, capacity(1), []string{"+1"}},
 			{1, Arrive{item(3, 9, 9)}, nil},
-			{2, room(1), []string{"+3"}},
+			{2, capacity(1), []string{"+3"}},
 		}},
-		"an item that waits is overtaken for a bounded time only": {options: Options{AgingStep: time.Second}, steps: []scheduled{
+		"a waiting item is overtaken for a bounded time only": {options: Options{AgingStep: time.Second}, steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 90)}, nil},
 			{4, Arrive{item(2, 5, 90)}, nil},
 			{6, Arrive{item(3, 5, 90)}, nil},
-			{7, room(3), []string{"+2", "+1", "+3"}},
+			{7, capacity(3), []string{"+2", "+1", "+3"}},
 		}},
-		"full: lowest priority goes first and is told": {options: Options{MaxItems: 2}, steps: []scheduled{
+		"a full queue sheds the lowest priority first and refuses it": {options: Options{MaxItems: 2}, steps: []scheduledStep{
 			{0, Arrive{item(1, 1, 9)}, nil},
 			{0, Arrive{item(2, 2, 9)}, nil},
 			{0, Arrive{item(3, 1, 9)}, []string{"-3:queue-full"}},
 			{0, Arrive{item(4, 3, 9)}, []string{"-1:shed-for-higher-priority"}},
 		}},
-		"bytes are bounded": {options: Options{MaxBytes: 15}, steps: []scheduled{
+		"bytes are bounded": {options: Options{MaxBytes: 15}, steps: []scheduledStep{
 			{0, Arrive{item(1, 1, 9)}, nil},
 			{0, Arrive{item(2, 1, 9)}, []string{"-2:queue-full"}},
 		}},
-		"refused at the deadline, not after": {steps: []scheduled{
+		"refused at the deadline, not later": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 3)}, nil},
 			{2.999, Tick{}, nil},
 			{3, Tick{}, []string{"-1:deadline-reached"}},
-			{4, room(1), nil},
+			{4, capacity(1), nil},
 		}},
-		"a refusal of the load is final at once": {steps: []scheduled{
+		"a load refusal without a retry time is final": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{1, LoadRefused{[]fleet.LoadRefusal{{Model: notes, Reason: "no memory"}}}, []string{"-1:model-cannot-be-loaded"}},
 		}},
-		"a refusal that may soon be over is waited for, as the deadline allows": {steps: []scheduled{
+		"items keep waiting after a transient load refusal if their deadline allows it": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{0, Arrive{item(2, 0, 2.5)}, nil},
-			{1, refusedFor(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
-			{2, refusedFor(2 * time.Second), nil},
-			{3, room(1), []string{"+1"}},
+			{1, loadRefused(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
+			{2, loadRefused(2 * time.Second), nil},
+			{3, capacity(1), []string{"+1"}},
 		}},
-		"a refusal that is repeated is final": {steps: []scheduled{
+		"repeated load refusals are final": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
-			{1, refusedFor(2 * time.Second), nil},
-			{3.5, refusedFor(2 * time.Second), nil},
-			{4, refusedFor(2 * time.Second), []string{"-1:model-cannot-be-loaded"}},
+			{1, loadRefused(2 * time.Second), nil},
+			{3.5, loadRefused(2 * time.Second), nil},
+			{4, loadRefused(2 * time.Second), []string{"-1:model-cannot-be-loaded"}},
 			{5, Arrive{item(2, 0, 30)}, nil},
-			{5.2, refusedFor(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
+			{5.2, loadRefused(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
 			{20, Arrive{item(3, 0, 50)}, nil},
-			{21, refusedFor(2 * time.Second), nil},
+			{21, loadRefused(2 * time.Second), nil},
 		}},
-		"a refusal begins anew once a replica was ready": {steps: []scheduled{
+		"a ready replica resets the series of load refusals": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
-			{1, refusedFor(time.Second), nil},
-			{2, room(1), []string{"+1"}},
+			{1, loadRefused(time.Second), nil},
+			{2, capacity(1), []string{"+1"}},
 			{3, CapacityChanged{Model: notes}, nil},
 			{4, Arrive{item(2, 0, 30)}, nil},
-			{4.5, refusedFor(time.Second), nil},
+			{4.5, loadRefused(time.Second), nil},
 		}},
-		"a refusal for longer than it would be waited for is final at once": {steps: []scheduled{
+		"a load refusal with a long retry time is final": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
-			{1, refusedFor(5 * time.Second), []string{"-1:model-cannot-be-loaded"}},
+			{1, loadRefused(5 * time.Second), []string{"-1:model-cannot-be-loaded"}},
 		}},
-		"the load that follows a refusal counts against the deadline": {steps: []scheduled{
+		"the load time after a refusal counts against the deadline": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
-			{10, room(1), []string{"+1"}},
+			{10, capacity(1), []string{"+1"}},
 			{11, CapacityChanged{Model: notes}, nil},
 			{11, Arrive{item(2, 0, 22)}, nil},
 			{11, Arrive{item(3, 0, 25)}, nil},
-			{12, refusedFor(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
+			{12, loadRefused(2 * time.Second), []string{"-2:model-cannot-be-loaded"}},
 		}},
-		"a refusal of the load leaves what a ready replica serves": {steps: []scheduled{
-			{0, room(0), nil},
+		"a load refusal does not affect items that a ready replica can serve": {steps: []scheduledStep{
+			{0, capacity(0), nil},
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{1, LoadRefused{[]fleet.LoadRefusal{{Model: notes}}}, nil},
-			{2, room(1), []string{"+1"}},
+			{2, capacity(1), []string{"+1"}},
 		}},
-		"what cannot be loaded before its deadline is refused at once": {steps: []scheduled{
+		"refused on arrival if the model cannot be loaded before the deadline": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 30)}, nil},
-			{20, room(1), []string{"+1"}},
+			{20, capacity(1), []string{"+1"}},
 			{21, CapacityChanged{Model: notes}, nil},
 			{22, Arrive{item(2, 0, 27)}, []string{"-2:deadline-cannot-be-met"}},
 			{22, Arrive{item(3, 0, 60)}, nil},
 			{36, Arrive{item(4, 0, 45)}, nil},
 		}},
-		"what cannot be reached in the queue is refused at once": {steps: []scheduled{
-			{0, room(0), nil},
+		"refused on arrival if the queue is too long for the deadline": {steps: []scheduledStep{
+			{0, capacity(0), nil},
 			{0, Arrive{item(1, 0, 30)}, nil},
 			{0, Arrive{item(2, 0, 30)}, nil},
 			{0, Arrive{item(3, 5, 30)}, nil},
 			{0, Arrive{item(6, 5, 30)}, nil},
-			{2, room(1), []string{"+3"}},
-			{4, room(1), []string{"+6"}},
+			{2, capacity(1), []string{"+3"}},
+			{4, capacity(1), []string{"+6"}},
 			{4, Arrive{item(7, 5, 30)}, nil},
 			{4, Arrive{item(4, 0, 5)}, []string{"-4:deadline-cannot-be-met"}},
 			{4, Arrive{item(5, 9, 5)}, nil},
 		}},
-		"a request put back keeps its place and is not estimated": {steps: []scheduled{
+		"a requeued request keeps its place and is not refused for its estimated wait": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 90)}, nil},
 			{7, Arrive{Item{Ticket: 2, Model: notes, Deadline: at(8), ArrivedAt: at(0), Requeued: true}}, nil},
-			{7, room(1), []string{"+2"}},
+			{7, capacity(1), []string{"+2"}},
 		}},
-		"the caller went away": {steps: []scheduled{
+		"a canceled request is not released": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 9)}, nil},
 			{1, Cancel{1}, nil},
-			{1, room(1), nil},
+			{1, capacity(1), nil},
 		}},
-		"close refuses all at once": {steps: []scheduled{
+		"close refuses waiting and new requests": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 9)}, nil},
 			{1, Close{}, []string{"-1:node-stopping"}},
 			{2, Arrive{item(2, 0, 9)}, []string{"-2:node-stopping"}},
 		}},
-		"room in other regions is no room": {steps: []scheduled{
+		"capacity and load refusals apply to their own regions only": {steps: []scheduledStep{
 			{0, Arrive{itemIn(1, "north")}, nil},
 			{0, Arrive{itemIn(2, "south")}, nil},
 			{0, Arrive{itemIn(3, "")}, nil},
-			{1, room(1), []string{"+3"}},
-			{2, roomIn("south"), []string{"+2"}},
+			{1, capacity(1), []string{"+3"}},
+			{2, capacityIn("south"), []string{"+2"}},
 			{3, LoadRefused{[]fleet.LoadRefusal{{Model: notes, Reason: "no-zone-in-regions"}}}, nil},
 			{3, LoadRefused{[]fleet.LoadRefusal{{Model: notes, Regions: "north", Reason: "no-zone-in-regions"}}}, []string{"-1:model-cannot-be-loaded"}},
 		}},
-		"a queue that is opened again takes requests": {steps: []scheduled{
+		"a reopened queue accepts requests": {steps: []scheduledStep{
 			{0, Arrive{item(1, 0, 9)}, nil},
 			{1, Close{Reason: ReasonEvacuated}, []string{"-1:all-zones-evacuated"}},
 			{2, Arrive{item(2, 0, 9)}, []string{"-2:all-zones-evacuated"}},
 			{3, Open{}, nil},
 			{3, Arrive{item(3, 0, 9)}, nil},
-			{4, room(1), []string{"+3"}},
+			{4, capacity(1), []string{"+3"}},
 		}},
-		"an adapter that no replica holds blocks nobody": {steps: []scheduled{
+		"an item whose adapter is not loaded does not block others": {steps: []scheduledStep{
 			{0, Arrive{Item{Ticket: 1, Model: notes, Adapter: "danish", Priority: 9, Deadline: at(9)}}, nil},
 			{0, Arrive{item(2, 0, 9)}, nil},
-			{1, room(1), []string{"+2"}},
+			{1, capacity(1), []string{"+2"}},
 			{2, CapacityChanged{Model: notes, Ready: 1, Replicas: []Replica{{Name: "e1", FreeSlots: 1, Adapters: []fleet.AdapterName{"danish"}}}}, []string{"+1"}},
 		}},
 	}
@@ -231,7 +231,7 @@
 func TestRetryAfterIsTheLikelyWait(t *testing.T) {
 	core := New(Options{})
 	core.Step(at(0), Arrive{item(1, 0, 60)})
-	core.Step(at(20), room(1))
+	core.Step(at(20), capacity(1))
 	core.Step(at(21), CapacityChanged{Model: notes})
 	effects := core.Step(at(22), Arrive{item(2, 0, 27)})
 	if refuse, isRefuse := effects[0].(Refuse); !isRefuse || refuse.RetryAfter != 20*time.Second {
@@ -239,7 +239,7 @@
 	}
 	want := ReportWants{Wants: []fleet.Want{{Model: notes, Waiting: 1, Arrivals: 1, Deadline: at(42)}}}
 	if diff := cmp.Diff(want, effects[1]); diff != "" {
-		t.Errorf("a model that loads slowly must be wanted all the same: %s", diff)
+		t.Errorf("a refused request must still be reported as a want for its model: %s", diff)
 	}
 }
 
@@ -264,12 +264,12 @@
 	want(1, Tick{}, two)
 	two.Arrivals = 0
 	want(2, Tick{}, two)
-	want(2.1, room(9))
+	want(2.1, capacity(9))
 	want(2.2, Arrive{item(3, 0, 9)})
 	served := fleet.Want{Model: notes, Node: "n", Zone: "a", Arrivals: 1}
 	want(3, Tick{}, served)
 	want(4, Tick{})
 	if wake := core.NextWake(); !wake.IsZero() {
-		t.Errorf("nothing is left to do, yet the wake is %v", wake)
+		t.Errorf("NextWake is %v, want zero if nothing is due", wake)
 	}
 }
--- a/internal/queue/refusal.go
+++ b/internal/queue/refusal.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// refusalPatience is how long a load may be refused until the answer is
-	// final, and the longest RetryAfter that is waited for. A fleet that starts
-	// or takes a new declaration refuses until its allotments are decided.
-	refusalPatience = 3 * time.Second
-	// refusalGap is the silence after which a refusal counts as a new one.
-	refusalGap = 5 * time.Second
+	// maxRefusalWait is how long loads may be refused before the waiting requests
+	// are refused, and the longest RetryAfter for which they keep waiting. A fleet
+	// that starts or gets a new declaration refuses loads until its allotments are
+	// decided.
+	maxRefusalWait = 3 * time.Second
+	// refusalResetAfter is the time without a refusal after which the next one
+	// starts a new series.
+	refusalResetAfter = 5 * time.Second
 )
 
-// refusals follows the refusals of one line's load.
+// refusals tracks the series of load refusals for one subqueue.
 type refusals struct {
-	from, last time.Time
+	since, last time.Time
 }
 
-// note takes one more refusal and returns how long there have been some.
-func (r *refusals) note(now time.Time) time.Duration {
-	if r.from.IsZero() || now.Sub(r.last) > refusalGap {
-		r.from = now
+// record adds a refusal and returns the duration of the series.
+func (r *refusals) record(now time.Time) time.Duration {
+	if r.since.IsZero() || now.Sub(r.last) > refusalResetAfter {
+		r.since = now
 	}
 	r.last = now
-	return now.Sub(r.from)
+	return now.Sub(r.since)
 }
 
-// loadRefused gives those that wait for a load their final answer, at once
-// where waiting cannot help. A model with ready replicas is refused only to
-// those that wait for an adapter.
+// loadRefused refuses the items that wait for a load, unless the refusal is
+// transient and the load can still finish before their deadline. If the model has
+// ready replicas, only items that wait for an adapter are affected.
 func (c *Core) loadRefused(now time.Time, refused []fleet.LoadRefusal) {
 	for _, refusal := range refused {
-		line := c.line(Key{refusal.Model, refusal.Regions})
-		mayPass := line.refusals.note(now) < refusalPatience &&
-			refusal.RetryAfter > 0 && refusal.RetryAfter <= refusalPatience
-		served := now.Add(refusal.RetryAfter + line.load.low + line.firstToken.low)
-		for _, item := range slices.Clone(line.items) {
-			if line.ready > 0 && (item.Adapter == "" || line.holds(item.Adapter)) {
+		sub := c.subqueueFor(Key{refusal.Model, refusal.Regions})
+		isTransient := sub.refusals.record(now) < maxRefusalWait &&
+			refusal.RetryAfter > 0 && refusal.RetryAfter <= maxRefusalWait
+		firstTokenAt := now.Add(refusal.RetryAfter + sub.loadTime.optimistic + sub.firstToken.optimistic)
+		for _, item := range slices.Clone(sub.items) {
+			if sub.ready > 0 && (item.Adapter == "" || sub.hasAdapter(item.Adapter)) {
 				continue
 			}
-			if mayPass && !served.After(item.Deadline) {
+			if isTransient && !firstTokenAt.After(item.Deadline) {
 				continue
 			}
 			c.remove(item.Ticket)
 			c.emit(Refuse{Item: item.Item, Reason: ReasonCannotLoad, Detail: refusal.Reason,
 				RetryAfter: max(refusal.RetryAfter, minRetryAfter)})
 		}
-		if len(line.items) == 0 {
-			line.coldFrom = time.Time{}
+		if len(sub.items) == 0 {
+			sub.coldSince = time.Time{}
 		}
 	}
 }
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -7,29 +7,29 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-func (c *Core) offer(now time.Time, offer CapacityChanged) {
-	line := c.line(Key{offer.Model, offer.Regions})
+func (c *Core) updateCapacity(now time.Time, capacity CapacityChanged) {
+	sub := c.subqueueFor(Key{capacity.Model, capacity.Regions})
 	switch {
-	case offer.Ready > 0 && !line.coldFrom.IsZero():
-		line.load.add(now.Sub(line.coldFrom))
-		line.coldFrom = time.Time{}
-	case offer.Ready == 0 && line.coldFrom.IsZero() && len(line.items) > 0:
-		line.coldFrom = now
+	case capacity.Ready > 0 && !sub.coldSince.IsZero():
+		sub.loadTime.add(now.Sub(sub.coldSince))
+		sub.coldSince = time.Time{}
+	case capacity.Ready == 0 && sub.coldSince.IsZero() && len(sub.items) > 0:
+		sub.coldSince = now
 	}
-	if offer.Ready > 0 && line.ready == 0 {
-		line.refusals = refusals{}
+	if capacity.Ready > 0 && sub.ready == 0 {
+		sub.refusals = refusals{}
 	}
-	line.ready = offer.Ready
-	line.replicas = append(line.replicas[:0], offer.Replicas...)
-	line.slots = offer.Slots
-	c.release(now, line)
+	sub.ready = capacity.Ready
+	sub.replicas = append(sub.replicas[:0], capacity.Replicas...)
+	sub.slots = capacity.Slots
+	c.release(now, sub)
 }
 
-// release sends on items in their order while a replica has room for them.
-func (c *Core) release(now time.Time, line *line) {
-	for index := 0; index < len(line.items); {
-		item := line.items[index]
-		replica := line.roomFor(item.Adapter)
+// release releases items in order while a replica has a free slot for them.
+func (c *Core) release(now time.Time, sub *subqueue) {
+	for index := 0; index < len(sub.items); {
+		item := sub.items[index]
+		replica := sub.replicaFor(item.Adapter)
 		if replica == nil {
 			if item.Adapter == "" {
 				return
@@ -38,46 +38,48 @@
 			continue
 		}
 		c.remove(item.Ticket)
-		if now.Add(line.firstToken.low).After(item.Deadline) && !item.Requeued {
-			// Its first token would come too late: the room is better used.
-			c.refuse(item.Item, ReasonDeadlineUnreachable, line.firstToken.value)
+		if now.Add(sub.firstToken.optimistic).After(item.Deadline) && !item.Requeued {
+			// Its first token would miss the deadline: leave the slot to others.
+			c.refuse(item.Item, ReasonDeadlineUnreachable, sub.firstToken.mean)
 			continue
 		}
 		replica.FreeSlots--
-		line.notePace(now, item)
-		c.emit(Release{Item: item.Item, Waited: now.Sub(item.ArrivedAt), ColdStart: item.cold})
+		sub.recordRelease(now, item)
+		c.emit(Release{Item: item.Item, Waited: now.Sub(item.ArrivedAt), ColdStart: item.coldStart})
 	}
 }
 
-// paceWindow is the least time over which releases are counted: a report of
-// the engines brings room for many at once, and their mean time apart counts.
-const paceWindow = time.Second
+// releaseIntervalWindow is the minimum time over which releases are averaged. A
+// report from the engines can free slots for many requests at once, so that the
+// time between two single releases says little.
+const releaseIntervalWindow = time.Second
 
-// notePace learns the mean time between releases while requests wait.
-func (l *line) notePace(now time.Time, item *waiting) {
-	if item.cold || !item.ArrivedAt.Before(l.lastRelease) {
-		l.paceFrom, l.paced = now, 0
+// recordRelease updates the mean time between releases while requests wait.
+func (s *subqueue) recordRelease(now time.Time, item *queuedItem) {
+	if item.coldStart || !item.ArrivedAt.Before(s.lastRelease) {
+		s.intervalSince, s.intervalReleases = now, 0
 	} else {
-		l.paced++
-		if elapsed := now.Sub(l.paceFrom); elapsed >= paceWindow {
-			l.pace.add(elapsed / time.Duration(l.paced))
-			l.paceFrom, l.paced = now, 0
+		s.intervalReleases++
+		if elapsed := now.Sub(s.intervalSince); elapsed >= releaseIntervalWindow {
+			s.releaseInterval.add(elapsed / time.Duration(s.intervalReleases))
+			s.intervalSince, s.intervalReleases = now, 0
 		}
 	}
-	l.lastRelease = now
+	s.lastRelease = now
 }
 
-func (l *line) holds(adapter fleet.AdapterName) bool {
-	return slices.ContainsFunc(l.replicas, func(replica Replica) bool {
+func (s *subqueue) hasAdapter(adapter fleet.AdapterName) bool {
+	return slices.ContainsFunc(s.replicas, func(replica Replica) bool {
 		return slices.Contains(replica.Adapters, adapter)
 	})
 }
 
-// roomFor returns the replica with the most room that holds the adapter.
-func (l *line) roomFor(adapter fleet.AdapterName) *Replica {
+// replicaFor returns the replica with the most free slots that has the adapter
+// loaded, nil if there is none.
+func (s *subqueue) replicaFor(adapter fleet.AdapterName) *Replica {
 	var best *Replica
-	for index := range l.replicas {
-		replica := &l.replicas[index]
+	for index := range s.replicas {
+		replica := &s.replicas[index]
 		if replica.FreeSlots <= 0 {
 			continue
 		}
--- a/internal/queue/schedule_test.go
+++ b/internal/queue/schedule_test.go
@@ -10,22 +10,22 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// checker holds the queue to its promise: each request leaves exactly once, at
-// or before its deadline, and a refusal is never late.
+// checker drives a Core and checks its invariants: each request leaves exactly once,
+// by release, refusal or cancelation, and at or before its deadline.
 type checker struct {
-	core    *Core
-	now     time.Time
-	waiting map[Ticket]Item
-	fault   string
+	core      *Core
+	now       time.Time
+	waiting   map[Ticket]Item
+	violation string
 }
 
 func (c *checker) step(message Message) {
 	for _, effect := range c.core.Step(c.now, message) {
 		switch effect := effect.(type) {
 		case Release:
-			c.left(effect.Item)
+			c.recordExit(effect.Item)
 		case Refuse:
-			c.left(effect.Item)
+			c.recordExit(effect.Item)
 		}
 	}
 	for _, ticket := range sortedTickets(c.waiting) {
@@ -34,11 +34,11 @@
 		}
 	}
 	if items, bytes := c.core.Waiting(); items != len(c.waiting) {
-		c.report("%d requests wait, the queue has %d (%d bytes)", len(c.waiting), items, bytes)
+		c.report("%d requests should be waiting, the queue has %d (%d bytes)", len(c.waiting), items, bytes)
 	}
 }
 
-func (c *checker) left(item Item) {
+func (c *checker) recordExit(item Item) {
 	if _, found := c.waiting[item.Ticket]; !found {
 		c.report("request %d left twice", item.Ticket)
 	}
@@ -49,24 +49,25 @@
 }
 
 func (c *checker) report(format string, values ...any) {
-	if c.fault == "" {
-		c.fault = fmt.Sprintf(format, values...)
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, values...)
 	}
 }
 
-// advance moves the clock, with a Tick at each wake as a shell does it.
-func (c *checker) advance(until time.Time) {
-	for wake := c.core.NextWake(); !wake.IsZero() && !wake.After(until); wake = c.core.NextWake() {
+// advance moves the clock and sends a Tick at each wake time, like the caller of a
+// Core does.
+func (c *checker) advance(target time.Time) {
+	for wake := c.core.NextWake(); !wake.IsZero() && !wake.After(target); wake = c.core.NextWake() {
 		if wake.After(c.now) {
 			c.now = wake
 		}
 		c.step(Tick{})
 		if next := c.core.NextWake(); !next.IsZero() && !next.After(c.now) {
-			c.report("the wake %v does not move on", next)
+			c.report("NextWake is still %v after a Tick at that time", next)
 			break
 		}
 	}
-	c.now = until
+	c.now = target
 }
 
 func sortedTickets(items map[Ticket]Item) []Ticket {
@@ -79,8 +80,8 @@
 	return tickets
 }
 
-// runSchedule draws a schedule, ends it by letting all deadlines pass, and
-// returns the first fault.
+// runSchedule draws and runs a schedule, lets all deadlines pass at its end, and
+// returns the first violation.
 func runSchedule(t *rapid.T, defects Defects) string {
 	c := &checker{now: epoch, waiting: map[Ticket]Item{}, core: New(Options{MaxItems: 6, MaxBytes: 100, Defects: defects})}
 	models := []fleet.ModelVersion{{Model: "a"}, {Model: "b"}}
@@ -88,35 +89,35 @@
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for range steps {
 		model := models[rapid.IntRange(0, 1).Draw(t, "model")]
-		switch rapid.SampledFrom([]string{"arrive", "arrive", "offer", "leave", "refuse", "served", "wait"}).Draw(t, "step") {
+		switch rapid.SampledFrom([]string{"arrive", "arrive", "capacity", "cancel", "refuse load", "complete", "wait"}).Draw(t, "step") {
 		case "arrive":
 			next++
-			arrived := Item{Ticket: next, Model: model, Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
+			item := Item{Ticket: next, Model: model, Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
 				Deadline: c.now.Add(time.Duration(rapid.IntRange(-1, 40).Draw(t, "deadline")) * time.Second / 4),
 				Bytes:    int64(rapid.IntRange(1, 40).Draw(t, "bytes"))}
-			if !arrived.Deadline.After(c.now) {
-				arrived.Deadline = c.now
+			if !item.Deadline.After(c.now) {
+				item.Deadline = c.now
 			}
-			c.waiting[next] = arrived
-			c.step(Arrive{arrived})
-		case "offer":
+			c.waiting[next] = item
+			c.step(Arrive{item})
+		case "capacity":
 			ready := rapid.IntRange(0, 2).Draw(t, "ready")
-			offer := CapacityChanged{Model: model, Ready: ready, Slots: ready}
+			change := CapacityChanged{Model: model, Ready: ready, Slots: ready}
 			for index := range ready {
-				offer.Replicas = append(offer.Replicas, Replica{Name: fleet.BackendName(fmt.Sprint(index)), FreeSlots: rapid.IntRange(0, 2).Draw(t, "free")})
+				change.Replicas = append(change.Replicas, Replica{Name: fleet.BackendName(fmt.Sprint(index)), FreeSlots: rapid.IntRange(0, 2).Draw(t, "free")})
 			}
-			c.step(offer)
-		case "leave":
+			c.step(change)
+		case "cancel":
 			if tickets := sortedTickets(c.waiting); len(tickets) > 0 {
 				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
 				delete(c.waiting, ticket)
 				c.step(Cancel{ticket})
 			}
-		case "refuse":
+		case "refuse load":
 			c.step(LoadRefused{[]fleet.LoadRefusal{{Model: model}}})
-		case "served":
+		case "complete":
 			c.step(Completed{Model: model, ServiceTime: time.Duration(rapid.IntRange(0, 3).Draw(t, "service")) * time.Second})
-			c.step(FirstTokenReceived{Model: model, Latency: time.Duration(rapid.IntRange(0, 3).Draw(t, "began")) * time.Second})
+			c.step(FirstTokenReceived{Model: model, Latency: time.Duration(rapid.IntRange(0, 3).Draw(t, "latency")) * time.Second})
 		case "wait":
 			c.advance(c.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * 200 * time.Millisecond))
 		}
@@ -125,22 +126,22 @@
 	if len(c.waiting) > 0 {
 		c.report("%d requests never left", len(c.waiting))
 	}
-	return c.fault
+	return c.violation
 }
 
 func TestEveryRequestLeavesOnceAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if fault := runSchedule(t, Defects{}); fault != "" {
-			t.Fatal(fault)
+		if violation := runSchedule(t, Defects{}); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// TestCheckerSeesPlantedDefects: a checker that cannot fail proves nothing.
+// TestCheckerSeesPlantedDefects shows that the checker detects injected defects.
 func TestCheckerSeesPlantedDefects(t *testing.T) {
 	for name, defects := range map[string]Defects{
-		"deadlines forgotten": {ForgetDeadlines: true},
-		"shed without a word": {DropShed: true},
+		"deadlines forgotten":  {ForgetDeadlines: true},
+		"shed without refusal": {DropShed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := false
@@ -153,14 +154,14 @@
 					return
 				}
 			}
-			t.Error("no schedule showed the defect")
+			t.Error("no schedule revealed the defect")
 		})
 	}
 }
 
-// TestLowPriorityIsNeverStarved: under a steady stream of urgent requests an
-// old one is served within the bound that aging gives, and without aging it is
-// not.
+// TestLowPriorityIsNeverStarved: under a steady stream of urgent requests, a request
+// of low priority is served within the bound given by aging, and is not served
+// without aging.
 func TestLowPriorityIsNeverStarved(t *testing.T) {
 	const urgent = 3
 	servedAfter := func(defects Defects) time.Duration {
@@ -169,7 +170,7 @@
 		for step := range 100 {
 			now := epoch.Add(time.Duration(step) * 200 * time.Millisecond)
 			core.Step(now, Arrive{Item{Ticket: Ticket(step + 2), Model: notes, Priority: urgent, Deadline: now.Add(time.Hour)}})
-			for _, effect := range core.Step(now, room(1)) {
+			for _, effect := range core.Step(now, capacity(1)) {
 				if release, isRelease := effect.(Release); isRelease && release.Item.Ticket == 1 {
 					return now.Sub(epoch)
 				}
@@ -178,10 +179,10 @@
 		return -1
 	}
 	if got := servedAfter(Defects{}); got < 0 || got > (urgent+1)*time.Second {
-		t.Errorf("with aging served after %v", got)
+		t.Errorf("served after %v with aging, want a time within the bound", got)
 	}
 	if got := servedAfter(Defects{NoAging: true}); got >= 0 {
-		t.Errorf("without aging served after %v: the check cannot fail", got)
+		t.Errorf("served after %v without aging: the check above cannot fail", got)
 	}
 }
 
@@ -191,11 +192,11 @@
 	for ticket := range 1000 {
 		core.Step(epoch, Arrive{Item{Ticket: Ticket(ticket), Model: notes, Deadline: epoch.Add(time.Hour)}})
 	}
-	offer := room(1)
+	oneSlot := capacity(1)
 	next := Ticket(1000)
 	for b.Loop() {
 		next++
 		core.Step(epoch, Arrive{Item{Ticket: next, Model: notes, Priority: int(next % 7), Deadline: epoch.Add(time.Hour)}})
-		core.Step(epoch, offer)
+		core.Step(epoch, oneSlot)
 	}
 }
--- a/internal/queue/wants.go
+++ b/internal/queue/wants.go
@@ -7,61 +7,62 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// reportWants reports waiting requests at once and then at every interval, and
-// arrivals that were served without a wait at the interval.
+// reportWants reports waiting requests immediately and then at each interval, and
+// arrivals that were served without waiting at the interval.
 func (c *Core) reportWants(now time.Time) {
-	if c.nextWant.IsZero() {
-		if !c.arrived {
+	if c.nextReport.IsZero() {
+		if !c.hasUnreportedArrivals {
 			return
 		}
-		c.nextWant = now.Add(c.options.WantInterval)
+		c.nextReport = now.Add(c.options.WantInterval)
 	}
-	if now.Before(c.nextWant) {
+	if now.Before(c.nextReport) {
 		return
 	}
 	var wants []fleet.Want
 	for _, key := range c.order {
-		wants = c.appendWants(wants, c.lines[key])
+		wants = c.appendWants(wants, c.subqueues[key])
 	}
-	c.arrived = false
-	c.nextWant = time.Time{}
+	c.hasUnreportedArrivals = false
+	c.nextReport = time.Time{}
 	if len(c.byTicket) > 0 {
-		c.nextWant = now.Add(c.options.WantInterval)
+		c.nextReport = now.Add(c.options.WantInterval)
 	}
 	if len(wants) > 0 {
 		c.emit(ReportWants{Wants: wants})
 	}
 }
 
-// appendWants adds one want for each adapter that waits, and one for the model
-// where nothing waits but something arrived.
-func (c *Core) appendWants(wants []fleet.Want, line *line) []fleet.Want {
+// appendWants appends one want for each adapter with waiting requests, or one for
+// the model if none wait but some arrived.
+func (c *Core) appendWants(wants []fleet.Want, sub *subqueue) []fleet.Want {
 	first := len(wants)
-	for _, item := range line.items {
-		want := c.wantFor(&wants, first, line, item)
+	for _, item := range sub.items {
+		want := c.wantFor(&wants, first, sub, item)
 		want.Waiting++
 		want.Priority = max(want.Priority, item.Priority)
 		if item.Deadline.Before(want.Deadline) {
 			want.Deadline = item.Deadline
 		}
 	}
-	if line.arrivals > 0 || line.missed > 0 {
+	if sub.arrivals > 0 || sub.unreachable > 0 {
 		if len(wants) == first {
-			wants = append(wants, fleet.Want{Model: line.key.Model, Regions: line.key.Regions, Node: c.options.Node, Zone: c.options.Zone,
-				Waiting: line.missed, Priority: line.missedPriority, Deadline: line.missedDeadline})
+			wants = append(wants, fleet.Want{Model: sub.key.Model, Regions: sub.key.Regions, Node: c.options.Node, Zone: c.options.Zone,
+				Waiting: sub.unreachable, Priority: sub.unreachablePriority, Deadline: sub.unreachableDeadline})
 		}
-		wants[first].Arrivals = line.arrivals
-		line.arrivals, line.missed, line.missedPriority, line.missedDeadline = 0, 0, 0, time.Time{}
+		wants[first].Arrivals = sub.arrivals
+		sub.arrivals, sub.unreachable, sub.unreachablePriority, sub.unreachableDeadline = 0, 0, 0, time.Time{}
 	}
 	return wants
 }
 
-// wantFor finds the line's want for the item's adapter, or adds it.
-func (c *Core) wantFor(wants *[]fleet.Want, first int, line *line, item *waiting) *fleet.Want {
+// wantFor returns the subqueue's want for the item's adapter and appends it if
+// missing. The subqueue's wants start at index first.
+func (c *Core) wantFor(wants *[]fleet.Want, first int, sub *subqueue, item *queuedItem) *fleet.Want {
 	at := slices.IndexFunc((*wants)[first:], func(want fleet.Want) bool { return want.Adapter == item.Adapter })
 	if at < 0 {
 		at = len(*wants) - first
-		*wants = append(*wants, fleet.Want{Model: line.key.Model, Regions: line.key.Regions, Adapter: item.Adapter, Node: c.options.Node,
+		*wants = append(*wants, fleet.Want{Model: sub.key.Model, Regions: sub.key.Regions, Adapter: item.Adapter, Node: c.options.Node,
 			Zone: c.options.Zone, Priority: item.Priority, Deadline: item.Deadline})
 	}
 	return &(*wants)[first+at]
