--- a/internal/placer/adapters.go
+++ b/internal/placer/adapters.go
@@ -10,85 +10,93 @@
 )
 
 const (
-	// adapterRate is the requests in a second that call for one more copy of
-	// an adapter.
-	adapterRate = 3.0
-	// adapterInterest is how long an adapter that was asked for is wanted.
-	adapterInterest = 3 * time.Second
-	// adapterYoung is how long an adapter that was asked for is kept.
-	adapterYoung = time.Second
-	// maxPendingAdapters is the number of adapters on their way to a server.
+	// requestsPerAdapterCopy is the request rate, per second, for each of which an adapter gets
+	// one more copy.
+	requestsPerAdapterCopy = 3.0
+	// adapterDemandTTL is how long an adapter counts as in demand after its last request.
+	adapterDemandTTL = 3 * time.Second
+	// minAdapterRetention is how long an adapter is protected from eviction after its last
+	// request.
+	minAdapterRetention = time.Second
+	// maxPendingAdapters limits the adapter loads in progress on one server.
 	maxPendingAdapters = 4
 )
 
-type adapterWant struct {
-	wanted  dispatch.Requirements
-	waiting int
-	rate    float64
-	copies  int
+// adapterShortage is an adapter with fewer copies than its demand calls for.
+type adapterShortage struct {
+	requirements dispatch.Requirements
+	waiting      int
+	rate         float64
+	copies       int
 }
 
-// planAdapters brings adapters that are asked for to servers that hold their
+// planAdapters orders loads of adapters in short supply, on servers that already hold their
 // models.
-func (r *round) planAdapters() {
-	for _, wanted := range r.adapterWants() {
-		r.bringAdapter(wanted)
+func (r *planRound) planAdapters() {
+	for _, shortage := range r.adapterShortages() {
+		r.loadAdapter(shortage)
 	}
 }
 
-func (r *round) adapterWants() []adapterWant {
-	var wants []adapterWant
-	for wanted, known := range r.core.demand.interests {
-		if wanted.Service != r.service || wanted.Adapter == "" || r.now.Sub(known.lastAsk) > adapterInterest {
+// adapterShortages lists the adapters that need one more copy: first those without any, then by
+// the number of waiting requests, then by request rate.
+func (r *planRound) adapterShortages() []adapterShortage {
+	var shortages []adapterShortage
+	for requirements, record := range r.core.demand.records {
+		if requirements.Service != r.service || requirements.Adapter == "" || r.now.Sub(record.lastRequest) > adapterDemandTTL {
 			continue
 		}
-		known.fade(r.now)
-		copies := r.adapterCopies(wanted)
-		needed := 1 + int(known.fast.requests/adapterRate)
-		if known.isStuck(r.now) && copies < needed+maxBeyond {
+		record.decay(r.now)
+		copies := r.adapterCopies(requirements)
+		needed := 1 + int(record.fastRate.requests/requestsPerAdapterCopy)
+		if record.isStuck(r.now) && copies < needed+maxExtraCopies {
 			needed = copies + 1
 		}
 		if copies < needed {
-			wants = append(wants, adapterWant{wanted: wanted, waiting: known.waits(r.now), rate: known.fast.requests, copies: copies})
+			shortages = append(shortages, adapterShortage{requirements: requirements, waiting: record.waitingRequests(r.now), rate: record.fastRate.requests, copies: copies})
 		}
 	}
-	slices.SortFunc(wants, func(a, b adapterWant) int {
+	slices.SortFunc(shortages, func(a, b adapterShortage) int {
 		return cmp.Or(
 			cmp.Compare(min(a.copies, 1), min(b.copies, 1)),
 			-cmp.Compare(a.waiting, b.waiting),
 			-cmp.Compare(a.rate, b.rate),
-			strings.Compare(a.wanted.Model, b.wanted.Model),
-			strings.Compare(a.wanted.Adapter, b.wanted.Adapter),
+			strings.Compare(a.requirements.Model, b.requirements.Model),
+			strings.Compare(a.requirements.Adapter, b.requirements.Adapter),
 		)
 	})
-	return wants
+	return shortages
 }
 
-func (r *round) adapterCopies(wanted dispatch.Requirements) int {
+// adapterCopies counts the copies of an adapter in the allowed regions, including those ordered
+// but not yet confirmed.
+func (r *planRound) adapterCopies(requirements dispatch.Requirements) int {
 	count := 0
 	for _, s := range r.servers {
-		if !s.takesOrders() || !r.isIn(s, wanted.Regions) {
+		if !s.isSchedulable() || !r.isInRegions(s, requirements.Regions) {
 			continue
 		}
-		if model, ok := s.held[wanted.Model]; ok && (model.adapters[wanted.Adapter] != nil || s.isBringing(wanted)) {
+		if model, ok := s.models[requirements.Model]; ok && (model.adapters[requirements.Adapter] != nil || s.isAdapterLoadPending(requirements)) {
 			count++
 		}
 	}
 	return count
 }
 
-// isBringing reports whether an order for the adapter has no answer yet. Nobody
-// is told of it before: the order may be lost.
-func (s *server) isBringing(wanted dispatch.Requirements) bool {
-	order := s.ordering
-	return order != nil && order.Operation == Load && order.Model == wanted.Model && order.Adapter == wanted.Adapter
+// isAdapterLoadPending reports whether an order to load the adapter is waiting for its answer.
+// Such an adapter is not published in views, because the order may be lost.
+func (s *server) isAdapterLoadPending(requirements dispatch.Requirements) bool {
+	order := s.pendingOrder
+	return order != nil && order.Operation == Load && order.Model == requirements.Model && order.Adapter == requirements.Adapter
 }
 
-func (r *round) bringAdapter(wanted adapterWant) {
+// loadAdapter orders the adapter on the eligible server that holds the fewest adapters. If that
+// server has no free adapter slot, it evicts an adapter there instead.
+func (r *planRound) loadAdapter(shortage adapterShortage) {
 	var best *server
 	for _, s := range r.servers {
-		model, ok := s.held[wanted.wanted.Model]
-		if !ok || !s.canTake(r.now) || !r.isIn(s, wanted.wanted.Regions) || model.adapters[wanted.wanted.Adapter] != nil || s.pendingAdapters(r.now) >= maxPendingAdapters {
+		model, ok := s.models[shortage.requirements.Model]
+		if !ok || !s.canAcceptOrder(r.now) || !r.isInRegions(s, shortage.requirements.Regions) || model.adapters[shortage.requirements.Adapter] != nil || s.pendingAdapters(r.now) >= maxPendingAdapters {
 			continue
 		}
 		if best == nil || s.adapterCount() < best.adapterCount() {
@@ -99,35 +107,35 @@
 		return
 	}
 	if best.adapterCount() >= r.engine.AdapterSlots {
-		r.dropAdapter(best, wanted)
+		r.evictAdapter(best, shortage)
 		return
 	}
-	r.core.give(best, Order{Operation: Load, Model: wanted.wanted.Model, Adapter: wanted.wanted.Adapter, Reason: "wanted"})
+	r.core.issueOrder(best, Order{Operation: Load, Model: shortage.requirements.Model, Adapter: shortage.requirements.Adapter, Reason: "wanted"})
 }
 
-// dropAdapter makes room by the adapter that was asked for longest ago.
-func (r *round) dropAdapter(s *server, wanted adapterWant) {
+// evictAdapter frees an adapter slot by unloading the adapter that was requested least recently.
+func (r *planRound) evictAdapter(s *server, shortage adapterShortage) {
 	var oldest dispatch.Requirements
-	var oldestAsk time.Time
-	for modelName, model := range s.held {
-		for name, known := range model.adapters {
+	var oldestRequest time.Time
+	for modelName, model := range s.models {
+		for name, adapter := range model.adapters {
 			candidate := dispatch.Requirements{Service: s.info.Service, Model: modelName, Adapter: name}
-			asked := known.lastUse
-			if last := r.lastAsk(candidate); last.After(asked) {
-				asked = last
+			lastRequest := adapter.lastUsed
+			if last := r.lastAdapterRequest(candidate); last.After(lastRequest) {
+				lastRequest = last
 			}
-			if r.now.Before(known.ready) || r.now.Sub(asked) < adapterYoung {
+			if r.now.Before(adapter.readyAt) || r.now.Sub(lastRequest) < minAdapterRetention {
 				continue
 			}
-			isOlder := oldest.Adapter == "" || asked.Before(oldestAsk)
-			isFirst := asked.Equal(oldestAsk) && modelName+"/"+name < oldest.Model+"/"+oldest.Adapter
+			isOlder := oldest.Adapter == "" || lastRequest.Before(oldestRequest)
+			isFirst := lastRequest.Equal(oldestRequest) && modelName+"/"+name < oldest.Model+"/"+oldest.Adapter
 			if isOlder || isFirst {
-				oldest, oldestAsk = candidate, asked
+				oldest, oldestRequest = candidate, lastRequest
 			}
 		}
 	}
 	if oldest.Adapter == "" {
 		return
 	}
-	r.core.give(s, Order{Operation: Unload, Model: oldest.Model, Adapter: oldest.Adapter, Reason: "room_for_" + wanted.wanted.Adapter})
+	r.core.issueOrder(s, Order{Operation: Unload, Model: oldest.Model, Adapter: oldest.Adapter, Reason: "room_for_" + shortage.requirements.Adapter})
 }
--- a/internal/placer/again_test.go
+++ b/internal/placer/again_test.go
@@ -8,22 +8,22 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// playRefusals lets a server answer all orders with the result for a time, and
-// returns how often it was given the same one. Reports say what is so.
-func playRefusals(t *testing.T, result Result, lasts time.Duration) (same int) {
+// maxRepeatsOfOrder makes a server answer all orders with the result for the duration, and
+// returns the highest number of times that one order was issued. Reports are accurate.
+func maxRepeatsOfOrder(t *testing.T, result Result, duration time.Duration) (repeats int) {
 	t.Helper()
-	core := fullServer(t)
-	core.servers["s"].setCopies(nil, []string{"m08"})
-	wantModel(core, begin, "m08")
+	core := newFullServerCore(t)
+	core.servers["s"].setCachedWeights(nil, []string{"m08"})
+	requestModel(core, begin, "m08")
 	unload := core.Step(begin.Add(tick), true).Orders[0]
 	core.HandleOrderResult(begin.Add(2*tick), unload, ResultTaken)
-	given := make(map[Order]int)
-	for now := begin.Add(3 * tick); now.Sub(begin) < lasts; now = now.Add(5 * time.Millisecond) {
-		wantModel(core, now, "m08")
+	issued := make(map[Order]int)
+	for now := begin.Add(3 * tick); now.Sub(begin) < duration; now = now.Add(5 * time.Millisecond) {
+		requestModel(core, now, "m08")
 		effects := core.Step(now, true)
 		for _, order := range effects.Orders {
-			given[order]++
-			same = max(same, given[order])
+			issued[order]++
+			repeats = max(repeats, issued[order])
 			core.HandleOrderResult(now, order, result)
 		}
 		for range effects.ReportRequests {
@@ -32,22 +32,22 @@
 			}, result == ResultBusy)
 		}
 	}
-	return same
+	return repeats
 }
 
-// TestSameOrderIsNotGivenAgainAndAgain: to a server that ended it was given each
-// 100 ms for two seconds, and to one that unloads as often.
+// TestSameOrderIsNotGivenAgainAndAgain checks that retries of an order back off. Without backoff,
+// a stopped server and an unloading one got the same order every 100 ms for two seconds.
 func TestSameOrderIsNotGivenAgainAndAgain(t *testing.T) {
-	if same := playRefusals(t, ResultNotSent, 2*time.Second); same < 2 || same > 7 {
-		t.Errorf("a server that cannot be reached was given one order %d times in 2 s, want 2 to 7", same)
+	if same := maxRepeatsOfOrder(t, ResultNotSent, 2*time.Second); same < 2 || same > 7 {
+		t.Errorf("an unreachable server was sent one order %d times in 2 s, want 2 to 7", same)
 	}
-	if same := playRefusals(t, ResultBusy, 2*time.Second); same < 2 || same > 5 {
-		t.Errorf("a server that unloads for 2 s was given one order %d times, want 2 to 5", same)
+	if same := maxRepeatsOfOrder(t, ResultBusy, 2*time.Second); same < 2 || same > 5 {
+		t.Errorf("a server unloading for 2 s was sent one order %d times, want 2 to 5", same)
 	}
 }
 
-// TestUnreachedServerIsPassedOver: the load for which room was made there goes to
-// another server, though that has to make room first.
+// TestUnreachedServerIsPassedOver checks that a load for which room was made on an unreachable
+// server goes to another server, even though room must be made there first.
 func TestUnreachedServerIsPassedOver(t *testing.T) {
 	core := New(Options{Window: window, Overage: overage})
 	core.SetTable(simTable())
@@ -60,8 +60,8 @@
 	for id, models := range held {
 		core.HandleReport(begin, id, Report{Models: models, OnDisk: []string{"m08"}}, true)
 	}
-	loaded := time.Duration(0)
-	for now := begin.Add(tick); now.Sub(begin) < 2*time.Second && loaded == 0; now = now.Add(5 * time.Millisecond) {
+	loadedAfter := time.Duration(0)
+	for now := begin.Add(tick); now.Sub(begin) < 2*time.Second && loadedAfter == 0; now = now.Add(5 * time.Millisecond) {
 		core.demand.SetCounts(now, "node", 1, []RequestCount{{Requirements: dispatch.Requirements{Service: serviceName, Model: "m08"}, Requests: 3, Waiting: 3}})
 		for _, order := range core.Step(now, true).Orders {
 			switch {
@@ -70,12 +70,12 @@
 			default:
 				core.HandleOrderResult(now, order, ResultTaken)
 				if order.Operation == Load && order.Model == "m08" {
-					loaded = now.Sub(begin)
+					loadedAfter = now.Sub(begin)
 				}
 			}
 		}
 	}
-	if loaded == 0 || loaded > time.Second {
-		t.Errorf("the server that can be reached was given the load after %v, want within a second", loaded)
+	if loadedAfter == 0 || loadedAfter > time.Second {
+		t.Errorf("the reachable server was sent the load after %v, want within a second", loadedAfter)
 	}
 }
--- a/internal/placer/answers.go
+++ b/internal/placer/answers.go
@@ -6,199 +6,205 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// HandleReport takes a server's report; ok is false where none came.
+// HandleReport applies the report of a server; ok is false if the request for it failed.
 func (c *Core) HandleReport(now time.Time, id string, report Report, ok bool) {
 	s, known := c.servers[id]
 	if !known {
 		return
 	}
-	s.reporting = false
+	s.reportInFlight = false
 	if !ok {
-		s.askReport(now.Add(reportRetry))
+		s.scheduleReport(now.Add(reportRetryDelay))
 		return
 	}
 	if start := (inventory.Start{ID: id, StartedAtMs: report.StartedAtMs}); report.StartedAtMs != 0 && start != s.info.Start() {
-		if s = c.startReported(now, s, start); s == nil {
+		if s = c.resolveReportedStart(now, s, start); s == nil {
 			return
 		}
 	}
-	if s.ordering != nil || report.Sequence < s.sequence {
-		// The report is older than the last order.
-		s.askReport(now.Add(recheck))
+	if s.pendingOrder != nil || report.Sequence < s.sequence {
+		// The report was made before the last order took effect.
+		s.scheduleReport(now.Add(busyReportInterval))
 		return
 	}
 	if report.Sequence > s.sequence {
-		s.unsure = nil
+		s.unconfirmedOrder = nil
 	}
 	c.applyReport(now, s, report)
 }
 
-// startReported is the server as the start that its report is of; nil where that start is over.
-func (c *Core) startReported(now time.Time, known *server, start inventory.Start) *server {
-	if known.rival != nil && known.rival.Start() == start {
-		// The server's clock went back, as the store says too.
-		known.isTold = false
-		return c.startsAgain(now, known, *known.rival)
-	}
-	if known.info.Start().IsLaterThan(start) {
-		// An answer of the start before.
-		known.askReport(now.Add(recheck))
+// resolveReportedStart returns the server in the start that a report belongs to, or nil if that
+// start has already been superseded.
+func (c *Core) resolveReportedStart(now time.Time, existing *server, reported inventory.Start) *server {
+	if existing.conflictingEntry != nil && existing.conflictingEntry.Start() == reported {
+		// The server's clock went back: its report and its store entry agree on the earlier start
+		// time.
+		existing.isStartUnconfirmed = false
+		return c.replaceRestarted(now, existing, *existing.conflictingEntry)
+	}
+	if existing.info.Start().IsLaterThan(reported) {
+		// The report is from the previous start.
+		existing.scheduleReport(now.Add(busyReportInterval))
 		return nil
 	}
-	again := known.info
-	again.StartedAtMs, again.Models, again.InMemory = start.StartedAtMs, nil, nil
-	started := c.startsAgain(now, known, again)
-	started.isTold = true
-	return started
+	restarted := existing.info
+	restarted.StartedAtMs, restarted.Models, restarted.InMemory = reported.StartedAtMs, nil, nil
+	replaced := c.replaceRestarted(now, existing, restarted)
+	replaced.isStartUnconfirmed = true
+	return replaced
 }
 
+// applyReport replaces what is known about a server with the content of its report.
 func (c *Core) applyReport(now time.Time, s *server, report Report) {
 	s.sequence = report.Sequence
-	s.dropStrays(now)
-	fresh := make(map[string]*held, len(report.Models))
+	s.dropStaleOrders(now)
+	models := make(map[string]*heldModel, len(report.Models))
 	for _, model := range report.Models {
-		fresh[model.Name] = s.heldAs(now, model)
+		models[model.Name] = s.mergeHeldModel(now, model)
 	}
 	for _, pending := range report.Pending {
-		if model, ok := fresh[pending.Model]; ok && model.adapters[pending.Adapter] == nil {
-			model.adapters[pending.Adapter] = &adapter{ready: now.Add(adapterTime), lastUse: now}
+		if model, ok := models[pending.Model]; ok && model.adapters[pending.Adapter] == nil {
+			model.adapters[pending.Adapter] = &heldAdapter{readyAt: now.Add(adapterLoadTime), lastUsed: now}
 		}
 	}
-	s.held = fresh
-	s.setCopies(report.InMemory, report.OnDisk)
+	s.models = models
+	s.setCachedWeights(report.InMemory, report.OnDisk)
 	c.effects.ViewsChanged = true
 	s.busy = report.Busy
 	if report.Busy {
 		s.synced = s.loading != nil || s.unloading != ""
-		s.askReport(now.Add(s.recheckIn(now)))
+		s.scheduleReport(now.Add(s.busyReportDelay(now)))
 		return
 	}
-	c.loadEnded(now, s)
+	c.recordLoadCompletion(now, s)
 	s.loading = nil
 	s.unloading = ""
 	s.synced = true
 	s.busySince = time.Time{}
 }
 
-// heldAs keeps what is known of a model that a report names.
-func (s *server) heldAs(now time.Time, model inventory.HeldModel) *held {
-	known, ok := s.held[model.Name]
-	fresh := &held{since: now, adapters: make(map[string]*adapter, len(model.Adapters))}
+// mergeHeldModel returns the state of a reported model, keeping the times already recorded for
+// it.
+func (s *server) mergeHeldModel(now time.Time, model inventory.HeldModel) *heldModel {
+	existing, ok := s.models[model.Name]
+	merged := &heldModel{loadedAt: now, adapters: make(map[string]*heldAdapter, len(model.Adapters))}
 	if ok {
-		fresh.since = known.since
+		merged.loadedAt = existing.loadedAt
 	}
 	for _, name := range model.Adapters {
-		if ok && known.adapters[name] != nil {
-			fresh.adapters[name] = known.adapters[name]
+		if ok && existing.adapters[name] != nil {
+			merged.adapters[name] = existing.adapters[name]
 			continue
 		}
-		fresh.adapters[name] = &adapter{ready: now, lastUse: now}
+		merged.adapters[name] = &heldAdapter{readyAt: now, lastUsed: now}
 	}
-	return fresh
+	return merged
 }
 
-// HandleOrderResult takes the answer to an order.
+// HandleOrderResult applies the result of an order.
 func (c *Core) HandleOrderResult(now time.Time, order Order, result Result) {
 	s, ok := c.servers[order.ServerID]
-	if !ok || s.ordering == nil || order.StartedAtMs != s.info.StartedAtMs {
+	if !ok || s.pendingOrder == nil || order.StartedAtMs != s.info.StartedAtMs {
 		return
 	}
-	s.ordering = nil
+	s.pendingOrder = nil
 	if result != ResultBusy && result != ResultNotSent {
 		s.refusals = 0
 	}
 	switch result {
 	case ResultTaken:
 		s.sequence = order.ExpectedSequence + 1
-		s.unsure = nil
-		s.lastTaken = &order
+		s.unconfirmedOrder = nil
+		s.lastAcceptedOrder = &order
 		s.busySince = time.Time{}
-		c.took(now, s, order)
+		c.applyAcceptedOrder(now, s, order)
 		if s.loading != nil {
-			s.askReport(s.loading.ready)
+			s.scheduleReport(s.loading.readyAt)
 		}
 	case ResultHeld:
-		c.undo(s, order)
-		s.askReport(now)
+		c.rollBackOrder(s, order)
+		s.scheduleReport(now)
 	case ResultBusy:
-		c.undo(s, order)
-		s.keepFor(now, order)
-		c.foundBusy(now, s)
+		c.rollBackOrder(s, order)
+		s.extendReservation(now, order)
+		c.handleBusy(now, s)
 	case ResultNotSent:
-		c.undo(s, order)
-		s.pauseUntil = now.Add(s.nextPause(longestUnreachedPause))
+		c.rollBackOrder(s, order)
+		s.pauseUntil = now.Add(s.nextRetryPause(maxUnreachablePause))
 	case ResultUnknown:
-		s.unsure = &order
+		s.unconfirmedOrder = &order
 		s.synced = false
-		s.askReport(now.Add(reportLag))
+		s.scheduleReport(now.Add(maxReportAge))
 	case ResultGone:
 		delete(c.servers, order.ServerID)
-		c.ordered = nil
+		c.sortedServers = nil
 	default:
-		c.undo(s, order)
+		c.rollBackOrder(s, order)
 		s.pauseUntil = now.Add(refusedPause)
 		s.synced = false
-		s.askReport(now.Add(busyPause))
+		s.scheduleReport(now.Add(initialRetryPause))
 	}
 	c.effects.ViewsChanged = true
 }
 
-// foundBusy tries again soon at a server that is still carrying out this
-// leader's last order. Where that goes on, or its count may have moved, only a
-// report can tell.
-func (c *Core) foundBusy(now time.Time, s *server) {
+// handleBusy schedules a retry for a server that is still executing this leader's last order. If
+// the server stays busy for busyTimeout, or its sequence number may have advanced, only a report
+// can tell its state, so one is requested.
+func (c *Core) handleBusy(now time.Time, s *server) {
 	if s.busySince.IsZero() {
 		s.busySince = now
 	}
-	s.pauseUntil = now.Add(s.nextPause(longestBusyPause))
-	if s.unsure == nil && now.Sub(s.busySince) < busyPatience {
+	s.pauseUntil = now.Add(s.nextRetryPause(maxBusyPause))
+	if s.unconfirmedOrder == nil && now.Sub(s.busySince) < busyTimeout {
 		return
 	}
 	s.synced = false
-	s.askReport(now.Add(busyPause))
+	s.scheduleReport(now.Add(initialRetryPause))
 }
 
-// nextPause is the pause after one more order in a row that the server did not take.
-func (s *server) nextPause(longest time.Duration) time.Duration {
-	pause := min(longest, busyPause<<min(s.refusals, maxDoublings))
+// nextRetryPause returns the pause after one more consecutive order that the server did not
+// accept.
+func (s *server) nextRetryPause(maxPause time.Duration) time.Duration {
+	pause := min(maxPause, initialRetryPause<<min(s.refusals, maxPauseDoublings))
 	s.refusals++
 	return pause
 }
 
-// maxDoublings keeps the pause from running over; it is at its bounds before.
-const maxDoublings = 8
+// maxPauseDoublings prevents the shift from overflowing; every pause reaches its maximum with
+// fewer doublings.
+const maxPauseDoublings = 8
 
-// keepFor keeps a server that was emptied for a model, and is still unloading,
-// for that model: the one that was dropped would come back at once.
-func (s *server) keepFor(now time.Time, order Order) {
-	if order.Operation == Load && order.Adapter == "" && s.intent.model == order.Model {
-		s.intent.until = now.Add(intentTime)
+// extendReservation keeps the room made on a server reserved for a model while the server is
+// still unloading. Otherwise the evicted model would be loaded again at once.
+func (s *server) extendReservation(now time.Time, order Order) {
+	if order.Operation == Load && order.Adapter == "" && s.reservation.model == order.Model {
+		s.reservation.until = now.Add(reservationTime)
 	}
 }
 
-// took books an order that the server is carrying out.
-func (c *Core) took(now time.Time, s *server, order Order) {
+// applyAcceptedOrder records the effects of an order that the server has accepted.
+func (c *Core) applyAcceptedOrder(now time.Time, s *server, order Order) {
 	switch {
 	case order.Operation == Unload && order.Adapter == "":
-		delete(s.held, order.Model)
+		delete(s.models, order.Model)
 		s.unloading = ""
 	case order.Operation == Unload:
-		if model, ok := s.held[order.Model]; ok {
+		if model, ok := s.models[order.Model]; ok {
 			delete(model.adapters, order.Adapter)
 		}
 	case order.Operation == Load && order.Adapter == "":
-		s.intent = intent{}
-		c.loadBegan(now, s)
+		s.reservation = reservation{}
+		c.trackStoreLoad(now, s)
 	case order.Operation == Load:
-		if model, ok := s.held[order.Model]; ok {
-			model.adapters[order.Adapter] = &adapter{ready: now.Add(adapterTime), lastUse: now}
+		if model, ok := s.models[order.Model]; ok {
+			model.adapters[order.Adapter] = &heldAdapter{readyAt: now.Add(adapterLoadTime), lastUsed: now}
 		}
 	}
 }
 
-// undo takes back what was booked when the order was given. Adapters are booked
-// with the answer alone.
-func (c *Core) undo(s *server, order Order) {
+// rollBackOrder reverts what was recorded when the order was issued. Adapter orders are recorded
+// only once they are accepted, so there is nothing to revert for them.
+func (c *Core) rollBackOrder(s *server, order Order) {
 	if order.Operation == Load && order.Adapter == "" {
 		s.loading = nil
 	}
--- a/internal/placer/badload.go
+++ b/internal/placer/badload.go
@@ -5,67 +5,69 @@
 )
 
 const (
-	// badLoadLimit is the number of servers that end as they load a model until it is
-	// loaded no more for a while: each load would end one more.
-	badLoadLimit = 3
-	// badLoadWindow is the time within which they end.
-	badLoadWindow = 2 * time.Minute
-	// sameLoss is the time within which servers that go count once: the entries of
-	// servers that crash together go within about a heartbeat, which is a second.
-	sameLoss = 1500 * time.Millisecond
-	// badLoadPause is how long the model is not loaded then, twice as long each further
-	// time, up to longestLoadPause.
-	badLoadPause     = 30 * time.Second
-	longestLoadPause = 10 * time.Minute
+	// loadCrashLimit is the number of servers that may crash while loading a model before loads
+	// of that model are paused. Each further load would crash one more server.
+	loadCrashLimit = 3
+	// loadCrashWindow is the period within which these crashes are counted.
+	loadCrashWindow = 2 * time.Minute
+	// simultaneousLossWindow is the period within which lost servers count as one crash: the
+	// entries of servers that crash together disappear within about one heartbeat, which is a
+	// second.
+	simultaneousLossWindow = 1500 * time.Millisecond
+	// initialLoadPause is how long loads of the model are paused the first time. Each further
+	// pause is twice as long, up to maxLoadPause.
+	initialLoadPause = 30 * time.Second
+	maxLoadPause     = 10 * time.Minute
 )
 
-// badLoads are the servers of a service that ended as they loaded one model.
-type badLoads struct {
-	// endedAt are the times, those of one moment as one.
-	endedAt []time.Time
-	// pausedUntil is until when the model is not loaded, and pause for how long that was.
+// loadCrashes tracks the servers of a service that crashed while loading one model.
+type loadCrashes struct {
+	// crashedAt holds the times of the crashes; simultaneous ones are recorded once.
+	crashedAt []time.Time
+	// pausedUntil is when loads of the model resume, and pause the length of the last pause.
 	pausedUntil time.Time
 	pause       time.Duration
 }
 
-// modelKey is a model of a service.
+// modelKey identifies a model of a service.
 type modelKey struct{ service, model string }
 
-// lose takes it that a server is gone. Where it had taken the load of a model, and had not
-// said that it would go, the load may have ended it.
-func (c *Core) lose(now time.Time, s *server) {
-	if s.loading == nil || s.ordering != nil || s.info.Draining {
+// recordServerLoss is called when a server disappears. If the server had accepted the load of a
+// model and had not announced that it would shut down, the load counts as a possible cause.
+func (c *Core) recordServerLoss(now time.Time, s *server) {
+	if s.loading == nil || s.pendingOrder != nil || s.info.Draining {
 		return
 	}
 	key := modelKey{s.info.Service, s.loading.model}
-	known := c.badLoads[key]
-	if known == nil {
-		known = &badLoads{}
-		c.badLoads[key] = known
+	crashes := c.loadCrashes[key]
+	if crashes == nil {
+		crashes = &loadCrashes{}
+		c.loadCrashes[key] = crashes
 	}
-	known.take(now)
+	crashes.record(now)
 }
 
-func (b *badLoads) take(now time.Time) {
-	count := len(b.endedAt)
-	if count > 0 && now.Sub(b.endedAt[count-1]) < sameLoss {
+// record counts a crash, and pauses loads of the model once there are too many.
+func (l *loadCrashes) record(now time.Time) {
+	count := len(l.crashedAt)
+	if count > 0 && now.Sub(l.crashedAt[count-1]) < simultaneousLossWindow {
 		return
 	}
-	b.endedAt = append(b.endedAt, now)
-	for now.Sub(b.endedAt[0]) > badLoadWindow {
-		b.endedAt = b.endedAt[1:]
+	l.crashedAt = append(l.crashedAt, now)
+	for now.Sub(l.crashedAt[0]) > loadCrashWindow {
+		l.crashedAt = l.crashedAt[1:]
 	}
-	if len(b.endedAt) < badLoadLimit {
+	if len(l.crashedAt) < loadCrashLimit {
 		return
 	}
-	b.pause = min(max(badLoadPause, 2*b.pause), longestLoadPause)
-	b.pausedUntil = now.Add(b.pause)
-	// One more is enough the next time.
-	b.endedAt = b.endedAt[len(b.endedAt)-badLoadLimit+1:]
+	l.pause = min(max(initialLoadPause, 2*l.pause), maxLoadPause)
+	l.pausedUntil = now.Add(l.pause)
+	// After the pause, a single further crash pauses loads again.
+	l.crashedAt = l.crashedAt[len(l.crashedAt)-loadCrashLimit+1:]
 }
 
-// isLoadPaused reports whether the model is not loaded now, since its loads end servers.
+// isLoadPaused reports whether loads of the model are paused because they crashed servers.
 func (c *Core) isLoadPaused(now time.Time, service, model string) bool {
-	known := c.badLoads[modelKey{service, model}]
-	return known != nil && now.Before(known.pausedUntil)
+	crashes := c.loadCrashes[modelKey{service, model}]
+	return crashes != nil && now.Before(crashes.pausedUntil)
 }
--- a/internal/placer/badload_test.go
+++ b/internal/placer/badload_test.go
@@ -8,10 +8,10 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// fatalLoads plays servers that end as they load, one after the other, and returns the
-// number of loads that were ordered. Between two of them gap passes; endWell are those,
-// counted from 1, that end well.
-func fatalLoads(servers int, gap time.Duration, endWell ...int) (loads int) {
+// countCrashingLoads simulates servers that crash one after the other while loading a model, and
+// returns the number of loads ordered. The interval passes between rounds; the loads numbered in
+// succeed, counted from 1, complete before their server stops.
+func countCrashingLoads(servers int, interval time.Duration, succeed ...int) (loads int) {
 	core := New(Options{Window: window, Overage: overage})
 	core.SetTable(simTable())
 	var all []inventory.Change
@@ -21,8 +21,8 @@
 	core.SetServers(begin, all)
 	now := begin
 	for range 4 * servers {
-		now = now.Add(gap)
-		wantModel(core, now, "m08")
+		now = now.Add(interval)
+		requestModel(core, now, "m08")
 		core.ConfirmReservation()
 		effects := core.Step(now, true)
 		for _, call := range effects.ReportRequests {
@@ -34,25 +34,25 @@
 			}
 			loads++
 			core.HandleOrderResult(now, order, ResultTaken)
-			ended := inventory.Change{Server: inventory.Server{ID: order.ServerID, Service: serviceName}, Gone: true}
-			for _, well := range endWell {
-				if loads == well {
+			gone := inventory.Change{Server: inventory.Server{ID: order.ServerID, Service: serviceName}, Gone: true}
+			for _, number := range succeed {
+				if loads == number {
 					core.HandleReport(now.Add(time.Second), order.ServerID, Report{Sequence: order.ExpectedSequence + 1, Models: []inventory.HeldModel{{Name: order.Model}}}, true)
 				}
 			}
-			core.SetServers(now.Add(gap/2), []inventory.Change{ended})
+			core.SetServers(now.Add(interval/2), []inventory.Change{gone})
 		}
 	}
 	return loads
 }
 
-// TestLoadsThatEndServersStop: a model under whose loads three servers ended is not loaded
-// at the next one at once; one load that ends well acquits it.
+// TestLoadsThatEndServersStop checks that loads of a model pause after crashing loadCrashLimit
+// servers, and that one successful load resets the count.
 func TestLoadsThatEndServersStop(t *testing.T) {
-	if got := fatalLoads(12, 2*time.Second); got > badLoadLimit+1 {
-		t.Errorf("%d loads of a model that ends each server, within %v; want %d and one trial at most", got, 96*time.Second, badLoadLimit)
+	if got := countCrashingLoads(12, 2*time.Second); got > loadCrashLimit+1 {
+		t.Errorf("%d loads of a model that crashes each server, within %v; want at most %d and one retry", got, 96*time.Second, loadCrashLimit)
 	}
-	if got := fatalLoads(6, 2*time.Second, 2, 4); got != 6 {
-		t.Errorf("%d loads of a model that two servers loaded, want one at each of 6", got)
+	if got := countCrashingLoads(6, 2*time.Second, 2, 4); got != 6 {
+		t.Errorf("%d loads of a model that two servers loaded successfully, want one on each of 6", got)
 	}
 }
--- a/internal/placer/copies.go
+++ b/internal/placer/copies.go
@@ -7,75 +7,75 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// Thresholds of demand.
+// Demand thresholds.
 const (
-	// copyTokens is the prompt tokens in a second that call for one more copy.
-	copyTokens = 12000.0
-	// spareRate is the requests in a second from which a model has two copies,
-	// so that the loss of one leaves another.
-	spareRate = 0.5
-	// interestAge is how long a model that was asked for is kept wanted.
-	interestAge = 20 * time.Second
+	// tokensPerCopy is the prompt token rate, per second, for each of which a model gets one more
+	// copy.
+	tokensPerCopy = 12000.0
+	// replicationRate is the request rate, per second, above which a model gets a second copy, so
+	// that it survives the loss of one.
+	replicationRate = 0.5
+	// modelDemandTTL is how long a model counts as in demand after its last request.
+	modelDemandTTL = 20 * time.Second
 )
 
-// needed is the number of copies that a model should have by the demand of now.
-func (r *round) needed(model string) int {
-	known := r.interest(model)
-	if known == nil || r.now.Sub(known.lastAsk) > interestAge {
+// neededCopies returns the number of copies that the current demand for a model calls for.
+func (r *planRound) neededCopies(model string) int {
+	demand := r.demandFor(model)
+	if demand == nil || r.now.Sub(demand.lastRequest) > modelDemandTTL {
 		return 0
 	}
-	known.fade(r.now)
-	return max(r.copiesFor(known.fast), r.copiesForAdapters(model), r.copiesForSlots(model))
+	demand.decay(r.now)
+	return max(r.copiesFor(demand.fastRate), r.copiesForAdapters(model), r.copiesForSlots(model))
 }
 
-// kept is the number of copies that are kept by the demand of some time, which
-// falls more slowly than it rises.
-func (r *round) kept(model string) int {
-	known := r.interest(model)
-	if known == nil {
+// retainedCopies returns the number of copies of a model that are protected from eviction. It
+// also considers the slowly decaying rate, so it falls more slowly than it rises.
+func (r *planRound) retainedCopies(model string) int {
+	demand := r.demandFor(model)
+	if demand == nil {
 		return 0
 	}
-	known.fade(r.now)
-	return max(r.copiesFor(known.fast), r.copiesFor(known.slow), r.copiesForAdapters(model), r.copiesForSlots(model))
+	demand.decay(r.now)
+	return max(r.copiesFor(demand.fastRate), r.copiesFor(demand.slowRate), r.copiesForAdapters(model), r.copiesForSlots(model))
 }
 
-// adapterSpread is the places for adapters that are wanted for each adapter that
-// is asked for: copies do not hold quite different ones.
-const adapterSpread = 1.5
+// adapterSlotFactor is the number of adapter slots provided for each adapter in demand. It
+// exceeds 1 because copies of a model partly hold the same adapters.
+const adapterSlotFactor = 1.5
 
-// copiesForAdapters is the number of copies that have places for the adapters
-// that are asked for.
-func (r *round) copiesForAdapters(model string) int {
-	variety := r.core.demand.variety[dispatch.Requirements{Service: r.service, Model: model}]
-	if variety == 0 || r.engine.AdapterSlots == 0 {
+// copiesForAdapters returns the number of copies whose adapter slots hold all adapters in demand.
+func (r *planRound) copiesForAdapters(model string) int {
+	activeAdapters := r.core.demand.activeAdapters[dispatch.Requirements{Service: r.service, Model: model}]
+	if activeAdapters == 0 || r.engine.AdapterSlots == 0 {
 		return 0
 	}
-	count := int(math.Ceil(float64(variety) * adapterSpread / float64(r.engine.AdapterSlots)))
+	count := int(math.Ceil(float64(activeAdapters) * adapterSlotFactor / float64(r.engine.AdapterSlots)))
 	return r.atMostHalf(count)
 }
 
-// fullShare is the share of a server's slots from which on a burst would queue
-// there, so that its models get further copies.
-const fullShare = 0.7
+// maxSlotUtilization is the share of a server's request slots in use above which its models get
+// further copies: beyond it, a burst of requests would queue.
+const maxSlotUtilization = 0.7
 
-// copiesForSlots is the number of copies at which none is full.
-func (r *round) copiesForSlots(model string) int {
-	count := int(math.Ceil(r.placementOf(model).slotsUsed / fullShare))
+// copiesForSlots returns the number of copies that keeps every server below maxSlotUtilization.
+func (r *planRound) copiesForSlots(model string) int {
+	count := int(math.Ceil(r.placementOf(model).slotsUsed / maxSlotUtilization))
 	return r.atMostHalf(count)
 }
 
-// copiesForTokens is the number of copies that can read the prompts.
-func copiesForTokens(flow flow) int { return 1 + int(flow.tokens/copyTokens) }
+// copiesForTokens returns the number of copies that can process the prompt tokens.
+func copiesForTokens(rate demandRate) int { return 1 + int(rate.tokens/tokensPerCopy) }
 
-// copiesFor is the number of copies for a flow of requests: enough to read the
-// prompts, and two where the loss of one would be felt.
-func (r *round) copiesFor(flow flow) int {
-	count := copiesForTokens(flow)
-	if flow.requests > spareRate {
+// copiesFor returns the number of copies for a request rate: enough to process the prompts, and
+// at least two above replicationRate.
+func (r *planRound) copiesFor(rate demandRate) int {
+	count := copiesForTokens(rate)
+	if rate.requests > replicationRate {
 		count = max(count, 2)
 	}
 	return r.atMostHalf(count)
 }
 
-// atMostHalf bounds the copies of one model by half of the servers.
-func (r *round) atMostHalf(count int) int { return min(count, max(1, len(r.servers)/2)) }
+// atMostHalf limits the copies of one model to half of the servers.
+func (r *planRound) atMostHalf(count int) int { return min(count, max(1, len(r.servers)/2)) }
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -9,149 +9,154 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// Core is the leader's state of one term. It is not safe for concurrent use.
+// Core is the state of the leader during one term. It is not safe for concurrent use.
 type Core struct {
 	options Options
 	table   *routetable.Table
 	servers map[string]*server
 	demand  *Demand
-	// storeLoads are the times at which loads from the weight store began, or
-	// may have begun, within the last window.
+	// storeLoads holds the start times of the loads from each weight store that began, or may
+	// have begun, within the last window.
 	storeLoads map[string][]time.Time
-	// limits are the loads at once that each weight store bears, by service.
-	limits map[string]*storeLimit
-	// reserved are the loads that may begin until the lease is written again.
-	reserved map[string]int
-	// badLoads are the models under whose loads servers ended.
-	badLoads map[modelKey]*badLoads
-	// ordered are the servers by name, until one comes or goes.
-	ordered []*server
-	// evacuated are the zones whose servers get no orders, and away the single servers.
-	evacuated []string
-	away      map[inventory.Start]bool
-	effects   Effects
+	// storeLimits holds the concurrency limit of each weight store, by service.
+	storeLimits map[string]*storeLimit
+	// loadBudget is the number of loads from each weight store that may begin before the next
+	// lease write.
+	loadBudget map[string]int
+	// loadCrashes holds the models whose loads crashed servers.
+	loadCrashes map[modelKey]*loadCrashes
+	// sortedServers caches the servers in order of ID; nil after a server was added or removed.
+	sortedServers []*server
+	// evacuatedZones are the zones whose servers get no orders, and unavailable the single server
+	// starts that get none.
+	evacuatedZones []string
+	unavailable    map[inventory.Start]bool
+	effects        Effects
 }
 
-// New returns the core of a term that knows nothing yet.
+// New returns the core for a new term, which knows no servers yet.
 func New(options Options) *Core {
 	if options.Demand == nil {
 		options.Demand = NewDemand()
 	}
 	return &Core{
-		options:    options,
-		servers:    make(map[string]*server),
-		demand:     options.Demand,
-		storeLoads: make(map[string][]time.Time),
-		limits:     make(map[string]*storeLimit),
-		reserved:   make(map[string]int),
-		badLoads:   make(map[modelKey]*badLoads),
+		options:     options,
+		servers:     make(map[string]*server),
+		demand:      options.Demand,
+		storeLoads:  make(map[string][]time.Time),
+		storeLimits: make(map[string]*storeLimit),
+		loadBudget:  make(map[string]int),
+		loadCrashes: make(map[modelKey]*loadCrashes),
 	}
 }
 
-// SetTable puts a configuration in force.
+// SetTable applies a configuration.
 func (c *Core) SetTable(table *routetable.Table) { c.table = table }
 
-// reservedLoads is the number of loads from a weight store that may begin
-// between two writes of the lease. The lease says so before they begin.
-const reservedLoads = 6
+// loadsPerReservation is the number of loads from a weight store that may begin between two lease
+// writes. The lease records them before they begin.
+const loadsPerReservation = 6
 
-// ReserveLoads returns the loads from each weight store that began within the last
-// window or may begin until the next call, as the times since. What it returns
-// must stand in the lease before Reserved is called.
+// ReserveLoads returns, by service, the ages of the loads from its weight store that began within
+// the last window or may begin before the next call. The result must be written to the lease
+// before ConfirmReservation is called.
 func (c *Core) ReserveLoads(now time.Time) map[string][]time.Duration {
 	if c.table == nil {
 		return nil
 	}
-	reserve := make(map[string][]time.Duration)
+	loads := make(map[string][]time.Duration)
 	for name, service := range c.table.Services {
 		if service.Engine == nil {
 			continue
 		}
 		for _, at := range c.storeLoads[name] {
-			reserve[name] = append(reserve[name], now.Sub(at))
+			loads[name] = append(loads[name], now.Sub(at))
 		}
-		for range reservedLoads {
-			reserve[name] = append(reserve[name], 0)
+		for range loadsPerReservation {
+			loads[name] = append(loads[name], 0)
 		}
 	}
-	return reserve
+	return loads
 }
 
-// ConfirmReservation tells that the lease says what Reserve returned.
+// ConfirmReservation is called once the lease contains the result of ReserveLoads.
 func (c *Core) ConfirmReservation() {
 	for name := range c.table.Services {
-		c.reserved[name] = reservedLoads
+		c.loadBudget[name] = loadsPerReservation
 	}
 }
 
-// AddPriorLoads counts the loads that earlier leaders may have begun.
+// AddPriorLoads adds the loads that earlier leaders may have begun.
 func (c *Core) AddPriorLoads(loads map[string][]time.Time) {
-	for name, begun := range loads {
-		c.storeLoads[name] = append(c.storeLoads[name], begun...)
+	for name, startTimes := range loads {
+		c.storeLoads[name] = append(c.storeLoads[name], startTimes...)
 	}
 }
 
-// SetServers takes changes of the servers' entries.
+// SetServers applies changes to the servers' store entries.
 func (c *Core) SetServers(now time.Time, changes []inventory.Change) {
 	for _, change := range changes {
 		id := change.Server.ID
-		known, ok := c.servers[id]
+		existing, ok := c.servers[id]
 		switch {
 		case change.Gone:
 			if ok {
-				c.lose(now, known)
+				c.recordServerLoss(now, existing)
 			}
 			delete(c.servers, id)
-			c.ordered = nil
+			c.sortedServers = nil
 		case !ok:
 			if engine := c.engineOf(change.Server.Service); engine != nil {
 				added := newServer(change.Server, now)
-				added.setCopies(change.Server.InMemory, change.Server.OnDisk)
-				c.close(added)
+				added.setCachedWeights(change.Server.InMemory, change.Server.OnDisk)
+				c.setAvailability(added)
 				c.servers[id] = added
-				c.ordered = nil
+				c.sortedServers = nil
 			}
-		case known.info.Start() != change.Server.Start():
-			c.startsAgain(now, known, change.Server)
+		case existing.info.Start() != change.Server.Start():
+			c.replaceRestarted(now, existing, change.Server)
 		default:
-			known.info = change.Server
-			known.isTold, known.rival = false, nil
-			known.endClosedLoad()
-			c.checkEntry(now, known)
+			existing.info = change.Server
+			existing.isStartUnconfirmed, existing.conflictingEntry = false, nil
+			existing.finishUnavailableLoad()
+			c.reconcileEntry(now, existing)
 		}
 	}
 }
 
-// SetRunningRequests takes the requests of all nodes at each server.
+// SetRunningRequests sets the number of requests that all nodes together have running on each
+// server.
 func (c *Core) SetRunningRequests(running map[string]int) {
 	for id, s := range c.servers {
 		s.running = running[id]
 	}
 }
 
-// checkEntry asks for a report where the entry names other models than this
-// leader knows of. The entry lags, so this may be for nothing.
-func (c *Core) checkEntry(now time.Time, s *server) {
-	if !s.synced || s.ordering != nil || s.loading != nil {
+// reconcileEntry requests a report if the store entry lists other models than this leader has
+// recorded. Entries lag, so the report may bring nothing new.
+func (c *Core) reconcileEntry(now time.Time, s *server) {
+	if !s.synced || s.pendingOrder != nil || s.loading != nil {
 		return
 	}
 	for _, model := range s.info.Models {
-		if !s.has(model.Name) {
-			s.askReport(now.Add(reportLag))
+		if !s.hasModel(model.Name) {
+			s.scheduleReport(now.Add(maxReportAge))
 			return
 		}
 	}
-	if len(s.info.Models) != len(s.held) {
-		s.askReport(now.Add(reportLag))
+	if len(s.info.Models) != len(s.models) {
+		s.scheduleReport(now.Add(maxReportAge))
 	}
 }
 
-func (s *server) askReport(at time.Time) {
-	if s.reportAt.IsZero() || at.Before(s.reportAt) {
-		s.reportAt = at
+// scheduleReport requests a report at the given time, unless an earlier one is already due.
+func (s *server) scheduleReport(at time.Time) {
+	if s.nextReportAt.IsZero() || at.Before(s.nextReportAt) {
+		s.nextReportAt = at
 	}
 }
 
+// engineOf returns the engine settings of a service, or nil if it is unknown or has none.
 func (c *Core) engineOf(service string) *routetable.Engine {
 	if c.table == nil {
 		return nil
@@ -159,81 +164,80 @@
 	return c.table.Services[service].Engine
 }
 
-// Step advances to now and returns what is to be done; orders only where
-// mayOrder is set.
+// Step advances to now and returns the calls to make. It issues orders only if mayOrder is set.
 func (c *Core) Step(now time.Time, mayOrder bool) Effects {
 	if c.table == nil {
 		return Effects{}
 	}
-	c.advance(now)
+	c.advanceTo(now)
 	if mayOrder {
 		c.plan(now)
 	}
-	c.collectReports(now)
+	c.requestDueReports(now)
 	effects := c.effects
 	c.effects = Effects{}
 	return effects
 }
 
-func (c *Core) collectReports(now time.Time) {
-	for _, s := range c.sorted() {
-		if s.reportAt.IsZero() || s.reporting || s.isClosed || now.Before(s.reportAt) {
+// requestDueReports adds a report request for every server whose report is due.
+func (c *Core) requestDueReports(now time.Time) {
+	for _, s := range c.serversByID() {
+		if s.nextReportAt.IsZero() || s.reportInFlight || s.isUnavailable || now.Before(s.nextReportAt) {
 			continue
 		}
-		s.reportAt = time.Time{}
-		s.reporting = true
+		s.nextReportAt = time.Time{}
+		s.reportInFlight = true
 		c.effects.ReportRequests = append(c.effects.ReportRequests, ReportRequest{ServerID: s.info.ID, StartedAtMs: s.info.StartedAtMs, Address: s.info.Address})
 	}
 }
 
-// sorted returns the servers in the order of their names, so that decisions
-// repeat.
-func (c *Core) sorted() []*server {
-	if c.ordered != nil {
-		return c.ordered
+// serversByID returns the servers in order of ID, which makes decisions reproducible.
+func (c *Core) serversByID() []*server {
+	if c.sortedServers != nil {
+		return c.sortedServers
 	}
-	c.ordered = make([]*server, 0, len(c.servers))
+	c.sortedServers = make([]*server, 0, len(c.servers))
 	for _, s := range c.servers {
-		c.ordered = append(c.ordered, s)
+		c.sortedServers = append(c.sortedServers, s)
 	}
-	slices.SortFunc(c.ordered, func(a, b *server) int { return strings.Compare(a.info.ID, b.info.ID) })
-	return c.ordered
+	slices.SortFunc(c.sortedServers, func(a, b *server) int { return strings.Compare(a.info.ID, b.info.ID) })
+	return c.sortedServers
 }
 
-// Times of the conversation with a server.
+// Timing of reports and orders.
 const (
-	// reportLag is how old a report may be.
-	reportLag = 130 * time.Millisecond
-	// recheck is the pause between reports of a server that is still busy.
-	recheck = 120 * time.Millisecond
-	// reportRetry is the pause after a report that did not come.
-	reportRetry = 500 * time.Millisecond
-	// busyPause is the pause after an order that found the server busy, or did not reach
-	// it. It doubles with each further one in a row up to longestBusyPause, and up to
-	// longestUnreachedPause at a server that cannot be reached: such a one ended, as a
-	// rule, and starts anew after a second or more. At a fixed pause a server that was
-	// gone got the same order 13 times in 2 s, and one that unloaded 14 times.
-	busyPause             = 40 * time.Millisecond
-	longestBusyPause      = 320 * time.Millisecond
-	longestUnreachedPause = time.Second
-	// busyPatience is how long a server may be busy with what it was ordered
-	// before its report is asked for.
-	busyPatience = 600 * time.Millisecond
-	// refusedPause is the pause after an order that the server can't do.
+	// maxReportAge is how old the content of a report may be.
+	maxReportAge = 130 * time.Millisecond
+	// busyReportInterval is the pause between reports of a server that is still busy.
+	busyReportInterval = 120 * time.Millisecond
+	// reportRetryDelay is the pause after a failed request for a report.
+	reportRetryDelay = 500 * time.Millisecond
+	// initialRetryPause is the pause after an order that found the server busy or did not reach
+	// it. It doubles with each further one in a row, up to maxBusyPause for a busy server and up
+	// to maxUnreachablePause for an unreachable one, which has usually crashed and restarts after
+	// a second or more. With a fixed pause, a stopped server was sent the same order 13 times
+	// within 2 s, and an unloading one 14 times.
+	initialRetryPause   = 40 * time.Millisecond
+	maxBusyPause        = 320 * time.Millisecond
+	maxUnreachablePause = time.Second
+	// busyTimeout is how long a server may be busy with an order before its report is requested.
+	busyTimeout = 600 * time.Millisecond
+	// refusedPause is the pause after an order that the server cannot execute.
 	refusedPause = 2 * time.Second
-	// adapterTime is taken for an adapter from the store.
-	adapterTime = 50 * time.Millisecond
+	// adapterLoadTime is the assumed time to load an adapter from the store.
+	adapterLoadTime = 50 * time.Millisecond
 )
 
-// advance ends what its time has come for.
-func (c *Core) advance(now time.Time) {
-	for service, begun := range c.storeLoads {
-		c.storeLoads[service] = slices.DeleteFunc(begun, func(at time.Time) bool {
+// advanceTo drops loads that have left the window, and updates the estimates of loads in
+// progress.
+func (c *Core) advanceTo(now time.Time) {
+	for service, startTimes := range c.storeLoads {
+		c.storeLoads[service] = slices.DeleteFunc(startTimes, func(at time.Time) bool {
 			return now.Sub(at) > c.options.Window+windowSlack
 		})
 	}
-	c.followLoads(now)
+	c.updateLoadEstimates(now)
 }
 
-// windowSlack covers the way of an order to its server.
+// windowSlack covers the delay between issuing an order and its arrival at the server.
 const windowSlack = 300 * time.Millisecond
--- a/internal/placer/demand.go
+++ b/internal/placer/demand.go
@@ -6,182 +6,190 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// Demand is what all nodes together want, from the counts that each tells. Every
-// node keeps one, so that a new leader knows what was wanted before its term. It
-// is not safe for concurrent use.
+// Demand aggregates the request counts reported by all nodes. Every node maintains one, so that a
+// new leader knows the demand before its term. It is not safe for concurrent use.
 type Demand struct {
-	interests map[dispatch.Requirements]*interest
-	nodes     map[string]*nodeCounts
-	// waits are the requests that wait for each model in the same regions, as of the last
-	// step.
-	waits map[dispatch.Requirements]int
-	// variety is the number of adapters of each model that are asked for in the same
-	// regions, as of the last step.
-	variety map[dispatch.Requirements]int
+	records map[dispatch.Requirements]*demandRecord
+	nodes   map[string]*nodeCounts
+	// waiting is the number of requests waiting for each model, by allowed regions, as of the
+	// last step.
+	waiting map[dispatch.Requirements]int
+	// activeAdapters is the number of adapters in demand for each model, by allowed regions, as
+	// of the last step.
+	activeAdapters map[dispatch.Requirements]int
 }
 
-// NewDemand returns the demand of nobody.
+// NewDemand returns an empty Demand.
 func NewDemand() *Demand {
-	return &Demand{interests: make(map[dispatch.Requirements]*interest), nodes: make(map[string]*nodeCounts)}
+	return &Demand{records: make(map[dispatch.Requirements]*demandRecord), nodes: make(map[string]*nodeCounts)}
 }
 
+// nodeCounts holds the counts last reported by one node.
 type nodeCounts struct {
-	life uint64
-	// asked is by what is wanted: names would be kept once for each node.
-	asked map[*interest]counted
-	// heardAt is when the node was last heard.
-	heardAt time.Time
-	// waits are what requests wait for there.
-	waits []*interest
-	// sinceStart is set where the node was heard from its start on.
-	// What another node counted before it was first heard is not new.
-	sinceStart bool
-	// isFirst is set while its first datagram is read.
-	isFirst bool
+	incarnation uint64
+	// counts is keyed by record rather than by requirements, so that names are not stored once
+	// per node.
+	counts map[*demandRecord]previousCount
+	// lastSeen is when the node last reported.
+	lastSeen time.Time
+	// waiting are the records for which the node has waiting requests.
+	waiting []*demandRecord
+	// seenFromStart is set if the node has been observed since its start. Otherwise, what it
+	// counted before its first report here is not new.
+	seenFromStart bool
+	// isFirstUpdate is set while the first report of the node is processed.
+	isFirstUpdate bool
 }
 
-// counted is what a node told last of one thing.
-type counted struct {
+// previousCount is the last count that a node reported for one record.
+type previousCount struct {
 	requests uint64
 	tokens   uint64
 }
 
-// Counts rise from the start of a node. What a node counted for something that
-// this one had not heard of is mostly old: so many requests of it are taken
-// for new in the node's first datagram, and in a later one.
+// Counts are cumulative from the start of a node. When a node reports a count for something it
+// had not reported before, most of it is old: only this many requests are taken as new, in the
+// first report of the node and in a later one.
 const (
-	newAtFirst = 1
-	newLater   = 3
+	maxNewInFirstUpdate = 1
+	maxNewInLaterUpdate = 3
 )
 
-// added are the requests and prompt tokens that a node counted since it was last
-// heard.
-func (n *nodeCounts) added(wanted *interest, count RequestCount) (requests, tokens float64) {
-	previous, heard := n.asked[wanted]
+// newRequests returns the requests and prompt tokens that a node counted since its last report.
+func (n *nodeCounts) newRequests(record *demandRecord, count RequestCount) (requests, tokens float64) {
+	previous, isCounted := n.counts[record]
 	if count.Requests <= previous.requests {
 		return 0, 0
 	}
 	requests = float64(count.Requests - previous.requests)
 	tokens = float64(count.PromptTokens - min(previous.tokens, count.PromptTokens))
-	isNew := requests
+	recent := requests
 	switch {
-	case heard || n.sinceStart:
-	case n.isFirst:
-		isNew = min(requests, newAtFirst)
+	case isCounted || n.seenFromStart:
+	case n.isFirstUpdate:
+		recent = min(requests, maxNewInFirstUpdate)
 	default:
-		isNew = min(requests, newLater)
+		recent = min(requests, maxNewInLaterUpdate)
 	}
-	return isNew, tokens * isNew / requests
+	return recent, tokens * recent / requests
 }
 
-// SetCounts takes the counts of a node; life is another after a restart.
-func (d *Demand) SetCounts(now time.Time, node string, life uint64, counts []RequestCount) {
-	known := d.nodeOf(node, life)
-	known.heardAt = now
-	for _, wanted := range known.waits {
-		delete(wanted.waiting, node)
+// SetCounts applies the counts reported by a node. The incarnation changes when the node
+// restarts.
+func (d *Demand) SetCounts(now time.Time, node string, incarnation uint64, counts []RequestCount) {
+	state := d.nodeState(node, incarnation)
+	state.lastSeen = now
+	for _, record := range state.waiting {
+		delete(record.waiting, node)
 	}
-	known.waits = known.waits[:0]
+	state.waiting = state.waiting[:0]
 	for _, count := range counts {
-		d.take(now, node, known, count)
+		d.applyCount(now, node, state, count)
 	}
-	known.isFirst = false
+	state.isFirstUpdate = false
 }
 
-func (d *Demand) nodeOf(node string, life uint64) *nodeCounts {
-	known, ok := d.nodes[node]
-	if ok && known.life == life {
-		return known
+// nodeState returns the state of a node in an incarnation; a new incarnation starts with empty
+// counts.
+func (d *Demand) nodeState(node string, incarnation uint64) *nodeCounts {
+	existing, ok := d.nodes[node]
+	if ok && existing.incarnation == incarnation {
+		return existing
 	}
-	fresh := &nodeCounts{life: life, asked: make(map[*interest]counted), sinceStart: ok, isFirst: !ok}
+	created := &nodeCounts{incarnation: incarnation, counts: make(map[*demandRecord]previousCount), seenFromStart: ok, isFirstUpdate: !ok}
 	if ok {
-		fresh.waits = known.waits
+		created.waiting = existing.waiting
 	}
-	d.nodes[node] = fresh
-	return fresh
+	d.nodes[node] = created
+	return created
 }
 
-func (d *Demand) take(now time.Time, node string, known *nodeCounts, count RequestCount) {
-	wanted := d.interestIn(count.Requirements)
-	added, tokens := known.added(wanted, count)
-	known.asked[wanted] = counted{requests: count.Requests, tokens: count.PromptTokens}
+// applyCount adds what is new in a count, for an adapter also to the record of its model.
+func (d *Demand) applyCount(now time.Time, node string, state *nodeCounts, count RequestCount) {
+	record := d.recordFor(count.Requirements)
+	requests, tokens := state.newRequests(record, count)
+	state.counts[record] = previousCount{requests: count.Requests, tokens: count.PromptTokens}
 	if count.Waiting > 0 {
-		wanted.waiting[node] = waiting{count: count.Waiting, at: now}
-		known.waits = append(known.waits, wanted)
+		record.waiting[node] = waitingCount{count: count.Waiting, receivedAt: now}
+		state.waiting = append(state.waiting, record)
 	}
-	if added == 0 {
+	if requests == 0 {
 		return
 	}
-	wanted.add(now, added, tokens, count.LatencyGoal, count.Region)
+	record.add(now, requests, tokens, count.LatencyGoal, count.Region)
 	if count.Requirements.Adapter != "" {
-		d.modelOf(count.Requirements).add(now, added, tokens, count.LatencyGoal, count.Region)
+		d.modelRecord(count.Requirements).add(now, requests, tokens, count.LatencyGoal, count.Region)
 	}
 }
 
-// modelOf is the interest in an adapter's model.
-func (d *Demand) modelOf(wanted dispatch.Requirements) *interest {
-	wanted.Adapter = ""
-	return d.interestIn(wanted)
+// modelRecord returns the record of an adapter's model.
+func (d *Demand) modelRecord(requirements dispatch.Requirements) *demandRecord {
+	requirements.Adapter = ""
+	return d.recordFor(requirements)
 }
 
-func (d *Demand) interestIn(wanted dispatch.Requirements) *interest {
-	known, ok := d.interests[wanted]
+// recordFor returns the record for the requirements, and creates it if there is none.
+func (d *Demand) recordFor(requirements dispatch.Requirements) *demandRecord {
+	record, ok := d.records[requirements]
 	if !ok {
-		known = &interest{waiting: make(map[string]waiting)}
-		d.interests[wanted] = known
+		record = &demandRecord{waiting: make(map[string]waitingCount)}
+		d.records[requirements] = record
 	}
-	return known
+	return record
 }
 
 const (
-	// interestKept is how long what nobody asks for is remembered.
-	interestKept = 90 * time.Second
-	// nodeKept is how long a silent node's counts are remembered.
-	nodeKept = 60 * time.Second
+	// demandRecordTTL is how long a record is kept after its last request.
+	demandRecordTTL = 90 * time.Second
+	// nodeStateTTL is how long the counts of a node are kept after its last report.
+	nodeStateTTL = 60 * time.Second
 )
 
-// Prune forgets what is long silent.
+// Prune removes expired records and nodes.
 func (d *Demand) Prune(now time.Time) {
-	for wanted, known := range d.interests {
-		if now.Sub(known.lastAsk) > interestKept && known.waits(now) == 0 {
-			delete(d.interests, wanted)
-			d.forget(known)
+	for requirements, record := range d.records {
+		if now.Sub(record.lastRequest) > demandRecordTTL && record.waitingRequests(now) == 0 {
+			delete(d.records, requirements)
+			d.forget(record)
 		}
 	}
-	for node, known := range d.nodes {
-		if now.Sub(known.heardAt) > nodeKept {
+	for node, state := range d.nodes {
+		if now.Sub(state.lastSeen) > nodeStateTTL {
 			delete(d.nodes, node)
 		}
 	}
 }
 
-func (d *Demand) forget(wanted *interest) {
-	for _, known := range d.nodes {
-		delete(known.asked, wanted)
+// forget removes the counts of all nodes for a record.
+func (d *Demand) forget(record *demandRecord) {
+	for _, state := range d.nodes {
+		delete(state.counts, record)
 	}
 }
 
-// countWaits counts once for a step what waits for each model, adapters
-// included, and since when something does; and how many adapters are asked for.
-func (d *Demand) countWaits(now time.Time) {
-	d.waits = make(map[dispatch.Requirements]int)
-	d.variety = make(map[dispatch.Requirements]int)
-	for wanted, known := range d.interests {
-		if wanted.Adapter != "" && now.Sub(known.lastAsk) < adapterInterest {
-			d.variety[dispatch.Requirements{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}]++
+// refreshTotals computes, once per step, the number of waiting requests for each model including
+// its adapters, the time since when requests have been waiting, and the number of adapters in
+// demand.
+func (d *Demand) refreshTotals(now time.Time) {
+	d.waiting = make(map[dispatch.Requirements]int)
+	d.activeAdapters = make(map[dispatch.Requirements]int)
+	for requirements, record := range d.records {
+		if requirements.Adapter != "" && now.Sub(record.lastRequest) < adapterDemandTTL {
+			d.activeAdapters[dispatch.Requirements{Service: requirements.Service, Model: requirements.Model, Regions: requirements.Regions}]++
 		}
-		waits := known.waits(now)
-		if waits == 0 {
-			known.waitingSince = time.Time{}
+		waiting := record.waitingRequests(now)
+		if waiting == 0 {
+			record.waitingSince = time.Time{}
 			continue
 		}
-		if known.waitingSince.IsZero() {
-			known.waitingSince = now
+		if record.waitingSince.IsZero() {
+			record.waitingSince = now
 		}
-		d.waits[dispatch.Requirements{Service: wanted.Service, Model: wanted.Model, Regions: wanted.Regions}] += waits
+		d.waiting[dispatch.Requirements{Service: requirements.Service, Model: requirements.Model, Regions: requirements.Regions}] += waiting
 	}
 }
 
-func (d *Demand) waitsFor(service, model string) int {
-	return d.waits[dispatch.Requirements{Service: service, Model: model}]
+// waitingFor returns the number of requests without a region restriction that wait for a model.
+func (d *Demand) waitingFor(service, model string) int {
+	return d.waiting[dispatch.Requirements{Service: service, Model: model}]
 }
--- a/internal/placer/evacuate.go
+++ b/internal/placer/evacuate.go
@@ -7,69 +7,70 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// SetEvacuated closes the servers in the zones and opens all others. A closed server
-// gets no order and is not asked for its report; what it holds stays there and counts
-// as no copy, so that what stood nowhere else is loaded elsewhere.
+// SetEvacuated marks the servers in the zones as unavailable, and all others as available again.
+// An unavailable server gets no orders and is not asked for reports. It keeps its models, but
+// they do not count as copies, so models that have no other copy are loaded elsewhere.
 func (c *Core) SetEvacuated(now time.Time, zones []string) {
-	if slices.Equal(zones, c.evacuated) {
+	if slices.Equal(zones, c.evacuatedZones) {
 		return
 	}
-	c.evacuated = slices.Clone(zones)
+	c.evacuatedZones = slices.Clone(zones)
 	for _, s := range c.servers {
-		c.closeOrOpen(now, s)
+		c.updateAvailability(now, s)
 	}
 	c.effects.ViewsChanged = true
 }
 
-// SetUnavailable closes the servers that said that they leave, or that they want nothing for a while,
-// likewise, and opens those that are not among them any more.
+// SetUnavailable does the same for single server starts that announced that they shut down or
+// want no requests for a while, and makes those that are no longer listed available again.
 func (c *Core) SetUnavailable(now time.Time, starts []inventory.Start) {
-	if len(starts) == 0 && len(c.away) == 0 {
+	if len(starts) == 0 && len(c.unavailable) == 0 {
 		return
 	}
-	away := make(map[inventory.Start]bool, len(starts))
+	unavailable := make(map[inventory.Start]bool, len(starts))
 	for _, start := range starts {
-		away[start] = true
+		unavailable[start] = true
 	}
-	before := c.away
-	c.away = away
-	for _, changed := range []map[inventory.Start]bool{before, away} {
+	previous := c.unavailable
+	c.unavailable = unavailable
+	for _, changed := range []map[inventory.Start]bool{previous, unavailable} {
 		for start := range changed {
-			if s, ok := c.servers[start.ID]; ok && c.closeOrOpen(now, s) {
+			if s, ok := c.servers[start.ID]; ok && c.updateAvailability(now, s) {
 				c.effects.ViewsChanged = true
 			}
 		}
 	}
 }
 
-// close notes whether the server's zone is evacuated, or the server is away.
-func (c *Core) close(s *server) {
-	s.isClosed = c.away[s.info.Start()] || slices.Contains(c.evacuated, s.info.Zone)
+// setAvailability sets whether the server is unavailable, by its zone or by its own announcement.
+func (c *Core) setAvailability(s *server) {
+	s.isUnavailable = c.unavailable[s.info.Start()] || slices.Contains(c.evacuatedZones, s.info.Zone)
 }
 
-// closeOrOpen does that for a server which may be known as another; it reports whether it was.
-func (c *Core) closeOrOpen(now time.Time, s *server) (changed bool) {
-	was := s.isClosed
-	c.close(s)
-	if s.isClosed == was {
+// updateAvailability recomputes the availability of a known server, and reports whether it
+// changed.
+func (c *Core) updateAvailability(now time.Time, s *server) (changed bool) {
+	wasUnavailable := s.isUnavailable
+	c.setAvailability(s)
+	if s.isUnavailable == wasUnavailable {
 		return false
 	}
-	s.intent = intent{}
-	if !s.isClosed {
-		// Its report may be as old as what closed it.
-		s.askReport(now)
+	s.reservation = reservation{}
+	if !s.isUnavailable {
+		// The last report may be from before the server became unavailable.
+		s.scheduleReport(now)
 	}
 	return true
 }
 
-// takesOrders reports whether the server stays, and neither its zone nor its own word closes it.
-func (s *server) takesOrders() bool { return !s.info.Draining && !s.isClosed }
+// isSchedulable reports whether the server is neither draining nor unavailable.
+func (s *server) isSchedulable() bool { return !s.info.Draining && !s.isUnavailable }
 
-// endClosedLoad ends a load at a closed server by the server's own entry, since its
-// report is not asked for: a load that seemed to go on would take the place of one
-// elsewhere.
-func (s *server) endClosedLoad() {
-	if !s.isClosed || s.loading == nil || s.ordering != nil {
+// finishUnavailableLoad ends the load on an unavailable server once its store entry lists the
+// model, because no report is requested from it. A load that seemed to continue would use up a
+// place among the concurrent loads.
+func (s *server) finishUnavailableLoad() {
+	if !s.isUnavailable || s.loading == nil || s.pendingOrder != nil {
 		return
 	}
 	for _, model := range s.info.Models {
@@ -80,17 +81,17 @@
 	}
 }
 
-// ZoneOf is the zone of a server; empty where it is not known.
+// ZoneOf returns the zone of a server, or an empty string if the server is unknown.
 func (c *Core) ZoneOf(serverID string) string {
-	known, ok := c.servers[serverID]
+	s, ok := c.servers[serverID]
 	if !ok {
 		return ""
 	}
-	return known.info.Zone
+	return s.info.Zone
 }
 
-// isDisplaced reports whether the model stands in evacuated zones alone and is asked
-// for so often that somebody will wait for it before it is loaded elsewhere.
-func (r *round) isDisplaced(wanted want) bool {
-	return r.placementOf(wanted.model.Name).closed > 0 && wanted.rate*wanted.model.Load.Seconds() >= 1
+// isDisplaced reports whether the model has copies on unavailable servers only, and is requested
+// so often that a request is likely to wait for it before it is loaded elsewhere.
+func (r *planRound) isDisplaced(shortage modelShortage) bool {
+	return r.placementOf(shortage.model.Name).unavailableCopies > 0 && shortage.rate*shortage.model.Load.Seconds() >= 1
 }
--- a/internal/placer/evict.go
+++ b/internal/placer/evict.go
@@ -10,68 +10,69 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// intent keeps a server that is being emptied for one model.
-type intent struct {
-	model  string
-	source Source
-	takes  time.Duration
-	until  time.Time
+// reservation keeps the room that is being made on a server for one model.
+type reservation struct {
+	model    string
+	source   Source
+	loadTime time.Duration
+	until    time.Time
 }
 
-// Penalties, in seconds of somebody's waiting, of dropping a copy. A model whose
-// callers would wait for a load without being late is dropped first.
+// Penalties for evicting a copy, in seconds of request waiting time. Models whose callers could
+// wait for a load and still meet their latency goal are evicted first.
 const (
-	// surplusPenalty is for a copy beyond those needed.
+	// surplusPenalty applies to a copy beyond those needed.
 	surplusPenalty = 0.02
-	// replicaPenalty is for a copy that is in use.
-	replicaPenalty = 0.35
-	// loosePenalty is for the last copy where a load is in time, and
-	// lastCopyPenalty for that of any model that was asked for lately.
-	loosePenalty    = 0.2
-	lastCopyPenalty = 0.3
-	// unknownPenalty is for a model that nobody asked for yet.
-	unknownPenalty = 0.23
-	// tightPenalty is for the last copy where a load makes its callers late.
-	tightPenalty = 2.5
-	// forgetTime is how fast the chance fades that a silent model is asked for.
-	forgetTime = 10 * time.Second
-	// runTime is how long a request may run on: dropping a model waits for that.
-	runTime = 2 * time.Second
-	// tightMargin is what passes beside the load itself.
-	tightMargin = 500 * time.Millisecond
+	// activeCopyPenalty applies to a copy that is in use.
+	activeCopyPenalty = 0.35
+	// relaxedGoalPenalty applies to the last copy if a load meets the latency goal, and
+	// recentLastCopyPenalty to the last copy of any recently requested model.
+	relaxedGoalPenalty    = 0.2
+	recentLastCopyPenalty = 0.3
+	// noDemandPenalty applies to a model that has not been requested yet.
+	noDemandPenalty = 0.23
+	// tightGoalPenalty applies to the last copy if a load misses the latency goal.
+	tightGoalPenalty = 2.5
+	// penaltyDecayTime is the time scale on which an idle model becomes less likely to be
+	// requested.
+	penaltyDecayTime = 10 * time.Second
+	// requestRunTime is how long a request may still run; evicting its model waits for it.
+	requestRunTime = 2 * time.Second
+	// loadOverhead is the time that passes in addition to the load itself.
+	loadOverhead = 500 * time.Millisecond
 )
 
-// roomKey is a question for room at a server.
-type roomKey struct {
+// evictionKey identifies the question of how to make room of a size on a server.
+type evictionKey struct {
 	server    *server
 	weightsMB float64
 }
 
-// room is what making room at a server takes.
-type room struct {
+// eviction is the set of models to evict to make room on a server, and its penalty.
+type eviction struct {
 	victims []string
 	penalty float64
 }
 
-// roomFor is victims, worked out once for all models of a size.
-func (r *round) roomFor(s *server, model routetable.Model) ([]string, float64) {
-	key := roomKey{server: s, weightsMB: model.WeightsMB}
-	known, ok := r.rooms[key]
+// evictionFor returns the result of selectVictims, computed once for all models of the same size.
+func (r *planRound) evictionFor(s *server, model routetable.Model) ([]string, float64) {
+	key := evictionKey{server: s, weightsMB: model.WeightsMB}
+	cached, ok := r.evictions[key]
 	if !ok {
-		known.victims, known.penalty = r.victims(s, model)
-		if r.rooms == nil {
-			r.rooms = make(map[roomKey]room)
+		cached.victims, cached.penalty = r.selectVictims(s, model)
+		if r.evictions == nil {
+			r.evictions = make(map[evictionKey]eviction)
 		}
-		r.rooms[key] = known
+		r.evictions[key] = cached
 	}
-	return known.victims, known.penalty
+	return cached.victims, cached.penalty
 }
 
-// victims are the models to drop from the server to make room for one more, and
-// what that costs; the cost is infinite where it cannot be done.
-func (r *round) victims(s *server, model routetable.Model) ([]string, float64) {
-	room := r.engine.MemoryMB - s.usedMB(r.engine) - model.WeightsMB
-	if room >= 0 {
+// selectVictims returns the models to evict from the server to make room for one more, and the
+// total penalty, which is infinite if not enough room can be made.
+func (r *planRound) selectVictims(s *server, model routetable.Model) ([]string, float64) {
+	freeMB := r.engine.MemoryMB - s.usedMB(r.engine) - model.WeightsMB
+	if freeMB >= 0 {
 		return nil, 0
 	}
 	type candidate struct {
@@ -79,8 +80,8 @@
 		penalty float64
 	}
 	var candidates []candidate
-	for name := range s.held {
-		candidates = append(candidates, candidate{name, r.penalty(s, name)})
+	for name := range s.models {
+		candidates = append(candidates, candidate{name, r.dropPenalty(s, name)})
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.penalty, b.penalty), strings.Compare(a.model, b.model))
@@ -88,80 +89,83 @@
 	var victims []string
 	total := 0.0
 	for _, victim := range candidates {
-		if room >= 0 {
+		if freeMB >= 0 {
 			break
 		}
 		victims = append(victims, victim.model)
 		total += victim.penalty
-		room += r.engine.Models[victim.model].WeightsMB
+		freeMB += r.engine.Models[victim.model].WeightsMB
 	}
-	if room < 0 {
+	if freeMB < 0 {
 		return nil, math.Inf(1)
 	}
 	return victims, total
 }
 
-// penalty is what dropping a copy of a model from a server costs.
-func (r *round) penalty(s *server, name string) float64 {
-	cost := r.penaltyTo(s, name, asker{
-		known: r.interest(name), copies: r.copiesOf(name), kept: r.kept(name), waits: r.core.demand.waitsFor(r.service, name),
+// dropPenalty returns the penalty of evicting a model from a server: the highest over all
+// consumers that the server may serve.
+func (r *planRound) dropPenalty(s *server, name string) float64 {
+	cost := r.consumerPenalty(s, name, consumer{
+		demand: r.demandFor(name), copies: r.copiesOf(name), retained: r.retainedCopies(name), waiting: r.core.demand.waitingFor(r.service, name),
 	})
-	for _, bounded := range r.boundedOf(name) {
-		if bounded.adapter == "" && r.isIn(s, bounded.regions) && r.now.Sub(bounded.known.lastAsk) <= interestAge {
-			cost = max(cost, r.penaltyTo(s, name, asker{
-				known: bounded.known, copies: r.copiesIn(name, bounded.regions), kept: r.neededIn(bounded), waits: bounded.waits,
+	for _, regional := range r.regionalDemandFor(name) {
+		if regional.adapter == "" && r.isInRegions(s, regional.regions) && r.now.Sub(regional.demand.lastRequest) <= modelDemandTTL {
+			cost = max(cost, r.consumerPenalty(s, name, consumer{
+				demand: regional.demand, copies: r.copiesIn(name, regional.regions), retained: r.neededRegionalCopies(regional), waiting: regional.waiting,
 			}))
 		}
 	}
 	return cost
 }
 
-// asker is who asks for a model: those whose requests may run anywhere, or in the same
-// regions; how many copies there are and are kept for them, and how many requests wait.
-type asker struct {
-	known  *interest
-	copies int
-	kept   int
-	waits  int
+// consumer is a group of callers of a model: those whose requests may run anywhere, or those
+// restricted to the same regions. It states how many copies they have, how many are protected
+// from eviction for them, and how many of their requests wait.
+type consumer struct {
+	demand   *demandRecord
+	copies   int
+	retained int
+	waiting  int
 }
 
-// penaltyTo is what dropping a copy of a model from a server costs those who ask for it.
-func (r *round) penaltyTo(s *server, name string, by asker) float64 {
-	silent := r.now.Sub(s.held[name].since)
-	if by.known != nil {
-		// What waited for the model began to run when it came.
-		silent = min(silent, r.now.Sub(by.known.lastAsk))
+// consumerPenalty returns the penalty of evicting a model from a server for one group of its
+// callers.
+func (r *planRound) consumerPenalty(s *server, name string, c consumer) float64 {
+	idle := r.now.Sub(s.models[name].loadedAt)
+	if c.demand != nil {
+		// Requests that waited for the model started running when it was loaded.
+		idle = min(idle, r.now.Sub(c.demand.lastRequest))
 	}
 	switch {
-	case by.copies > max(1, by.kept):
-		if silent < runTime {
-			return surplusPenalty + replicaPenalty
+	case c.copies > max(1, c.retained):
+		if idle < requestRunTime {
+			return surplusPenalty + activeCopyPenalty
 		}
 		return surplusPenalty
-	case by.known == nil:
-		return unknownPenalty
-	case by.waits > 0:
+	case c.demand == nil:
+		return noDemandPenalty
+	case c.waiting > 0:
 		return math.Inf(1)
 	}
-	last := 0.0
-	if by.copies <= 1 && silent < interestAge {
-		last = lastCopyPenalty
+	lastCopy := 0.0
+	if c.copies <= 1 && idle < modelDemandTTL {
+		lastCopy = recentLastCopyPenalty
 	}
-	fades := 1 / (1 + silent.Seconds()/forgetTime.Seconds())
-	// What is dropped stays on the server's disk.
-	isTight := by.known.goal > 0 && by.known.goal < r.engine.Models[name].DiskLoad+tightMargin
+	decay := 1 / (1 + idle.Seconds()/penaltyDecayTime.Seconds())
+	// An evicted model stays on the server's disk.
+	isTight := c.demand.latencyGoal > 0 && c.demand.latencyGoal < r.engine.Models[name].DiskLoad+loadOverhead
 	switch {
-	case silent < runTime && isTight:
+	case idle < requestRunTime && isTight:
 		return math.Inf(1)
-	case silent < runTime:
-		return replicaPenalty + last
-	case isTight && by.copies > 1:
-		return replicaPenalty + tightPenalty*fades/4
+	case idle < requestRunTime:
+		return activeCopyPenalty + lastCopy
+	case isTight && c.copies > 1:
+		return activeCopyPenalty + tightGoalPenalty*decay/4
 	case isTight:
-		return replicaPenalty + tightPenalty*fades
-	case by.copies > 1:
+		return activeCopyPenalty + tightGoalPenalty*decay
+	case c.copies > 1:
 		return surplusPenalty
 	default:
-		return last + loosePenalty*fades
+		return lastCopy + relaxedGoalPenalty*decay
 	}
 }
--- a/internal/placer/interest.go
+++ b/internal/placer/interest.go
@@ -5,92 +5,95 @@
 	"time"
 )
 
-// interest is what all nodes together want of one thing.
-type interest struct {
-	// fast follows the demand of now, slow that of some time.
-	fast   flow
-	slow   flow
-	fadeAt time.Time
-	// goal is the tightest objective of those who ask; 0 where none is told.
-	goal time.Duration
-	// lastAsk is when the last request came.
-	lastAsk time.Time
-	// waiting are requests that have no server now, by node.
-	waiting map[string]waiting
-	// from are the requests of now by the region of the nodes that they came to.
-	from map[string]float64
-	// waitingSince is when requests began to wait; zero while none does.
+// demandRecord aggregates the demand of all nodes for one model or adapter with one set of
+// allowed regions.
+type demandRecord struct {
+	// fastRate follows the current demand, slowRate its average over a longer time.
+	fastRate  demandRate
+	slowRate  demandRate
+	decayedAt time.Time
+	// latencyGoal is the strictest goal among the requests; 0 if none was given.
+	latencyGoal time.Duration
+	// lastRequest is when the last request arrived.
+	lastRequest time.Time
+	// waiting holds the requests that no server can take at present, by node.
+	waiting map[string]waitingCount
+	// byRegion is the slowly decaying request rate by the region of the receiving node.
+	byRegion map[string]float64
+	// waitingSince is when requests began to wait; zero if none is waiting.
 	waitingSince time.Time
 }
 
-// flow is requests and prompt tokens in a second, faded over time.
-type flow struct {
+// demandRate is an exponentially decaying rate of requests and prompt tokens per second.
+type demandRate struct {
 	requests float64
 	tokens   float64
 }
 
-func (f *flow) fade(past, over time.Duration) {
-	keep := math.Exp(-past.Seconds() / over.Seconds())
-	f.requests *= keep
-	f.tokens *= keep
+func (d *demandRate) decay(elapsed, timeConstant time.Duration) {
+	keep := math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
+	d.requests *= keep
+	d.tokens *= keep
 }
 
-func (f *flow) add(requests, tokens float64, over time.Duration) {
-	f.requests += requests / over.Seconds()
-	f.tokens += tokens / over.Seconds()
+func (d *demandRate) add(requests, tokens float64, timeConstant time.Duration) {
+	d.requests += requests / timeConstant.Seconds()
+	d.tokens += tokens / timeConstant.Seconds()
 }
 
-type waiting struct {
-	count int
-	at    time.Time
+// waitingCount is a number of waiting requests and when it was reported.
+type waitingCount struct {
+	count      int
+	receivedAt time.Time
 }
 
 const (
-	// fastTime and slowTime are the times over which rates fade.
-	fastTime = 3 * time.Second
-	slowTime = 12 * time.Second
-	// waitingAge is how long a node's word of its waiting requests is believed.
-	waitingAge = 1500 * time.Millisecond
+	// fastDecayTime and slowDecayTime are the time constants of the decaying rates.
+	fastDecayTime = 3 * time.Second
+	slowDecayTime = 12 * time.Second
+	// waitingCountTTL is how long a node's report of its waiting requests is valid.
+	waitingCountTTL = 1500 * time.Millisecond
 )
 
-func (i *interest) fade(now time.Time) {
-	if !i.fadeAt.IsZero() {
-		i.fadeRegions(now.Sub(i.fadeAt))
-		i.fast.fade(now.Sub(i.fadeAt), fastTime)
-		i.slow.fade(now.Sub(i.fadeAt), slowTime)
+func (d *demandRecord) decay(now time.Time) {
+	if !d.decayedAt.IsZero() {
+		d.decayRegions(now.Sub(d.decayedAt))
+		d.fastRate.decay(now.Sub(d.decayedAt), fastDecayTime)
+		d.slowRate.decay(now.Sub(d.decayedAt), slowDecayTime)
 	}
-	i.fadeAt = now
+	d.decayedAt = now
 }
 
-// add counts requests that came just now to nodes of a region.
-func (i *interest) add(now time.Time, requests, tokens float64, goal time.Duration, region string) {
-	i.fade(now)
-	i.fast.add(requests, tokens, fastTime)
-	i.slow.add(requests, tokens, slowTime)
-	i.lastAsk = now
+// add counts requests that have just arrived at nodes of a region.
+func (d *demandRecord) add(now time.Time, requests, tokens float64, latencyGoal time.Duration, region string) {
+	d.decay(now)
+	d.fastRate.add(requests, tokens, fastDecayTime)
+	d.slowRate.add(requests, tokens, slowDecayTime)
+	d.lastRequest = now
 	if region != "" {
-		i.addRegion(region, requests)
+		d.addRegionRequests(region, requests)
 	}
-	if goal > 0 && (i.goal == 0 || goal < i.goal) {
-		i.goal = goal
+	if latencyGoal > 0 && (d.latencyGoal == 0 || latencyGoal < d.latencyGoal) {
+		d.latencyGoal = latencyGoal
 	}
 }
 
-func (i *interest) waits(now time.Time) int {
+// waitingRequests returns the number of waiting requests over all nodes.
+func (d *demandRecord) waitingRequests(now time.Time) int {
 	total := 0
-	for _, w := range i.waiting {
-		if now.Sub(w.at) < waitingAge {
+	for _, w := range d.waiting {
+		if now.Sub(w.receivedAt) < waitingCountTTL {
 			total += w.count
 		}
 	}
 	return total
 }
 
-// stuckTime is how long requests wait beside a copy until it counts as out of
-// their reach: its server may be down, cut off or refuse them.
-const stuckTime = 400 * time.Millisecond
+// unreachableDelay is how long requests wait although there is a copy before that copy counts as
+// unreachable for them: its server may be down, partitioned, or refusing them.
+const unreachableDelay = 400 * time.Millisecond
 
-// isStuck reports whether requests wait though the leader knows a copy.
-func (i *interest) isStuck(now time.Time) bool {
-	return i != nil && !i.waitingSince.IsZero() && now.Sub(i.waitingSince) > stuckTime
+// isStuck reports whether requests have been waiting for longer than unreachableDelay.
+func (d *demandRecord) isStuck(now time.Time) bool {
+	return d != nil && !d.waitingSince.IsZero() && now.Sub(d.waitingSince) > unreachableDelay
 }
--- a/internal/placer/loads.go
+++ b/internal/placer/loads.go
@@ -6,146 +6,148 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// limitOf is what is known of the weight store of a service.
-func (c *Core) limitOf(service string) *storeLimit {
-	known, ok := c.limits[service]
+// storeLimitFor returns the concurrency limit for the weight store of a service.
+func (c *Core) storeLimitFor(service string) *storeLimit {
+	limit, ok := c.storeLimits[service]
 	if !ok {
-		known = newStoreLimit(c.options.LoadsAtOnce[service])
-		c.limits[service] = known
+		limit = newStoreLimit(c.options.LoadsAtOnce[service])
+		c.storeLimits[service] = limit
 	}
-	return known
+	return limit
 }
 
-// LoadsAtOnce are the loads at full speed that were learned of each weight
-// store, for later leaders.
+// LoadsAtOnce returns the learned number of concurrent loads at full speed for each weight store,
+// to be handed to later leaders.
 func (c *Core) LoadsAtOnce() map[string]float64 {
-	learned := make(map[string]float64, len(c.limits))
-	for service, limit := range c.limits {
-		if len(limit.slowed) > 0 {
-			learned[service] = limit.width()
+	learned := make(map[string]float64, len(c.storeLimits))
+	for service, limit := range c.storeLimits {
+		if len(limit.slowEstimates) > 0 {
+			learned[service] = limit.fullSpeedLoads()
 		}
 	}
 	return learned
 }
 
-// LoadLimit is the number of loads that the weight store behind a server is
-// taken to bear at once; 0 where the server is not known.
+// LoadLimit returns the number of concurrent loads allowed for the weight store of a server's
+// service, or 0 if the server is unknown.
 func (c *Core) LoadLimit(serverID string) int {
 	s, ok := c.servers[serverID]
 	if !ok {
 		return 0
 	}
-	return c.limitOf(s.info.Service).allowed()
+	return c.storeLimitFor(s.info.Service).allowed()
 }
 
-// mayLoadFromStore reports whether a load from the weight store may be under way
-// at the server: an earlier leader's too.
+// mayLoadFromStore reports whether the server may be loading from the weight store, possibly by
+// order of an earlier leader.
 func (s *server) mayLoadFromStore() bool {
 	if s.loading != nil {
 		return s.loading.source == SourceStore
 	}
-	return s.busy && !s.synced && !s.isBusyWithOther()
+	return s.busy && !s.synced && !s.isBusyWithOtherOrder()
 }
 
-// isBusyWithOther reports whether what keeps the server busy is known to be no load
-// from the weight store: the last order that it took is this leader's and another
-// one. An unload, of an adapter too, waits for the runs that use it.
-func (s *server) isBusyWithOther() bool {
-	last := s.lastTaken
-	if last == nil || s.unsure != nil || s.sequence != last.ExpectedSequence+1 {
+// isBusyWithOtherOrder reports whether the server is known to be busy with something other than a
+// load from the weight store: the last order it accepted came from this leader and was of another
+// kind. An unload, of an adapter too, keeps a server busy until the requests using it have
+// finished.
+func (s *server) isBusyWithOtherOrder() bool {
+	last := s.lastAcceptedOrder
+	if last == nil || s.unconfirmedOrder != nil || s.sequence != last.ExpectedSequence+1 {
 		return false
 	}
 	return last.Operation != Load || last.Adapter != "" || last.Source != SourceStore
 }
 
-// loadsFromStore reports whether a load from the weight store has begun there.
-func (s *server) loadsFromStore() bool {
+// hasStartedStoreLoad reports whether the server has begun a load from the weight store.
+func (s *server) hasStartedStoreLoad() bool {
 	if s.loading != nil {
 		return s.loading.run != nil
 	}
-	return s.busy && !s.synced && !s.isBusyWithOther()
+	return s.busy && !s.synced && !s.isBusyWithOtherOrder()
 }
 
-// loadBegan follows the load that the server just took.
-func (c *Core) loadBegan(now time.Time, s *server) {
+// trackStoreLoad starts measuring the load that the server has just accepted, if it is from the
+// weight store.
+func (c *Core) trackStoreLoad(now time.Time, s *server) {
 	engine := c.engineOf(s.info.Service)
 	if s.loading == nil || s.loading.source != SourceStore || engine == nil {
 		return
 	}
-	atStart := 1
+	concurrent := 1
 	for _, other := range c.servers {
-		if other.info.Service == s.info.Service && other != s && other.loadsFromStore() {
-			atStart++
+		if other.info.Service == s.info.Service && other != s && other.hasStartedStoreLoad() {
+			concurrent++
 		}
 	}
-	s.loading.run = newLoadRun(now, engine.Models[s.loading.model].Load, atStart)
+	s.loading.run = newLoadRun(now, engine.Models[s.loading.model].Load, concurrent)
 }
 
-// loadEnded learns from a load that a report shows as done. The report tells
-// what was so a moment ago.
-func (c *Core) loadEnded(now time.Time, s *server) {
-	if s.loading == nil || !s.has(s.loading.model) {
+// recordLoadCompletion learns from a load that a report shows as complete. The content of the
+// report may be up to maxReportAge old.
+func (c *Core) recordLoadCompletion(now time.Time, s *server) {
+	if s.loading == nil || !s.hasModel(s.loading.model) {
 		return
 	}
-	delete(c.badLoads, modelKey{s.info.Service, s.loading.model})
+	delete(c.loadCrashes, modelKey{s.info.Service, s.loading.model})
 	if s.loading.run == nil {
 		return
 	}
-	c.limitOf(s.info.Service).ended(s.loading.run)
+	c.storeLimitFor(s.info.Service).recordCompletion(s.loading.run)
 }
 
-// retellTime is by how much the time of a load must move until it is told anew.
-const retellTime = 300 * time.Millisecond
+// minReadyAtChange is the change of a load's expected end from which it is published again.
+const minReadyAtChange = 300 * time.Millisecond
 
-// followLoads extends the runs of all loads from weight stores to now, and
-// foretells their ends.
-func (c *Core) followLoads(now time.Time) {
-	atOnce := make(map[string]int)
+// updateLoadEstimates extends the measurements of all loads from weight stores to now, and
+// updates their expected ends.
+func (c *Core) updateLoadEstimates(now time.Time) {
+	concurrentLoads := make(map[string]int)
 	for _, s := range c.servers {
 		if s.mayLoadFromStore() {
-			atOnce[s.info.Service]++
+			concurrentLoads[s.info.Service]++
 		}
 	}
 	overdue := make(map[string][]*loadRun)
-	for _, s := range c.sorted() {
+	for _, s := range c.serversByID() {
 		if s.loading == nil || s.loading.run == nil {
 			continue
 		}
-		limit, beside := c.limitOf(s.info.Service), atOnce[s.info.Service]
-		s.loading.run.ranBeside(now, beside)
+		limit, concurrent := c.storeLimitFor(s.info.Service), concurrentLoads[s.info.Service]
+		s.loading.run.extend(now, concurrent)
 		if s.loading.run.isLate() {
 			overdue[s.info.Service] = append(overdue[s.info.Service], s.loading.run)
 		}
-		s.loading.ready = now.Add(limit.left(s.loading.run, beside) + loadMargin)
-		if moved := s.loading.ready.Sub(s.loading.told); moved > retellTime || moved < -retellTime {
-			s.loading.told = s.loading.ready
+		s.loading.readyAt = now.Add(limit.remaining(s.loading.run, concurrent) + loadMargin)
+		if moved := s.loading.readyAt.Sub(s.loading.announcedReadyAt); moved > minReadyAtChange || moved < -minReadyAtChange {
+			s.loading.announcedReadyAt = s.loading.readyAt
 			c.effects.ViewsChanged = true
 		}
 	}
 	for service, runs := range overdue {
-		c.limitOf(service).overdue(runs)
+		c.storeLimitFor(service).recordOverdue(runs)
 	}
 }
 
-// longestRecheck bounds the pause between reports of a server that loads.
-const longestRecheck = 500 * time.Millisecond
+// maxBusyReportInterval limits the pause between reports of a loading server.
+const maxBusyReportInterval = 500 * time.Millisecond
 
-// recheckIn is the pause until the next report of a busy server.
-func (s *server) recheckIn(now time.Time) time.Duration {
+// busyReportDelay returns the pause before the next report of a busy server.
+func (s *server) busyReportDelay(now time.Time) time.Duration {
 	if s.loading == nil || s.loading.run == nil {
-		return recheck
+		return busyReportInterval
 	}
-	return max(recheck, min(longestRecheck, s.loading.ready.Sub(now)/2))
+	return max(busyReportInterval, min(maxBusyReportInterval, s.loading.readyAt.Sub(now)/2))
 }
 
-// storeLoading counts the loads from the weight store that are under way, or
-// for which a server is being emptied.
-func (r *round) storeLoading(besides string) int {
+// countStoreLoads counts the loads from the weight store that are in progress, or for which room
+// is being made, except for the given model.
+func (r *planRound) countStoreLoads(model string) int {
 	count := 0
 	for _, s := range r.servers {
 		isLoading := s.mayLoadFromStore()
-		isMeant := s.intent.source == SourceStore && s.isKeptFor(r.now, besides)
-		if isLoading || isMeant {
+		isPlanned := s.reservation.source == SourceStore && s.isReservedForOther(r.now, model)
+		if isLoading || isPlanned {
 			count++
 		}
 	}
@@ -153,29 +155,31 @@
 }
 
 const (
-	// spareLoads is what is left of the bound for orders whose answer is lost.
-	spareLoads = 2
-	// boundExtra is the number of loads that the bound grants in any window
-	// beyond the rate; see the platform's rule on the weight store.
-	boundExtra = 3
-	// idleShare is the part of the bound that loads take which nobody waits for.
-	idleShare = 0.6
+	// lostAnswerMargin is the part of the load limit kept free for orders whose answers are lost.
+	lostAnswerMargin = 2
+	// burstLoads is the number of loads that the platform's limit on weight store loads permits
+	// in any window in addition to the rate.
+	burstLoads = 3
+	// nonUrgentShare is the share of the limits available to loads that no request waits for.
+	nonUrgentShare = 0.6
 )
 
-func (c *Core) loadsPerWindow(engine *routetable.Engine) int {
-	return int(engine.LoadsPerSecond*c.options.Window.Seconds()*c.options.Overage) + boundExtra - spareLoads
+// maxLoadsPerWindow returns the number of loads from the weight store that may begin within any
+// window.
+func (c *Core) maxLoadsPerWindow(engine *routetable.Engine) int {
+	return int(engine.LoadsPerSecond*c.options.Window.Seconds()*c.options.Overage) + burstLoads - lostAnswerMargin
 }
 
-// storeAllows reports whether one more load from the weight store may begin.
-func (r *round) storeAllows(model string, urgent bool) bool {
-	if r.core.reserved[r.service] <= 0 {
+// mayStartStoreLoad reports whether one more load from the weight store may begin.
+func (r *planRound) mayStartStoreLoad(model string, urgent bool) bool {
+	if r.core.loadBudget[r.service] <= 0 {
 		return false
 	}
-	allowed := float64(r.core.loadsPerWindow(r.engine))
-	atOnce := r.core.limitOf(r.service).allowed()
+	maxPerWindow := float64(r.core.maxLoadsPerWindow(r.engine))
+	maxConcurrent := r.core.storeLimitFor(r.service).allowed()
 	if !urgent {
-		allowed *= idleShare
-		atOnce = max(1, atOnce/2)
+		maxPerWindow *= nonUrgentShare
+		maxConcurrent = max(1, maxConcurrent/2)
 	}
-	return float64(len(r.core.storeLoads[r.service])) < allowed && r.storeLoading(model) < atOnce
+	return float64(len(r.core.storeLoads[r.service])) < maxPerWindow && r.countStoreLoads(model) < maxConcurrent
 }
--- a/internal/placer/messages.go
+++ b/internal/placer/messages.go
@@ -8,17 +8,17 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Operation is what an order asks for.
+// Operation is the kind of an order.
 type Operation int
 
 const (
-	// Load brings a model, or an adapter of a model that is there.
+	// Load loads a model, or an adapter of a model that the server holds.
 	Load Operation = iota + 1
-	// Unload drops a model, or an adapter.
+	// Unload removes a model or an adapter.
 	Unload
 )
 
-// String names the operation in logs.
+// String returns the name of the operation as it appears in logs.
 func (o Operation) String() string {
 	if o == Load {
 		return "load"
@@ -26,64 +26,67 @@
 	return "unload"
 }
 
-// Order is one order to a server.
+// Order instructs a server to load or unload a model or an adapter.
 type Order struct {
 	ServerID string
-	// StartedAtMs is that of the start of the server that is meant.
+	// StartedAtMs identifies the server start that the order is meant for.
 	StartedAtMs int64
 	Address     string
 	Operation   Operation
 	Model       string
 	Adapter     string
-	// ExpectedSequence is the number of orders that the server must have taken.
+	// ExpectedSequence is the number of orders that the server must have accepted so far for this
+	// one to be valid.
 	ExpectedSequence int64
-	// Source is where the weights come from, for logs.
+	// Source is where the weights are loaded from.
 	Source Source
 	Reason string
 }
 
-// Start is the start of the server that is ordered.
+// Start returns the server start that the order is meant for.
 func (o Order) Start() inventory.Start {
 	return inventory.Start{ID: o.ServerID, StartedAtMs: o.StartedAtMs}
 }
 
-// Source is where weights are loaded from.
+// Source is where the weights of a model are loaded from.
 type Source int
 
 const (
-	// SourceNone is an order that loads no weights.
+	// SourceNone is the source of an order that loads no weights.
 	SourceNone Source = iota
-	// SourceStore is the weight store, whose loads are bounded.
+	// SourceStore is the weight store, whose load rate is limited.
 	SourceStore
 	// SourceDisk is the server's disk.
 	SourceDisk
-	// SourceMemory is the server's memory.
+	// SourceMemory is the server's main memory.
 	SourceMemory
 )
 
-// Result is how a server answered an order.
+// Result is the result of an order.
 type Result int
 
 const (
-	// ResultTaken is an order that is being done.
+	// ResultTaken means that the server accepted the order and is executing it.
 	ResultTaken Result = iota + 1
-	// ResultHeld is an order for what the server holds already.
+	// ResultHeld means that the server already holds what the order would load.
 	ResultHeld
-	// ResultBusy is an order that another one, or another count, kept out.
+	// ResultBusy means that the server refused the order, because it is executing another one or
+	// because the expected sequence number does not match.
 	ResultBusy
-	// ResultFenced is an order under a token that is too low.
+	// ResultFenced means that the order's fencing token is too low.
 	ResultFenced
-	// ResultGone is an order at an address that another server has.
+	// ResultGone means that another server uses the address by now.
 	ResultGone
-	// ResultRefused is an order that the server can't do.
+	// ResultRefused means that the server cannot execute the order.
 	ResultRefused
-	// ResultUnknown is an order without an answer: it may be done now or later.
+	// ResultUnknown means that no answer arrived: the order may have been executed, or may still
+	// be.
 	ResultUnknown
-	// ResultNotSent is an order that did not leave.
+	// ResultNotSent means that the order was not sent.
 	ResultNotSent
 )
 
-// String names the result in logs and metrics.
+// String returns the name of the result as it appears in logs and metrics.
 func (r Result) String() string {
 	names := map[Result]string{
 		ResultTaken: "taken", ResultHeld: "held", ResultBusy: "busy", ResultFenced: "fenced", ResultGone: "gone",
@@ -92,70 +95,72 @@
 	return names[r]
 }
 
-// Report is what a server says of itself when asked.
+// Report is the state of a server, as the server itself reports it.
 type Report struct {
 	Models  []inventory.HeldModel
 	Pending []dispatch.Requirements
 	Busy    bool
-	// StartedAtMs is that of the start of the server; 0 where it is not told.
+	// StartedAtMs identifies the server start that the report belongs to; 0 if unknown.
 	StartedAtMs int64
 	Sequence    int64
-	// InMemory and OnDisk are the weights kept beside those held.
+	// InMemory and OnDisk list the models whose weights the server caches in addition to those it
+	// holds.
 	InMemory []string
 	OnDisk   []string
-	// Hint is what the server told with the answer, also where the report cannot be had.
+	// Hint is the announcement that came with the answer, which may be present even if the report
+	// is not.
 	Hint inventory.Hint
 }
 
-// String names the source in logs.
+// String returns the name of the source as it appears in logs.
 func (s Source) String() string {
 	return [...]string{"none", "store", "disk", "memory"}[s]
 }
 
-// ReportRequest asks for a server's report.
+// ReportRequest asks a server for its report.
 type ReportRequest struct {
 	ServerID string
-	// StartedAtMs is that of the start of the server that is meant.
+	// StartedAtMs identifies the server start that is asked.
 	StartedAtMs int64
 	Address     string
 }
 
-// Start is the start of the server that is asked.
-func (c ReportRequest) Start() inventory.Start {
-	return inventory.Start{ID: c.ServerID, StartedAtMs: c.StartedAtMs}
+// Start returns the server start that is asked.
+func (r ReportRequest) Start() inventory.Start {
+	return inventory.Start{ID: r.ServerID, StartedAtMs: r.StartedAtMs}
 }
 
-// RequestCount is what one node counted of the requests for one thing wanted.
+// RequestCount is one node's cumulative count of the requests with the same requirements.
 type RequestCount struct {
 	Requirements dispatch.Requirements
 	Requests     uint64
 	Waiting      int
 	PromptTokens uint64
-	// Region is where the node stands; empty where that is not known.
+	// Region is the region of the node; empty if unknown.
 	Region string
-	// LatencyGoal is the tightest objective of those requests.
+	// LatencyGoal is the strictest goal among those requests.
 	LatencyGoal time.Duration
 }
 
-// Effects are what the core wants done.
+// Effects are the calls that the core wants made.
 type Effects struct {
 	Orders         []Order
 	ReportRequests []ReportRequest
-	// ViewsChanged is set where Views returns something new.
+	// ViewsChanged is set if Views returns something new.
 	ViewsChanged bool
 }
 
-// Options set up a Core.
+// Options configure a Core.
 type Options struct {
-	// Window and Overage bound the loads from the weight store: at most rate x
-	// Window x Overage + Spare begin in any Window.
+	// Window and Overage limit the loads from the weight store: at most rate x Window x Overage +
+	// burstLoads begin in any Window.
 	Window  time.Duration
 	Overage float64
-	// LoadsAtOnce are the loads at full speed that earlier leaders learned of
-	// each weight store, by service.
+	// LoadsAtOnce is the number of concurrent loads at full speed that earlier leaders learned
+	// for each weight store, by service.
 	LoadsAtOnce map[string]float64
-	// Demand is what was wanted so far; nil is nothing.
+	// Demand is the demand observed so far; nil means none.
 	Demand *Demand
-	// Topology are the zones and regions of the deployment.
+	// Topology maps the zones of the deployment to regions.
 	Topology locality.Map
 }
--- a/internal/placer/need.go
+++ b/internal/placer/need.go
@@ -7,37 +7,37 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// need is why a model should have one more copy, the weakest first. It bounds
-// what may be dropped for it.
-type need int
+// copyPriority is the reason why a model should get one more copy, in ascending order of urgency.
+// It limits what may be evicted for the copy.
+type copyPriority int
 
 const (
-	// needSpare is for a copy beside those that the traffic needs.
-	needSpare need = iota
-	// needReturn is for a model that was asked for lately, stands nowhere, and
-	// that nobody waits for now. Without a bound, models that are more than the
-	// places would take turns for ever.
-	needReturn
-	// needThroughput is for a model whose copies cannot bear its traffic.
-	needThroughput
-	// needDisplaced is for a model that stands in evacuated zones alone, and that
-	// requests will wait for before it is loaded elsewhere.
-	needDisplaced
-	// needWaiting is for a model that requests wait for.
-	needWaiting
+	// prioritySpare is for a copy beyond those that the traffic needs.
+	prioritySpare copyPriority = iota
+	// priorityReturn is for a recently requested model that has no copy and no waiting requests.
+	// Its limit on evictions keeps models that do not fit all at once from replacing each other
+	// endlessly.
+	priorityReturn
+	// priorityThroughput is for a model whose copies cannot handle its traffic.
+	priorityThroughput
+	// priorityDisplaced is for a model whose only copies are on unavailable servers, and for
+	// which requests are likely to wait before it is loaded elsewhere.
+	priorityDisplaced
+	// priorityWaiting is for a model without a copy that requests are waiting for.
+	priorityWaiting
 )
 
-// String names the need in logs.
-func (n need) String() string {
-	return [...]string{"spare", "return", "throughput", "displaced", "waiting"}[n]
+// String returns the name of the priority as it appears in the reason of an order.
+func (p copyPriority) String() string {
+	return [...]string{"spare", "return", "throughput", "displaced", "waiting"}[p]
 }
 
-// maxPenalty bounds what is dropped for a copy.
-func (n need) maxPenalty() float64 {
-	switch n {
-	case needWaiting:
+// maxPenalty returns the highest total penalty of the evictions that a copy may cause.
+func (p copyPriority) maxPenalty() float64 {
+	switch p {
+	case priorityWaiting:
 		return math.MaxFloat64
-	case needThroughput, needDisplaced:
+	case priorityThroughput, priorityDisplaced:
 		return maxThroughputPenalty
 	default:
 		return maxSparePenalty
@@ -45,38 +45,38 @@
 }
 
 const (
-	// maxSparePenalty leaves the last copy of what was asked for lately alone.
+	// maxSparePenalty excludes the last copy of a recently requested model.
 	maxSparePenalty = 0.25
-	// maxThroughputPenalty allows to drop the last copy of a model that is idle
-	// and whose callers bear a load.
+	// maxThroughputPenalty permits evicting the last copy of an idle model whose callers tolerate
+	// the time of a load.
 	maxThroughputPenalty = 0.6
 )
 
-// want is one model that has fewer copies than wanted.
-type want struct {
-	model   routetable.Model
-	copies  int
-	waiting int
-	rate    float64
-	need    need
-	// regions are those in which the copy must stand.
+// modelShortage is a model with fewer copies than needed.
+type modelShortage struct {
+	model    routetable.Model
+	copies   int
+	waiting  int
+	rate     float64
+	priority copyPriority
+	// regions are the regions that the copy must be in.
 	regions locality.Regions
-	// stood are the copies there as the wants were listed.
-	stood int
+	// initialCopies is the number of copies there when the shortages were listed.
+	initialCopies int
 }
 
-// needOf is why the model should have one more copy.
-func (r *round) needOf(wanted want, known *interest) need {
+// priorityOf returns the reason why the model should get one more copy.
+func (r *planRound) priorityOf(shortage modelShortage, demand *demandRecord) copyPriority {
 	switch {
-	case wanted.copies == 0 && wanted.waiting > 0:
-		return needWaiting
-	case wanted.copies == 0 && r.isDisplaced(wanted):
-		return needDisplaced
-	case wanted.copies == 0:
-		return needReturn
-	case known != nil && wanted.copies < copiesForTokens(known.fast), wanted.copies < max(r.copiesForAdapters(wanted.model.Name), r.copiesForSlots(wanted.model.Name)):
-		return needThroughput
+	case shortage.copies == 0 && shortage.waiting > 0:
+		return priorityWaiting
+	case shortage.copies == 0 && r.isDisplaced(shortage):
+		return priorityDisplaced
+	case shortage.copies == 0:
+		return priorityReturn
+	case demand != nil && shortage.copies < copiesForTokens(demand.fastRate), shortage.copies < max(r.copiesForAdapters(shortage.model.Name), r.copiesForSlots(shortage.model.Name)):
+		return priorityThroughput
 	default:
-		return needSpare
+		return prioritySpare
 	}
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -5,59 +5,60 @@
 	"time"
 )
 
-// Costs of the place of a copy, in seconds of its load.
+// Costs of a copy's location, in seconds of load time.
 const (
-	// sameZoneCost is the malus for a zone that has a copy already, and sameRegionCost
-	// for another zone of a region that has one: bytes between regions are dear, and a
-	// region that is cut off keeps what stands there.
+	// sameZoneCost applies to a zone that already has a copy, and sameRegionCost to another zone
+	// of a region that has one. Copies in several regions reduce the traffic between regions,
+	// which is expensive, and remain usable in a region that is partitioned from the rest.
 	sameZoneCost   = 0.15
 	sameRegionCost = 0.1
-	// awayCost is for a region that none of the model's requests come from.
-	awayCost = 0.1
+	// remoteRegionCost applies to a region that receives none of the model's requests.
+	remoteRegionCost = 0.1
 )
 
-// placeCost is what the server's place costs a copy of the model.
-func (r *round) placeCost(at *server, model string) float64 {
-	placed := r.placementOf(model)
+// localityCost returns the cost of a copy of the model on the server due to its location.
+func (r *planRound) localityCost(s *server, model string) float64 {
+	current := r.placementOf(model)
 	cost := 0.0
-	region := r.regionOf(at)
+	region := r.regionOf(s)
 	switch {
-	case placed.zones[at.info.Zone] > 0:
+	case current.zones[s.info.Zone] > 0:
 		cost = sameZoneCost
-	case r.core.options.Topology.HasMultipleRegions() && placed.regions[region] > 0:
+	case r.core.options.Topology.HasMultipleRegions() && current.regions[region] > 0:
 		cost = sameRegionCost
 	}
-	if known := r.interest(model); known != nil {
-		cost += awayCost * known.awayFrom(region)
+	if demand := r.demandFor(model); demand != nil {
+		cost += remoteRegionCost * demand.remoteShare(region)
 	}
 	return cost
 }
 
-// awayFrom is the share of the requests that come from other regions than this one; 0
-// where that is not known.
-func (i *interest) awayFrom(region string) float64 {
+// remoteShare returns the share of the requests that arrive in regions other than this one; 0 if
+// that is unknown.
+func (d *demandRecord) remoteShare(region string) float64 {
 	total := 0.0
-	for _, requests := range i.from {
+	for _, requests := range d.byRegion {
 		total += requests
 	}
 	if total == 0 {
 		return 0
 	}
-	return 1 - i.from[region]/total
+	return 1 - d.byRegion[region]/total
 }
 
-// addRegion counts requests that came to nodes of the region.
-func (i *interest) addRegion(region string, requests float64) {
-	if i.from == nil {
-		i.from = make(map[string]float64)
+// addRegionRequests counts requests that arrived at nodes of the region.
+func (d *demandRecord) addRegionRequests(region string, requests float64) {
+	if d.byRegion == nil {
+		d.byRegion = make(map[string]float64)
 	}
-	i.from[region] += requests / slowTime.Seconds()
+	d.byRegion[region] += requests / slowDecayTime.Seconds()
 }
 
-// fadeRegions fades the requests by region as slowly as what copies are kept by.
-func (i *interest) fadeRegions(past time.Duration) {
-	keep := math.Exp(-past.Seconds() / slowTime.Seconds())
-	for region := range i.from {
-		i.from[region] *= keep
+// decayRegions decays the rates by region with slowDecayTime, the time constant that also
+// determines how long copies are retained.
+func (d *demandRecord) decayRegions(elapsed time.Duration) {
+	keep := math.Exp(-elapsed.Seconds() / slowDecayTime.Seconds())
+	for region := range d.byRegion {
+		d.byRegion[region] *= keep
 	}
 }
--- a/internal/placer/placement.go
+++ b/internal/placer/placement.go
@@ -1,79 +1,79 @@
 package placer
 
-// placement is where one model stands.
+// placement describes the copies of one model.
 type placement struct {
-	// copies are the servers that hold the model or are loading it, and do not
-	// leave.
+	// copies is the number of servers that hold or are loading the model and can be used.
 	copies int
-	// closed are the copies in evacuated zones.
-	closed    int
-	isLoading bool
-	// slotsUsed is the share of one server's slots that the model's requests take,
-	// added up over its servers.
+	// unavailableCopies is the number of unavailable servers that hold the model.
+	unavailableCopies int
+	isLoading         bool
+	// slotsUsed is the share of a server's request slots that the model's requests occupy, summed
+	// over its servers.
 	slotsUsed float64
-	// zones are those in which a server holds the model.
+	// zones counts the servers that hold the model, by zone.
 	zones map[string]int
-	// regions are the copies by region.
+	// regions counts the copies, by region.
 	regions map[string]int
 }
 
-// placementOf is where the model stands now.
-func (r *round) placementOf(model string) *placement {
-	if r.placed == nil {
-		r.place()
+// placementOf returns the current placement of a model.
+func (r *planRound) placementOf(model string) *placement {
+	if r.placements == nil {
+		r.indexPlacements()
 	}
-	if known, ok := r.placed[model]; ok {
-		return known
+	if current, ok := r.placements[model]; ok {
+		return current
 	}
 	return &placement{}
 }
 
-func (r *round) place() {
-	r.placed = make(map[string]*placement, len(r.engine.Models))
-	of := func(model string) *placement {
-		known, ok := r.placed[model]
+// indexPlacements computes the placements of all models.
+func (r *planRound) indexPlacements() {
+	r.placements = make(map[string]*placement, len(r.engine.Models))
+	placementFor := func(model string) *placement {
+		current, ok := r.placements[model]
 		if !ok {
-			known = &placement{zones: make(map[string]int), regions: make(map[string]int)}
-			r.placed[model] = known
+			current = &placement{zones: make(map[string]int), regions: make(map[string]int)}
+			r.placements[model] = current
 		}
-		return known
+		return current
 	}
 	for _, s := range r.servers {
 		used := r.slotsUsed(s)
 		region := r.regionOf(s)
-		for model := range s.held {
-			known := of(model)
-			known.slotsUsed += used[model]
-			known.zones[s.info.Zone]++
+		for model := range s.models {
+			current := placementFor(model)
+			current.slotsUsed += used[model]
+			current.zones[s.info.Zone]++
 			switch {
-			case s.isClosed:
-				known.closed++
+			case s.isUnavailable:
+				current.unavailableCopies++
 			case !s.info.Draining && s.unloading != model:
-				known.copies++
-				known.regions[region]++
+				current.copies++
+				current.regions[region]++
 			}
 		}
-		if s.loading == nil || s.isClosed {
+		if s.loading == nil || s.isUnavailable {
 			continue
 		}
-		known := of(s.loading.model)
-		known.isLoading = true
-		if !s.info.Draining && (!s.has(s.loading.model) || s.unloading == s.loading.model) {
-			known.copies++
-			known.regions[region]++
+		current := placementFor(s.loading.model)
+		current.isLoading = true
+		if !s.info.Draining && (!s.hasModel(s.loading.model) || s.unloading == s.loading.model) {
+			current.copies++
+			current.regions[region]++
 		}
 	}
 }
 
-// slotsUsed is the share of a server's slots that requests for each model take:
-// how many run is known for the server alone, and dealt out by rates.
-func (r *round) slotsUsed(s *server) map[string]float64 {
+// slotsUsed returns the share of a server's request slots that each model occupies. Running
+// requests are known only per server, so they are divided among its models by request rate.
+func (r *planRound) slotsUsed(s *server) map[string]float64 {
 	if s.running == 0 || s.info.Slots == 0 {
 		return nil
 	}
-	rates, total := make(map[string]float64, len(s.held)), 0.0
-	for model := range s.held {
-		if rate, isKnown := r.rateOf(model); isKnown {
+	rates, total := make(map[string]float64, len(s.models)), 0.0
+	for model := range s.models {
+		if rate, isKnown := r.requestRate(model); isKnown {
 			rates[model] = rate
 			total += rate
 		}
@@ -84,17 +84,17 @@
 	return rates
 }
 
-// minRate keeps the shares of models that nobody asks for now at nothing.
+// minRate is the lower bound of the divisor, so that models without current requests get a share
+// close to 0.
 const minRate = 0.01
 
-// ordered forgets what an order changed.
-func (r *round) ordered() {
-	r.placed = nil
-	r.rooms = nil
+// invalidateCaches discards the values that an order changes.
+func (r *planRound) invalidateCaches() {
+	r.placements = nil
+	r.evictions = nil
 }
 
-func (r *round) isLoading(model string) bool { return r.placementOf(model).isLoading }
+func (r *planRound) isLoading(model string) bool { return r.placementOf(model).isLoading }
 
-// copiesOf counts the servers that hold the model or are loading it, and do not
-// leave.
-func (r *round) copiesOf(model string) int { return r.placementOf(model).copies }
+// copiesOf counts the usable servers that hold or are loading the model.
+func (r *planRound) copiesOf(model string) int { return r.placementOf(model).copies }
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -12,27 +12,28 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// round is the planning of one service's servers at one time.
-type round struct {
+// planRound plans the servers of one service at one point in time.
+type planRound struct {
 	core    *Core
 	now     time.Time
 	service string
 	engine  *routetable.Engine
 	servers []*server
-	// placed is where models stand now, and rooms what making room costs; both
-	// are worked out once and again after an order.
-	placed map[string]*placement
-	rooms  map[roomKey]room
-	// bounded are the interests in each model of callers whose requests may run in some
-	// regions only; nil before they are looked up.
-	bounded map[string][]boundedInterest
+	// placements and evictions cache the current placements and the costs of making room. They
+	// are computed on first use and again after an order.
+	placements map[string]*placement
+	evictions  map[evictionKey]eviction
+	// regionalDemands caches the demand restricted to certain regions, by model; nil before the
+	// first use.
+	regionalDemands map[string][]regionalDemand
 }
 
-// interest is what is wanted of a model, or nil.
-func (r *round) interest(model string) *interest {
-	return r.core.demand.interests[dispatch.Requirements{Service: r.service, Model: model}]
+// demandFor returns the demand for a model without a region restriction, or nil.
+func (r *planRound) demandFor(model string) *demandRecord {
+	return r.core.demand.records[dispatch.Requirements{Service: r.service, Model: model}]
 }
 
+// plan issues orders for the servers of each service.
 func (c *Core) plan(now time.Time) {
 	names := make([]string, 0, len(c.table.Services))
 	for name, service := range c.table.Services {
@@ -41,9 +42,9 @@
 		}
 	}
 	slices.Sort(names)
-	c.demand.countWaits(now)
+	c.demand.refreshTotals(now)
 	for _, name := range names {
-		r := &round{
+		r := &planRound{
 			core: c, now: now, service: name, engine: c.table.Services[name].Engine, servers: c.serversOf(name),
 		}
 		r.planModels()
@@ -53,7 +54,7 @@
 
 func (c *Core) serversOf(service string) []*server {
 	var servers []*server
-	for _, s := range c.sorted() {
+	for _, s := range c.serversByID() {
 		if s.info.Service == service {
 			servers = append(servers, s)
 		}
@@ -61,42 +62,42 @@
 	return servers
 }
 
-// planModels orders loads of the models that lack copies, and makes room for them.
-func (r *round) planModels() {
-	for _, wanted := range r.wants() {
-		r.loadSomewhere(wanted)
+// planModels orders loads of models in short supply, and makes room for them.
+func (r *planRound) planModels() {
+	for _, shortage := range r.shortages() {
+		r.scheduleLoad(shortage)
 	}
 }
 
-// wants lists the models that lack copies, the most urgent first.
-func (r *round) wants() []want {
-	var wants []want
+// shortages lists the models in short supply, the most urgent first.
+func (r *planRound) shortages() []modelShortage {
+	var shortages []modelShortage
 	for name, model := range r.engine.Models {
-		needed := r.needed(name)
+		needed := r.neededCopies(name)
 		if needed == 0 {
 			continue
 		}
-		copies, known := r.copiesOf(name), r.interest(name)
-		stood := copies
-		if known.isStuck(r.now) && !r.isLoading(name) && copies < needed+maxBeyond {
-			// The copies that there are cannot be reached.
+		copies, demand := r.copiesOf(name), r.demandFor(name)
+		initialCopies := copies
+		if demand.isStuck(r.now) && !r.isLoading(name) && copies < needed+maxExtraCopies {
+			// The existing copies are unreachable.
 			copies = 0
 		}
 		if copies >= needed {
 			continue
 		}
-		wanted := want{model: model, copies: copies, stood: stood, waiting: r.core.demand.waitsFor(r.service, name)}
-		if known != nil {
-			wanted.rate = known.fast.requests
+		shortage := modelShortage{model: model, copies: copies, initialCopies: initialCopies, waiting: r.core.demand.waitingFor(r.service, name)}
+		if demand != nil {
+			shortage.rate = demand.fastRate.requests
 		}
-		wanted.need = r.needOf(wanted, known)
-		wants = append(wants, wanted)
+		shortage.priority = r.priorityOf(shortage, demand)
+		shortages = append(shortages, shortage)
 	}
-	wants = append(wants, r.boundedWants()...)
-	slices.SortFunc(wants, func(a, b want) int {
+	shortages = append(shortages, r.regionalShortages()...)
+	slices.SortFunc(shortages, func(a, b modelShortage) int {
 		return cmp.Or(
-			-cmp.Compare(a.need, b.need),
-			// A copy that must stand in some region may do for those who ask for any.
+			-cmp.Compare(a.priority, b.priority),
+			// A copy in a required region may also serve requests without a restriction.
 			-compareBool(a.regions.IsBounded(), b.regions.IsBounded()),
 			-cmp.Compare(a.waiting, b.waiting),
 			-cmp.Compare(a.rate/float64(a.copies+1), b.rate/float64(b.copies+1)),
@@ -104,141 +105,142 @@
 			strings.Compare(a.regions.String(), b.regions.String()),
 		)
 	})
-	return wants
+	return shortages
 }
 
-// maxBeyond bounds the copies beyond those needed that requests which cannot
-// reach any get.
-const maxBeyond = 2
+// maxExtraCopies limits the copies beyond those needed that are added because requests cannot
+// reach any copy.
+const maxExtraCopies = 2
 
-// choice is one way to load a model.
-type choice struct {
-	server  *server
-	victims []string
-	source  Source
-	takes   time.Duration
-	// wait is the time until the server can take an order.
+// loadOption is one way to load a model.
+type loadOption struct {
+	server   *server
+	victims  []string
+	source   Source
+	loadTime time.Duration
+	// wait is the time until the server can accept an order.
 	wait time.Duration
 	cost float64
 }
 
-// intentTime is how long a server that was emptied is kept for a model.
-const intentTime = time.Second
+// reservationTime is how long a server on which room was made stays reserved for the model.
+const reservationTime = time.Second
 
-// loadSomewhere orders one more copy of the model, or the first unload that makes
-// room for it, where that may be done now.
-func (r *round) loadSomewhere(wanted want) {
-	model := wanted.model
-	if r.isMadeRoomFor(model.Name, wanted.regions) || r.core.isLoadPaused(r.now, r.service, model.Name) {
+// scheduleLoad orders one more copy of the model, or the first unload that makes room for it, if
+// that is possible now.
+func (r *planRound) scheduleLoad(shortage modelShortage) {
+	model := shortage.model
+	if r.isRoomBeingMade(model.Name, shortage.regions) || r.core.isLoadPaused(r.now, r.service, model.Name) {
 		return
 	}
-	if r.copiesIn(model.Name, wanted.regions) > wanted.stood {
-		// One was ordered for others just now.
+	if r.copiesIn(model.Name, shortage.regions) > shortage.initialCopies {
+		// A copy was just ordered for another shortage of the same model.
 		return
 	}
-	best := r.choose(wanted)
+	best := r.cheapestLoad(shortage)
 	if best.server == nil || best.wait > 0 {
-		// A server that is busy now, and has the weights, is worth waiting for.
+		// Waiting for a busy server that has the weights is cheaper than loading elsewhere.
 		return
 	}
 	if len(best.victims) > 0 {
-		best.server.intent = intent{model: model.Name, source: best.source, takes: best.takes, until: r.now.Add(intentTime)}
+		best.server.reservation = reservation{model: model.Name, source: best.source, loadTime: best.loadTime, until: r.now.Add(reservationTime)}
 		r.orderUnload(best.server, best.victims[0], "room_for_"+model.Name)
 		return
 	}
-	r.orderLoad(best, model, wanted.need.String())
+	r.orderLoad(best, model, shortage.priority.String())
 }
 
-// choose returns the way to load the model that costs least, busy servers
-// included; its server is nil where there is none.
-func (r *round) choose(wanted want) choice {
-	model, need := wanted.model, wanted.need
-	best := choice{cost: math.Inf(1)}
-	mayAskStore := r.storeAllows(model.Name, need >= needDisplaced)
+// cheapestLoad returns the cheapest way to load the model, including on servers that are busy.
+// Its server is nil if there is none.
+func (r *planRound) cheapestLoad(shortage modelShortage) loadOption {
+	model, priority := shortage.model, shortage.priority
+	best := loadOption{cost: math.Inf(1)}
+	mayUseStore := r.mayStartStoreLoad(model.Name, priority >= priorityDisplaced)
 	for _, s := range r.servers {
-		wait, isKnown := s.freeIn(r.now)
-		if !isKnown || s.has(model.Name) || s.isKeptFor(r.now, model.Name) || !r.isIn(s, wanted.regions) {
+		wait, isKnown := s.timeUntilFree(r.now)
+		if !isKnown || s.hasModel(model.Name) || s.isReservedForOther(r.now, model.Name) || !r.isInRegions(s, shortage.regions) {
 			continue
 		}
-		takes, source := s.loadTime(model)
-		if source == SourceStore && !mayAskStore {
+		loadTime, source := s.loadTime(model)
+		if source == SourceStore && !mayUseStore {
 			continue
 		}
-		if wait.Seconds()+takes.Seconds() >= best.cost+intentBonus {
+		if wait.Seconds()+loadTime.Seconds() >= best.cost+reservationBonus {
 			continue
 		}
-		victims, penalty := r.roomFor(s, model)
-		cost := wait.Seconds() + takes.Seconds() + penalty + r.placeCost(s, model.Name)
-		if s.isMeantFor(r.now, model.Name) {
-			cost -= intentBonus
+		victims, penalty := r.evictionFor(s, model)
+		cost := wait.Seconds() + loadTime.Seconds() + penalty + r.localityCost(s, model.Name)
+		if s.isReservedFor(r.now, model.Name) {
+			cost -= reservationBonus
 		}
-		if penalty > need.maxPenalty() {
+		if penalty > priority.maxPenalty() {
 			continue
 		}
 		if cost < best.cost {
-			best = choice{server: s, victims: victims, source: source, takes: takes, wait: wait, cost: cost}
+			best = loadOption{server: s, victims: victims, source: source, loadTime: loadTime, wait: wait, cost: cost}
 		}
 	}
 	return best
 }
 
-// intentBonus makes a load go where room was made for it.
-const intentBonus = 1.0
+// reservationBonus directs a load to the server on which room was made for it.
+const reservationBonus = 1.0
 
-// hasIntent reports whether the server is kept for some model.
-func (s *server) hasIntent(now time.Time) bool {
-	return s.intent.model != "" && now.Before(s.intent.until)
+// isReserved reports whether the server is reserved for any model.
+func (s *server) isReserved(now time.Time) bool {
+	return s.reservation.model != "" && now.Before(s.reservation.until)
 }
 
-func (s *server) isMeantFor(now time.Time, model string) bool {
-	return s.hasIntent(now) && s.intent.model == model
+func (s *server) isReservedFor(now time.Time, model string) bool {
+	return s.isReserved(now) && s.reservation.model == model
 }
 
-// isMadeRoomFor reports whether a server in the regions that is being emptied for the
-// model cannot take it yet. No other is emptied for it meanwhile.
-func (r *round) isMadeRoomFor(model string, regions locality.Regions) bool {
+// isRoomBeingMade reports whether a server in the regions is reserved for the model but cannot
+// accept its load yet. Meanwhile, no room is made on another server.
+func (r *planRound) isRoomBeingMade(model string, regions locality.Regions) bool {
 	for _, s := range r.servers {
-		if r.isIn(s, regions) && s.isMeantFor(r.now, model) && s.takesOrders() && !s.canTake(r.now) {
+		if r.isInRegions(s, regions) && s.isReservedFor(r.now, model) && s.isSchedulable() && !s.canAcceptOrder(r.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// isKeptFor reports whether room was made for another model.
-func (s *server) isKeptFor(now time.Time, model string) bool {
-	return s.hasIntent(now) && s.intent.model != model
+// isReservedForOther reports whether the server is reserved for another model.
+func (s *server) isReservedForOther(now time.Time, model string) bool {
+	return s.isReserved(now) && s.reservation.model != model
 }
 
-func (r *round) orderLoad(best choice, model routetable.Model, reason string) {
-	s := best.server
-	takes := best.takes
-	if best.source == SourceStore {
+// orderLoad issues a load order and records the load in progress.
+func (r *planRound) orderLoad(option loadOption, model routetable.Model, reason string) {
+	s := option.server
+	loadTime := option.loadTime
+	if option.source == SourceStore {
 		r.core.storeLoads[r.service] = append(r.core.storeLoads[r.service], r.now)
-		r.core.reserved[r.service]--
-		takes = time.Duration(float64(takes) * max(1, float64(r.storeLoading(model.Name)+1)/r.core.limitOf(r.service).width()))
+		r.core.loadBudget[r.service]--
+		loadTime = time.Duration(float64(loadTime) * max(1, float64(r.countStoreLoads(model.Name)+1)/r.core.storeLimitFor(r.service).fullSpeedLoads()))
 	}
-	ready := r.now.Add(takes + loadMargin)
-	s.loading = &loading{model: model.Name, source: best.source, ready: ready, told: ready}
-	r.ordered()
-	r.core.give(s, Order{Operation: Load, Model: model.Name, Source: best.source, Reason: reason})
+	readyAt := r.now.Add(loadTime + loadMargin)
+	s.loading = &modelLoad{model: model.Name, source: option.source, readyAt: readyAt, announcedReadyAt: readyAt}
+	r.invalidateCaches()
+	r.core.issueOrder(s, Order{Operation: Load, Model: model.Name, Source: option.source, Reason: reason})
 }
 
-// loadMargin covers the way of an order and what a load takes beyond its time.
+// loadMargin covers the transmission of an order and the overhead of a load.
 const loadMargin = 40 * time.Millisecond
 
-func (r *round) orderUnload(s *server, model, reason string) {
+func (r *planRound) orderUnload(s *server, model, reason string) {
 	s.unloading = model
-	r.ordered()
-	r.core.give(s, Order{Operation: Unload, Model: model, Reason: reason})
+	r.invalidateCaches()
+	r.core.issueOrder(s, Order{Operation: Unload, Model: model, Reason: reason})
 }
 
-// give books the order and hands it out.
-func (c *Core) give(s *server, order Order) {
+// issueOrder records the order as pending and adds it to the effects.
+func (c *Core) issueOrder(s *server, order Order) {
 	order.ServerID, order.StartedAtMs = s.info.ID, s.info.StartedAtMs
 	order.Address = s.info.Address
 	order.ExpectedSequence = s.sequence
-	s.ordering = &order
+	s.pendingOrder = &order
 	c.effects.Orders = append(c.effects.Orders, order)
 	c.effects.ViewsChanged = true
 }
--- a/internal/placer/plan_bench_test.go
+++ b/internal/placer/plan_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// BenchmarkStep is one step of a leader of 60 servers with three places each, at
-// which 70 of 190 wanted models stand nowhere and requests wait for them.
+// BenchmarkStep measures one step of a leader of 60 servers with room for three models each. 70
+// of 190 models in demand have no copy, and requests are waiting for them.
 func BenchmarkStep(b *testing.B) {
 	core := New(Options{Window: window, Overage: overage})
 	engine := &routetable.Engine{MemoryMB: 220_000, LoadsPerSecond: 17, Models: make(map[string]routetable.Model)}
--- a/internal/placer/regions.go
+++ b/internal/placer/regions.go
@@ -7,27 +7,28 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// boundedInterest is what callers want of a model, or of an adapter, whose requests may
-// run in the regions only. A copy elsewhere does nothing for them.
-type boundedInterest struct {
+// regionalDemand is the demand for a model or adapter from callers whose requests may run in
+// certain regions only. Copies elsewhere are of no use to them.
+type regionalDemand struct {
 	model   string
 	adapter string
 	regions locality.Regions
-	known   *interest
-	// waits are the requests that wait for the model there, with adapters or without.
-	waits int
+	demand  *demandRecord
+	// waiting is the number of requests waiting for the model there, including requests with
+	// adapters.
+	waiting int
 }
 
-// regionOf is the region that the server stands in.
-func (r *round) regionOf(s *server) string { return r.core.options.Topology.Region(s.info.Zone) }
+// regionOf returns the region of the server.
+func (r *planRound) regionOf(s *server) string { return r.core.options.Topology.Region(s.info.Zone) }
 
-// isIn reports whether the server stands in one of the regions.
-func (r *round) isIn(s *server, regions locality.Regions) bool {
+// isInRegions reports whether the server is in one of the regions.
+func (r *planRound) isInRegions(s *server, regions locality.Regions) bool {
 	return !regions.IsBounded() || regions.Allows(r.regionOf(s))
 }
 
 // copiesIn counts the copies of a model in the regions.
-func (r *round) copiesIn(model string, regions locality.Regions) int {
+func (r *planRound) copiesIn(model string, regions locality.Regions) int {
 	if !regions.IsBounded() {
 		return r.copiesOf(model)
 	}
@@ -40,104 +41,104 @@
 	return count
 }
 
-// boundedOf are the bounded interests in a model, those in its adapters included.
-func (r *round) boundedOf(model string) []boundedInterest {
-	if r.bounded == nil {
-		r.bounded = make(map[string][]boundedInterest)
-		for wanted, known := range r.core.demand.interests {
-			if wanted.Service != r.service || !wanted.Regions.IsBounded() {
+// regionalDemandFor returns the region-restricted demand for a model, including for its adapters.
+func (r *planRound) regionalDemandFor(model string) []regionalDemand {
+	if r.regionalDemands == nil {
+		r.regionalDemands = make(map[string][]regionalDemand)
+		for requirements, record := range r.core.demand.records {
+			if requirements.Service != r.service || !requirements.Regions.IsBounded() {
 				continue
 			}
-			ofModel := dispatch.Requirements{Service: r.service, Model: wanted.Model, Regions: wanted.Regions}
-			r.bounded[wanted.Model] = append(r.bounded[wanted.Model], boundedInterest{
-				model: wanted.Model, adapter: wanted.Adapter, regions: wanted.Regions, known: known, waits: r.core.demand.waits[ofModel],
+			ofModel := dispatch.Requirements{Service: r.service, Model: requirements.Model, Regions: requirements.Regions}
+			r.regionalDemands[requirements.Model] = append(r.regionalDemands[requirements.Model], regionalDemand{
+				model: requirements.Model, adapter: requirements.Adapter, regions: requirements.Regions, demand: record, waiting: r.core.demand.waiting[ofModel],
 			})
 		}
 	}
-	return r.bounded[model]
+	return r.regionalDemands[model]
 }
 
-// boundedWants lists the models that lack copies in regions in which they are asked for.
-func (r *round) boundedWants() []want {
-	var wants []want
+// regionalShortages lists the models with too few copies in the regions they are restricted to.
+func (r *planRound) regionalShortages() []modelShortage {
+	var shortages []modelShortage
 	for name, model := range r.engine.Models {
-		for _, bounded := range r.boundedOf(name) {
-			if bounded.adapter != "" {
-				// Its model is asked for with it.
+		for _, regional := range r.regionalDemandFor(name) {
+			if regional.adapter != "" {
+				// Requests for an adapter also count as demand for its model.
 				continue
 			}
-			needed, copies := r.neededIn(bounded), r.copiesIn(name, bounded.regions)
-			stood := copies
-			if bounded.known.isStuck(r.now) && !r.isLoading(name) && copies < needed+maxBeyond {
-				// The copies that there are cannot be reached.
+			needed, copies := r.neededRegionalCopies(regional), r.copiesIn(name, regional.regions)
+			initialCopies := copies
+			if regional.demand.isStuck(r.now) && !r.isLoading(name) && copies < needed+maxExtraCopies {
+				// The existing copies are unreachable.
 				copies = 0
 			}
 			if copies >= needed {
 				continue
 			}
-			wanted := want{
-				model: model, copies: copies, stood: stood, waiting: bounded.waits, rate: bounded.known.fast.requests, regions: bounded.regions,
+			shortage := modelShortage{
+				model: model, copies: copies, initialCopies: initialCopies, waiting: regional.waiting, rate: regional.demand.fastRate.requests, regions: regional.regions,
 			}
-			wanted.need = r.needIn(wanted, bounded.known)
-			wants = append(wants, wanted)
+			shortage.priority = r.regionalPriority(shortage, regional.demand)
+			shortages = append(shortages, shortage)
 		}
 	}
-	return wants
+	return shortages
 }
 
-// neededIn is the number of copies that a model should have in the regions by the demand
-// of now: as elsewhere, of the servers there.
-func (r *round) neededIn(bounded boundedInterest) int {
-	if r.now.Sub(bounded.known.lastAsk) > interestAge {
+// neededRegionalCopies returns the number of copies that the current demand calls for in the
+// regions, limited to half of the servers there.
+func (r *planRound) neededRegionalCopies(regional regionalDemand) int {
+	if r.now.Sub(regional.demand.lastRequest) > modelDemandTTL {
 		return 0
 	}
 	servers := 0
 	for _, s := range r.servers {
-		if r.isIn(s, bounded.regions) {
+		if r.isInRegions(s, regional.regions) {
 			servers++
 		}
 	}
-	bounded.known.fade(r.now)
-	return min(r.copiesFor(bounded.known.fast), max(1, servers/2))
+	regional.demand.decay(r.now)
+	return min(r.copiesFor(regional.demand.fastRate), max(1, servers/2))
 }
 
-// needIn is why the model should have one more copy in some regions.
-func (r *round) needIn(wanted want, known *interest) need {
+// regionalPriority returns the reason why the model should get one more copy in certain regions.
+func (r *planRound) regionalPriority(shortage modelShortage, demand *demandRecord) copyPriority {
 	switch {
-	case wanted.copies == 0 && wanted.waiting > 0:
-		return needWaiting
-	case wanted.copies == 0:
-		return needReturn
-	case wanted.copies < copiesForTokens(known.fast):
-		return needThroughput
+	case shortage.copies == 0 && shortage.waiting > 0:
+		return priorityWaiting
+	case shortage.copies == 0:
+		return priorityReturn
+	case shortage.copies < copiesForTokens(demand.fastRate):
+		return priorityThroughput
 	default:
-		return needSpare
+		return prioritySpare
 	}
 }
 
-// rateOf is the requests in a second for a model, wherever they may run; ok is false
-// where nobody ever asked.
-func (r *round) rateOf(model string) (rate float64, ok bool) {
-	if known := r.interest(model); known != nil {
-		rate, ok = known.fast.requests, true
+// requestRate returns the requests per second for a model over all region restrictions; ok is
+// false if it was never requested.
+func (r *planRound) requestRate(model string) (rate float64, ok bool) {
+	if demand := r.demandFor(model); demand != nil {
+		rate, ok = demand.fastRate.requests, true
 	}
-	for _, bounded := range r.boundedOf(model) {
-		if bounded.adapter == "" {
-			rate, ok = rate+bounded.known.fast.requests, true
+	for _, regional := range r.regionalDemandFor(model) {
+		if regional.adapter == "" {
+			rate, ok = rate+regional.demand.fastRate.requests, true
 		}
 	}
 	return rate, ok
 }
 
-// lastAsk is when an adapter was last asked for, wherever it may run.
-func (r *round) lastAsk(adapter dispatch.Requirements) time.Time {
+// lastAdapterRequest returns when an adapter was last requested, over all region restrictions.
+func (r *planRound) lastAdapterRequest(adapter dispatch.Requirements) time.Time {
 	var last time.Time
-	if known, ok := r.core.demand.interests[adapter]; ok {
-		last = known.lastAsk
+	if record, ok := r.core.demand.records[adapter]; ok {
+		last = record.lastRequest
 	}
-	for _, bounded := range r.boundedOf(adapter.Model) {
-		if bounded.adapter == adapter.Adapter && bounded.known.lastAsk.After(last) {
-			last = bounded.known.lastAsk
+	for _, regional := range r.regionalDemandFor(adapter.Model) {
+		if regional.adapter == adapter.Adapter && regional.demand.lastRequest.After(last) {
+			last = regional.demand.lastRequest
 		}
 	}
 	return last
--- a/internal/placer/server.go
+++ b/internal/placer/server.go
@@ -7,104 +7,109 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// server is what the leader knows of one server's models.
+// server is the leader's state of one server.
 type server struct {
 	info inventory.Server
-	// isTold is set while this start is known by its own report alone; rival is what the store
-	// says meanwhile of one that was born earlier.
-	isTold bool
-	rival  *inventory.Server
-	// running are the requests of all nodes there.
+	// isStartUnconfirmed is set while the current start is known from the server's report only;
+	// conflictingEntry is a store entry received meanwhile that names an earlier start.
+	isStartUnconfirmed bool
+	conflictingEntry   *inventory.Server
+	// running is the number of requests that all nodes have running there.
 	running int
-	// synced is set once a report of this term was read. Nothing is ordered
-	// before.
+	// synced is set once a report of this term was processed. No orders are issued before.
 	synced   bool
 	sequence int64
-	held     map[string]*held
-	// loading is the model under way; its memory is used from the order on.
-	loading *loading
-	// unloading is the model that an order without an answer drops; its memory
-	// counts until the answer comes.
+	models   map[string]*heldModel
+	// loading is the load in progress; its memory counts as used from the order on.
+	loading *modelLoad
+	// unloading is the model that the pending order unloads; its memory counts as used until the
+	// answer arrives.
 	unloading string
-	// ordering is set while an order has no answer yet.
-	ordering *Order
-	// unsure is an order without an answer that may still be carried out.
-	unsure *Order
-	// reportAt is when a report is asked for next; zero is not at all.
-	reportAt  time.Time
-	reporting bool
-	// busySince is when a server whose count of orders is known began to refuse
-	// orders as busy; zero while it does not.
+	// pendingOrder is the order waiting for its answer; nil if there is none.
+	pendingOrder *Order
+	// unconfirmedOrder is an order whose answer was lost and which may still be executed.
+	unconfirmedOrder *Order
+	// nextReportAt is when the next report is due; zero if none is.
+	nextReportAt   time.Time
+	reportInFlight bool
+	// busySince is when the server, with a known sequence number, began to refuse orders as busy;
+	// zero if it does not.
 	busySince time.Time
-	// pauseUntil keeps orders off a server that just refused one.
+	// pauseUntil is the end of the pause after an order that failed.
 	pauseUntil time.Time
-	// refusals are the orders in a row that it was too busy for or that did not reach it.
+	// refusals is the number of consecutive orders that found the server busy or did not reach
+	// it.
 	refusals int
-	// copies are the weights kept beside those held, by the newest report or, at
-	// the start, by the entry. A load may drive others out.
-	copies map[string]Source
-	intent intent
-	// busy is set while the server said last that an order is under way.
+	// cachedWeights are the weights kept in addition to those held, according to the latest
+	// report or, initially, to the store entry. A load may displace some of them.
+	cachedWeights map[string]Source
+	reservation   reservation
+	// busy is set if the last report said that an order is being executed.
 	busy bool
-	// isClosed is set while the server's zone is evacuated, or the server is away by its own word.
-	isClosed bool
-	// strays are orders to earlier starts without an answer, which this one may yet carry out.
-	strays []stray
-	// lastTaken is the last order of this term that the server took; nil is none.
-	lastTaken *Order
+	// isUnavailable is set while the server's zone is evacuated, or the server announced itself
+	// unavailable.
+	isUnavailable bool
+	// staleOrders are unanswered orders to earlier starts that this start may still execute.
+	staleOrders []staleOrder
+	// lastAcceptedOrder is the last order of this term that the server accepted; nil if there is
+	// none.
+	lastAcceptedOrder *Order
 }
 
-type held struct {
-	since    time.Time
-	adapters map[string]*adapter
+// heldModel is a model that a server holds.
+type heldModel struct {
+	loadedAt time.Time
+	adapters map[string]*heldAdapter
 }
 
-type adapter struct {
-	// ready is when the adapter can be used.
-	ready   time.Time
-	lastUse time.Time
+// heldAdapter is an adapter that a server holds or is loading.
+type heldAdapter struct {
+	// readyAt is when the adapter becomes usable.
+	readyAt  time.Time
+	lastUsed time.Time
 }
 
-type loading struct {
-	model  string
-	source Source
-	ready  time.Time
-	// told is when it was last said to be ready.
-	told time.Time
-	// run follows a load from the weight store; nil for other loads, and where
-	// it is not certain when the load began.
+// modelLoad is the load of a model in progress.
+type modelLoad struct {
+	model   string
+	source  Source
+	readyAt time.Time
+	// announcedReadyAt is the value of readyAt that was last published.
+	announcedReadyAt time.Time
+	// run measures a load from the weight store; nil for other loads, and if it is uncertain when
+	// the load began.
 	run *loadRun
 }
 
 func newServer(info inventory.Server, now time.Time) *server {
-	return &server{info: info, held: make(map[string]*held), copies: make(map[string]Source), reportAt: now}
+	return &server{info: info, models: make(map[string]*heldModel), cachedWeights: make(map[string]Source), nextReportAt: now}
 }
 
-// setCopies takes the weights that a server says it keeps beside those it holds.
-func (s *server) setCopies(inMemory, onDisk []string) {
-	clear(s.copies)
+// setCachedWeights records the weights that the server keeps in addition to those it holds.
+func (s *server) setCachedWeights(inMemory, onDisk []string) {
+	clear(s.cachedWeights)
 	for _, model := range onDisk {
-		s.copies[model] = SourceDisk
+		s.cachedWeights[model] = SourceDisk
 	}
 	for _, model := range inMemory {
-		s.copies[model] = SourceMemory
+		s.cachedWeights[model] = SourceMemory
 	}
 }
 
-// usedMB is the memory of all that the server holds or may come to hold.
+// usedMB returns the memory of everything that the server holds or may come to hold.
 func (s *server) usedMB(engine *routetable.Engine) float64 {
-	used := adapterReserve(engine)
-	for model := range s.held {
+	used := reservedAdapterMB(engine)
+	for model := range s.models {
 		used += engine.Models[model].WeightsMB
 	}
 	if s.loading != nil {
 		used += engine.Models[s.loading.model].WeightsMB
 	}
-	return used + s.strayMB(engine)
+	return used + s.staleOrderMB(engine)
 }
 
-// adapterReserve is the memory of all adapters that a server can hold.
-func adapterReserve(engine *routetable.Engine) float64 {
+// reservedAdapterMB returns the memory for the adapters that fit into all slots of a server.
+func reservedAdapterMB(engine *routetable.Engine) float64 {
 	largest := 0.0
 	for _, model := range engine.Models {
 		if model.Adapters > 0 {
@@ -115,8 +120,8 @@
 }
 
 func (s *server) adapterCount() int {
-	count := s.strayAdapters()
-	for _, model := range s.held {
+	count := s.staleAdapterOrders()
+	for _, model := range s.models {
 		count += len(model.adapters)
 	}
 	return count
@@ -124,9 +129,9 @@
 
 func (s *server) pendingAdapters(now time.Time) int {
 	count := 0
-	for _, model := range s.held {
+	for _, model := range s.models {
 		for _, adapter := range model.adapters {
-			if now.Before(adapter.ready) {
+			if now.Before(adapter.readyAt) {
 				count++
 			}
 		}
@@ -134,40 +139,40 @@
 	return count
 }
 
-// canTake reports whether the server may be ordered something now.
-func (s *server) canTake(now time.Time) bool {
-	return s.synced && s.takesOrders() && s.ordering == nil && s.loading == nil && s.unloading == "" &&
+// canAcceptOrder reports whether the server can be sent an order now.
+func (s *server) canAcceptOrder(now time.Time) bool {
+	return s.synced && s.isSchedulable() && s.pendingOrder == nil && s.loading == nil && s.unloading == "" &&
 		!now.Before(s.pauseUntil)
 }
 
-// orderWait is taken for an order under way at a server.
-const orderWait = 500 * time.Millisecond
+// pendingOrderWait is the assumed time until a pending order is answered.
+const pendingOrderWait = 500 * time.Millisecond
 
-// freeIn is the time until the server can take an order; known is false where
-// that cannot be told.
-func (s *server) freeIn(now time.Time) (wait time.Duration, known bool) {
+// timeUntilFree returns the time until the server can accept an order; ok is false if that is
+// unknown.
+func (s *server) timeUntilFree(now time.Time) (wait time.Duration, ok bool) {
 	switch {
-	case !s.takesOrders() || !s.synced:
+	case !s.isSchedulable() || !s.synced:
 		return 0, false
-	case s.canTake(now):
+	case s.canAcceptOrder(now):
 		return 0, true
 	case s.loading != nil:
-		return max(recheck, s.loading.ready.Sub(now)), true
-	case s.ordering != nil || s.unloading != "":
-		return orderWait, true
+		return max(busyReportInterval, s.loading.readyAt.Sub(now)), true
+	case s.pendingOrder != nil || s.unloading != "":
+		return pendingOrderWait, true
 	default:
-		return max(busyPause, s.pauseUntil.Sub(now)), true
+		return max(initialRetryPause, s.pauseUntil.Sub(now)), true
 	}
 }
 
-func (s *server) has(model string) bool {
-	_, ok := s.held[model]
+func (s *server) hasModel(model string) bool {
+	_, ok := s.models[model]
 	return ok
 }
 
-// loadTime is the time of a load at the server, and where it comes from.
+// loadTime returns how long a load of the model takes on the server, and its source.
 func (s *server) loadTime(model routetable.Model) (time.Duration, Source) {
-	switch s.copies[model.Name] {
+	switch s.cachedWeights[model.Name] {
 	case SourceMemory:
 		return model.MemoryLoad, SourceMemory
 	case SourceDisk:
--- a/internal/placer/starts.go
+++ b/internal/placer/starts.go
@@ -8,70 +8,71 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// strayTime is how long an order without an answer may yet be carried out: one that was lost on
-// the way back is done within a few seconds, as a rule, and within twelve at the latest.
-const strayTime = 13 * time.Second
+// staleOrderTTL is how long an unanswered order may still be executed. An order whose answer was
+// lost is usually executed within a few seconds, and within twelve at the latest.
+const staleOrderTTL = 13 * time.Second
 
-// stray is an order to an earlier start of a server. It names the server and the count of orders
-// that it expects, and both may fit the start that followed.
-type stray struct {
+// staleOrder is an order to an earlier start of a server. The server ID and the expected sequence
+// number may both match the following start, which would then execute the order.
+type staleOrder struct {
 	order Order
 	until time.Time
 }
 
-// startsAgain takes that a server has started again: it holds and knows nothing of before, and
-// counts its orders anew. A load under way may be what ended the start before.
-func (c *Core) startsAgain(now time.Time, known *server, again inventory.Server) *server {
-	isEarlier := known.info.Start().IsLaterThan(again.Start())
-	if again.Position.IsBefore(known.info.Position) || again.Position == known.info.Position && isEarlier {
-		return known
+// replaceRestarted replaces the state of a restarted server. The new start holds nothing and
+// counts its orders from zero. A load in progress may have crashed the previous start.
+func (c *Core) replaceRestarted(now time.Time, existing *server, entry inventory.Server) *server {
+	isEarlier := existing.info.Start().IsLaterThan(entry.Start())
+	if entry.Position.IsBefore(existing.info.Position) || entry.Position == existing.info.Position && isEarlier {
+		return existing
 	}
-	if isEarlier && known.isTold {
-		// As a rule the last entry of the start before, told late. The server itself tells.
-		known.rival = &again
-		known.askReport(now)
-		return known
+	if isEarlier && existing.isStartUnconfirmed {
+		// This is usually the last entry of the previous start, received late. A report of the
+		// server will decide.
+		existing.conflictingEntry = &entry
+		existing.scheduleReport(now)
+		return existing
 	}
-	c.lose(now, known)
-	started := newServer(again, now)
-	started.setCopies(again.InMemory, again.OnDisk)
-	started.strays = known.strays
-	for _, order := range []*Order{known.ordering, known.unsure} {
+	c.recordServerLoss(now, existing)
+	restarted := newServer(entry, now)
+	restarted.setCachedWeights(entry.InMemory, entry.OnDisk)
+	restarted.staleOrders = existing.staleOrders
+	for _, order := range []*Order{existing.pendingOrder, existing.unconfirmedOrder} {
 		if order != nil && order.Operation == Load {
-			started.strays = append(started.strays, stray{order: *order, until: now.Add(strayTime)})
+			restarted.staleOrders = append(restarted.staleOrders, staleOrder{order: *order, until: now.Add(staleOrderTTL)})
 		}
 	}
-	c.close(started)
-	c.servers[again.ID] = started
-	c.ordered = nil
+	c.setAvailability(restarted)
+	c.servers[entry.ID] = restarted
+	c.sortedServers = nil
 	c.effects.ViewsChanged = true
-	return started
+	return restarted
 }
 
-// dropStrays forgets the orders that cannot be carried out any more: their time is over, or the
-// server took one at their count.
-func (s *server) dropStrays(now time.Time) {
-	s.strays = slices.DeleteFunc(s.strays, func(stray stray) bool {
-		return !now.Before(stray.until) || s.sequence > stray.order.ExpectedSequence
+// dropStaleOrders removes the orders that can no longer be executed, because they expired or
+// because the server accepted another order with their sequence number.
+func (s *server) dropStaleOrders(now time.Time) {
+	s.staleOrders = slices.DeleteFunc(s.staleOrders, func(stale staleOrder) bool {
+		return !now.Before(stale.until) || s.sequence > stale.order.ExpectedSequence
 	})
 }
 
-// strayMB is the memory of models that may yet be loaded by orders to earlier starts.
-func (s *server) strayMB(engine *routetable.Engine) float64 {
+// staleOrderMB returns the memory of the models that stale orders may still load.
+func (s *server) staleOrderMB(engine *routetable.Engine) float64 {
 	used := 0.0
-	for _, stray := range s.strays {
-		if stray.order.Adapter == "" && !s.has(stray.order.Model) {
-			used += engine.Models[stray.order.Model].WeightsMB
+	for _, stale := range s.staleOrders {
+		if stale.order.Adapter == "" && !s.hasModel(stale.order.Model) {
+			used += engine.Models[stale.order.Model].WeightsMB
 		}
 	}
 	return used
 }
 
-// strayAdapters is the number of adapters that may yet be loaded by such orders.
-func (s *server) strayAdapters() int {
+// staleAdapterOrders returns the number of adapters that stale orders may still load.
+func (s *server) staleAdapterOrders() int {
 	count := 0
-	for _, stray := range s.strays {
-		if stray.order.Adapter != "" {
+	for _, stale := range s.staleOrders {
+		if stale.order.Adapter != "" {
 			count++
 		}
 	}
--- a/internal/placer/starts_drawn_test.go
+++ b/internal/placer/starts_drawn_test.go
@@ -11,126 +11,133 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// startsWorld is one server that starts again and again under its ID, and a leader that hears of
-// it by entries and reports, which may come late and out of order.
+// startsWorld simulates one server that restarts repeatedly under its ID, and a leader that
+// learns of it by store entries and reports, which may arrive late and out of order.
 type startsWorld struct {
 	core *Core
-	// present is the server's own count, and reports and entries what was said of it so far.
-	present  Report
+	// current is the server's present state; reports and entries hold what was recorded of it so
+	// far.
+	current  Report
 	reports  []Report
 	entries  []inventory.Server
 	revision int64
-	// heard is the last of the reports that came.
-	heard int
-	// newest is the latest start that the leader was told of.
-	newest  int64
-	planted startsDefect
+	// lastDelivered is the index of the latest report delivered.
+	lastDelivered int
+	// newestStart is the latest start that the leader was informed of.
+	newestStart int64
+	defect      startsDefect
 }
 
+// startsDefect is a defect that the test injects.
 type startsDefect string
 
 const (
-	soundStarts     startsDefect = ""
-	keepsSequence   startsDefect = "a count kept across starts"
-	oldListRestores startsDefect = "an old list that brings back an earlier start"
+	noStartsDefect  startsDefect = ""
+	keepsSequence   startsDefect = "sequence number kept across starts"
+	oldListRestores startsDefect = "old list that restores an earlier start"
 )
 
-func newStartsWorld(planted startsDefect) *startsWorld {
-	w := &startsWorld{core: New(Options{Window: window, Overage: overage}), planted: planted}
+// newStartsWorld returns a world whose leader knows the first entry of the server.
+func newStartsWorld(defect startsDefect) *startsWorld {
+	w := &startsWorld{core: New(Options{Window: window, Overage: overage}), defect: defect}
 	w.core.SetTable(simTable())
-	w.startAgain()
-	w.hearEntry(w.entries[0])
+	w.restart()
+	w.deliverEntry(w.entries[0])
 	w.core.ConfirmReservation()
 	return w
 }
 
-func (w *startsWorld) startAgain() {
-	w.present = Report{StartedAtMs: w.present.StartedAtMs + 1}
-	w.write()
+func (w *startsWorld) restart() {
+	w.current = Report{StartedAtMs: w.current.StartedAtMs + 1}
+	w.recordState()
 }
 
-// write lets the server write its entry and answer a question for its report.
-func (w *startsWorld) write() {
+// recordState adds the current state to the entries and reports that can be delivered.
+func (w *startsWorld) recordState() {
 	w.revision++
-	w.entries = append(w.entries, inventory.Server{ID: "s", StartedAtMs: w.present.StartedAtMs, Service: serviceName, Position: storepos.At(0, w.revision)})
-	w.reports = append(w.reports, w.present)
+	w.entries = append(w.entries, inventory.Server{ID: "s", StartedAtMs: w.current.StartedAtMs, Service: serviceName, Position: storepos.At(0, w.revision)})
+	w.reports = append(w.reports, w.current)
 }
 
-func (w *startsWorld) known() *server { return w.core.servers["s"] }
+func (w *startsWorld) server() *server { return w.core.servers["s"] }
 
-func (w *startsWorld) hearEntry(entry inventory.Server) {
-	if known := w.known(); known != nil && w.planted == oldListRestores {
-		entry.Position, known.isTold = storepos.At(0, known.info.Position.Revision+1), false
+func (w *startsWorld) deliverEntry(entry inventory.Server) {
+	if known := w.server(); known != nil && w.defect == oldListRestores {
+		entry.Position, known.isStartUnconfirmed = storepos.At(0, known.info.Position.Revision+1), false
 	}
-	if known := w.known(); known == nil || entry.Position.IsAfter(known.info.Position) {
-		w.newest = max(w.newest, entry.StartedAtMs)
+	if known := w.server(); known == nil || entry.Position.IsAfter(known.info.Position) {
+		w.newestStart = max(w.newestStart, entry.StartedAtMs)
 	}
 	w.core.SetServers(begin, []inventory.Change{{Server: entry}})
 }
 
-func (w *startsWorld) hearReport(report Report) {
-	before, count := w.known().info.StartedAtMs, w.known().sequence
-	w.newest = max(w.newest, report.StartedAtMs)
+func (w *startsWorld) deliverReport(report Report) {
+	startedAt, sequence := w.server().info.StartedAtMs, w.server().sequence
+	w.newestStart = max(w.newestStart, report.StartedAtMs)
 	w.core.HandleReport(begin, "s", report, true)
-	if w.planted == keepsSequence && w.known().info.StartedAtMs != before {
-		w.known().sequence = max(count, w.known().sequence)
+	if w.defect == keepsSequence && w.server().info.StartedAtMs != startedAt {
+		w.server().sequence = max(sequence, w.server().sequence)
 	}
 }
 
-// step plays one drawn step and says what is wrong then; empty is nothing.
+// step executes one drawn step and returns a description of the violation it caused, or an empty
+// string.
 func (w *startsWorld) step(draw func(below int) int) string {
 	switch draw(5) {
 	case 0:
-		w.startAgain()
+		w.restart()
 	case 1:
-		w.present.Sequence += int64(1 + draw(3))
-		w.write()
+		w.current.Sequence += int64(1 + draw(3))
+		w.recordState()
 	case 2:
-		w.hearEntry(w.entries[draw(len(w.entries))])
+		w.deliverEntry(w.entries[draw(len(w.entries))])
 	case 3:
-		// One question follows the answer of the other: reports come late, but in order.
-		w.heard += draw(len(w.reports) - w.heard)
-		w.hearReport(w.reports[w.heard])
+		// Only one report request is outstanding at a time, so reports arrive late but in order.
+		w.lastDelivered += draw(len(w.reports) - w.lastDelivered)
+		w.deliverReport(w.reports[w.lastDelivered])
 	case 4:
-		w.heard = len(w.reports) - 1
-		w.hearReport(w.present)
-		if known := w.known(); known.info.StartedAtMs != w.present.StartedAtMs || known.sequence != w.present.Sequence {
-			return fmt.Sprintf("start %d with count %d is believed after the report of start %d with count %d",
-				known.info.StartedAtMs, known.sequence, w.present.StartedAtMs, w.present.Sequence)
+		w.lastDelivered = len(w.reports) - 1
+		w.deliverReport(w.current)
+		if known := w.server(); known.info.StartedAtMs != w.current.StartedAtMs || known.sequence != w.current.Sequence {
+			return fmt.Sprintf("start %d with sequence number %d is current after the report of start %d with sequence number %d",
+				known.info.StartedAtMs, known.sequence, w.current.StartedAtMs, w.current.Sequence)
 		}
 	}
-	if born := w.known().info.StartedAtMs; born < w.newest {
-		return fmt.Sprintf("start %d is believed though %d was told", born, w.newest)
+	if startedAt := w.server().info.StartedAtMs; startedAt < w.newestStart {
+		return fmt.Sprintf("start %d is current although start %d was delivered", startedAt, w.newestStart)
 	}
 	return ""
 }
 
 const startSteps = 40
 
+// TestStartsUnderDrawnSteps checks over random step sequences that the leader never goes back to
+// an earlier start, and that a current report determines the start and the sequence number.
 func TestStartsUnderDrawnSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newStartsWorld(soundStarts)
+		world := newStartsWorld(noStartsDefect)
 		for range startSteps {
-			if wrong := world.step(func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "draw") }); wrong != "" {
-				t.Fatal(wrong)
+			if violation := world.step(func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "draw") }); violation != "" {
+				t.Fatal(violation)
 			}
 		}
 	})
 }
 
-// TestDrawnStepsFindDefectsOfStarts: the steps above would show each of them.
+// TestDrawnStepsFindDefectsOfStarts checks that the steps above detect each of the injected
+// defects.
 func TestDrawnStepsFindDefectsOfStarts(t *testing.T) {
-	for _, planted := range []startsDefect{keepsSequence, oldListRestores} {
-		found := ""
-		for seed := uint64(0); seed < 200 && found == ""; seed++ {
+	for _, defect := range []startsDefect{keepsSequence, oldListRestores} {
+		violation := ""
+		for seed := uint64(0); seed < 200 && violation == ""; seed++ {
 			random := rand.New(rand.NewPCG(seed, seed))
-			world := newStartsWorld(planted)
-			for step := 0; step < startSteps && found == ""; step++ {
-				found = world.step(random.IntN)
+			world := newStartsWorld(defect)
+			for step := 0; step < startSteps && violation == ""; step++ {
+				violation = world.step(random.IntN)
 			}
 		}
-		if found == "" {
-			t.Errorf("not found: %s", planted)
+		if violation == "" {
+			t.Errorf("not found: %s", defect)
 		}
 	}
 }
--- a/internal/placer/starts_test.go
+++ b/internal/placer/starts_test.go
@@ -8,9 +8,9 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// startedServer is a core with one server in its second start that holds two models, after
-// seven orders.
-func startedServer(t *testing.T) *Core {
+// newRestartedServerCore returns a core with one server in its second start, which holds two
+// models and has accepted seven orders.
+func newRestartedServerCore(t *testing.T) *Core {
 	t.Helper()
 	core := New(Options{Window: window, Overage: overage})
 	core.SetTable(simTable())
@@ -21,47 +21,48 @@
 	return core
 }
 
-// TestLaterStartIsToldByWhatever: a report, an entry; an earlier one changes nothing.
+// TestLaterStartIsToldByWhatever checks that a later start is accepted from a report as well as
+// from a store entry, and that an earlier one changes nothing.
 func TestLaterStartIsToldByWhatever(t *testing.T) {
-	entry := func(born, revision int64) func(*Core) {
+	entry := func(startedAt, revision int64) func(*Core) {
 		return func(core *Core) {
-			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: born, Service: serviceName, Position: storepos.At(0, revision)}}})
-			core.HandleReport(begin, "s", Report{StartedAtMs: born, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
+			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: startedAt, Service: serviceName, Position: storepos.At(0, revision)}}})
+			core.HandleReport(begin, "s", Report{StartedAtMs: startedAt, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}
 	}
 	cases := []struct {
-		name string
-		tell func(*Core)
-		born int64
-		want string
+		name      string
+		update    func(*Core)
+		startedAt int64
+		want      string
 	}{
-		{"its report, whose count is lower", func(core *Core) {
+		{"report of a later start, with a lower sequence number", func(core *Core) {
 			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 3, "m08"},
-		{"its entry", entry(3, 5), 3, "m08"},
-		{"an entry of the start before, told late", entry(1, 3), 2, "m02"},
-		{"another of the same revision", entry(1, 4), 2, "m02"},
-		{"a report of the start before", func(core *Core) {
+		{"entry of a later start", entry(3, 5), 3, "m08"},
+		{"entry of the previous start, received late", entry(1, 3), 2, "m02"},
+		{"entry of the previous start at the same revision", entry(1, 4), 2, "m02"},
+		{"report of the previous start", func(core *Core) {
 			core.HandleReport(begin, "s", Report{StartedAtMs: 1, Sequence: 99, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 2, "m02"},
-		{"the last entry of the start before its report's", func(core *Core) {
+		{"last entry of the start preceding the reported one", func(core *Core) {
 			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 			core.SetServers(begin, []inventory.Change{{Server: inventory.Server{ID: "s", StartedAtMs: 2, Service: serviceName, Position: storepos.At(0, 5)}}})
 		}, 3, "m08"},
-		{"a start whose clock went back, by entry and report", func(core *Core) {
+		{"start whose clock went back, by entry and report", func(core *Core) {
 			core.HandleReport(begin, "s", Report{StartedAtMs: 3, Models: []inventory.HeldModel{{Name: "m02"}}}, true)
 			entry(1, 5)(core)
 		}, 1, "m08"},
-		{"a report that does not say of which, and counts less", func(core *Core) {
+		{"report without a start and with a lower sequence number", func(core *Core) {
 			core.HandleReport(begin, "s", Report{Models: []inventory.HeldModel{{Name: "m08"}}}, true)
 		}, 2, "m02"},
 	}
 	for _, c := range cases {
-		core := startedServer(t)
-		c.tell(core)
+		core := newRestartedServerCore(t)
+		c.update(core)
 		views := core.Views(begin)
-		if len(views) != 1 || views[0].StartedAtMs != c.born {
-			t.Errorf("%s: views %+v, want one of start %d", c.name, views, c.born)
+		if len(views) != 1 || views[0].StartedAtMs != c.startedAt {
+			t.Errorf("%s: views %+v, want one of start %d", c.name, views, c.startedAt)
 			continue
 		}
 		if _, ok := views[0].Held[c.want]; !ok {
@@ -70,61 +71,63 @@
 	}
 }
 
-// TestAnswerOfTheStartBeforeSettlesNoOrder: it belongs to an order that the start before got.
+// TestAnswerOfTheStartBeforeSettlesNoOrder checks that an answer to an order of the previous
+// start is not taken as the answer to the pending order of the current start.
 func TestAnswerOfTheStartBeforeSettlesNoOrder(t *testing.T) {
-	core := startedServer(t)
-	wantModel(core, begin, "m08")
+	core := newRestartedServerCore(t)
+	requestModel(core, begin, "m08")
 	before := core.Step(begin.Add(tick), true).Orders[0]
 	core.HandleReport(begin.Add(tick), "s", Report{StartedAtMs: 3}, true)
-	if s := core.servers["s"]; s.ordering != nil || s.sequence != 0 {
-		t.Fatalf("the new start has %+v under way, count %d", s.ordering, s.sequence)
+	if s := core.servers["s"]; s.pendingOrder != nil || s.sequence != 0 {
+		t.Fatalf("the new start has pending order %+v and sequence number %d", s.pendingOrder, s.sequence)
 	}
-	wantModel(core, begin.Add(2*tick), "m08")
-	own := core.Step(begin.Add(2*tick), true).Orders
-	if len(own) != 1 || own[0].StartedAtMs != 3 || own[0].ExpectedSequence != 0 {
-		t.Fatalf("orders %+v, want one of the new start", own)
+	requestModel(core, begin.Add(2*tick), "m08")
+	orders := core.Step(begin.Add(2*tick), true).Orders
+	if len(orders) != 1 || orders[0].StartedAtMs != 3 || orders[0].ExpectedSequence != 0 {
+		t.Fatalf("orders %+v, want one for the new start", orders)
 	}
 	core.HandleOrderResult(begin.Add(2*tick), before, ResultTaken)
-	if core.servers["s"].ordering == nil {
-		t.Error("an answer of the start before settled the order of this one")
+	if core.servers["s"].pendingOrder == nil {
+		t.Error("an answer from the previous start settled the pending order of this one")
 	}
 }
 
-// TestLostOrderOfTheStartBeforeTakesRoom: it names the server and a count that may fit once more,
-// until the count has passed, or its time has.
+// TestLostOrderOfTheStartBeforeTakesRoom checks that memory stays set aside for an unanswered
+// order to the previous start, whose sequence number may match the new start, until the sequence
+// number has passed or the order has expired.
 func TestLostOrderOfTheStartBeforeTakesRoom(t *testing.T) {
-	core := startedServer(t)
+	core := newRestartedServerCore(t)
 	core.HandleReport(begin, "s", Report{StartedAtMs: 3}, true)
 	engine := core.engineOf(serviceName)
 	free := core.servers["s"].usedMB(engine)
-	wantModel(core, begin, "m08")
-	lost := core.Step(begin.Add(tick), true).Orders[0]
-	if lost.Operation != Load || lost.ExpectedSequence != 0 {
-		t.Fatalf("order %+v, want a load at count 0", lost)
+	requestModel(core, begin, "m08")
+	unanswered := core.Step(begin.Add(tick), true).Orders[0]
+	if unanswered.Operation != Load || unanswered.ExpectedSequence != 0 {
+		t.Fatalf("order %+v, want a load with expected sequence number 0", unanswered)
 	}
-	core.HandleOrderResult(begin.Add(tick), lost, ResultUnknown)
-	again := begin.Add(2 * tick)
+	core.HandleOrderResult(begin.Add(tick), unanswered, ResultUnknown)
+	restartAt := begin.Add(2 * tick)
 	for name, c := range map[string]struct {
 		after    time.Duration
 		sequence int64
 		isKept   bool
 	}{
-		"before its count":   {time.Second, 0, true},
-		"behind its count":   {time.Second, 1, false},
-		"when its time over": {strayTime, 0, false},
+		"before its sequence number": {time.Second, 0, true},
+		"after its sequence number":  {time.Second, 1, false},
+		"after it expired":           {staleOrderTTL, 0, false},
 	} {
-		started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 4, Service: serviceName, Position: storepos.At(0, 9)})
-		started.strays = []stray{{order: lost, until: again.Add(strayTime)}}
-		core.applyReport(again.Add(c.after), started, Report{StartedAtMs: 4, Sequence: c.sequence})
+		started := core.replaceRestarted(restartAt, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 4, Service: serviceName, Position: storepos.At(0, 9)})
+		started.staleOrders = []staleOrder{{order: unanswered, until: restartAt.Add(staleOrderTTL)}}
+		core.applyReport(restartAt.Add(c.after), started, Report{StartedAtMs: 4, Sequence: c.sequence})
 		want := free
 		if c.isKept {
 			want += engine.Models["m08"].WeightsMB
 		}
 		if got := started.usedMB(engine); got != want {
-			t.Errorf("%s: %v MB are taken, want %v", name, got, want)
+			t.Errorf("%s: %v MB in use, want %v", name, got, want)
 		}
 	}
-	if started := core.startsAgain(again, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 5, Service: serviceName, Position: storepos.At(0, 10)}); len(started.strays) != len(core.servers["s"].strays) {
-		t.Error("strays are lost with a further start")
+	if started := core.replaceRestarted(restartAt, core.servers["s"], inventory.Server{ID: "s", StartedAtMs: 5, Service: serviceName, Position: storepos.At(0, 10)}); len(started.staleOrders) != len(core.servers["s"].staleOrders) {
+		t.Error("stale orders are lost with a further start")
 	}
 }
--- a/internal/placer/storelimit.go
+++ b/internal/placer/storelimit.go
@@ -6,285 +6,293 @@
 	"time"
 )
 
-// storeLimit learns how many loads from one weight store run at full speed at
-// once, and how loads beyond that number are slowed. Nobody tells either. Stores
-// follow one of two laws: loads share the bandwidth from moment to moment, or each
-// takes as much longer as there are too many when it begins, to its end. Each load
-// that was slowed tells the number under either law; the law by which the numbers
-// agree is the store's.
+// storeLimit learns how many loads from one weight store run at full speed concurrently, and how
+// further loads are slowed down, since neither is configured. Stores behave in one of two ways:
+// either concurrent loads share the bandwidth at every moment, or the duration of each load is
+// fixed when it begins, in proportion to the number of loads then running. Each slowed load
+// yields an estimate of the number under either mode; the mode under which the estimates agree
+// better is taken to be the store's.
 //
-// The limit rises as a congestion window does: by one with each load that was
-// in time while the limit was used, until loads were first slowed; after that by
-// its inverse.
+// The limit grows like a congestion window: by one with each load that was on time while the
+// limit was in use, until the first loads were slowed; after that by the inverse of the limit.
 type storeLimit struct {
-	atOnce float64
-	// told is the number that the loads slowed last told; 0 where none was. The
-	// limit rises beyond it to find out whether more run at full speed by now.
-	told float64
-	// slowed are the newest estimates from loads that were slowed.
-	slowed []widths
-	// proven is the number beside which a load was in time of late; 0 once as
-	// many loads as slowedKept were slowed since.
-	proven      widths
-	slowedSince int
+	limit float64
+	// estimate is the number derived from the last slowed loads; 0 if there were none. The limit
+	// grows beyond it to find out whether more loads run at full speed by now.
+	estimate float64
+	// slowEstimates are the latest estimates from slowed loads.
+	slowEstimates []concurrency
+	// proven is the concurrency at which a load was recently on time; it is reset to 0 once
+	// limitSamples loads were slowed since.
+	proven          concurrency
+	slowSinceProven int
 }
 
-// widths is one number of loads at full speed, by either law.
-type widths struct {
-	// shared goes by the loads beside at each moment, settled by those at the
-	// beginning.
-	shared  float64
-	settled float64
+// concurrency is a number of concurrent loads at full speed, under either mode.
+type concurrency struct {
+	// shared is based on the concurrency at each moment, fixed on the concurrency at the start.
+	shared float64
+	fixed  float64
 }
 
-func (w widths) under(law storeLaw) float64 {
-	if law == lawShared {
-		return w.shared
+// in returns the value for a mode.
+func (c concurrency) in(mode contentionMode) float64 {
+	if mode == contentionShared {
+		return c.shared
 	}
-	return w.settled
+	return c.fixed
 }
 
-func (w widths) atLeast(other widths) widths {
-	return widths{shared: max(w.shared, other.shared), settled: max(w.settled, other.settled)}
+// max returns the higher value for each mode.
+func (c concurrency) max(other concurrency) concurrency {
+	return concurrency{shared: max(c.shared, other.shared), fixed: max(c.fixed, other.fixed)}
 }
 
-// storeLaw says how loads beyond the number are slowed.
-type storeLaw int
+// contentionMode is how loads beyond the full-speed number are slowed down.
+type contentionMode int
 
 const (
-	// lawSettled is that a load's time is settled when it begins.
-	lawSettled storeLaw = iota
-	// lawShared is that loads share the bandwidth.
-	lawShared
+	// contentionFixed means that the duration of a load is fixed when it begins.
+	contentionFixed contentionMode = iota
+	// contentionShared means that concurrent loads share the bandwidth.
+	contentionShared
 )
 
 const (
-	// firstLoadsAtOnce is the limit where nothing is known.
-	firstLoadsAtOnce = 4
-	// slowedKept is the number of estimates that the limit is taken from: their
-	// greatest, so that one slow server does not lower it for all.
-	slowedKept = 5
-	// lawKept is the number of estimates that tell the law.
-	lawKept = 6
-	// slowedNeeded is the number of estimates that first lower the limit.
-	slowedNeeded = 2
-	// loadSlack and loadSlackShare are what a load may take beyond its time
-	// before it counts as slowed: reports lag.
-	loadSlack      = 250 * time.Millisecond
-	loadSlackShare = 0.08
+	// initialStoreLimit is the limit before anything was learned.
+	initialStoreLimit = 4
+	// limitSamples is the number of estimates from which the limit is derived. The highest one
+	// counts, so that a single slow server does not lower the limit for all.
+	limitSamples = 5
+	// modeSamples is the number of estimates from which the mode is derived.
+	modeSamples = 6
+	// minSlowSamples is the number of estimates needed before the limit is lowered.
+	minSlowSamples = 2
+	// lateSlack and lateSlackShare are how much longer than expected a load may take before it
+	// counts as slowed, since reports lag.
+	lateSlack      = 250 * time.Millisecond
+	lateSlackShare = 0.08
 )
 
-func newStoreLimit(atOnce float64) *storeLimit {
-	if atOnce < 1 {
-		return &storeLimit{atOnce: firstLoadsAtOnce}
+// newStoreLimit returns a limit that starts from what earlier leaders learned; below 1 means
+// nothing.
+func newStoreLimit(learnedLoads float64) *storeLimit {
+	if learnedLoads < 1 {
+		return &storeLimit{limit: initialStoreLimit}
 	}
-	// Earlier leaders learned it: it is not searched for again in great steps.
-	learned := widths{shared: atOnce, settled: atOnce}
-	return &storeLimit{atOnce: atOnce, told: atOnce, slowed: []widths{learned, learned}}
+	// Two samples end the initial phase, so the limit grows in small steps from the start.
+	sample := concurrency{shared: learnedLoads, fixed: learnedLoads}
+	return &storeLimit{limit: learnedLoads, estimate: learnedLoads, slowEstimates: []concurrency{sample, sample}}
 }
 
-// allowed is the number of loads that may run at once.
-func (l *storeLimit) allowed() int { return max(1, int(math.Round(l.atOnce))) }
+// allowed returns the number of loads that may run concurrently.
+func (l *storeLimit) allowed() int { return max(1, int(math.Round(l.limit))) }
 
-// law is the law by which the estimates differ least.
-func (l *storeLimit) law() storeLaw {
-	if spread(l.slowed, lawShared) < spread(l.slowed, lawSettled) {
-		return lawShared
+// mode returns the mode under which the estimates differ least.
+func (l *storeLimit) mode() contentionMode {
+	if spread(l.slowEstimates, contentionShared) < spread(l.slowEstimates, contentionFixed) {
+		return contentionShared
 	}
-	return lawSettled
+	return contentionFixed
 }
 
-// spread is how much estimates differ under a law, as the sum of their distances
-// from the middle one on a scale of ratios: one slow server does not decide.
-func spread(estimates []widths, law storeLaw) float64 {
-	if len(estimates) < slowedNeeded {
+// spread returns how much the estimates differ under a mode, as the sum of the absolute
+// deviations of their logarithms from the median, so that one slow server is not decisive.
+func spread(estimates []concurrency, mode contentionMode) float64 {
+	if len(estimates) < minSlowSamples {
 		return 0
 	}
 	logs := make([]float64, 0, len(estimates))
 	for _, estimate := range estimates {
-		logs = append(logs, math.Log(max(1, estimate.under(law))))
+		logs = append(logs, math.Log(max(1, estimate.in(mode))))
 	}
 	slices.Sort(logs)
-	middle, sum := logs[len(logs)/2], 0.0
-	for _, each := range logs {
-		sum += math.Abs(each - middle)
+	median, sum := logs[len(logs)/2], 0.0
+	for _, value := range logs {
+		sum += math.Abs(value - median)
 	}
 	return sum
 }
 
-// ended takes a load that is done.
-func (l *storeLimit) ended(run *loadRun) {
-	switch took := run.took(); {
+// recordCompletion learns from a completed load.
+func (l *storeLimit) recordCompletion(run *loadRun) {
+	switch elapsed := run.elapsed(); {
 	case run.isLate():
-		l.takeSlowed(run.estimates())
-	case took <= run.full+loadSlack:
-		l.takeInTime(run)
+		l.recordSlow(run.estimateConcurrency())
+	case elapsed <= run.fullSpeedTime+lateSlack:
+		l.recordOnTime(run)
 	default:
-		// A little late: it proves nothing, one too many of a dozen shows no more.
+		// Slightly late. With a dozen concurrent loads, a single one too many has no larger
+		// effect, so this shows nothing.
 	}
 }
 
-// overdue takes the loads that are under way for longer than their time: the
-// number is no greater than if they ended now.
-func (l *storeLimit) overdue(runs []*loadRun) {
-	if len(runs) < slowedNeeded {
+// recordOverdue lowers the limit for loads that are overdue: it cannot exceed the highest of the
+// estimates as if they ended now.
+func (l *storeLimit) recordOverdue(runs []*loadRun) {
+	if len(runs) < minSlowSamples {
 		return
 	}
-	law, greatest := l.law(), 1.0
+	mode, greatest := l.mode(), 1.0
 	for _, run := range runs {
-		greatest = max(greatest, run.estimates().under(law))
+		greatest = max(greatest, run.estimateConcurrency().in(mode))
 	}
-	l.atOnce = min(l.atOnce, max(greatest, l.proven.under(law)))
-	if l.told > 0 {
-		l.told = min(l.told, l.atOnce)
+	l.limit = min(l.limit, max(greatest, l.proven.in(mode)))
+	if l.estimate > 0 {
+		l.estimate = min(l.estimate, l.limit)
 	}
 }
 
-func (l *storeLimit) takeSlowed(estimate widths) {
-	l.slowed = append(l.slowed, estimate)
-	if len(l.slowed) > lawKept {
-		l.slowed = l.slowed[1:]
+// recordSlow adds the estimate of a slowed load, and sets the limit to the highest of the latest
+// estimates.
+func (l *storeLimit) recordSlow(estimate concurrency) {
+	l.slowEstimates = append(l.slowEstimates, estimate)
+	if len(l.slowEstimates) > modeSamples {
+		l.slowEstimates = l.slowEstimates[1:]
 	}
-	if l.slowedSince++; l.slowedSince >= slowedKept {
-		l.proven = widths{}
+	if l.slowSinceProven++; l.slowSinceProven >= limitSamples {
+		l.proven = concurrency{}
 	}
-	if len(l.slowed) < slowedNeeded {
+	if len(l.slowEstimates) < minSlowSamples {
 		return
 	}
-	law := l.law()
-	greatest := max(1, l.proven.under(law))
-	for _, known := range l.slowed[max(0, len(l.slowed)-slowedKept):] {
-		greatest = max(greatest, known.under(law))
+	mode := l.mode()
+	greatest := max(1, l.proven.in(mode))
+	for _, sample := range l.slowEstimates[max(0, len(l.slowEstimates)-limitSamples):] {
+		greatest = max(greatest, sample.in(mode))
 	}
-	l.atOnce, l.told = greatest, greatest
+	l.limit, l.estimate = greatest, greatest
 }
 
-// width is the number of loads at full speed by which ends are foretold.
-func (l *storeLimit) width() float64 {
-	if l.told == 0 {
-		return l.atOnce
+// fullSpeedLoads returns the number of concurrent loads at full speed, used to predict the end of
+// loads.
+func (l *storeLimit) fullSpeedLoads() float64 {
+	if l.estimate == 0 {
+		return l.limit
 	}
-	return max(l.told, l.proven.under(l.law()))
+	return max(l.estimate, l.proven.in(l.mode()))
 }
 
-func (l *storeLimit) takeInTime(run *loadRun) {
-	beside := widths{shared: run.beside(), settled: float64(run.atStart)}
-	l.proven, l.slowedSince = l.proven.atLeast(beside), 0
-	isLearned := len(l.slowed) > 0
+// recordOnTime raises the limit after a load that was on time.
+func (l *storeLimit) recordOnTime(run *loadRun) {
+	observed := concurrency{shared: run.meanConcurrency(), fixed: float64(run.concurrentAtStart)}
+	l.proven, l.slowSinceProven = l.proven.max(observed), 0
+	hasEstimates := len(l.slowEstimates) > 0
 	switch {
-	case beside.shared < l.atOnce-1, isLearned && l.law() == lawSettled && run.atStart < l.allowed():
-		// The limit was not used: this says nothing of it.
-	case !isLearned:
-		l.atOnce++
+	case observed.shared < l.limit-1, hasEstimates && l.mode() == contentionFixed && run.concurrentAtStart < l.allowed():
+		// The limit was not reached, so the load does not show that it can be raised.
+	case !hasEstimates:
+		l.limit++
 	default:
-		l.atOnce += 1 / l.atOnce
+		l.limit += 1 / l.limit
 	}
 }
 
-// left is the time that a load still takes where so many run at once now.
-func (l *storeLimit) left(run *loadRun, atOnce int) time.Duration {
-	if l.law() == lawShared {
-		return run.left(l.width(), atOnce)
+// remaining returns the time until a load completes, given the current concurrency.
+func (l *storeLimit) remaining(run *loadRun, concurrent int) time.Duration {
+	if l.mode() == contentionShared {
+		return run.remaining(l.fullSpeedLoads(), concurrent)
 	}
-	takes := time.Duration(float64(run.full) * max(1, float64(run.atStart)/l.width()))
-	return max(0, takes-run.took())
+	total := time.Duration(float64(run.fullSpeedTime) * max(1, float64(run.concurrentAtStart)/l.fullSpeedLoads()))
+	return max(0, total-run.elapsed())
 }
 
-// loadRun is one load from the weight store under way.
+// loadRun measures one load from the weight store.
 type loadRun struct {
-	// full is the time of the load at full speed.
-	full time.Duration
-	// atStart is the number of loads at once when it began, itself included.
-	atStart int
-	// seen is up to when the spans reach.
-	seen  time.Time
-	spans []loadSpan
+	// fullSpeedTime is the duration of the load at full speed.
+	fullSpeedTime time.Duration
+	// concurrentAtStart is the number of loads running when it began, itself included.
+	concurrentAtStart int
+	// observedUntil is the end of the last span.
+	observedUntil time.Time
+	spans         []loadSpan
 }
 
-// loadSpan is a time in which a number of loads ran at once.
+// loadSpan is a period during which the number of concurrent loads did not change.
 type loadSpan struct {
-	atOnce int
-	lasted time.Duration
+	concurrent int
+	duration   time.Duration
 }
 
-func newLoadRun(begun time.Time, full time.Duration, atStart int) *loadRun {
-	return &loadRun{full: full, atStart: atStart, seen: begun}
+func newLoadRun(startedAt time.Time, fullSpeedTime time.Duration, concurrentAtStart int) *loadRun {
+	return &loadRun{fullSpeedTime: fullSpeedTime, concurrentAtStart: concurrentAtStart, observedUntil: startedAt}
 }
 
-// ranBeside extends the run to now, with a number of loads at once, itself
-// included.
-func (r *loadRun) ranBeside(now time.Time, atOnce int) {
-	lasted := now.Sub(r.seen)
-	if lasted <= 0 {
+// extend adds the time up to now, during which the given number of loads ran, itself included.
+func (r *loadRun) extend(now time.Time, concurrent int) {
+	duration := now.Sub(r.observedUntil)
+	if duration <= 0 {
 		return
 	}
-	r.seen = now
-	if last := len(r.spans) - 1; last >= 0 && r.spans[last].atOnce == atOnce {
-		r.spans[last].lasted += lasted
+	r.observedUntil = now
+	if last := len(r.spans) - 1; last >= 0 && r.spans[last].concurrent == concurrent {
+		r.spans[last].duration += duration
 		return
 	}
-	r.spans = append(r.spans, loadSpan{atOnce: atOnce, lasted: lasted})
+	r.spans = append(r.spans, loadSpan{concurrent: concurrent, duration: duration})
 }
 
-func (r *loadRun) took() time.Duration {
+// elapsed returns the time observed so far.
+func (r *loadRun) elapsed() time.Duration {
 	total := time.Duration(0)
 	for _, span := range r.spans {
-		total += span.lasted
+		total += span.duration
 	}
 	return total
 }
 
+// isLate reports whether the load takes so long that it counts as slowed.
 func (r *loadRun) isLate() bool {
-	return r.took() > r.full+loadSlack+time.Duration(loadSlackShare*float64(r.full))
+	return r.elapsed() > r.fullSpeedTime+lateSlack+time.Duration(lateSlackShare*float64(r.fullSpeedTime))
 }
 
-// beside is the mean number of loads that ran at once.
-func (r *loadRun) beside() float64 {
+// meanConcurrency returns the time-weighted mean number of concurrent loads.
+func (r *loadRun) meanConcurrency() float64 {
 	sum := 0.0
 	for _, span := range r.spans {
-		sum += float64(span.atOnce) * span.lasted.Seconds()
+		sum += float64(span.concurrent) * span.duration.Seconds()
 	}
-	return sum / max(r.took().Seconds(), time.Millisecond.Seconds())
+	return sum / max(r.elapsed().Seconds(), time.Millisecond.Seconds())
 }
 
-// progress is how much of the load is done, in seconds at full speed, where so
-// many loads run at full speed.
+// progress returns how much of the load is done, in seconds at full speed, if up to limit
+// concurrent loads run at full speed.
 func (r *loadRun) progress(limit float64) float64 {
 	done := 0.0
 	for _, span := range r.spans {
-		done += span.lasted.Seconds() * min(1, limit/float64(max(1, span.atOnce)))
+		done += span.duration.Seconds() * min(1, limit/float64(max(1, span.concurrent)))
 	}
 	return done
 }
 
-// left is the time that the load still takes where so many run at once now.
-func (r *loadRun) left(limit float64, atOnce int) time.Duration {
-	speed := min(1, limit/float64(max(1, atOnce)))
-	seconds := max(0, r.full.Seconds()-r.progress(limit)) / speed
+// remaining returns the time until the load completes, given the current concurrency.
+func (r *loadRun) remaining(limit float64, concurrent int) time.Duration {
+	speed := min(1, limit/float64(max(1, concurrent)))
+	seconds := max(0, r.fullSpeedTime.Seconds()-r.progress(limit)) / speed
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// estimateSteps halve the range of the estimate.
-const estimateSteps = 20
+// bisectionSteps is the number of steps of the bisection in sharedEstimate.
+const bisectionSteps = 20
 
-// estimates are the numbers of loads at full speed by which the load would have
-// ended just now, or when the newest report was made.
-func (r *loadRun) estimates() widths {
-	took := max(r.took()-reportLag, time.Millisecond)
-	return widths{
-		shared:  r.sharedWidth(),
-		settled: max(1, float64(r.atStart)*r.full.Seconds()/took.Seconds()),
+// estimateConcurrency returns the numbers of concurrent loads at full speed that are consistent
+// with the load having completed just now, or when the latest report was made.
+func (r *loadRun) estimateConcurrency() concurrency {
+	elapsed := max(r.elapsed()-maxReportAge, time.Millisecond)
+	return concurrency{
+		shared: r.sharedEstimate(),
+		fixed:  max(1, float64(r.concurrentAtStart)*r.fullSpeedTime.Seconds()/elapsed.Seconds()),
 	}
 }
 
-// sharedWidth is the estimate where loads share the bandwidth.
-func (r *loadRun) sharedWidth() float64 {
-	full := (r.full + reportLag).Seconds()
+// sharedEstimate returns the estimate under contentionShared, by bisection.
+func (r *loadRun) sharedEstimate() float64 {
+	full := (r.fullSpeedTime + maxReportAge).Seconds()
 	low, high := 0.0, 1.0
 	for _, span := range r.spans {
-		high = max(high, float64(span.atOnce))
+		high = max(high, float64(span.concurrent))
 	}
-	for range estimateSteps {
+	for range bisectionSteps {
 		middle := (low + high) / 2
 		if r.progress(middle) < full {
 			low = middle
