--- a/internal/placer/storelimit_test.go
+++ b/internal/placer/storelimit_test.go
@@ -6,156 +6,160 @@
 	"time"
 )
 
-// weightStore is a store that bears so many loads at once at full speed. Beyond
-// them loads share its bandwidth or, where settled, each takes as much longer as
-// there are too many when it begins.
-type weightStore struct {
-	atOnce  float64
-	full    time.Duration
-	settled bool
-	// slowOne makes every nth load take four times as long; 0 is none.
-	slowOne int
+// fakeWeightStore runs up to fullSpeedLoads concurrent loads at full speed. Beyond them, loads
+// share its bandwidth or, with fixedAtStart, the duration of each load is fixed when it begins,
+// in proportion to the number of loads then running.
+type fakeWeightStore struct {
+	fullSpeedLoads float64
+	loadTime       time.Duration
+	fixedAtStart   bool
+	// slowEvery makes every nth load take four times as long; 0 disables it.
+	slowEvery int
 }
 
-// play keeps as many loads under way as the limit allows, for so long, and
-// returns the time that the loads took on the average.
-func (w weightStore) play(limit *storeLimit, lasts time.Duration) time.Duration {
-	type underWay struct {
-		run  *loadRun
-		left float64
+// run keeps as many loads in progress as the limit allows, for the duration, and returns the mean
+// duration of the completed loads.
+func (w fakeWeightStore) run(limit *storeLimit, duration time.Duration) time.Duration {
+	type activeLoad struct {
+		run       *loadRun
+		remaining float64
 	}
 	const step = 50 * time.Millisecond
-	var running []*underWay
-	begun, ended, total := 0, 0, time.Duration(0)
-	for now := begin; now.Sub(begin) < lasts; now = now.Add(step) {
+	var running []*activeLoad
+	started, completed, total := 0, 0, time.Duration(0)
+	for now := begin; now.Sub(begin) < duration; now = now.Add(step) {
 		for len(running) < limit.allowed() {
-			begun++
-			left := w.full.Seconds()
-			if w.slowOne > 0 && begun%w.slowOne == 0 {
-				left *= 4
+			started++
+			remaining := w.loadTime.Seconds()
+			if w.slowEvery > 0 && started%w.slowEvery == 0 {
+				remaining *= 4
 			}
 			atStart := len(running) + 1
-			if w.settled {
-				left *= max(1, float64(atStart)/w.atOnce)
+			if w.fixedAtStart {
+				remaining *= max(1, float64(atStart)/w.fullSpeedLoads)
 			}
-			running = append(running, &underWay{run: newLoadRun(now, w.full, atStart), left: left})
+			running = append(running, &activeLoad{run: newLoadRun(now, w.loadTime, atStart), remaining: remaining})
 		}
-		var kept []*underWay
+		var active []*activeLoad
 		var overdue []*loadRun
 		for _, load := range running {
-			speed := min(1, w.atOnce/float64(len(running)))
-			if w.settled {
+			speed := min(1, w.fullSpeedLoads/float64(len(running)))
+			if w.fixedAtStart {
 				speed = 1
 			}
-			load.left -= step.Seconds() * speed
-			load.run.ranBeside(now.Add(step), len(running))
-			if load.left <= -reportLag.Seconds() {
-				limit.ended(load.run)
-				ended++
-				total += load.run.took()
+			load.remaining -= step.Seconds() * speed
+			load.run.extend(now.Add(step), len(running))
+			if load.remaining <= -maxReportAge.Seconds() {
+				limit.recordCompletion(load.run)
+				completed++
+				total += load.run.elapsed()
 				continue
 			}
 			if load.run.isLate() {
 				overdue = append(overdue, load.run)
 			}
-			kept = append(kept, load)
+			active = append(active, load)
 		}
-		limit.overdue(overdue)
-		running = kept
+		limit.recordOverdue(overdue)
+		running = active
 	}
-	return total / time.Duration(max(1, ended))
+	return total / time.Duration(max(1, completed))
 }
 
-// TestLimitIsLearned: from no knowledge, at stores of unlike widths and loads of
-// unlike lengths.
+// TestLimitIsLearned checks that the limit is learned without prior knowledge, for stores of
+// various capacities and loads of various durations.
 func TestLimitIsLearned(t *testing.T) {
-	for _, width := range []float64{1, 2, 4, 7, 13, 30} {
-		for _, full := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
+	for _, capacity := range []float64{1, 2, 4, 7, 13, 30} {
+		for _, loadTime := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 			limit := newStoreLimit(0)
-			weightStore{atOnce: width, full: full}.play(limit, 12*full)
-			if off := math.Abs(limit.atOnce - width); off > max(1.2, 0.25*width) {
-				t.Errorf("width %v, loads of %v: learned %.2f", width, full, limit.atOnce)
+			fakeWeightStore{fullSpeedLoads: capacity, loadTime: loadTime}.run(limit, 12*loadTime)
+			if off := math.Abs(limit.limit - capacity); off > max(1.2, 0.25*capacity) {
+				t.Errorf("capacity %v, loads of %v: learned %.2f", capacity, loadTime, limit.limit)
 			}
 		}
 	}
 }
 
-// TestLimitIsLearnedWhereTimesAreSettled: a load that began beside too many takes
-// long to its end, also once it is alone. Taken for a share of bandwidth, it told a
-// limit of 6 at a store that bears 2, and of 4 at one that bears 12.
+// TestLimitIsLearnedWhereTimesAreSettled checks the same for stores that fix the duration of a
+// load when it begins: a load that began among too many takes long to its end, even once it is
+// alone. Interpreted as shared bandwidth, it yielded a limit of 6 for a store that runs 2 loads
+// at full speed, and of 4 for one that runs 12.
 func TestLimitIsLearnedWhereTimesAreSettled(t *testing.T) {
-	for _, width := range []float64{1, 2, 4, 6, 12, 30} {
-		for _, full := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
+	for _, capacity := range []float64{1, 2, 4, 6, 12, 30} {
+		for _, loadTime := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 			limit := newStoreLimit(0)
-			// The limit rises by one with each load that is in time, from 4 on.
-			weightStore{atOnce: width, full: full, settled: true}.play(limit, 24*full)
-			// What reports lag hides that one load of a dozen is too many.
-			if off := math.Abs(float64(limit.allowed()) - width); off > max(1, 0.15*width) {
-				t.Errorf("width %v, loads of %v: learned %.2f", width, full, limit.atOnce)
+			// The limit grows from 4 by one with each load that is on time, so this takes longer.
+			fakeWeightStore{fullSpeedLoads: capacity, loadTime: loadTime, fixedAtStart: true}.run(limit, 24*loadTime)
+			// The lag of reports hides one load too many among a dozen.
+			if off := math.Abs(float64(limit.allowed()) - capacity); off > max(1, 0.15*capacity) {
+				t.Errorf("capacity %v, loads of %v: learned %.2f", capacity, loadTime, limit.limit)
 			}
 		}
 	}
 }
 
-// TestEndIsForetoldWhereTimesAreSettled: the load does not quicken when others end.
+// TestEndIsForetoldWhereTimesAreSettled checks that the predicted end of such a load does not
+// move forward when other loads end.
 func TestEndIsForetoldWhereTimesAreSettled(t *testing.T) {
 	limit := newStoreLimit(0)
-	weightStore{atOnce: 2, full: 6 * time.Second, settled: true}.play(limit, time.Minute)
+	fakeWeightStore{fullSpeedLoads: 2, loadTime: 6 * time.Second, fixedAtStart: true}.run(limit, time.Minute)
 	run := newLoadRun(begin, 6*time.Second, 4)
-	run.ranBeside(begin.Add(5*time.Second), 1)
-	if left := limit.left(run, 1); left < 6500*time.Millisecond || left > 7500*time.Millisecond {
-		t.Errorf("%v left, want about 7 s of 12", left)
+	run.extend(begin.Add(5*time.Second), 1)
+	if left := limit.remaining(run, 1); left < 6500*time.Millisecond || left > 7500*time.Millisecond {
+		t.Errorf("%v remaining, want about 7 s of 12", left)
 	}
 }
 
-// TestLimitHoldsBesideSlowServers: one server whose loads take long says little
-// of the store.
+// TestLimitHoldsBesideSlowServers checks that one server with slow loads does not lower the limit
+// much.
 func TestLimitHoldsBesideSlowServers(t *testing.T) {
 	limit := newStoreLimit(0)
-	weightStore{atOnce: 8, full: 3 * time.Second, slowOne: 7}.play(limit, time.Minute)
-	if limit.atOnce < 5 {
-		t.Errorf("learned %.2f of a store that bears 8", limit.atOnce)
+	fakeWeightStore{fullSpeedLoads: 8, loadTime: 3 * time.Second, slowEvery: 7}.run(limit, time.Minute)
+	if limit.limit < 5 {
+		t.Errorf("learned %.2f for a store that runs 8 loads at full speed", limit.limit)
 	}
 }
 
-// TestLimitFollowsASlowedStore: what was learned is learned anew.
+// TestLimitFollowsASlowedStore checks that the limit adapts when the capacity of the store drops
+// and rises again.
 func TestLimitFollowsASlowedStore(t *testing.T) {
 	limit := newStoreLimit(0)
-	weightStore{atOnce: 8, full: 3 * time.Second}.play(limit, time.Minute)
-	weightStore{atOnce: 2, full: 3 * time.Second}.play(limit, time.Minute)
-	if limit.atOnce > 3.5 {
-		t.Errorf("learned %.2f of a store that bears 2 by now", limit.atOnce)
+	fakeWeightStore{fullSpeedLoads: 8, loadTime: 3 * time.Second}.run(limit, time.Minute)
+	fakeWeightStore{fullSpeedLoads: 2, loadTime: 3 * time.Second}.run(limit, time.Minute)
+	if limit.limit > 3.5 {
+		t.Errorf("learned %.2f for a store that runs only 2 loads at full speed now", limit.limit)
 	}
-	weightStore{atOnce: 8, full: 3 * time.Second}.play(limit, time.Minute)
-	if limit.atOnce < 5 {
-		t.Errorf("learned %.2f of a store that bears 8 again", limit.atOnce)
+	fakeWeightStore{fullSpeedLoads: 8, loadTime: 3 * time.Second}.run(limit, time.Minute)
+	if limit.limit < 5 {
+		t.Errorf("learned %.2f for a store that runs 8 loads at full speed again", limit.limit)
 	}
 }
 
-// TestLimitIsHandedOn: a later leader does not search in great steps again.
+// TestLimitIsHandedOn checks that a limit taken over from an earlier leader grows in small steps.
 func TestLimitIsHandedOn(t *testing.T) {
 	limit := newStoreLimit(5)
-	limit.takeInTime(newLoadRunBeside(5))
-	if limit.atOnce < 5.1 || limit.atOnce > 5.3 {
-		t.Errorf("limit %.2f after one load in time, want 5.2", limit.atOnce)
+	limit.recordOnTime(newFinishedLoadRun(5))
+	if limit.limit < 5.1 || limit.limit > 5.3 {
+		t.Errorf("limit %.2f after one load on time, want 5.2", limit.limit)
 	}
 }
 
+// TestLoadForetellsItsEnd checks the predicted remaining time under shared bandwidth.
 func TestLoadForetellsItsEnd(t *testing.T) {
 	run := newLoadRun(begin, 6*time.Second, 4)
-	run.ranBeside(begin.Add(2*time.Second), 4)
-	run.ranBeside(begin.Add(6*time.Second), 8)
-	if left := run.left(4, 4); left != 2*time.Second {
-		t.Errorf("%v left, want 2 s: 2 s at full speed and 4 s at half are done", left)
+	run.extend(begin.Add(2*time.Second), 4)
+	run.extend(begin.Add(6*time.Second), 8)
+	if left := run.remaining(4, 4); left != 2*time.Second {
+		t.Errorf("%v remaining, want 2 s: 2 s at full speed and 4 s at half speed are done", left)
 	}
-	if left := run.left(4, 8); left != 4*time.Second {
-		t.Errorf("%v left beside eight, want 4 s", left)
+	if left := run.remaining(4, 8); left != 4*time.Second {
+		t.Errorf("%v remaining among eight loads, want 4 s", left)
 	}
 }
 
-// newLoadRunBeside is a load that was under way beside so many at all times.
-func newLoadRunBeside(atOnce int) *loadRun {
-	run := newLoadRun(begin, 6*time.Second, atOnce)
-	run.ranBeside(begin.Add(6*time.Second), atOnce)
+// newFinishedLoadRun returns the run of a load during which the concurrency did not change.
+func newFinishedLoadRun(concurrent int) *loadRun {
+	run := newLoadRun(begin, 6*time.Second, concurrent)
+	run.extend(begin.Add(6*time.Second), concurrent)
 	return run
 }
--- a/internal/placer/summary.go
+++ b/internal/placer/summary.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Summary is where the models of one service stand, for logs.
+// Summary describes the placement of one service's models, for logs. The fields correspond to log
+// keys.
 type Summary struct {
 	Service string
-	// Servers are those that the leader knows, Known those whose report is new.
+	// Servers is the number of known servers, Known the number of those with a current report.
 	Servers int
 	Known   int
-	// Copies are the places in use, Wanted the models that were asked for
-	// lately, Absent those of them that stand nowhere.
+	// Copies is the number of models held over all servers, Wanted the number of models with
+	// recent demand, and Absent the number of those without any copy.
 	Copies int
 	Wanted int
 	Absent int
-	// Loading are the loads under way, LoadingFromStore those of them from the
-	// weight store, Emptied the servers kept for a model.
+	// Loading is the number of loads in progress, LoadingFromStore the number of those from the
+	// weight store, and Emptied the number of servers reserved for a model.
 	Loading          int
 	LoadingFromStore int
 	Emptied          int
-	// Closed are the servers in evacuated zones.
+	// Closed is the number of unavailable servers.
 	Closed int
-	// Paused are models that are not loaded, since their loads end servers.
+	// Paused is the number of models whose loads are paused because they crashed servers.
 	Paused int
-	// Several names the models on several servers, as MODEL:COPIES/NEEDED.
+	// Several lists the models with more than one copy, as MODEL:COPIES/NEEDED.
 	Several string
 }
 
-// maxSeveral bounds the models that a summary names.
-const maxSeveral = 12
+// maxListedModels limits the models listed in a summary.
+const maxListedModels = 12
 
-// Summaries are where the models of each service stand.
+// Summaries returns a summary for each service that has an engine, sorted by name.
 func (c *Core) Summaries(now time.Time) []Summary {
 	if c.table == nil {
 		return nil
@@ -44,33 +45,33 @@
 		if service.Engine == nil {
 			continue
 		}
-		r := &round{core: c, now: now, service: name, engine: service.Engine, servers: c.serversOf(name)}
+		r := &planRound{core: c, now: now, service: name, engine: service.Engine, servers: c.serversOf(name)}
 		summaries = append(summaries, r.summary())
 	}
 	slices.SortFunc(summaries, func(a, b Summary) int { return strings.Compare(a.Service, b.Service) })
 	return summaries
 }
 
-func (r *round) summary() Summary {
-	sum := Summary{Service: r.service, Servers: len(r.servers), LoadingFromStore: r.loadsUnderWay()}
+func (r *planRound) summary() Summary {
+	sum := Summary{Service: r.service, Servers: len(r.servers), LoadingFromStore: r.activeStoreLoads()}
 	for _, s := range r.servers {
-		sum.Copies += len(s.held)
+		sum.Copies += len(s.models)
 		if s.synced {
 			sum.Known++
 		}
 		if s.loading != nil {
 			sum.Loading++
 		}
-		if s.isClosed {
+		if s.isUnavailable {
 			sum.Closed++
 		}
-		if s.hasIntent(r.now) {
+		if s.isReserved(r.now) {
 			sum.Emptied++
 		}
 	}
-	var several []string
+	var replicated []string
 	for name := range r.engine.Models {
-		copies, needed := r.copiesOf(name), r.needed(name)
+		copies, needed := r.copiesOf(name), r.neededCopies(name)
 		if needed > 0 {
 			sum.Wanted++
 		}
@@ -81,16 +82,16 @@
 			sum.Paused++
 		}
 		if copies > 1 {
-			several = append(several, name+":"+strconv.Itoa(copies)+"/"+strconv.Itoa(needed))
+			replicated = append(replicated, name+":"+strconv.Itoa(copies)+"/"+strconv.Itoa(needed))
 		}
 	}
-	slices.Sort(several)
-	sum.Several = strings.Join(several[:min(len(several), maxSeveral)], ",")
+	slices.Sort(replicated)
+	sum.Several = strings.Join(replicated[:min(len(replicated), maxListedModels)], ",")
 	return sum
 }
 
-// loadsUnderWay counts the loads from the weight store.
-func (r *round) loadsUnderWay() int {
+// activeStoreLoads counts the servers that may be loading from the weight store.
+func (r *planRound) activeStoreLoads() int {
 	count := 0
 	for _, s := range r.servers {
 		if s.mayLoadFromStore() {
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -7,40 +7,41 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// HasServer reports whether there is such a server.
+// HasServer reports whether the server is known.
 func (c *Core) HasServer(serverID string) bool {
 	_, ok := c.servers[serverID]
 	return ok
 }
 
-// ServerCount is the number of servers that the leader knows.
+// ServerCount returns the number of known servers.
 func (c *Core) ServerCount() int { return len(c.servers) }
 
-// Views are what the leader says of each server that it knows.
+// Views returns the views of all servers whose state is known.
 func (c *Core) Views(now time.Time) []dispatch.View {
 	return c.ViewsOf(now, func(string) bool { return true })
 }
 
-// ViewsOf are the views of the servers that are wanted.
-func (c *Core) ViewsOf(now time.Time, wanted func(serverID string) bool) []dispatch.View {
+// ViewsOf returns the views of the servers selected by include.
+func (c *Core) ViewsOf(now time.Time, include func(serverID string) bool) []dispatch.View {
 	var views []dispatch.View
-	for _, s := range c.sorted() {
-		if s.synced && wanted(s.info.ID) {
+	for _, s := range c.serversByID() {
+		if s.synced && include(s.info.ID) {
 			views = append(views, s.view(now))
 		}
 	}
 	return views
 }
 
+// view returns what is published about the server. Models that are being unloaded are left out.
 func (s *server) view(now time.Time) dispatch.View {
 	view := dispatch.View{
 		ServerID:    s.info.ID,
 		StartedAtMs: s.info.StartedAtMs,
 		Sequence:    s.sequence,
-		Held:        make(map[string][]string, len(s.held)),
+		Held:        make(map[string][]string, len(s.models)),
 		Loading:     make(map[string]time.Duration),
 	}
-	for name, source := range s.copies {
+	for name, source := range s.cachedWeights {
 		switch source {
 		case SourceMemory:
 			view.InMemory = append(view.InMemory, name)
@@ -50,13 +51,13 @@
 	}
 	slices.Sort(view.InMemory)
 	slices.Sort(view.OnDisk)
-	for name, model := range s.held {
+	for name, model := range s.models {
 		if name == s.unloading {
 			continue
 		}
 		adapters := make([]string, 0, len(model.adapters))
 		for adapterName, adapter := range model.adapters {
-			if left := adapter.ready.Sub(now); left > 0 {
+			if left := adapter.readyAt.Sub(now); left > 0 {
 				view.Loading[name+"/"+adapterName] = left
 			} else {
 				adapters = append(adapters, adapterName)
@@ -65,11 +66,11 @@
 		slices.Sort(adapters)
 		view.Held[name] = adapters
 	}
-	if s.loading == nil && s.hasIntent(now) {
-		view.Loading[s.intent.model] = orderWait + s.intent.takes
+	if s.loading == nil && s.isReserved(now) {
+		view.Loading[s.reservation.model] = pendingOrderWait + s.reservation.loadTime
 	}
 	if s.loading != nil {
-		view.Loading[s.loading.model] = max(time.Millisecond, s.loading.ready.Sub(now))
+		view.Loading[s.loading.model] = max(time.Millisecond, s.loading.readyAt.Sub(now))
 	}
 	return view
 }
