--- a/internal/evacuation/table.go
+++ b/internal/evacuation/table.go
@@ -9,225 +9,229 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// Snapshot is the whole list of evacuated zones as of a position of the store, as the
-// store or a peer tells it.
+// Snapshot is the complete list of evacuated zones at a position of the store, as obtained from
+// the store or a peer.
 type Snapshot struct {
 	Zones    []string
 	Position storepos.Position
-	// Retained are zones that stay evacuated though the store's copy lists them no more, for KeptFor yet:
-	// for who knows of none before.
+	// Retained are zones that stay evacuated for RetainedFor although the restored store no
+	// longer lists them. Only a table that is not yet initialized applies them.
 	Retained    []string
 	RetainedFor time.Duration
 }
 
-// Digest is a number that two words have in common which name the same zones, as of
-// whichever positions. It is not 0.
-func (w Snapshot) Digest() uint64 {
+// Digest returns a nonzero number that is equal for snapshots that list the same zones,
+// regardless of their positions.
+func (s Snapshot) Digest() uint64 {
 	digest := fnv.New64a()
-	for _, zone := range slices.Compact(slices.Sorted(slices.Values(w.Zones))) {
+	for _, zone := range slices.Compact(slices.Sorted(slices.Values(s.Zones))) {
 		_, _ = digest.Write([]byte(zone))
 		_, _ = digest.Write([]byte{0})
 	}
 	return max(1, digest.Sum64())
 }
 
-// Event is one step that the store tells of: an evacuation that was declared, or
-// taken back.
+// Event is a change reported by the store: an evacuation that began or ended.
 type Event struct {
 	Zone  string
 	Ended bool
 }
 
-// Kind is what became of the evacuation of a zone.
+// Kind is how the evacuation of a zone changed.
 type Kind int
 
 const (
-	// Begun is an evacuation that is in force from now on.
+	// Begun is an evacuation that takes effect now.
 	Begun Kind = iota + 1
-	// Renewed is one that was taken back and declared anew before anybody here
-	// could go by it: it stays in force throughout.
+	// Renewed is an evacuation that ended and began again before this process could act on its
+	// end. It stays in effect throughout.
 	Renewed
-	// Ended is one that was taken back.
+	// Ended is an evacuation that no longer applies.
 	Ended
 )
 
-// String names the kind in logs.
+// String returns the name of the kind as it appears in logs.
 func (k Kind) String() string {
 	return [...]string{"none", "begun", "renewed", "ended"}[k]
 }
 
-// Change is what a word or event changed for one zone.
+// Change is how a snapshot or event changed the evacuation of one zone.
 type Change struct {
 	Zone string
 	Kind Kind
-	// Position is that of the word.
+	// Position is the store position of the snapshot or event.
 	Position storepos.Position
 }
 
-// oldestCopy is how old a copy of the store is at the most.
-const oldestCopy = time.Minute
+// maxCopyAge is the maximum age of the copy from which the store is restored.
+const maxCopyAge = time.Minute
 
-// Table is what one process knows of evacuations. Its position only grows: a word
-// as of an older one changes nothing, whoever tells it. What was known before the store came back
-// from a copy stays until it is written again, or storepos.RewriteTime is over. It is not safe for
-// concurrent use.
+// Table holds the evacuations known to one process. Its position only advances: a snapshot of an
+// earlier position changes nothing, whatever its source. When the store was restored from an
+// older copy, which starts a new era, the state from before is kept until it is written again or
+// storepos.RestoreRewriteTime has passed. It is not safe for concurrent use.
 type Table struct {
-	zones map[string]bool
-	ended map[string]time.Time
-	// position is up to which the table is complete, and entered when its era was first heard of.
-	position storepos.Position
-	entered  time.Time
-	isKnown  bool
-	// kept are zones in force that the copy does not list, and withheld those that it lists though
-	// they had been taken back, by when that ends.
-	kept, withheld map[string]time.Time
+	zones   map[string]bool
+	endedAt map[string]time.Time
+	// position is the store position up to which the table is complete, and eraSeenAt is when its
+	// era was first seen.
+	position      storepos.Position
+	eraSeenAt     time.Time
+	isInitialized bool
+	// retained are evacuated zones that the restored store does not list, and suppressed are
+	// zones that it lists although their evacuation had ended. The values are the times at which
+	// that expires.
+	retained, suppressed map[string]time.Time
 }
 
-// New returns a table that knows nothing.
+// New returns an empty table that is not initialized.
 func New() *Table {
 	return &Table{
-		zones: make(map[string]bool), ended: make(map[string]time.Time),
-		kept: make(map[string]time.Time), withheld: make(map[string]time.Time),
+		zones: make(map[string]bool), endedAt: make(map[string]time.Time),
+		retained: make(map[string]time.Time), suppressed: make(map[string]time.Time),
 	}
 }
 
-// IsInitialized reports whether anything told which zones are evacuated. Until then
-// nothing may be sent to any server.
-func (t *Table) IsInitialized() bool { return t.isKnown }
+// IsInitialized reports whether a snapshot was applied. Before, it is unknown which zones are
+// evacuated, so no requests may be sent to any server.
+func (t *Table) IsInitialized() bool { return t.isInitialized }
 
-// Position is that of the store up to which the table is complete.
+// Position returns the store position up to which the table is complete.
 func (t *Table) Position() storepos.Position { return t.position }
 
-// IsEvacuated reports whether nothing new may be sent to servers of the zone.
+// IsEvacuated reports whether no new requests may be sent to servers of the zone.
 func (t *Table) IsEvacuated(zone string) bool { return t.zones[zone] }
 
-// Zones are the evacuated zones by name.
+// Zones returns the evacuated zones, sorted by name.
 func (t *Table) Zones() []string { return slices.Sorted(maps.Keys(t.zones)) }
 
-// Snapshot is what the store lists, as peers are told it. What is kept over an era is no part of it: a
-// peer may have heard that it ended.
+// Snapshot returns what the store lists, for use by peers. Zones retained over an era change are
+// not included, because a peer may have seen their evacuation end.
 func (t *Table) Snapshot() Snapshot {
 	listed := maps.Clone(t.zones)
-	for zone := range t.kept {
+	for zone := range t.retained {
 		delete(listed, zone)
 	}
-	for zone := range t.withheld {
+	for zone := range t.suppressed {
 		listed[zone] = true
 	}
 	return Snapshot{Zones: slices.Sorted(maps.Keys(listed)), Position: t.position}
 }
 
-// SnapshotWithRetained is the word with what is kept over an era.
+// SnapshotWithRetained returns the snapshot including the zones retained over an era change.
 func (t *Table) SnapshotWithRetained(now time.Time) Snapshot {
-	word := t.Snapshot()
-	word.Retained = slices.Sorted(maps.Keys(t.kept))
-	for _, until := range t.kept {
-		word.RetainedFor = max(word.RetainedFor, until.Sub(now))
+	snapshot := t.Snapshot()
+	snapshot.Retained = slices.Sorted(maps.Keys(t.retained))
+	for _, until := range t.retained {
+		snapshot.RetainedFor = max(snapshot.RetainedFor, until.Sub(now))
 	}
-	return word
+	return snapshot
 }
 
-// Digest is that of the table's word.
+// Digest returns the digest of the table's snapshot.
 func (t *Table) Digest() uint64 { return t.Snapshot().Digest() }
 
-// EndedAt is when this process learned that the zone's evacuation had ended; ok is
-// false where none did, or the zone is evacuated again. The zone's servers may have
-// gone cold in the meantime.
+// EndedAt returns when this process learned that the evacuation of the zone ended; ok is false if
+// none did, or if the zone is evacuated again. The zone's servers may have gone cold during the
+// evacuation.
 func (t *Table) EndedAt(zone string) (at time.Time, ok bool) {
-	at, ok = t.ended[zone]
+	at, ok = t.endedAt[zone]
 	return at, ok
 }
 
-// UnknownZones are the evacuated zones that isKnown says no to: they were misspelt, or
-// have no servers yet. They stay in force.
+// UnknownZones returns the evacuated zones for which isKnown returns false. They are misspelt or
+// have no servers yet, and stay evacuated.
 func (t *Table) UnknownZones(isKnown func(zone string) bool) []string {
 	return slices.DeleteFunc(t.Zones(), isKnown)
 }
 
-// ApplyStoreSnapshot puts the store's whole list in force, asked for at asked, and returns what it changed. An
-// older list changes nothing, unless it was asked for after a later era was heard of, which then
-// was told wrongly.
-func (t *Table) ApplyStoreSnapshot(now, asked time.Time, word Snapshot) []Change {
-	isWrong := word.Position.Era < t.position.Era && asked.After(t.entered)
-	if t.isKnown && word.Position.IsBefore(t.position) && !isWrong {
+// ApplyStoreSnapshot applies the complete list read from the store and returns the changes. An
+// older list changes nothing, unless it was requested after a later era had been seen: the store
+// then contradicts that era, which must have been reported in error.
+func (t *Table) ApplyStoreSnapshot(now, requestedAt time.Time, snapshot Snapshot) []Change {
+	wasEraRetracted := snapshot.Position.Era < t.position.Era && requestedAt.After(t.eraSeenAt)
+	if t.isInitialized && snapshot.Position.IsBefore(t.position) && !wasEraRetracted {
 		return nil
 	}
-	return t.put(now, word)
+	return t.replace(now, snapshot)
 }
 
-// ApplyPeerSnapshot puts a peer's whole list in force, and returns what it
-// changed. A list that is not newer than the table changes nothing.
-func (t *Table) ApplyPeerSnapshot(now time.Time, word Snapshot) []Change {
-	if t.isKnown && !word.Position.IsAfter(t.position) {
+// ApplyPeerSnapshot applies the complete list of a peer and returns the changes. A list that is
+// not newer than the table changes nothing.
+func (t *Table) ApplyPeerSnapshot(now time.Time, snapshot Snapshot) []Change {
+	if t.isInitialized && !snapshot.Position.IsAfter(t.position) {
 		return nil
 	}
-	return t.put(now, word)
+	return t.replace(now, snapshot)
 }
 
-func (t *Table) put(now time.Time, word Snapshot) []Change {
-	isOfCopy := t.isKnown && word.Position.Era > t.position.Era
-	if word.Position.Era != t.position.Era {
-		t.entered = now
+// replace applies a complete list and returns the changes.
+func (t *Table) replace(now time.Time, snapshot Snapshot) []Change {
+	isRollback := t.isInitialized && snapshot.Position.Era > t.position.Era
+	if snapshot.Position.Era != t.position.Era {
+		t.eraSeenAt = now
 	}
-	if !t.isKnown {
-		for _, zone := range word.Retained {
-			t.zones[zone], t.kept[zone] = true, now.Add(min(storepos.RestoreRewriteTime, word.RetainedFor))
+	if !t.isInitialized {
+		for _, zone := range snapshot.Retained {
+			t.zones[zone], t.retained[zone] = true, now.Add(min(storepos.RestoreRewriteTime, snapshot.RetainedFor))
 		}
 	}
-	t.isKnown, t.position = true, word.Position
-	listed := make(map[string]bool, len(word.Zones))
-	for _, zone := range word.Zones {
+	t.isInitialized, t.position = true, snapshot.Position
+	listed := make(map[string]bool, len(snapshot.Zones))
+	for _, zone := range snapshot.Zones {
 		listed[zone] = zone != ""
 	}
 	var changes []Change
 	for _, zone := range t.Zones() {
-		if isOfCopy && !listed[zone] {
-			t.kept[zone] = now.Add(storepos.RestoreRewriteTime)
+		if isRollback && !listed[zone] {
+			t.retained[zone] = now.Add(storepos.RestoreRewriteTime)
 		}
-		if !listed[zone] && !now.Before(t.kept[zone]) {
-			changes = append(changes, t.end(now, zone))
+		if !listed[zone] && !now.Before(t.retained[zone]) {
+			changes = append(changes, t.endEvacuation(now, zone))
 		}
 	}
-	for zone := range t.withheld {
+	for zone := range t.suppressed {
 		if !listed[zone] {
-			delete(t.withheld, zone)
+			delete(t.suppressed, zone)
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(listed)) {
 		if !listed[zone] {
 			continue
 		}
-		delete(t.kept, zone)
-		if ended, ok := t.ended[zone]; isOfCopy && ok && now.Sub(ended) < oldestCopy {
-			t.withheld[zone] = now.Add(storepos.RestoreRewriteTime)
+		delete(t.retained, zone)
+		if ended, ok := t.endedAt[zone]; isRollback && ok && now.Sub(ended) < maxCopyAge {
+			t.suppressed[zone] = now.Add(storepos.RestoreRewriteTime)
 		}
-		if !t.zones[zone] && !now.Before(t.withheld[zone]) {
-			changes = append(changes, t.begin(zone))
+		if !t.zones[zone] && !now.Before(t.suppressed[zone]) {
+			changes = append(changes, t.beginEvacuation(zone))
 		}
 	}
 	return changes
 }
 
-// ExpireRollbackOverrides ends what was kept over a change of the store's era, and not written again.
+// ExpireRollbackOverrides ends the retention and suppression of zones whose time is over without
+// the store having been written again, and returns the changes.
 func (t *Table) ExpireRollbackOverrides(now time.Time) []Change {
 	var changes []Change
-	for _, zone := range slices.Sorted(maps.Keys(t.kept)) {
-		if !now.Before(t.kept[zone]) {
-			changes = append(changes, t.end(now, zone))
+	for _, zone := range slices.Sorted(maps.Keys(t.retained)) {
+		if !now.Before(t.retained[zone]) {
+			changes = append(changes, t.endEvacuation(now, zone))
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(t.withheld)) {
-		if !now.Before(t.withheld[zone]) {
-			changes = append(changes, t.begin(zone))
+	for _, zone := range slices.Sorted(maps.Keys(t.suppressed)) {
+		if !now.Before(t.suppressed[zone]) {
+			changes = append(changes, t.beginEvacuation(zone))
 		}
 	}
 	return changes
 }
 
-// ApplyEvents takes what happened behind some position that the table covers, up to the
-// given one of the same era, and returns what it changed. Of each zone the last event counts.
+// ApplyEvents applies the events between a position that the table covers and the given later
+// position of the same era, and returns the changes. The last event of each zone determines its
+// state.
 func (t *Table) ApplyEvents(now time.Time, events []Event, at storepos.Position) []Change {
-	if !t.isKnown || at.IsBefore(t.position) || at.Era != t.position.Era {
+	if !t.isInitialized || at.IsBefore(t.position) || at.Era != t.position.Era {
 		return nil
 	}
 	t.position = at
@@ -241,34 +245,36 @@
 	}
 	var changes []Change
 	for _, zone := range slices.Sorted(maps.Keys(last)) {
-		switch isOn := t.zones[zone]; {
-		case last[zone].Ended && isOn:
-			changes = append(changes, t.end(now, zone))
+		switch isEvacuated := t.zones[zone]; {
+		case last[zone].Ended && isEvacuated:
+			changes = append(changes, t.endEvacuation(now, zone))
 		case last[zone].Ended:
-			// Declared and taken back in one moment, or known before.
-			delete(t.withheld, zone)
-		case isOn && wasEnded[zone]:
-			delete(t.kept, zone)
+			// Began and ended within these events, or already known to have ended.
+			delete(t.suppressed, zone)
+		case isEvacuated && wasEnded[zone]:
+			delete(t.retained, zone)
 			changes = append(changes, Change{Zone: zone, Kind: Renewed, Position: at})
-		case !isOn:
-			changes = append(changes, t.begin(zone))
+		case !isEvacuated:
+			changes = append(changes, t.beginEvacuation(zone))
 		default:
-			delete(t.kept, zone)
+			delete(t.retained, zone)
 		}
 	}
 	return changes
 }
 
-func (t *Table) begin(zone string) Change {
+// beginEvacuation marks the zone as evacuated.
+func (t *Table) beginEvacuation(zone string) Change {
 	t.zones[zone] = true
-	delete(t.ended, zone)
-	delete(t.withheld, zone)
+	delete(t.endedAt, zone)
+	delete(t.suppressed, zone)
 	return Change{Zone: zone, Kind: Begun, Position: t.position}
 }
 
-func (t *Table) end(now time.Time, zone string) Change {
+// endEvacuation marks the zone as no longer evacuated.
+func (t *Table) endEvacuation(now time.Time, zone string) Change {
 	delete(t.zones, zone)
-	delete(t.kept, zone)
-	t.ended[zone] = now
+	delete(t.retained, zone)
+	t.endedAt[zone] = now
 	return Change{Zone: zone, Kind: Ended, Position: t.position}
 }
--- a/internal/evacuation/table_test.go
+++ b/internal/evacuation/table_test.go
@@ -13,8 +13,8 @@
 
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// TestTableFollowsWordsAndEvents in the order in which they come, and goes by their
-// revisions.
+// TestTableFollowsWordsAndEvents checks that snapshots and events are applied in the order of
+// their revisions.
 func TestTableFollowsWordsAndEvents(t *testing.T) {
 	table := New()
 	list := func(revision int64, zones ...string) func() []Change {
@@ -26,53 +26,55 @@
 		return func() []Change { return table.ApplyEvents(begin, events, storepos.At(0, revision)) }
 	}
 	steps := []struct {
-		name string
-		take func() []Change
-		want []Change
-		in   []string
+		name      string
+		apply     func() []Change
+		want      []Change
+		evacuated []string
 	}{
-		{"events before any list tell nothing", events(3, Event{Zone: "a"}), nil, nil},
-		{"the first list", list(4, "b"), []Change{{Zone: "b", Kind: Begun, Position: storepos.At(0, 4)}}, []string{"b"}},
-		{"the same one again", list(4), nil, []string{"b"}},
-		{"an older one", list(3, "a"), nil, []string{"b"}},
-		{"an evacuation is declared", events(5, Event{Zone: "a"}), []Change{{Zone: "a", Kind: Begun, Position: storepos.At(0, 5)}}, []string{"a", "b"}},
-		{"older events change nothing", events(4, Event{Zone: "a", Ended: true}), nil, []string{"a", "b"}},
-		{"taken back and set again in one moment", events(7, Event{Zone: "a", Ended: true}, Event{Zone: "a"}),
+		{"events before the first list are ignored", events(3, Event{Zone: "a"}), nil, nil},
+		{"first list", list(4, "b"), []Change{{Zone: "b", Kind: Begun, Position: storepos.At(0, 4)}}, []string{"b"}},
+		{"list of the same revision", list(4), nil, []string{"b"}},
+		{"older list", list(3, "a"), nil, []string{"b"}},
+		{"evacuation begins", events(5, Event{Zone: "a"}), []Change{{Zone: "a", Kind: Begun, Position: storepos.At(0, 5)}}, []string{"a", "b"}},
+		{"older events", events(4, Event{Zone: "a", Ended: true}), nil, []string{"a", "b"}},
+		{"ends and begins in one update", events(7, Event{Zone: "a", Ended: true}, Event{Zone: "a"}),
 			[]Change{{Zone: "a", Kind: Renewed, Position: storepos.At(0, 7)}}, []string{"a", "b"}},
-		{"set and taken back in one moment", events(9, Event{Zone: "c"}, Event{Zone: "c", Ended: true}), nil, []string{"a", "b"}},
-		{"a list with others", list(10, "c", "a", "c", ""),
+		{"begins and ends in one update", events(9, Event{Zone: "c"}, Event{Zone: "c", Ended: true}), nil, []string{"a", "b"}},
+		{"list with other zones", list(10, "c", "a", "c", ""),
 			[]Change{{Zone: "b", Kind: Ended, Position: storepos.At(0, 10)}, {Zone: "c", Kind: Begun, Position: storepos.At(0, 10)}}, []string{"a", "c"}},
-		{"an event without a name", events(11, Event{}), nil, []string{"a", "c"}},
-		{"a peer's old word", list(9, "b"), nil, []string{"a", "c"}},
-		{"all end", list(12), []Change{{Zone: "a", Kind: Ended, Position: storepos.At(0, 12)}, {Zone: "c", Kind: Ended, Position: storepos.At(0, 12)}}, nil},
+		{"event without a zone", events(11, Event{}), nil, []string{"a", "c"}},
+		{"old list of a peer", list(9, "b"), nil, []string{"a", "c"}},
+		{"empty list ends all", list(12), []Change{{Zone: "a", Kind: Ended, Position: storepos.At(0, 12)}, {Zone: "c", Kind: Ended, Position: storepos.At(0, 12)}}, nil},
 	}
 	for _, step := range steps {
-		if diff := cmp.Diff(step.want, step.take()); diff != "" {
+		if diff := cmp.Diff(step.want, step.apply()); diff != "" {
 			t.Errorf("%s: %s", step.name, diff)
 		}
-		if !slices.Equal(table.Zones(), step.in) {
-			t.Errorf("%s: %q evacuated, want %q", step.name, table.Zones(), step.in)
+		if !slices.Equal(table.Zones(), step.evacuated) {
+			t.Errorf("%s: %q evacuated, want %q", step.name, table.Zones(), step.evacuated)
 		}
 	}
 }
 
-// TestNothingIsKnownUntilSomebodyTells, also that no zone is evacuated.
+// TestNothingIsKnownUntilSomebodyTells checks that a table is initialized by the first snapshot,
+// even an empty one.
 func TestNothingIsKnownUntilSomebodyTells(t *testing.T) {
 	table := New()
 	if table.IsInitialized() {
-		t.Error("a new table knows")
+		t.Error("a new table is initialized")
 	}
 	if changes := table.ApplyPeerSnapshot(begin, Snapshot{Position: storepos.At(0, 3)}); len(changes) != 0 || !table.IsInitialized() || table.Position().Revision != 3 {
-		t.Errorf("changes %v, known %v, revision %d after an empty list", changes, table.IsInitialized(), table.Position().Revision)
+		t.Errorf("changes %v, initialized %v, revision %d after an empty list", changes, table.IsInitialized(), table.Position().Revision)
 	}
 }
 
-// TestEndIsRemembered until the zone is evacuated again: its servers may be cold.
+// TestEndIsRemembered checks that the end of an evacuation is remembered until the zone is
+// evacuated again, since its servers may be cold.
 func TestEndIsRemembered(t *testing.T) {
 	table := New()
 	table.ApplyPeerSnapshot(begin, Snapshot{Zones: []string{"a"}, Position: storepos.At(0, 1)})
 	if _, ok := table.EndedAt("a"); ok {
-		t.Error("an evacuation in force has ended")
+		t.Error("a current evacuation has an end time")
 	}
 	table.ApplyEvents(begin.Add(time.Second), []Event{{Zone: "a", Ended: true}}, storepos.At(0, 2))
 	if at, ok := table.EndedAt("a"); !ok || !at.Equal(begin.Add(time.Second)) {
@@ -80,32 +82,33 @@
 	}
 	table.ApplyEvents(begin, []Event{{Zone: "a"}}, storepos.At(0, 3))
 	if _, ok := table.EndedAt("a"); ok {
-		t.Error("the end is remembered over the next evacuation")
+		t.Error("the end is still remembered after the next evacuation began")
 	}
 }
 
-// TestUnknownZonesStayInForce and can be told apart.
+// TestUnknownZonesStayInForce checks that unknown zones stay evacuated and are reported.
 func TestUnknownZonesStayInForce(t *testing.T) {
 	table := New()
 	table.ApplyPeerSnapshot(begin, Snapshot{Zones: []string{"a", "nowhere"}, Position: storepos.At(0, 1)})
 	unknown := table.UnknownZones(func(zone string) bool { return zone == "a" })
 	if !slices.Equal(unknown, []string{"nowhere"}) || !table.IsEvacuated("nowhere") {
-		t.Errorf("unknown %q, in force %v", unknown, table.IsEvacuated("nowhere"))
+		t.Errorf("unknown %q, evacuated %v", unknown, table.IsEvacuated("nowhere"))
 	}
 }
 
-// TestDigestTellsListsApart whatever their revisions.
+// TestDigestTellsListsApart checks that the digest depends on the set of zones only, not on order
+// or revision.
 func TestDigestTellsListsApart(t *testing.T) {
-	of := func(revision int64, zones ...string) uint64 {
+	digest := func(revision int64, zones ...string) uint64 {
 		table := New()
 		table.ApplyPeerSnapshot(begin, Snapshot{Zones: zones, Position: storepos.At(0, revision)})
 		return table.Digest()
 	}
-	if of(1, "a", "b") != of(2, "b", "a") {
-		t.Error("order or revision change the digest")
+	if digest(1, "a", "b") != digest(2, "b", "a") {
+		t.Error("order or revision changed the digest")
 	}
-	if of(1, "ab") == of(1, "a", "b") || of(1) == of(1, "a") {
-		t.Error("different lists have one digest")
+	if digest(1, "ab") == digest(1, "a", "b") || digest(1) == digest(1, "a") {
+		t.Error("different lists have the same digest")
 	}
 }
 
@@ -128,8 +131,8 @@
 	return states
 }
 
-// between are the store's events from one revision to another.
-func (h history) between(from, to int) []Event {
+// eventsBetween returns the store's events between two revisions.
+func (h history) eventsBetween(from, to int) []Event {
 	var events []Event
 	for revision := from + 1; revision <= to; revision++ {
 		for _, zone := range h[revision] {
@@ -146,26 +149,26 @@
 	return events
 }
 
-// TestTableIsAlwaysTheStoresOwnState draws lists, late words of peers and the events
-// of watches that began earlier, in any order: after each, the table is what the
-// store held at the highest revision heard.
+// TestTableIsAlwaysTheStoresOwnState applies random snapshots, late snapshots of peers and the
+// events of watches that began earlier, in any order. After each, the table must equal the state
+// of the store at the highest revision applied.
 func TestTableIsAlwaysTheStoresOwnState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := drawHistory(t)
 		table := New()
-		newest := -1
+		newestRevision := -1
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			at := rapid.IntRange(0, len(states)-1).Draw(t, "at")
-			if newest < 0 || rapid.Bool().Draw(t, "is list") {
+			if newestRevision < 0 || rapid.Bool().Draw(t, "is list") {
 				table.ApplyPeerSnapshot(begin, Snapshot{Zones: states[at], Position: storepos.At(0, int64(at))})
-				newest = max(newest, at)
+				newestRevision = max(newestRevision, at)
 			} else {
-				from := rapid.IntRange(0, min(at, newest)).Draw(t, "from")
-				table.ApplyEvents(begin, states.between(from, at), storepos.At(0, int64(at)))
-				newest = max(newest, at)
+				from := rapid.IntRange(0, min(at, newestRevision)).Draw(t, "from")
+				table.ApplyEvents(begin, states.eventsBetween(from, at), storepos.At(0, int64(at)))
+				newestRevision = max(newestRevision, at)
 			}
-			if got := table.Zones(); !slices.Equal(got, states[newest]) || table.Position().Revision != int64(newest) {
-				t.Fatalf("%q as of %d, want %q as of %d", got, table.Position().Revision, states[newest], newest)
+			if got := table.Zones(); !slices.Equal(got, states[newestRevision]) || table.Position().Revision != int64(newestRevision) {
+				t.Fatalf("%q at revision %d, want %q at revision %d", got, table.Position().Revision, states[newestRevision], newestRevision)
 			}
 		}
 	})
