--- a/internal/storelease/lease_test.go
+++ b/internal/storelease/lease_test.go
@@ -8,7 +8,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
 func options(holder string) Options {
 	return Options{
@@ -17,119 +17,122 @@
 	}
 }
 
-func at(offset time.Duration) time.Time { return begin.Add(offset) }
+func at(offset time.Duration) time.Time { return startTime.Add(offset) }
 
 func TestFreeLeaseIsTakenAndOrdersAtOnce(t *testing.T) {
 	core := New(options("a"))
-	if core.CanAcquire(begin) {
-		t.Error("a lease that nobody read can be taken")
+	if core.CanAcquire(startTime) {
+		t.Error("CanAcquire is true before the object was read")
 	}
-	core.ObserveAbsent(begin, begin, 0)
-	if !core.CanAcquire(begin) {
-		t.Fatal("a free lease cannot be taken")
+	core.ObserveAbsent(startTime, startTime, 0)
+	if !core.CanAcquire(startTime) {
+		t.Fatal("CanAcquire is false for a free lease")
 	}
-	core.NextRecord(begin)
-	core.WriteSucceeded(begin, at(4*time.Millisecond), storepos.At(0, 7))
+	core.NextRecord(startTime)
+	core.WriteSucceeded(startTime, at(4*time.Millisecond), storepos.At(0, 7))
 	if core.Term() != 7 || !core.MayIssueOrders(at(5*time.Millisecond)) {
-		t.Errorf("term %d, may order %v; want 7 and true", core.Term(), core.MayIssueOrders(at(5*time.Millisecond)))
+		t.Errorf("term %d, may issue orders %v; want 7 and true", core.Term(), core.MayIssueOrders(at(5*time.Millisecond)))
 	}
 	if core.MayIssueOrders(at(2 * time.Second)) {
-		t.Error("orders after its duration, counted from before the write was sent")
+		t.Error("orders allowed after Duration, counted from before the write was sent")
 	}
 }
 
 func TestSuccessorWaitsForTheLeaseAndThenForQuiet(t *testing.T) {
 	core := New(options("b"))
-	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 5)})
+	core.Observe(startTime, startTime, Record{Holder: "a", Position: storepos.At(0, 5)})
 	core.Observe(at(2*time.Second), at(2*time.Second), Record{Holder: "a", Position: storepos.At(0, 5)})
 	if core.CanAcquire(at(2299 * time.Millisecond)) {
-		t.Error("taken within duration and margin")
+		t.Error("CanAcquire is true before Duration and Margin have passed")
 	}
 	if !core.CanAcquire(at(2301 * time.Millisecond)) {
-		t.Fatal("not to be taken after duration and margin")
+		t.Fatal("CanAcquire is false after Duration and Margin")
 	}
 	sent := at(2400 * time.Millisecond)
 	core.NextRecord(sent)
 	core.WriteSucceeded(sent, sent, storepos.At(0, 6))
 	if core.MayIssueOrders(at(4 * time.Second)) {
-		t.Error("orders within the quiet time")
+		t.Error("orders allowed within the quiet period")
 	}
 	for renewed := sent; renewed.Before(at(6 * time.Second)); renewed = renewed.Add(700 * time.Millisecond) {
 		core.WriteSucceeded(renewed, renewed, storepos.At(0, 7))
 	}
 	if core.MayIssueOrders(at(5299*time.Millisecond)) || !core.MayIssueOrders(at(5301*time.Millisecond)) {
-		t.Error("first order is not duration, margin and quiet after the last sight")
+		t.Error("the first order is not Duration, Margin and QuietPeriod after the position was first seen")
 	}
 }
 
 func TestSameMachineGoesOnAtOnce(t *testing.T) {
 	core := New(options("a"))
-	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 9), Loads: map[string][]time.Duration{"llm": {time.Second}}})
-	core.NextRecord(begin)
-	core.WriteSucceeded(begin, begin, storepos.At(0, 10))
+	core.Observe(startTime, startTime, Record{Holder: "a", Position: storepos.At(0, 9), Loads: map[string][]time.Duration{"llm": {time.Second}}})
+	core.NextRecord(startTime)
+	core.WriteSucceeded(startTime, startTime, storepos.At(0, 10))
 	if !core.MayIssueOrders(at(time.Millisecond)) {
-		t.Error("a machine waits for itself")
+		t.Error("a restarted holder waits for its own earlier lease")
 	}
 	loads := core.PastLoads()["llm"]
 	if len(loads) != 1 || !loads[0].Equal(at(-time.Second)) {
-		t.Errorf("past loads %v, want one a second ago", loads)
+		t.Errorf("past loads %v, want one started a second ago", loads)
 	}
 }
 
-// TestRestartKeepsTheQuietTime is a machine that took the lease of another, and
-// died before its first order.
+// A node acquires the lease of another node and restarts before its first order: the
+// rest of the quiet period still applies.
 func TestRestartKeepsTheQuietTime(t *testing.T) {
 	core := New(options("b"))
-	core.Observe(begin, begin, Record{Holder: "b", Position: storepos.At(0, 9), QuietPeriod: 2 * time.Second})
-	core.NextRecord(begin)
-	core.WriteSucceeded(begin, begin, storepos.At(0, 10))
+	core.Observe(startTime, startTime, Record{Holder: "b", Position: storepos.At(0, 9), QuietPeriod: 2 * time.Second})
+	core.NextRecord(startTime)
+	core.WriteSucceeded(startTime, startTime, storepos.At(0, 10))
 	if core.MayIssueOrders(at(1900 * time.Millisecond)) {
-		t.Error("a restart cut the quiet time short")
+		t.Error("a restart shortened the quiet period")
 	}
 }
 
 func TestHeardRevisionStartsTheWait(t *testing.T) {
 	core := New(options("b"))
-	core.ObserveWrite(begin, "a", storepos.At(0, 5))
+	core.ObserveWrite(startTime, "a", storepos.At(0, 5))
 	if core.CanAcquire(at(3 * time.Second)) {
-		t.Error("taken without a read of the store")
+		t.Error("CanAcquire is true without a read of the store")
 	}
 	core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), Record{Holder: "a", Position: storepos.At(0, 5)})
 	if !core.CanAcquire(at(2400 * time.Millisecond)) {
-		t.Error("the wait does not count from when the revision was heard")
+		t.Error("the wait is not counted from when the peer reported the revision")
 	}
 }
 
 func TestOlderReadsChangeNothing(t *testing.T) {
 	core := New(options("b"))
-	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 8)})
-	core.Observe(begin, at(time.Second), Record{Holder: "c", Position: storepos.At(0, 7)})
+	core.Observe(startTime, startTime, Record{Holder: "a", Position: storepos.At(0, 8)})
+	core.Observe(startTime, at(time.Second), Record{Holder: "c", Position: storepos.At(0, 7)})
 	if core.Record().Holder != "a" {
-		t.Errorf("holder %q from an older read", core.Record().Holder)
+		t.Errorf("holder %q, taken from an older read", core.Record().Holder)
 	}
 }
 
-// TestWhatHoldersLearnedIsHandedOn to the next one, through the store's record.
+// The observed LoadsAtOnce reach the next holder through the stored record.
 func TestWhatHoldersLearnedIsHandedOn(t *testing.T) {
 	core := New(options("b"))
 	learned := map[string]float64{"svc": 4.2}
-	core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(0, 5), LoadsAtOnce: learned})
+	core.Observe(startTime, startTime, Record{Holder: "a", Position: storepos.At(0, 5), LoadsAtOnce: learned})
 	core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), Record{Holder: "a", Position: storepos.At(0, 5), LoadsAtOnce: learned})
 	core.NextRecord(at(2400 * time.Millisecond))
 	core.WriteSucceeded(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(0, 6))
 	if got := core.PastLoadsAtOnce()["svc"]; got != 4.2 {
-		t.Errorf("learned %v handed on, want 4.2", got)
+		t.Errorf("LoadsAtOnce %v from earlier holders, want 4.2", got)
 	}
 }
 
-// A copy of the store names a machine as the holder that a later one has taken the lease from.
+// A store restored from a backup names a node as the holder although a later node has acquired
+// the lease since: the named node must wait like any other.
 func TestRestoredRecordIsNobodys(t *testing.T) {
 	restored := Record{Holder: "b", Position: storepos.At(3, 5), Era: 2}
 	for name, before := range map[string]func(*Core){
-		"read":                    func(*Core) {},
-		"read in the era before":  func(core *Core) { core.Observe(begin, begin, Record{Holder: "a", Position: storepos.At(2, 9), Era: 2}) },
-		"heard of a later holder": func(core *Core) { core.ObserveWrite(begin, "a", storepos.At(3, 5)) },
-		"held, and run out": func(core *Core) {
+		"read": func(*Core) {},
+		"read in the era before": func(core *Core) {
+			core.Observe(startTime, startTime, Record{Holder: "a", Position: storepos.At(2, 9), Era: 2})
+		},
+		"reported by a later holder": func(core *Core) { core.ObserveWrite(startTime, "a", storepos.At(3, 5)) },
+		"held, and expired": func(core *Core) {
 			core.ObserveAbsent(at(-time.Hour), at(-time.Hour), 2)
 			core.WriteSucceeded(at(-time.Hour), at(-time.Hour), storepos.At(2, 9))
 		},
@@ -137,18 +140,18 @@
 		t.Run(name, func(t *testing.T) {
 			core := New(options("b"))
 			before(core)
-			core.Observe(begin, begin, restored)
-			if core.CanAcquire(begin) || core.Term() != 0 {
-				t.Errorf("may be taken at once: %v, term %d", core.CanAcquire(begin), core.Term())
+			core.Observe(startTime, startTime, restored)
+			if core.CanAcquire(startTime) || core.Term() != 0 {
+				t.Errorf("may be acquired at once: %v, term %d", core.CanAcquire(startTime), core.Term())
 			}
 			core.Observe(at(2400*time.Millisecond), at(2400*time.Millisecond), restored)
 			if !core.CanAcquire(at(2400 * time.Millisecond)) {
-				t.Error("may not be taken after a lease")
+				t.Error("may not be acquired after Duration and Margin")
 			}
 			core.NextRecord(at(2400 * time.Millisecond))
 			core.WriteSucceeded(at(2400*time.Millisecond), at(2400*time.Millisecond), storepos.At(3, 6))
 			if core.FirstOrderAt().Before(at(5300 * time.Millisecond)) {
-				t.Errorf("the first order leaves %v after the record was seen", core.FirstOrderAt().Sub(begin))
+				t.Errorf("the first order may be sent %v after the record was seen", core.FirstOrderAt().Sub(startTime))
 			}
 		})
 	}
@@ -157,17 +160,17 @@
 func TestTokensRiseOverEras(t *testing.T) {
 	cases := map[string]struct {
 		records []Record
-		// least is what the token must be above.
+		// The token must be above least and below most.
 		least, most int64
 	}{
-		"first ever, counted from one": {[]Record{{Position: storepos.At(storepos.FirstEra, 0)}}, 0, tokenStep},
-		"an older build's":             {[]Record{{Holder: "x", Position: storepos.At(2, 7)}}, 7, tokenStep},
-		"an older build's, remembered": {[]Record{{Holder: "x", Position: storepos.At(2, 70)}, {Holder: "x", Position: storepos.At(3, 7)}}, 70, 2 * tokenStep},
-		"restored":                     {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: 2}}, tokenStep, 2 * tokenStep},
-		"restored twice":               {[]Record{{Holder: "x", Position: storepos.At(4, 7), Era: 2}}, 2 * tokenStep, 3 * tokenStep},
-		"lost, remembered":             {[]Record{{Holder: "x", Position: storepos.At(3, 70), Era: 3, TokenBase: tokenStep}, {Position: storepos.At(4, 0)}}, 2 * tokenStep, 3 * tokenStep},
-		"lost, remembered by nobody":   {[]Record{{Position: storepos.At(4, 0)}}, 2 * tokenStep, 3 * tokenStep},
-		"a base below 0":               {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: 3, TokenBase: -5}}, 0, tokenStep},
+		"first ever, counted from one": {[]Record{{Position: storepos.At(storepos.FirstEra, 0)}}, 0, tokensPerEra},
+		"an older build's":             {[]Record{{Holder: "x", Position: storepos.At(2, 7)}}, 7, tokensPerEra},
+		"an older build's, remembered": {[]Record{{Holder: "x", Position: storepos.At(2, 70)}, {Holder: "x", Position: storepos.At(3, 7)}}, 70, 2 * tokensPerEra},
+		"restored":                     {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: 2}}, tokensPerEra, 2 * tokensPerEra},
+		"restored twice":               {[]Record{{Holder: "x", Position: storepos.At(4, 7), Era: 2}}, 2 * tokensPerEra, 3 * tokensPerEra},
+		"lost, remembered":             {[]Record{{Holder: "x", Position: storepos.At(3, 70), Era: 3, TokenBase: tokensPerEra}, {Position: storepos.At(4, 0)}}, 2 * tokensPerEra, 3 * tokensPerEra},
+		"lost, remembered by nobody":   {[]Record{{Position: storepos.At(4, 0)}}, 2 * tokensPerEra, 3 * tokensPerEra},
+		"a base below 0":               {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: 3, TokenBase: -5}}, 0, tokensPerEra},
 		"a base that overflows":        {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: 2, TokenBase: math.MaxInt64}}, 0, math.MaxInt64},
 		"an era below 0":               {[]Record{{Holder: "x", Position: storepos.At(3, 7), Era: math.MinInt64}}, 0, math.MaxInt64},
 	}
--- a/internal/storelease/simulation_test.go
+++ b/internal/storelease/simulation_test.go
@@ -9,14 +9,14 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-var seeds = flag.Int("lease.seeds", 1500, "drawn runs of the lease among machines")
+var seeds = flag.Int("lease.seeds", 1500, "number of random simulation runs")
 
-// The simulated world: machines that freeze and restart, and a store whose
-// answers are lost and whose writes land late.
+// The simulation has nodes that freeze and restart, and a store whose answers get
+// lost and whose writes are applied late.
 const (
-	machineCount = 4
-	tick         = 20 * time.Millisecond
-	runTime      = 40 * time.Second
+	nodeCount = 4
+	tick      = 20 * time.Millisecond
+	runTime   = 40 * time.Second
 )
 
 type order struct {
@@ -25,279 +25,282 @@
 	token  int64
 }
 
-type pendingCall struct {
-	lands    time.Time
-	answers  time.Time
-	lost     bool
-	machine  int
-	life     int
-	sent     time.Time
-	write    *Record
-	answered Record
-	won      bool
-	landed   bool
+type storeCall struct {
+	appliesAt   time.Time
+	answersAt   time.Time
+	answerLost  bool
+	nodeIndex   int
+	incarnation int
+	sentAt      time.Time
+	write       *Record
+	answer      Record
+	succeeded   bool
+	applied     bool
 }
 
-type machine struct {
-	core     *Core
-	life     int
-	frozenTo time.Time
-	downTo   time.Time
-	calling  bool
-	callEnd  time.Time
-	nextCall time.Time
+type simulatedNode struct {
+	core         *Core
+	incarnation  int
+	frozenUntil  time.Time
+	downUntil    time.Time
+	callInFlight bool
+	callDeadline time.Time
+	nextCallAt   time.Time
 }
 
-type world struct {
-	random   *rand.Rand
-	now      time.Time
-	record   Record
-	machines []*machine
-	calls    []*pendingCall
-	orders   []order
-	quiet    time.Duration
-	// era and copies are those of a store that goes back; hidesEra lets it not tell the era, and
-	// hidesBase lets holders not hand on the base of tokens.
-	era                           int64
-	copies                        []Record
-	rollbacks                     int
-	goesBack, hidesEra, hidesBase bool
-	// backAt are the times at which it went back, and isCalm leaves all other troubles out, and all but one step back.
-	backAt []time.Time
-	isCalm bool
+type simulation struct {
+	random      *rand.Rand
+	now         time.Time
+	record      Record
+	nodes       []*simulatedNode
+	calls       []*storeCall
+	orders      []order
+	quietPeriod time.Duration
+	// era and backups belong to a store that rolls back. omitsEra makes the store not report the
+	// era, and omitsTokenBase makes holders not record the token base.
+	era                                 int64
+	backups                             []Record
+	rollbacks                           int
+	rollsBack, omitsEra, omitsTokenBase bool
+	// rollbackTimes are the times of the rollbacks. hasOnlyOneRollback leaves out all other faults and
+	// all rollbacks but the first.
+	rollbackTimes      []time.Time
+	hasOnlyOneRollback bool
 }
 
-// copyPeriod is the time between copies of the store, of which it may come back from the last few.
+// backupInterval is the time between backups of the store, which may be restored from one of the
+// last few.
 const (
-	copyPeriod = 500 * time.Millisecond
-	copiesKept = 10
+	backupInterval = 500 * time.Millisecond
+	backupsKept    = 10
 )
 
-// keepCopies copies the store's record, and lets the store go back now and then.
-func (w *world) keepCopies() {
-	if !w.goesBack || w.isCalm && w.rollbacks > 0 {
+// stepBackups backs up the store's record, and restores an earlier one now and then.
+func (s *simulation) stepBackups() {
+	if !s.rollsBack || s.hasOnlyOneRollback && s.rollbacks > 0 {
 		return
 	}
-	if w.now.Sub(begin)%copyPeriod == 0 {
-		w.copies = append(w.copies, w.record)
-		w.copies = w.copies[max(0, len(w.copies)-copiesKept):]
+	if s.now.Sub(startTime)%backupInterval == 0 {
+		s.backups = append(s.backups, s.record)
+		s.backups = s.backups[max(0, len(s.backups)-backupsKept):]
 	}
-	if len(w.copies) > 0 && w.random.IntN(300) == 0 {
-		w.record = w.copies[w.random.IntN(len(w.copies))]
-		w.copies = nil
-		w.era++
-		w.rollbacks++
-		w.backAt = append(w.backAt, w.now)
+	if len(s.backups) > 0 && s.random.IntN(300) == 0 {
+		s.record = s.backups[s.random.IntN(len(s.backups))]
+		s.backups = nil
+		s.era++
+		s.rollbacks++
+		s.rollbackTimes = append(s.rollbackTimes, s.now)
 	}
 }
 
-// eraTold is the era that answers name.
-func (w *world) eraTold() int64 {
-	if w.hidesEra {
+// reportedEra is the era that the store's answers report.
+func (s *simulation) reportedEra() int64 {
+	if s.omitsEra {
 		return 0
 	}
-	return w.era
+	return s.era
 }
 
-func newWorld(seed uint64, quiet time.Duration) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), now: begin, quiet: quiet}
-	for index := range machineCount {
-		w.machines = append(w.machines, &machine{core: New(w.options(index))})
+func newSimulation(seed uint64, quietPeriod time.Duration) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 7)), now: startTime, quietPeriod: quietPeriod}
+	for index := range nodeCount {
+		s.nodes = append(s.nodes, &simulatedNode{core: New(s.options(index))})
 	}
-	return w
+	return s
 }
 
-func (w *world) options(index int) Options {
+func (s *simulation) options(index int) Options {
 	result := options(string(rune('a' + index)))
-	result.QuietPeriod = w.quiet
+	result.QuietPeriod = s.quietPeriod
 	return result
 }
 
-func (w *world) run() {
-	for w.now.Before(begin.Add(runTime)) {
-		w.now = w.now.Add(tick)
-		w.keepCopies()
-		w.land()
-		for index, m := range w.machines {
-			w.disturb(index, m)
-			if w.now.Before(m.frozenTo) || w.now.Before(m.downTo) {
+func (s *simulation) run() {
+	for s.now.Before(startTime.Add(runTime)) {
+		s.now = s.now.Add(tick)
+		s.stepBackups()
+		s.applyCalls()
+		for index, node := range s.nodes {
+			s.injectFaults(index, node)
+			if s.now.Before(node.frozenUntil) || s.now.Before(node.downUntil) {
 				continue
 			}
-			w.answer(index, m)
-			w.step(index, m)
+			s.deliverAnswers(index, node)
+			s.step(index, node)
 		}
 	}
 }
 
-// disturb freezes and restarts machines now and then.
-func (w *world) disturb(index int, m *machine) {
+// injectFaults freezes and restarts nodes now and then.
+func (s *simulation) injectFaults(index int, node *simulatedNode) {
 	switch {
-	case w.isCalm:
-	case w.random.IntN(1500) == 0:
-		m.frozenTo = w.now.Add(time.Duration(w.random.IntN(6000)) * time.Millisecond)
-	case w.random.IntN(1500) == 0:
-		m.life++
-		m.downTo = w.now.Add(time.Duration(200+w.random.IntN(3000)) * time.Millisecond)
-		m.core = New(w.options(index))
-		m.calling = false
+	case s.hasOnlyOneRollback:
+	case s.random.IntN(1500) == 0:
+		node.frozenUntil = s.now.Add(time.Duration(s.random.IntN(6000)) * time.Millisecond)
+	case s.random.IntN(1500) == 0:
+		node.incarnation++
+		node.downUntil = s.now.Add(time.Duration(200+s.random.IntN(3000)) * time.Millisecond)
+		node.core = New(s.options(index))
+		node.callInFlight = false
 	}
 }
 
-// step does what a node does: it renews, takes or reads the lease, and orders.
-func (w *world) step(index int, m *machine) {
-	if m.core.MayIssueOrders(w.now) {
-		w.orders = append(w.orders, order{at: w.now, holder: m.core.options.Holder, token: m.core.Term()})
+// step does what a node does: it renews, acquires or reads the lease, and issues orders.
+func (s *simulation) step(index int, node *simulatedNode) {
+	if node.core.MayIssueOrders(s.now) {
+		s.orders = append(s.orders, order{at: s.now, holder: node.core.options.Holder, token: node.core.Term()})
 	}
-	if m.calling && w.now.Before(m.callEnd) {
+	if node.callInFlight && s.now.Before(node.callDeadline) {
 		return
 	}
-	m.calling = false
-	if w.now.Before(m.nextCall) {
+	node.callInFlight = false
+	if s.now.Before(node.nextCallAt) {
 		return
 	}
-	m.core.Expire(w.now)
+	node.core.Expire(s.now)
 	switch {
-	case m.core.Term() != 0 && !w.now.Before(m.core.RenewAt()):
-		w.write(index, m)
-	case m.core.Term() != 0:
-	case m.core.CanAcquire(w.now):
-		w.write(index, m)
+	case node.core.Term() != 0 && !s.now.Before(node.core.RenewAt()):
+		s.write(index, node)
+	case node.core.Term() != 0:
+	case node.core.CanAcquire(s.now):
+		s.write(index, node)
 	default:
-		w.call(index, m, nil)
+		s.call(index, node, nil)
 	}
 }
 
-func (w *world) write(index int, m *machine) {
-	record := m.core.NextRecord(w.now)
-	w.call(index, m, &record)
+func (s *simulation) write(index int, node *simulatedNode) {
+	record := node.core.NextRecord(s.now)
+	s.call(index, node, &record)
 }
 
-func (w *world) call(index int, m *machine, write *Record) {
-	lands := w.now.Add(time.Duration(1+w.random.IntN(80)) * time.Millisecond)
-	call := &pendingCall{machine: index, life: m.life, sent: w.now, write: write, lands: lands}
-	call.answers = lands.Add(time.Duration(1+w.random.IntN(80)) * time.Millisecond)
-	if !w.isCalm && w.random.IntN(6) == 0 {
-		call.lost = true
-		if w.random.IntN(2) == 0 {
-			call.lands = w.now.Add(time.Duration(1000+w.random.IntN(5000)) * time.Millisecond)
+func (s *simulation) call(index int, node *simulatedNode, write *Record) {
+	appliesAt := s.now.Add(time.Duration(1+s.random.IntN(80)) * time.Millisecond)
+	call := &storeCall{nodeIndex: index, incarnation: node.incarnation, sentAt: s.now, write: write, appliesAt: appliesAt}
+	call.answersAt = appliesAt.Add(time.Duration(1+s.random.IntN(80)) * time.Millisecond)
+	if !s.hasOnlyOneRollback && s.random.IntN(6) == 0 {
+		call.answerLost = true
+		if s.random.IntN(2) == 0 {
+			call.appliesAt = s.now.Add(time.Duration(1000+s.random.IntN(5000)) * time.Millisecond)
 		}
 	}
-	w.calls = append(w.calls, call)
-	m.calling = true
-	m.callEnd = w.now.Add(time.Second)
-	m.nextCall = w.now.Add(time.Duration(100+w.random.IntN(400)) * time.Millisecond)
+	s.calls = append(s.calls, call)
+	node.callInFlight = true
+	node.callDeadline = s.now.Add(time.Second)
+	node.nextCallAt = s.now.Add(time.Duration(100+s.random.IntN(400)) * time.Millisecond)
 }
 
-// land carries out the calls whose time has come, in the order of their landing.
-func (w *world) land() {
-	for _, call := range w.calls {
-		if call.landed || w.now.Before(call.lands) {
+// applyCalls applies the calls whose time has come.
+func (s *simulation) applyCalls() {
+	for _, call := range s.calls {
+		if call.applied || s.now.Before(call.appliesAt) {
 			continue
 		}
-		call.landed = true
-		if call.write != nil && call.write.Position.Revision == w.record.Position.Revision {
-			revision := w.record.Position.Revision + 1
-			w.record = *call.write
-			w.record.Position.Revision = revision
-			if w.hidesBase {
-				w.record.TokenBase = 0
+		call.applied = true
+		if call.write != nil && call.write.Position.Revision == s.record.Position.Revision {
+			revision := s.record.Position.Revision + 1
+			s.record = *call.write
+			s.record.Position.Revision = revision
+			if s.omitsTokenBase {
+				s.record.TokenBase = 0
 			}
-			call.won = true
+			call.succeeded = true
 		}
-		call.answered = w.record
-		call.answered.Position.Era = w.eraTold()
+		call.answer = s.record
+		call.answer.Position.Era = s.reportedEra()
 	}
 }
 
-func (w *world) answer(index int, m *machine) {
-	kept := w.calls[:0]
-	for _, call := range w.calls {
-		isMine := call.machine == index && call.life == m.life
-		if !call.landed || (isMine && !call.lost && w.now.Before(call.answers)) || (!isMine && !call.lost && call.machine != index) {
+func (s *simulation) deliverAnswers(index int, node *simulatedNode) {
+	kept := s.calls[:0]
+	for _, call := range s.calls {
+		isFromThisProcess := call.nodeIndex == index && call.incarnation == node.incarnation
+		if !call.applied || (isFromThisProcess && !call.answerLost && s.now.Before(call.answersAt)) || (!isFromThisProcess && !call.answerLost && call.nodeIndex != index) {
 			kept = append(kept, call)
 			continue
 		}
-		if isMine && !call.lost {
-			m.calling = false
-			w.take(m, call)
+		if isFromThisProcess && !call.answerLost {
+			node.callInFlight = false
+			s.handleAnswer(node, call)
 		}
 	}
-	w.calls = kept
+	s.calls = kept
 }
 
-func (w *world) take(m *machine, call *pendingCall) {
+func (s *simulation) handleAnswer(node *simulatedNode, call *storeCall) {
 	switch {
-	case call.won:
-		m.core.WriteSucceeded(call.sent, w.now, call.answered.Position)
-	case call.answered.Position.Revision == 0:
-		m.core.ObserveAbsent(call.sent, w.now, call.answered.Position.Era)
+	case call.succeeded:
+		node.core.WriteSucceeded(call.sentAt, s.now, call.answer.Position)
+	case call.answer.Position.Revision == 0:
+		node.core.ObserveAbsent(call.sentAt, s.now, call.answer.Position.Era)
 	default:
-		m.core.Observe(call.sent, w.now, call.answered)
+		node.core.Observe(call.sentAt, s.now, call.answer)
 	}
 }
 
-// violation names the first broken rule of the orders given.
-func (w *world) violation(quiet time.Duration) string {
-	for i := 1; i < len(w.orders); i++ {
-		before, after := w.orders[i-1], w.orders[i]
+// violation describes the first violation of the lease's guarantees by the issued orders.
+func (s *simulation) violation(quietPeriod time.Duration) string {
+	for i := 1; i < len(s.orders); i++ {
+		before, after := s.orders[i-1], s.orders[i]
 		switch {
 		case after.token < before.token:
 			return "a lower token after a higher one"
 		case after.holder != before.holder && after.token == before.token:
 			return "two holders with one token"
-		case after.holder != before.holder && after.at.Sub(before.at) < quiet:
-			return "holders that take turns within the quiet time"
+		case after.holder != before.holder && after.at.Sub(before.at) < quietPeriod:
+			return "a change of the holder within the quiet period"
 		}
 	}
 	return ""
 }
 
 func TestOneHolderAtATime(t *testing.T) {
-	const quiet = 3 * time.Second
-	changes, given := 0, 0
+	const quietPeriod = 3 * time.Second
+	changes, issued := 0, 0
 	for seed := range uint64(*seeds) {
-		w := newWorld(seed, quiet)
-		w.run()
-		if broken := w.violation(quiet); broken != "" {
+		s := newSimulation(seed, quietPeriod)
+		s.run()
+		if broken := s.violation(quietPeriod); broken != "" {
 			t.Fatalf("seed %d: %s", seed, broken)
 		}
-		given += len(w.orders)
-		for i := 1; i < len(w.orders); i++ {
-			if w.orders[i].holder != w.orders[i-1].holder {
+		issued += len(s.orders)
+		for i := 1; i < len(s.orders); i++ {
+			if s.orders[i].holder != s.orders[i-1].holder {
 				changes++
 			}
 		}
 	}
-	if changes < *seeds || given < 500**seeds {
-		t.Errorf("%d changes of the holder and %d orders in %d runs: the rules hardly came into play", changes, given, *seeds)
+	if changes < *seeds || issued < 500**seeds {
+		t.Errorf("%d changes of the holder and %d orders in %d runs: too few to check the guarantees", changes, issued, *seeds)
 	}
 }
 
-// Two holders, or a token that is not above all before it, after the store came back from a copy.
+// Guards against two holders at a time, or a token below an earlier one, after the store was
+// restored from a backup.
 func TestOneHolderOverRollbacks(t *testing.T) {
-	const quiet = 3 * time.Second
-	rollbacks, given := 0, 0
+	const quietPeriod = 3 * time.Second
+	rollbacks, issued := 0, 0
 	for seed := range uint64(*seeds) {
-		w := newWorld(seed, quiet)
-		w.goesBack, w.era = true, storepos.FirstEra
-		w.run()
-		if broken := w.violation(quiet); broken != "" {
-			t.Fatalf("seed %d: %s after %d rollbacks", seed, broken, w.rollbacks)
+		s := newSimulation(seed, quietPeriod)
+		s.rollsBack, s.era = true, storepos.FirstEra
+		s.run()
+		if broken := s.violation(quietPeriod); broken != "" {
+			t.Fatalf("seed %d: %s after %d rollbacks", seed, broken, s.rollbacks)
 		}
-		rollbacks += w.rollbacks
-		given += len(w.orders)
+		rollbacks += s.rollbacks
+		issued += len(s.orders)
 	}
-	if rollbacks < 2**seeds || given < 200**seeds {
-		t.Errorf("%d rollbacks and %d orders in %d runs: the rules hardly came into play", rollbacks, given, *seeds)
+	if rollbacks < 2**seeds || issued < 200**seeds {
+		t.Errorf("%d rollbacks and %d orders in %d runs: too few to check the guarantees", rollbacks, issued, *seeds)
 	}
 }
 
-// longestWithoutOrders is the longest time from a step back of the store to the next order.
-func (w *world) longestWithoutOrders() (longest time.Duration) {
-	for _, back := range w.backAt {
-		for _, given := range w.orders {
-			if !given.at.Before(back) {
-				longest = max(longest, given.at.Sub(back))
+// longestWithoutOrders is the longest time from a rollback of the store to the next order.
+func (s *simulation) longestWithoutOrders() (longest time.Duration) {
+	for _, rolledBackAt := range s.rollbackTimes {
+		for _, issued := range s.orders {
+			if !issued.at.Before(rolledBackAt) {
+				longest = max(longest, issued.at.Sub(rolledBackAt))
 				break
 			}
 		}
@@ -305,53 +308,54 @@
 	return longest
 }
 
-// A step back of the store stops orders for longer than the loss of the holder would, and a lease.
+// Guards against a rollback of the store stopping orders for longer than the loss of the holder
+// would, plus Duration.
 func TestOrdersGoOnSoonAfterRollback(t *testing.T) {
-	const quiet = 3 * time.Second
-	loss := options("a").Duration + options("a").Margin + quiet
+	const quietPeriod = 3 * time.Second
+	afterHolderLoss := options("a").Duration + options("a").Margin + quietPeriod
 	longest := time.Duration(0)
 	for seed := range uint64(300) {
-		w := newWorld(seed, quiet)
-		w.goesBack, w.era, w.isCalm = true, storepos.FirstEra, true
-		w.run()
-		longest = max(longest, w.longestWithoutOrders())
+		s := newSimulation(seed, quietPeriod)
+		s.rollsBack, s.era, s.hasOnlyOneRollback = true, storepos.FirstEra, true
+		s.run()
+		longest = max(longest, s.longestWithoutOrders())
 	}
-	t.Logf("no order for %v at the most; %v after the loss of a holder", longest, loss)
-	if longest > loss+options("a").Duration {
+	t.Logf("at most %v without an order; %v after the loss of a holder", longest, afterHolderLoss)
+	if longest > afterHolderLoss+options("a").Duration {
 		t.Errorf("no order for %v", longest)
 	}
 }
 
-// TestSimulationFindsDefectsOverRollbacks plants a store whose era nobody hears of, and holders that
-// do not hand on the base of tokens.
+// Checks that the simulation detects a store that does not report its era, and holders that do
+// not record the token base.
 func TestSimulationFindsDefectsOverRollbacks(t *testing.T) {
-	for name, plant := range map[string]func(*world){
-		"era":  func(w *world) { w.hidesEra = true },
-		"base": func(w *world) { w.hidesBase = true },
+	for name, inject := range map[string]func(*simulation){
+		"era":  func(s *simulation) { s.omitsEra = true },
+		"base": func(s *simulation) { s.omitsTokenBase = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(300) {
-				w := newWorld(seed, 3*time.Second)
-				w.goesBack, w.era = true, storepos.FirstEra
-				plant(w)
-				w.run()
-				if w.violation(3*time.Second) != "" {
+				s := newSimulation(seed, 3*time.Second)
+				s.rollsBack, s.era = true, storepos.FirstEra
+				inject(s)
+				s.run()
+				if s.violation(3*time.Second) != "" {
 					return
 				}
 			}
-			t.Error("it is not found")
+			t.Error("the simulation did not detect the defect")
 		})
 	}
 }
 
-// TestSimulationFindsMissingQuiet plants a lease without its quiet time.
+// Checks that the simulation detects a lease without its quiet period.
 func TestSimulationFindsMissingQuiet(t *testing.T) {
 	for seed := range uint64(50) {
-		w := newWorld(seed, 0)
-		w.run()
-		if w.violation(3*time.Second) != "" {
+		s := newSimulation(seed, 0)
+		s.run()
+		if s.violation(3*time.Second) != "" {
 			return
 		}
 	}
-	t.Error("holders without a quiet time are not found")
+	t.Error("the simulation did not detect the missing quiet period")
 }
