--- a/internal/storepos/storepos_test.go
+++ b/internal/storepos/storepos_test.go
@@ -25,7 +25,8 @@
 	})
 }
 
-// Revisions of two eras say nothing of each other.
+// Revisions of different eras are not comparable, so no code outside this package may order
+// revisions other than by a Position.
 func TestRevisionsAreComparedByPositionAlone(t *testing.T) {
 	checked := 0
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
@@ -39,7 +40,7 @@
 		}
 		checked++
 		ast.Inspect(file, func(node ast.Node) bool {
-			if comparesRevisions(node) {
+			if hasBareRevisionComparison(node) {
 				t.Errorf("%s: revisions or eras are compared without a Position", files.Position(node.Pos()))
 			}
 			return true
@@ -47,7 +48,7 @@
 		return nil
 	})
 	if err != nil || checked < 100 {
-		t.Errorf("%d files, %v", checked, err)
+		t.Errorf("checked %d files, error %v", checked, err)
 	}
 }
 
@@ -57,13 +58,13 @@
 		"s.Revision < 0": false, "a.Revision == b.Revision": false, "a.IsBefore(b)": false,
 	} {
 		expression, err := parser.ParseExpr(text)
-		if err != nil || comparesRevisions(expression) != want {
+		if err != nil || hasBareRevisionComparison(expression) != want {
 			t.Errorf("%s: found %v, %v", text, !want, err)
 		}
 	}
 }
 
-func comparesRevisions(node ast.Node) bool {
+func hasBareRevisionComparison(node ast.Node) bool {
 	switch node := node.(type) {
 	case *ast.BinaryExpr:
 		switch node.Op {
