--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -9,11 +9,11 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// AskerOptions set up an Asker. Zero durations take the defaults.
+// AskerOptions configure an Asker. Zero durations select the defaults.
 type AskerOptions struct {
 	Request Request
-	// Attempt is unique in the fleet; among attempts that split the keepers
-	// the one that sorts first goes on and the others give up.
+	// Attempt is unique in the fleet. If several attempts split the keepers, the
+	// one that sorts first continues and the others give up.
 	Attempt string
 	Node    fleet.NodeName
 	// RoundTimeout is how long one round waits for the keepers' answers.
@@ -22,32 +22,32 @@
 	RetryDelay time.Duration
 	// Deadline is when the asker gives up.
 	Deadline time.Time
-	// RandomSeed makes the delays repeatable.
+	// RandomSeed makes the delays reproducible.
 	RandomSeed uint64
-	// Defects plant faults; only tests and the simulator set it.
+	// Defects injects faults; only tests and the simulator set it.
 	Defects Defects
 }
 
 const (
 	defaultRoundTimeout = 500 * time.Millisecond
 	defaultRetryDelay   = 30 * time.Millisecond
-	// longestYoungWait is how long a keeper may need until it vouches for it
-	// to be worth waiting.
-	longestYoungWait = time.Second
-	// defaultRetryAfter is what a caller is told where nothing better is known.
+	// maxHistoryWait is the longest time that an asker waits for a keeper to
+	// complete its history.
+	maxHistoryWait = time.Second
+	// defaultRetryAfter is the RetryAfter returned if no better estimate is known.
 	defaultRetryAfter = time.Second
 )
 
-// AskerMessage is what an Asker takes.
+// AskerMessage is an input of Asker.Step.
 type AskerMessage interface{ askerMessage() }
 
-// Begin starts with the newest version of the key's slot that is known.
+// Begin starts the asker with the newest known version of the key's slot.
 type Begin struct{ Slot Slot }
 
-// VoteReceived is a keeper's answer, or VoteNone where it could not be reached.
+// VoteReceived is a keeper's answer, or VoteNone if it could not be reached.
 type VoteReceived struct {
 	From Seat
-	// Version is the slot's version that was asked with.
+	// Version is the version of the slot in the request.
 	Version uint64
 	Reply   GrantReply
 }
@@ -56,22 +56,24 @@
 func (VoteReceived) askerMessage() {}
 func (Tick) askerMessage()         {}
 
-// AskerEffect is what an Asker wants done.
+// AskerEffect is an action that Asker.Step requests from its caller.
 type AskerEffect interface{ askerEffect() }
 
-// RequestGrant asks a keeper; the answer comes back as Voted.
+// RequestGrant asks the caller to send a Grant to a keeper; the answer returns as
+// VoteReceived.
 type RequestGrant struct {
 	To    Seat
 	Grant Grant
 }
 
-// Release gives the attempt up at all keepers that were asked.
+// Release gives up the attempt at all keepers that were asked.
 type Release struct {
 	To       []Seat
 	Complete Complete
 }
 
-// Finish is the end. Asked are the keepers that must hear of the outcome.
+// Finish ends the attempt's request for grants. Asked are the keepers to which the
+// outcome must be reported.
 type Finish struct {
 	Decision Decision
 	Asked    []Seat
@@ -82,19 +84,19 @@
 func (Release) askerEffect()      {}
 func (Finish) askerEffect()       {}
 
-// Asker seeks a majority for one attempt. An attempt that was released is
-// never asked for again and never runs.
+// Asker requests grants from a majority of keepers for one attempt. A released
+// attempt is never requested again and never runs.
 type Asker struct {
-	options  AskerOptions
-	random   *rand.Rand
-	now      time.Time
-	slot     Slot
-	replies  map[Seat]GrantReply
-	asked    []Seat
-	roundEnd time.Time
-	nextTry  time.Time
-	finished bool
-	effects  []AskerEffect
+	options       AskerOptions
+	random        *rand.Rand
+	now           time.Time
+	slot          Slot
+	replies       map[Seat]GrantReply
+	asked         []Seat
+	roundDeadline time.Time
+	nextRoundAt   time.Time
+	finished      bool
+	effects       []AskerEffect
 }
 
 // NewAsker returns an asker that waits for Begin.
@@ -107,7 +109,8 @@
 	}
 }
 
-// Step takes a message; after Finish it returns nothing.
+// Step handles a message and returns the effects to carry out; after Finish it
+// returns nothing.
 func (a *Asker) Step(now time.Time, message AskerMessage) []AskerEffect {
 	a.now = now
 	a.effects = nil
@@ -116,25 +119,25 @@
 	}
 	switch message := message.(type) {
 	case Begin:
-		a.adopt(message.Slot)
+		a.adoptSlot(message.Slot)
 	case VoteReceived:
-		// An asker that was paused must not count grants of before and after
-		// its deadline together: the earlier ones may have expired.
+		// An asker that was paused must not combine grants from before its
+		// deadline with later ones: the earlier grants may have expired.
 		if !now.Before(a.options.Deadline) {
-			a.tick()
+			a.handleTick()
 			break
 		}
-		a.voted(message)
+		a.handleVote(message)
 	case Tick:
-		a.tick()
+		a.handleTick()
 	}
 	return a.effects
 }
 
-// NextWake is when Step wants a Tick.
+// NextWake returns when Step needs a Tick.
 func (a *Asker) NextWake() time.Time {
 	wake := a.options.Deadline
-	for _, other := range []time.Time{a.roundEnd, a.nextTry} {
+	for _, other := range []time.Time{a.roundDeadline, a.nextRoundAt} {
 		if !other.IsZero() && other.Before(wake) {
 			wake = other
 		}
@@ -142,22 +145,22 @@
 	return wake
 }
 
-// adopt begins anew with a version of the slot: votes of different versions
+// adoptSlot starts over with a version of the slot: votes of different versions
 // are never counted together.
-func (a *Asker) adopt(slot Slot) {
+func (a *Asker) adoptSlot(slot Slot) {
 	a.slot = slot
 	a.replies = make(map[Seat]GrantReply)
 	if len(slot.Seats) == 0 {
 		a.finish(Decision{Verdict: NoMajority, RetryAfter: defaultRetryAfter})
 		return
 	}
-	a.ask()
+	a.startRound()
 }
 
-// ask starts a round: all seats that have not granted are asked.
-func (a *Asker) ask() {
-	a.nextTry = time.Time{}
-	a.roundEnd = a.now.Add(a.options.RoundTimeout)
+// startRound asks all seats that have not granted yet.
+func (a *Asker) startRound() {
+	a.nextRoundAt = time.Time{}
+	a.roundDeadline = a.now.Add(a.options.RoundTimeout)
 	for _, seat := range a.slot.Seats {
 		if a.replies[identity(seat)].Vote == VoteGranted {
 			continue
@@ -177,13 +180,13 @@
 	}
 }
 
-func (a *Asker) voted(message VoteReceived) {
+func (a *Asker) handleVote(message VoteReceived) {
 	if message.Reply.Slot.Version > a.slot.Version {
-		a.adopt(message.Reply.Slot)
+		a.adoptSlot(message.Reply.Slot)
 		return
 	}
 	from := identity(message.From)
-	if message.Version != a.slot.Version || !contains(a.slot.Seats, from) {
+	if message.Version != a.slot.Version || !containsProcess(a.slot.Seats, from) {
 		return
 	}
 	if a.replies[from].Vote == VoteGranted {
@@ -193,13 +196,13 @@
 	a.evaluate(len(a.replies) == len(a.slot.Seats))
 }
 
-func (a *Asker) tick() {
+func (a *Asker) handleTick() {
 	switch {
 	case !a.now.Before(a.options.Deadline):
 		a.giveUp()
-	case !a.nextTry.IsZero() && !a.now.Before(a.nextTry):
-		a.ask()
-	case !a.roundEnd.IsZero() && !a.now.Before(a.roundEnd):
+	case !a.nextRoundAt.IsZero() && !a.now.Before(a.nextRoundAt):
+		a.startRound()
+	case !a.roundDeadline.IsZero() && !a.now.Before(a.roundDeadline):
 		a.evaluate(true)
 	}
 }
@@ -214,8 +217,8 @@
 	return count
 }
 
-// evaluate decides as soon as the votes allow; roundOver is set when no more
-// are to be waited for.
+// evaluate decides as soon as the votes allow it. roundOver is set if no more votes
+// are expected in this round.
 func (a *Asker) evaluate(roundOver bool) {
 	majority := Majority(a.slot.Seats)
 	if a.options.Defects.AnyGrant {
@@ -250,7 +253,7 @@
 	return answer
 }
 
-// heldByOther reports whether another attempt has a majority, or splits the
+// heldByOther reports whether another attempt holds a majority, or shares the
 // keepers with this one and sorts first.
 func (a *Asker) heldByOther(majority int) bool {
 	held := make(map[string]int)
@@ -267,20 +270,22 @@
 	return false
 }
 
-// retry waits for the others to give up, for a keeper to gather its records or
-// for one to be reached again, where that may be soon.
+// retry schedules another round, in which other attempts may have given up, or a
+// keeper may have collected its records or become reachable. If no other attempt is
+// in progress and the missing keepers need longer than maxHistoryWait, it gives up.
 func (a *Asker) retry() {
-	if wait, young := a.youngWait(); young && wait > longestYoungWait && a.count(VoteInProgress) == 0 {
+	if wait, isBuildingHistory := a.historyWait(); isBuildingHistory && wait > maxHistoryWait && a.count(VoteInProgress) == 0 {
 		a.giveUp()
 		return
 	}
-	a.roundEnd = time.Time{}
+	a.roundDeadline = time.Time{}
 	half := a.options.RetryDelay / 2
-	a.nextTry = a.now.Add(half + time.Duration(a.random.Int64N(int64(a.options.RetryDelay))))
+	a.nextRoundAt = a.now.Add(half + time.Duration(a.random.Int64N(int64(a.options.RetryDelay))))
 }
 
-// youngWait is how long it takes until enough keepers may vouch.
-func (a *Asker) youngWait() (time.Duration, bool) {
+// historyWait returns how long it takes until enough keepers have a complete history
+// to form a majority, and whether the asker is waiting for that.
+func (a *Asker) historyWait() (time.Duration, bool) {
 	var waits []time.Duration
 	for _, reply := range a.replies {
 		if reply.Vote == VoteIncompleteHistory {
@@ -301,7 +306,7 @@
 		return
 	}
 	retryAfter := defaultRetryAfter
-	if wait, young := a.youngWait(); young {
+	if wait, isBuildingHistory := a.historyWait(); isBuildingHistory {
 		retryAfter = max(retryAfter, wait)
 	}
 	a.finish(Decision{Verdict: NoMajority, RetryAfter: retryAfter})
--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSplitGrantsEndWithOneAttempt lets three attempts take one keeper each
-// before any of them reaches another.
+// Three attempts obtain one keeper's grant each before any of them reaches another
+// keeper: exactly one must win.
 func TestSplitGrantsEndWithOneAttempt(t *testing.T) {
 	slot := slotOf(1, "a", "b", "c")
 	keepers := make(map[Seat]*Keeper)
@@ -26,7 +26,7 @@
 			RandomSeed: uint64(index),
 		})
 		queues[index] = askers[index].Step(now, Begin{Slot: slot})
-		// Each attempt reaches its own keeper first.
+		// Each attempt reaches a different keeper first.
 		queues[index][0], queues[index][index] = queues[index][index], queues[index][0]
 	}
 	for range 1000 {
@@ -40,8 +40,8 @@
 			switch effect := effect.(type) {
 			case RequestGrant:
 				reply := grantReply(t, keepers[effect.To].Step(now, effect.Grant))
-				voted := VoteReceived{From: effect.To, Version: effect.Grant.Slot.Version, Reply: reply}
-				queues[index] = append(queues[index], asker.Step(now, voted)...)
+				received := VoteReceived{From: effect.To, Version: effect.Grant.Slot.Version, Reply: reply}
+				queues[index] = append(queues[index], asker.Step(now, received)...)
 			case Release:
 				for _, to := range effect.To {
 					keepers[to].Step(now, effect.Complete)
@@ -57,7 +57,7 @@
 		now = now.Add(2 * time.Millisecond)
 	}
 	if granted != 1 || refused != 2 {
-		t.Fatalf("%d granted and %d in progress of 3 attempts", granted, refused)
+		t.Fatalf("%d attempts granted and %d refused as in progress, want 1 and 2", granted, refused)
 	}
 }
 
@@ -68,18 +68,18 @@
 	asker.Step(start, VoteReceived{From: seat("c"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
 	effects := asker.Step(start, VoteReceived{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteStale, Slot: next}})
 	if len(effects) != len(next.Seats) {
-		t.Fatalf("asked %d keepers of the newer version", len(effects))
+		t.Fatalf("asked %d keepers of the newer version, want all", len(effects))
 	}
-	// A vote of the older version must not count beside one of the newer.
+	// A vote of the older version must not count together with one of the newer.
 	asker.Step(start, VoteReceived{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: old}})
 	effects = asker.Step(start, VoteReceived{From: seat("a"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
 	if len(effects) != 0 {
-		t.Fatalf("decided on votes of two versions: %+v", effects)
+		t.Fatalf("votes of two versions were counted together: %+v", effects)
 	}
 	effects = asker.Step(start, VoteReceived{From: seat("d"), Version: 2, Reply: GrantReply{Vote: VoteGranted, Slot: next}})
 	finish, found := effects[len(effects)-1].(Finish)
 	if !found || finish.Decision.Verdict != Granted {
-		t.Fatalf("majority of the newer version: %+v", effects)
+		t.Fatalf("not granted by a majority of the newer version: %+v", effects)
 	}
 }
 
@@ -90,7 +90,7 @@
 	asker.Step(start, VoteReceived{From: seat("a"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}})
 	effects := asker.Step(start.Add(time.Second), Tick{})
 	if len(effects) != 2 {
-		t.Fatalf("at the deadline: %+v", effects)
+		t.Fatalf("effects at the deadline: %+v", effects)
 	}
 	release, released := effects[0].(Release)
 	finish, finished := effects[1].(Finish)
@@ -102,8 +102,9 @@
 	}
 }
 
-// TestGrantsOnBothSidesOfAPauseAreNoMajority: the first grant may have expired
-// while the asker was paused, and another attempt may hold that keeper since.
+// Guards against counting a grant from before a pause of the asker together with one
+// from after it: the first may have expired during the pause, and its keeper may have
+// granted another attempt since.
 func TestGrantsOnBothSidesOfAPauseAreNoMajority(t *testing.T) {
 	slot := slotOf(1, "a", "b", "c")
 	asker := NewAsker(AskerOptions{Attempt: "one", Deadline: start.Add(time.Second)})
@@ -112,7 +113,7 @@
 	late := VoteReceived{From: seat("b"), Version: 1, Reply: GrantReply{Vote: VoteGranted, Slot: slot}}
 	for _, effect := range asker.Step(start.Add(window), late) {
 		if finish, found := effect.(Finish); found && finish.Decision.Verdict == Granted {
-			t.Fatal("a grant from before the pause was counted with one from after it")
+			t.Fatal("a grant from before the pause was counted together with one from after it")
 		}
 	}
 }
--- a/internal/claim/doc.go
+++ b/internal/claim/doc.go
@@ -1,9 +1,14 @@
-// Package claim makes a call with an idempotency key run at most once. Keys
-// fall into slots; each slot has up to three keepers, named with their start
-// in a table that changes by compare-and-set in the platform's store. A
-// majority of one version of a slot grants before the call is sent. The
-// argument for its safety is in docs/design/at-most-once.md.
+// Package claim ensures that a call with an idempotency key runs at most once
+// in the whole fleet.
 //
-// Keeper and Asker are cores; Plan and Choose are functions of their
-// arguments. The package may import fleet.
+// Keys hash to slots. Each slot has up to three keepers: node processes that
+// hold the records of the slot's keys in memory. The table of slots names them,
+// each with its boot ID, and changes by compare-and-set in the platform's store.
+// Before the gateway sends such a call, an Asker must obtain grants from a
+// majority of the keepers of one version of the slot. When the keepers of a slot
+// change, the new ones collect the records of the earlier ones before they grant.
+// The argument for its safety is in docs/design/at-most-once.md.
+//
+// Keeper and Asker are state machines without I/O; Plan and SelectVoters are
+// functions of their arguments only. The package may import fleet.
 package claim
--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Verdict is what a majority of keepers said of a key.
+// Verdict is the result of asking a key's keepers.
 type Verdict int
 
 // The verdicts. Only Granted allows the call to be sent.
 const (
-	// NoMajority means that too few keepers vouched; nothing was sent.
+	// NoMajority means that too few keepers granted the attempt; nothing was sent.
 	NoMajority Verdict = iota
-	// Granted means that this attempt is the only one.
+	// Granted means that this attempt, and no other, may run the call.
 	Granted
 	// InProgress means that another attempt holds the key.
 	InProgress
-	// Done means that the call ran; the answer is the stored one.
+	// Done means that the call has run; the stored answer is returned.
 	Done
-	// Mismatch means that the key was used with another request.
+	// Mismatch means that the key was used with a different request.
 	Mismatch
-	// Unknown means that an attempt was made and its outcome is not known.
+	// Unknown means that an attempt was granted and its outcome is not known.
 	Unknown
 )
 
-// Answer is a stored answer.
+// Answer is the back end's answer as stored for a key.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// BodyOmitted is set where the body was too large to keep.
+	// BodyOmitted is set if the body was too large to store.
 	BodyOmitted bool
 }
 
@@ -40,13 +40,14 @@
 const (
 	// Ran means that the back end answered.
 	Ran Outcome = iota + 1
-	// NotRun is proved: never sent, or refused before running.
+	// NotRun means that the call certainly did not run: it was never sent, or it was
+	// refused before it ran.
 	NotRun
-	// Uncertain is everything else.
+	// Uncertain covers all other cases.
 	Uncertain
 )
 
-// Request is a call that wants its key.
+// Request is a call with an idempotency key.
 type Request struct {
 	Key string
 	// Fingerprint hashes method, path and body.
@@ -55,21 +56,21 @@
 	Window time.Duration
 }
 
-// Decision answers an Acquire.
+// Decision is the result of Guard.Acquire.
 type Decision struct {
 	Verdict Verdict
 	// Attempt names the granted attempt, for Complete.
 	Attempt string
 	// Answer is set for Done.
 	Answer *Answer
-	// RetryAfter is when to ask again, for NoMajority and InProgress.
+	// RetryAfter is how long to wait before a retry, for NoMajority and InProgress.
 	RetryAfter time.Duration
 }
 
-// Guard is what the gateway needs of the keepers.
+// Guard is the gateway's interface to the keepers.
 type Guard interface {
 	// Acquire asks the key's keepers; it returns by the context's deadline.
 	Acquire(ctx context.Context, request Request) Decision
-	// Complete tells the keepers how the granted attempt ended.
+	// Complete reports to the keepers how the granted attempt ended.
 	Complete(ctx context.Context, key string, attempt string, outcome Outcome, answer *Answer)
 }
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Keeper holds the records of the slots in which this process has a seat. It
-// is not safe for concurrent use.
+// Keeper holds the records of the slots in which this process has a seat, and
+// decides on grants. It is not safe for concurrent use.
 type Keeper struct {
-	options     KeeperOptions
-	now         time.Time
-	records     map[string]*record
-	slots       map[int]*seatState
-	gone        map[Seat]bool
-	answerBytes int
-	nextSweep   time.Time
-	effects     []KeeperEffect
+	options        KeeperOptions
+	now            time.Time
+	records        map[string]*record
+	slots          map[int]*slotState
+	endedProcesses map[Seat]bool
+	answerBytes    int
+	nextCleanupAt  time.Time
+	effects        []KeeperEffect
 }
 
 // NewKeeper returns a keeper without records.
 func NewKeeper(options KeeperOptions) *Keeper {
 	return &Keeper{
-		options: options.withDefaults(),
-		records: make(map[string]*record),
-		slots:   make(map[int]*seatState),
-		gone:    make(map[Seat]bool),
+		options:        options.withDefaults(),
+		records:        make(map[string]*record),
+		slots:          make(map[int]*slotState),
+		endedProcesses: make(map[Seat]bool),
 	}
 }
 
-// sweepInterval is the time between removals of expired records.
-const sweepInterval = time.Second
+// cleanupInterval is the time between removals of expired records.
+const cleanupInterval = time.Second
 
-// Step takes a message.
+// Step handles a message and returns the effects to carry out.
 func (k *Keeper) Step(now time.Time, message KeeperMessage) []KeeperEffect {
 	k.now = now
 	k.effects = nil
-	k.sweep()
+	k.removeExpired()
 	switch message := message.(type) {
 	case Tick:
 	case Grant:
@@ -43,42 +43,42 @@
 	case Complete:
 		k.effects = append(k.effects, k.complete(message))
 	case SlotUpdate:
-		k.learn(message.Slot)
+		k.updateSlot(message.Slot)
 	case Seal:
-		k.effects = append(k.effects, k.seal(message.Slot))
+		k.effects = append(k.effects, k.handleSeal(message.Slot))
 	case SealAnswered:
-		k.handed(message)
+		k.handleSealAnswer(message)
 	case ProcessEnded:
-		k.markGone(message.Seat)
+		k.markEnded(message.Seat)
 	case NodeLost:
-		for _, held := range k.records {
-			held.lost = held.lost || held.node == message.Node
+		for _, entry := range k.records {
+			entry.outcomeLost = entry.outcomeLost || entry.node == message.Node
 		}
 	}
-	k.askOlderKeepers()
+	k.requestSeals()
 	return k.effects
 }
 
-// NextWake is when Step wants a Tick.
+// NextWake returns when Step needs a Tick.
 func (k *Keeper) NextWake() time.Time {
-	wake := k.nextSweep
+	wake := k.nextCleanupAt
 	for _, state := range k.slots {
-		if state.waits() && state.nextAsk.Before(wake) {
-			wake = state.nextAsk
+		if state.awaitsTransfer() && state.nextSealRequestAt.Before(wake) {
+			wake = state.nextSealRequestAt
 		}
 	}
 	return wake
 }
 
-// Records is how many records are held.
+// Records returns the number of records held.
 func (k *Keeper) Records() int {
 	return len(k.records)
 }
 
 func (k *Keeper) grant(request Grant) GrantReply {
-	k.learn(request.Slot)
+	k.updateSlot(request.Slot)
 	state := k.slots[request.Slot.Index]
-	if !k.options.Defects.IgnoresVersion && (state.slot.Version != request.Slot.Version || !state.member) {
+	if !k.options.Defects.IgnoresVersion && (state.slot.Version != request.Slot.Version || !state.isMember) {
 		return GrantReply{Vote: VoteStale, Slot: state.slot}
 	}
 	reply := k.vote(state, request)
@@ -89,87 +89,87 @@
 	return reply
 }
 
-// vote answers from the record where there is one. The keeper may grant only
-// if it knows of every grant of the whole window, also where its record is the
-// asking attempt's own: in an older version another may have had the majority.
-func (k *Keeper) vote(state *seatState, request Grant) GrantReply {
-	held := k.live(request.Key)
+// vote answers from the key's record if there is one. The keeper may grant only if
+// it knows of every grant within the whole window, even if the record is of the
+// asking attempt: another attempt may have had the majority in an older version.
+func (k *Keeper) vote(state *slotState, request Grant) GrantReply {
+	entry := k.liveRecord(request.Key)
 	reply := GrantReply{Vote: VoteGranted}
-	recorded := held != nil && (!held.free() || slices.Contains(held.released, request.Attempt))
-	if recorded {
-		reply = held.vote(k.now, request.Attempt, request.Fingerprint)
+	hasRecord := entry != nil && (!entry.isUnclaimed() || slices.Contains(entry.released, request.Attempt))
+	if hasRecord {
+		reply = entry.vote(k.now, request.Attempt, request.Fingerprint)
 	}
-	wait := state.wait(k.now, k.options.retention(request.Window))
+	wait := state.timeUntilFullHistory(k.now, k.options.retention(request.Window))
 	if reply.Vote == VoteGranted && wait > 0 && !k.options.Defects.YoungVouches {
 		return GrantReply{Vote: VoteIncompleteHistory, RetryAfter: wait}
 	}
-	if recorded {
+	if hasRecord {
 		return reply
 	}
-	if held == nil {
-		held = k.newRecord(request.Key, request.Slot.Index)
+	if entry == nil {
+		entry = k.newRecord(request.Key, request.Slot.Index)
 	}
-	if held == nil {
+	if entry == nil {
 		return GrantReply{Vote: VoteFull}
 	}
-	held.fingerprint = request.Fingerprint
-	held.holders = []string{request.Attempt}
-	held.node = request.Node
-	held.lost = false
-	held.attemptEnds = k.now.Add(k.options.AttemptTimeout)
-	held.expires = later(held.expires, k.now.Add(k.options.retention(request.Window)))
+	entry.fingerprint = request.Fingerprint
+	entry.holders = []string{request.Attempt}
+	entry.node = request.Node
+	entry.outcomeLost = false
+	entry.attemptEndsAt = k.now.Add(k.options.AttemptTimeout)
+	entry.expiresAt = later(entry.expiresAt, k.now.Add(k.options.retention(request.Window)))
 	return GrantReply{Vote: VoteGranted}
 }
 
 func (k *Keeper) complete(request Complete) CompleteReply {
-	k.learn(request.Slot)
+	k.updateSlot(request.Slot)
 	state := k.slots[request.Slot.Index]
-	held := k.live(request.Key)
-	if held == nil && state.member {
-		held = k.newRecord(request.Key, request.Slot.Index)
+	entry := k.liveRecord(request.Key)
+	if entry == nil && state.isMember {
+		entry = k.newRecord(request.Key, request.Slot.Index)
 	}
-	if held != nil {
-		k.end(held, request)
+	if entry != nil {
+		k.recordOutcome(entry, request)
 	}
 	return CompleteReply{Slot: state.slot}
 }
 
-// end records an attempt's outcome. An attempt that ran had a majority, so
-// any other holder here can no longer get one.
-func (k *Keeper) end(held *record, request Complete) {
+// recordOutcome records an attempt's outcome. An attempt that ran had a majority, so
+// no other holder of this record can obtain one.
+func (k *Keeper) recordOutcome(entry *record, request Complete) {
 	switch request.Outcome {
 	case NotRun:
-		held.release(request.Attempt)
-		held.expires = later(held.expires, k.now.Add(k.options.AttemptTimeout))
+		entry.release(request.Attempt)
+		entry.expiresAt = later(entry.expiresAt, k.now.Add(k.options.AttemptTimeout))
 	case Ran:
-		held.fingerprint = request.Fingerprint
-		held.done = true
-		held.holders = nil
-		k.storeAnswer(held, request.Answer)
-		held.expires = later(held.expires, k.now.Add(k.options.retention(request.Window)))
+		entry.fingerprint = request.Fingerprint
+		entry.done = true
+		entry.holders = nil
+		k.storeAnswer(entry, request.Answer)
+		entry.expiresAt = later(entry.expiresAt, k.now.Add(k.options.retention(request.Window)))
 	default:
-		held.fingerprint = request.Fingerprint
-		held.holders = []string{request.Attempt}
-		held.lost = true
-		held.expires = later(held.expires, k.now.Add(k.options.retention(request.Window)))
+		entry.fingerprint = request.Fingerprint
+		entry.holders = []string{request.Attempt}
+		entry.outcomeLost = true
+		entry.expiresAt = later(entry.expiresAt, k.now.Add(k.options.retention(request.Window)))
 	}
 }
 
-// storeAnswer keeps the body only where there is room for it.
-func (k *Keeper) storeAnswer(held *record, answer *Answer) {
-	k.answerBytes -= bodyBytes(held.answer)
-	held.answer = nil
+// storeAnswer stores the answer, without its body if that exceeds the limits.
+func (k *Keeper) storeAnswer(entry *record, answer *Answer) {
+	k.answerBytes -= bodyBytes(entry.answer)
+	entry.answer = nil
 	if answer == nil {
 		return
 	}
-	kept := *answer
-	size := len(kept.Body)
+	stored := *answer
+	size := len(stored.Body)
 	if size > k.options.MaxAnswerBytes || k.answerBytes+size > k.options.MaxAnswersBytes {
-		kept.Body = nil
-		kept.BodyOmitted = true
+		stored.Body = nil
+		stored.BodyOmitted = true
 	}
-	held.answer = &kept
-	k.answerBytes += bodyBytes(held.answer)
+	entry.answer = &stored
+	k.answerBytes += bodyBytes(entry.answer)
 }
 
 func bodyBytes(answer *Answer) int {
@@ -179,61 +179,61 @@
 	return len(answer.Body)
 }
 
-// live returns the key's record unless it has expired.
-func (k *Keeper) live(key string) *record {
-	held := k.records[key]
-	if held == nil {
+// liveRecord returns the key's record unless it has expired.
+func (k *Keeper) liveRecord(key string) *record {
+	entry := k.records[key]
+	if entry == nil {
 		return nil
 	}
-	timedOut := k.options.Defects.FreesTimedOut && held.unknown(k.now)
-	if k.now.After(held.expires) || timedOut {
-		k.drop(held)
+	timedOut := k.options.Defects.FreesTimedOut && entry.isOutcomeUnknown(k.now)
+	if k.now.After(entry.expiresAt) || timedOut {
+		k.removeRecord(entry)
 		return nil
 	}
-	return held
+	return entry
 }
 
-func (k *Keeper) drop(held *record) {
-	k.answerBytes -= bodyBytes(held.answer)
-	delete(k.records, held.key)
+func (k *Keeper) removeRecord(entry *record) {
+	k.answerBytes -= bodyBytes(entry.answer)
+	delete(k.records, entry.key)
 }
 
-// newRecord returns an empty record, or nil when the keeper is full: a live
-// record is never dropped for another.
+// newRecord returns an empty record, or nil if the keeper is full: a live record
+// is never dropped for another.
 func (k *Keeper) newRecord(key string, slot int) *record {
 	if len(k.records) >= k.options.MaxRecords {
 		if !k.options.Defects.ForgetsWhenFull {
 			return nil
 		}
-		k.dropOldest()
+		k.removeOldest()
 	}
-	held := &record{key: key, slot: slot}
-	k.records[key] = held
-	return held
+	entry := &record{key: key, slot: slot}
+	k.records[key] = entry
+	return entry
 }
 
-// dropOldest is the planted defect of silent forgetting.
-func (k *Keeper) dropOldest() {
+// removeOldest implements the deliberate fault ForgetsWhenFull.
+func (k *Keeper) removeOldest() {
 	var oldest *record
-	for _, held := range k.records {
-		if oldest == nil || held.expires.Before(oldest.expires) ||
-			held.expires.Equal(oldest.expires) && held.key < oldest.key {
-			oldest = held
+	for _, entry := range k.records {
+		if oldest == nil || entry.expiresAt.Before(oldest.expiresAt) ||
+			entry.expiresAt.Equal(oldest.expiresAt) && entry.key < oldest.key {
+			oldest = entry
 		}
 	}
 	if oldest != nil {
-		k.drop(oldest)
+		k.removeRecord(oldest)
 	}
 }
 
-func (k *Keeper) sweep() {
-	if k.now.Before(k.nextSweep) {
+func (k *Keeper) removeExpired() {
+	if k.now.Before(k.nextCleanupAt) {
 		return
 	}
-	k.nextSweep = k.now.Add(sweepInterval)
-	for _, held := range k.records {
-		if k.now.After(held.expires) {
-			k.drop(held)
+	k.nextCleanupAt = k.now.Add(cleanupInterval)
+	for _, entry := range k.records {
+		if k.now.After(entry.expiresAt) {
+			k.removeRecord(entry)
 		}
 	}
 }
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -27,7 +27,7 @@
 	return Grant{Key: "key", Fingerprint: []byte("body"), Attempt: attempt, Window: window, Slot: slot}
 }
 
-// grantReply returns the answer among the effects.
+// grantReply returns the GrantReply among the effects.
 func grantReply(t *testing.T, effects []KeeperEffect) GrantReply {
 	t.Helper()
 	for _, effect := range effects {
@@ -50,7 +50,7 @@
 	}
 	later := start.Add(time.Minute)
 	if reply := grantReply(t, keeper.Step(later, grantOf("two", slot))); reply.Vote != VoteUnknown {
-		t.Fatalf("after the attempt's time: %+v", reply)
+		t.Fatalf("after AttemptTimeout: %+v", reply)
 	}
 }
 
@@ -59,11 +59,12 @@
 	slot := slotOf(2, "a", "b", "d")
 	slot.Previous = [][]Seat{slotOf(1, "a", "b", "c").Seats}
 	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote != VoteIncompleteHistory {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("vote without the older records: %+v", reply)
 	}
 }
 
-// successor returns keeper d of version 2 after a and b handed over.
+// successor returns keeper d of version 2 after the named keepers have transferred
+// their records.
 func successor(t *testing.T, from ...string) *Keeper {
 	t.Helper()
 	slot := slotOf(2, "a", "b", "d")
@@ -79,7 +80,7 @@
 			}
 		}
 		if reply := grantReply(t, older.Step(start, grantOf("two", slotOf(1, "a", "b", "c")))); reply.Vote != VoteStale {
-			t.Fatalf("%s granted in a closed version: %+v", name, reply)
+			t.Fatalf("%s granted in a sealed version: %+v", name, reply)
 		}
 	}
 	return keeper
@@ -90,14 +91,14 @@
 	other := Grant{Key: "other", Attempt: "two", Window: window, Slot: slot}
 	keeper := successor(t, "a")
 	if reply := grantReply(t, keeper.Step(start, other)); reply.Vote != VoteIncompleteHistory {
-		t.Fatalf("after one hand-over: %+v", reply)
+		t.Fatalf("after the records of one keeper: %+v", reply)
 	}
 	keeper = successor(t, "a", "b")
 	if reply := grantReply(t, keeper.Step(start, other)); reply.Vote != VoteGranted {
-		t.Fatalf("a fresh key after two: %+v", reply)
+		t.Fatalf("unused key after the records of two keepers: %+v", reply)
 	}
 	if reply := grantReply(t, keeper.Step(start, grantOf("two", slot))); reply.Vote != VoteInProgress {
-		t.Fatalf("a key that was handed over: %+v", reply)
+		t.Fatalf("key with a transferred record: %+v", reply)
 	}
 }
 
@@ -107,12 +108,12 @@
 	slot := slotOf(2, "a", "b", "d")
 	ask := Grant{Key: "other", Attempt: "two", Window: window, Slot: slot}
 	retention := KeeperOptions{}.withDefaults().retention(window)
-	for _, moment := range []struct {
+	for _, test := range []struct {
 		after time.Duration
 		vote  Vote
 	}{{0, VoteIncompleteHistory}, {window, VoteIncompleteHistory}, {retention, VoteGranted}} {
-		if reply := grantReply(t, keeper.Step(start.Add(moment.after), ask)); reply.Vote != moment.vote {
-			t.Errorf("after %v: %+v", moment.after, reply)
+		if reply := grantReply(t, keeper.Step(start.Add(test.after), ask)); reply.Vote != test.vote {
+			t.Errorf("after %v: %+v", test.after, reply)
 		}
 	}
 }
@@ -123,7 +124,7 @@
 	grantReply(t, keeper.Step(start, grantOf("one", slot)))
 	ask := Grant{Key: "other", Attempt: "two", Window: window, Slot: slot}
 	if reply := grantReply(t, keeper.Step(start, ask)); reply.Vote != VoteFull {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("vote of a full keeper: %+v", reply)
 	}
 	keeper.Step(start, Complete{
 		Key: "key", Fingerprint: []byte("body"), Attempt: "one", Window: window, Slot: slot,
@@ -131,15 +132,15 @@
 	})
 	reply := grantReply(t, keeper.Step(start.Add(window), grantOf("three", slot)))
 	if reply.Vote != VoteDone || !reply.Answer.BodyOmitted || reply.Answer.Status != 200 {
-		t.Fatalf("the record at the end of the window: %+v", reply)
+		t.Fatalf("record at the end of the window: %+v", reply)
 	}
 	mismatch := grantOf("four", slot)
 	mismatch.Fingerprint = []byte("another body")
 	if reply := grantReply(t, keeper.Step(start.Add(window), mismatch)); reply.Vote != VoteMismatch {
-		t.Fatalf("another request: %+v", reply)
+		t.Fatalf("same key with another request: %+v", reply)
 	}
 	if reply := grantReply(t, keeper.Step(start.Add(2*window), ask)); reply.Vote != VoteGranted {
-		t.Fatalf("after the record's time: %+v", reply)
+		t.Fatalf("after the record expired: %+v", reply)
 	}
 }
 
@@ -148,16 +149,16 @@
 	keeper := NewKeeper(KeeperOptions{Self: seat("a")})
 	keeper.Step(start, Complete{Key: "key", Attempt: "one", Window: window, Slot: slot, Outcome: NotRun})
 	if reply := grantReply(t, keeper.Step(start, grantOf("one", slot))); reply.Vote == VoteGranted {
-		t.Fatal("granted to an attempt that gave up")
+		t.Fatal("granted a released attempt")
 	}
 	if reply := grantReply(t, keeper.Step(start, grantOf("two", slot))); reply.Vote != VoteGranted {
-		t.Fatalf("another attempt: %+v", reply)
+		t.Fatalf("vote on another attempt: %+v", reply)
 	}
 }
 
-// TestOwnRecordIsNotEnoughBeforeSettling holds what a drawn schedule found: an
-// attempt that a minority had granted was granted again in the next version by
-// a keeper that had not yet gathered the records of the others.
+// Guards against a keeper granting an attempt on the strength of its own record alone:
+// an attempt that a minority had granted was granted again in the next version by a
+// keeper that had not collected the other keepers' records yet.
 func TestOwnRecordIsNotEnoughBeforeSettling(t *testing.T) {
 	older, slot := slotOf(1, "a", "b", "c"), slotOf(2, "a", "b", "d")
 	slot.Previous = [][]Seat{older.Seats}
@@ -170,8 +171,8 @@
 	}
 }
 
-// TestVersionsNeverHaveTwoMajorities lets one asker count on an older version
-// and another on the newer one. The planted defect proves that it can fail.
+// One asker uses an older version of the slot and another the newer one: only one of
+// them may obtain a majority. The run with IgnoresVersion shows that the test can fail.
 func TestVersionsNeverHaveTwoMajorities(t *testing.T) {
 	older, newer := slotOf(1, "a", "b", "c"), slotOf(2, "a", "b", "d")
 	newer.Previous = [][]Seat{older.Seats}
@@ -193,23 +194,23 @@
 		}
 		keepers["b"].Step(start, SealAnswered{Version: 2, From: seat("a"), Reply: SealReply{Settled: true, KnowsAll: true}})
 		majorities := 0
-		for _, asked := range []struct {
+		for _, request := range []struct {
 			attempt string
 			slot    Slot
 			names   []string
 		}{{"one", older, []string{"a", "c"}}, {"two", newer, []string{"b", "d"}}} {
 			votes := 0
-			for _, name := range asked.names {
-				if grantReply(t, keepers[name].Step(start, grantOf(asked.attempt, asked.slot))).Vote == VoteGranted {
+			for _, name := range request.names {
+				if grantReply(t, keepers[name].Step(start, grantOf(request.attempt, request.slot))).Vote == VoteGranted {
 					votes++
 				}
 			}
-			if votes >= Majority(asked.slot.Seats) {
+			if votes >= Majority(request.slot.Seats) {
 				majorities++
 			}
 		}
-		if planted := defects.IgnoresVersion; planted != (majorities == 2) {
-			t.Errorf("with the defect %v: %d majorities", planted, majorities)
+		if injected := defects.IgnoresVersion; injected != (majorities == 2) {
+			t.Errorf("with the fault %v: %d majorities", injected, majorities)
 		}
 	}
 }
--- a/internal/claim/message.go
+++ b/internal/claim/message.go
@@ -6,25 +6,25 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// KeeperMessage is what a Keeper takes. Each of Grant, Complete and Seal is
+// KeeperMessage is an input of Keeper.Step. Each Grant, Complete and Seal is
 // answered by one effect of the same Step.
 type KeeperMessage interface{ keeperMessage() }
 
-// Tick says that NextWake has come.
+// Tick reports that the time of NextWake has come.
 type Tick struct{}
 
-// Grant asks to vouch for an attempt.
+// Grant asks the keeper to grant an attempt.
 type Grant struct {
 	Key         string
 	Fingerprint []byte
 	Attempt     string
 	Node        fleet.NodeName
 	Window      time.Duration
-	// Slot is the version that the asker counts on.
+	// Slot is the version of the slot that the asker uses.
 	Slot Slot
 }
 
-// Complete tells how an attempt ended. NotRun also gives up an attempt that
+// Complete reports how an attempt ended. NotRun also releases an attempt that
 // was not granted by a majority.
 type Complete struct {
 	Key         string
@@ -36,14 +36,14 @@
 	Slot        Slot
 }
 
-// SlotUpdate tells of a version of a slot.
+// SlotUpdate announces a version of a slot.
 type SlotUpdate struct{ Slot Slot }
 
-// Seal asks an older keeper for its records; it grants no more in older
-// versions.
+// Seal asks a keeper of an older version for its records. From then on it grants
+// nothing in versions before Slot.
 type Seal struct{ Slot Slot }
 
-// SealAnswered is an older keeper's answer to a Seal that this keeper sent.
+// SealAnswered is the answer of a keeper of an older version to this keeper's RequestSeal.
 type SealAnswered struct {
 	Index   int
 	Version uint64
@@ -51,11 +51,11 @@
 	Reply   SealReply
 }
 
-// ProcessEnded says that a process has ended for good.
+// ProcessEnded reports that a process has ended for good.
 type ProcessEnded struct{ Seat Seat }
 
-// NodeLost says that the failure detector lost a node: its attempts are not
-// going to be told of.
+// NodeLost reports that the failure detector considers a node lost: no outcome
+// of its attempts will arrive.
 type NodeLost struct{ Node fleet.NodeName }
 
 func (Tick) keeperMessage()         {}
@@ -67,10 +67,10 @@
 func (ProcessEnded) keeperMessage() {}
 func (NodeLost) keeperMessage()     {}
 
-// KeeperEffect is what a Keeper wants done.
+// KeeperEffect is an action that Keeper.Step requests from its caller.
 type KeeperEffect interface{ keeperEffect() }
 
-// Vote is one keeper's word on an attempt.
+// Vote is one keeper's answer to a Grant.
 type Vote int
 
 // The votes; see the verdicts of the same names.
@@ -82,11 +82,12 @@
 	VoteDone
 	VoteMismatch
 	VoteUnknown
-	// VoteIncompleteHistory means that the keeper does not know of the whole window.
+	// VoteIncompleteHistory means that the keeper does not know of all grants
+	// within the window yet.
 	VoteIncompleteHistory
-	// VoteFull means that the keeper can hold no more records.
+	// VoteFull means that the keeper has reached its limit of records.
 	VoteFull
-	// VoteStale means that asker and keeper know different versions.
+	// VoteStale means that asker and keeper use different versions of the slot.
 	VoteStale
 )
 
@@ -96,26 +97,27 @@
 	Answer *Answer
 	// Holder is the attempt that holds the key, for VoteInProgress.
 	Holder string
-	// Slot is the newest version that the keeper knows.
+	// Slot is the newest version known to the keeper.
 	Slot Slot
-	// RetryAfter is when a keeper that is too young will vouch.
+	// RetryAfter is how long until the keeper can grant, for VoteIncompleteHistory.
 	RetryAfter time.Duration
 }
 
-// CompleteReply answers a Complete with the newest version known.
+// CompleteReply answers a Complete with the newest known version of the slot.
 type CompleteReply struct{ Slot Slot }
 
 // SealReply answers a Seal.
 type SealReply struct {
-	// Settled is set where the keeper knows of all that was granted in older
-	// versions within KnownFor; Always means without limit.
+	// Settled is set if the keeper knows of everything that was granted in older
+	// versions within the past KnownFor; KnowsAll means without a time limit.
 	Settled  bool
 	KnowsAll bool
 	KnownFor time.Duration
 	Records  []TransferredRecord
 }
 
-// TransferredRecord is a record on its way to another keeper.
+// TransferredRecord is a record as sent to a keeper of a newer version. Times are
+// relative, as the clocks of two nodes are not comparable.
 type TransferredRecord struct {
 	Key           string
 	Fingerprint   []byte
@@ -128,7 +130,8 @@
 	Answer        *Answer
 }
 
-// RequestSeal asks an older keeper to seal; the answer comes back as Handed.
+// RequestSeal asks the caller to send a Seal to a keeper of an older version; the
+// answer returns as SealAnswered.
 type RequestSeal struct {
 	To   Seat
 	Slot Slot
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -6,18 +6,18 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// PlanInput is what the planner of the table knows of the seats.
+// PlanInput is what the planner knows about members and seats.
 type PlanInput struct {
-	// Usable are the members that may have a seat.
+	// Usable are the members that may hold a seat.
 	Usable []fleet.Member
-	// Settled names the seats that said they are settled, by slot index, at
-	// the slot's present version.
+	// Settled lists, by slot index, the seats that reported to be settled at the
+	// slot's current version.
 	Settled map[int][]Seat
 	// HasEnded reports whether the process has ended for good.
 	HasEnded func(Seat) bool
 }
 
-// NewTable returns the first table of a fleet in which no key was ever granted.
+// NewTable returns the initial table of a fleet in which no key was ever granted.
 func NewTable(usable []fleet.Member) Table {
 	table := Table{Slots: make([]Slot, SlotCount)}
 	for index := range table.Slots {
@@ -27,13 +27,13 @@
 }
 
 // Plan returns the table with unusable seats replaced, and whether anything
-// changed. A slot changes only if enough of its seats to overlap every majority
+// changed. A slot changes only if enough of its seats to intersect every majority
 // are settled or have ended for good.
-func Plan(table Table, evidence PlanInput) (Table, bool) {
+func Plan(table Table, input PlanInput) (Table, bool) {
 	planned := Table{Slots: slices.Clone(table.Slots)}
 	changed := false
 	for index, slot := range planned.Slots {
-		if next, differs := planSlot(slot, evidence); differs {
+		if next, differs := planSlot(slot, input); differs {
 			planned.Slots[index] = next
 			changed = true
 		}
@@ -41,14 +41,14 @@
 	return planned, changed
 }
 
-func planSlot(slot Slot, evidence PlanInput) (Slot, bool) {
-	seats := seatsOf(SelectVoters(slot.Index, kept(slot, evidence.Usable), evidence.Usable))
+func planSlot(slot Slot, input PlanInput) (Slot, bool) {
+	seats := seatsOf(SelectVoters(slot.Index, retainedMembers(slot, input.Usable), input.Usable))
 	if len(seats) == 0 || sameSeats(seats, slot.Seats) {
 		return slot, false
 	}
 	next := Slot{Index: slot.Index, Version: slot.Version + 1, Seats: seats}
-	settled := evidence.Settled[slot.Index]
-	if closable(slot.Seats, settled, evidence.HasEnded) < Overlap(slot.Seats) {
+	settled := input.Settled[slot.Index]
+	if countClosable(slot.Seats, settled, input.HasEnded) < Overlap(slot.Seats) {
 		return slot, false
 	}
 	if len(settled) > 0 {
@@ -59,19 +59,19 @@
 	return next, true
 }
 
-// kept returns the members whose seats stay. A second seat in one zone is
-// given up where another zone has none.
-func kept(slot Slot, usable []fleet.Member) []fleet.Member {
+// retainedMembers returns the members that keep their seats. A second seat in the same
+// zone is given up if another zone has none.
+func retainedMembers(slot Slot, usable []fleet.Member) []fleet.Member {
 	var members []fleet.Member
 	for _, seat := range slot.Seats {
-		position := slices.IndexFunc(usable, func(member fleet.Member) bool {
+		index := slices.IndexFunc(usable, func(member fleet.Member) bool {
 			return member.Name == seat.Name && member.BootID == seat.Boot
 		})
-		if position < 0 {
+		if index < 0 {
 			continue
 		}
-		member := usable[position]
-		if inZone(members, member.Zone) && zoneWithout(slot, usable) {
+		member := usable[index]
+		if containsZone(members, member.Zone) && hasUncoveredZone(slot, usable) {
 			continue
 		}
 		members = append(members, member)
@@ -79,23 +79,23 @@
 	return members
 }
 
-// zoneWithout reports whether there is a usable member of a zone in which the
-// slot has no usable seat.
-func zoneWithout(slot Slot, usable []fleet.Member) bool {
-	seated := make(map[fleet.Zone]bool)
+// hasUncoveredZone reports whether a zone has a usable member but no usable seat of
+// the slot.
+func hasUncoveredZone(slot Slot, usable []fleet.Member) bool {
+	covered := make(map[fleet.Zone]bool)
 	for _, member := range usable {
-		if contains(slot.Seats, Seat{Name: member.Name, Boot: member.BootID}) {
-			seated[member.Zone] = true
+		if containsProcess(slot.Seats, Seat{Name: member.Name, Boot: member.BootID}) {
+			covered[member.Zone] = true
 		}
 	}
-	return slices.ContainsFunc(usable, func(member fleet.Member) bool { return !seated[member.Zone] })
+	return slices.ContainsFunc(usable, func(member fleet.Member) bool { return !covered[member.Zone] })
 }
 
-// closable counts the seats that can hand over or have ended for good.
-func closable(seats, settled []Seat, gone func(Seat) bool) int {
+// countClosable counts the seats that can transfer their records or have ended for good.
+func countClosable(seats, settled []Seat, hasEnded func(Seat) bool) int {
 	count := 0
 	for _, seat := range seats {
-		if contains(settled, seat) || gone(seat) {
+		if containsProcess(settled, seat) || hasEnded(seat) {
 			count++
 		}
 	}
@@ -114,5 +114,5 @@
 	if len(first) != len(second) {
 		return false
 	}
-	return !slices.ContainsFunc(first, func(seat Seat) bool { return !contains(second, seat) })
+	return !slices.ContainsFunc(first, func(seat Seat) bool { return !containsProcess(second, seat) })
 }
--- a/internal/claim/plan_test.go
+++ b/internal/claim/plan_test.go
@@ -34,24 +34,24 @@
 	slot := slotOf(3, "a", "b", "c")
 	slot.Previous = [][]Seat{slotOf(2, "a", "b", "x").Seats}
 	table := Table{Slots: []Slot{slot}}
-	for _, situation := range []struct {
+	for _, test := range []struct {
 		name        string
 		settled     []Seat
-		gone        func(Seat) bool
+		hasEnded    func(Seat) bool
 		changes     bool
 		generations int
 	}{
 		{"two settled", []Seat{seat("a"), seat("b")}, never, true, 1},
 		{"one settled", []Seat{seat("a")}, never, false, 1},
-		{"one settled and one gone", []Seat{seat("a")}, seat("c").SameProcess, true, 1},
-		{"none settled, all gone", nil, func(Seat) bool { return true }, true, 2},
-		{"none settled, one gone", nil, seat("c").SameProcess, false, 1},
+		{"one settled and one ended", []Seat{seat("a")}, seat("c").SameProcess, true, 1},
+		{"none settled, all ended", nil, func(Seat) bool { return true }, true, 2},
+		{"none settled, one ended", nil, seat("c").SameProcess, false, 1},
 	} {
-		t.Run(situation.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			planned, changed := Plan(table, PlanInput{
-				Usable: usable, Settled: map[int][]Seat{0: situation.settled}, HasEnded: situation.gone,
+				Usable: usable, Settled: map[int][]Seat{0: test.settled}, HasEnded: test.hasEnded,
 			})
-			if changed != situation.changes || len(planned.Slots[0].Previous) != situation.generations {
+			if changed != test.changes || len(planned.Slots[0].Previous) != test.generations {
 				t.Fatalf("changed %v: %+v", changed, planned.Slots[0])
 			}
 		})
--- a/internal/claim/seat.go
+++ b/internal/claim/seat.go
@@ -6,148 +6,151 @@
 	"time"
 )
 
-// seatState is what a keeper knows of one slot.
+// slotState is a keeper's state of one slot.
 //
 // Invariant: a settled keeper knows of every attempt that a majority of an
 // older version granted at or after knownSince.
-type seatState struct {
-	slot   Slot
-	member bool
-	// settled holds for slot.Version; settledVersion is the newest version for
-	// which it ever held, with always and knownSince as of then.
+type slotState struct {
+	slot     Slot
+	isMember bool
+	// settled refers to slot.Version. settledVersion is the newest version that was
+	// ever settled; knowsAll and knownSince are as of then.
 	settled        bool
 	settledVersion uint64
-	always         bool
+	knowsAll       bool
 	knownSince     time.Time
-	// complete is set once no further answer can tell more.
-	complete bool
-	answered map[Seat]SealReply
-	heard    map[Seat]time.Time
-	nextAsk  time.Time
+	// isTransferComplete is set once no further answer can add records.
+	isTransferComplete bool
+	sealReplies        map[Seat]SealReply
+	sealRepliedAt      map[Seat]time.Time
+	nextSealRequestAt  time.Time
 }
 
-// identity is the seat without its address.
+// identity returns the seat without its address, for use as a map key.
 func identity(seat Seat) Seat {
 	return Seat{Name: seat.Name, Boot: seat.Boot}
 }
 
-// waits reports whether older keepers are still to be asked.
-func (s *seatState) waits() bool {
-	return s.member && !s.complete
+// awaitsTransfer reports whether keepers of older versions still have to be asked.
+func (s *slotState) awaitsTransfer() bool {
+	return s.isMember && !s.isTransferComplete
 }
 
-// wait is how long until the keeper knows of the whole retention.
-func (s *seatState) wait(now time.Time, retention time.Duration) time.Duration {
+// timeUntilFullHistory returns how long until the keeper knows of all grants within
+// the retention time.
+func (s *slotState) timeUntilFullHistory(now time.Time, retention time.Duration) time.Duration {
 	switch {
 	case !s.settled:
-		return unsettledRetry
-	case s.always:
+		return unsettledRetryDelay
+	case s.knowsAll:
 		return 0
 	default:
 		return retention - now.Sub(s.knownSince)
 	}
 }
 
-// unsettledRetry is when to ask a keeper again that is gathering records.
-const unsettledRetry = 100 * time.Millisecond
+// unsettledRetryDelay is after how long to ask a keeper again that is still collecting
+// records.
+const unsettledRetryDelay = 100 * time.Millisecond
 
-// learn takes a newer version of a slot. From here on nothing is granted in an
-// older one.
-func (k *Keeper) learn(slot Slot) {
+// updateSlot switches to a newer version of a slot. From here on nothing is granted
+// in an older one.
+func (k *Keeper) updateSlot(slot Slot) {
 	state := k.slots[slot.Index]
 	if state == nil {
-		state = &seatState{}
+		state = &slotState{}
 		k.slots[slot.Index] = state
 	}
 	if slot.Version <= state.slot.Version {
 		return
 	}
 	state.slot = slot
-	state.member = contains(slot.Seats, k.options.Self)
+	state.isMember = containsProcess(slot.Seats, k.options.Self)
 	state.settled = false
-	state.complete = false
-	state.answered = make(map[Seat]SealReply)
-	state.heard = make(map[Seat]time.Time)
-	state.nextAsk = k.now
-	if !state.member {
+	state.isTransferComplete = false
+	state.sealReplies = make(map[Seat]SealReply)
+	state.sealRepliedAt = make(map[Seat]time.Time)
+	state.nextSealRequestAt = k.now
+	if !state.isMember {
 		return
 	}
 	if len(slot.Previous) == 0 {
 		k.settle(state, true, k.now)
-		state.complete = true
+		state.isTransferComplete = true
 		return
 	}
-	if contains(slices.Concat(slot.Previous...), k.options.Self) {
+	if containsProcess(slices.Concat(slot.Previous...), k.options.Self) {
 		self := identity(k.options.Self)
-		state.answered[self] = k.sealReply(state)
-		state.heard[self] = k.now
+		state.sealReplies[self] = k.sealReply(state)
+		state.sealRepliedAt[self] = k.now
 	}
 	k.trySettle(state)
 }
 
-// seal answers a keeper of a newer version; learn has closed the older ones.
-func (k *Keeper) seal(slot Slot) SealReply {
-	k.learn(slot)
+// handleSeal answers a keeper of a newer version; updateSlot stops grants in older ones.
+func (k *Keeper) handleSeal(slot Slot) SealReply {
+	k.updateSlot(slot)
 	state := k.slots[slot.Index]
 	reply := k.sealReply(state)
 	for _, key := range slices.Sorted(maps.Keys(k.records)) {
-		if held := k.records[key]; held.slot == slot.Index && !k.now.After(held.expires) {
-			reply.Records = append(reply.Records, held.handed(k.now))
+		if entry := k.records[key]; entry.slot == slot.Index && !k.now.After(entry.expiresAt) {
+			reply.Records = append(reply.Records, entry.transferred(k.now))
 		}
 	}
 	return reply
 }
 
-// sealReply tells, without records, how far back this keeper knows. It counts
-// as settled where that holds for the version before the slot's.
-func (k *Keeper) sealReply(state *seatState) SealReply {
+// sealReply reports how far back this keeper's knowledge reaches, without records. The
+// keeper counts as settled if it was in the version before the slot's, or later.
+func (k *Keeper) sealReply(state *slotState) SealReply {
 	return SealReply{
 		Settled:  state.settledVersion > 0 && state.settledVersion+1 >= state.slot.Version,
-		KnowsAll: state.always,
+		KnowsAll: state.knowsAll,
 		KnownFor: k.now.Sub(state.knownSince),
 	}
 }
 
-func (k *Keeper) handed(message SealAnswered) {
+func (k *Keeper) handleSealAnswer(message SealAnswered) {
 	state := k.slots[message.Index]
-	if state == nil || !state.waits() || state.slot.Version != message.Version {
+	if state == nil || !state.awaitsTransfer() || state.slot.Version != message.Version {
 		return
 	}
 	for _, other := range message.Reply.Records {
-		k.joinRecord(message.Index, other)
+		k.mergeRecord(message.Index, other)
 	}
 	from := identity(message.From)
-	state.answered[from] = message.Reply
-	state.heard[from] = k.now
+	state.sealReplies[from] = message.Reply
+	state.sealRepliedAt[from] = k.now
 	k.trySettle(state)
 }
 
-// joinRecord must not fail for lack of room: an unknown grant is a call that
-// may run twice. What is handed over is bounded by the senders' own limits.
-func (k *Keeper) joinRecord(slot int, other TransferredRecord) {
-	held := k.live(other.Key)
-	if held == nil {
-		held = &record{key: other.Key, slot: slot}
-		k.records[other.Key] = held
+// mergeRecord ignores MaxRecords: without the record of a grant the call may run
+// twice. The number of transferred records is bounded by the senders' own limits.
+func (k *Keeper) mergeRecord(slot int, other TransferredRecord) {
+	entry := k.liveRecord(other.Key)
+	if entry == nil {
+		entry = &record{key: other.Key, slot: slot}
+		k.records[other.Key] = entry
 	}
-	k.answerBytes -= bodyBytes(held.answer)
-	held.join(k.now, other)
-	answer := held.answer
-	held.answer = nil
-	k.storeAnswer(held, answer)
+	k.answerBytes -= bodyBytes(entry.answer)
+	entry.merge(k.now, other)
+	answer := entry.answer
+	entry.answer = nil
+	k.storeAnswer(entry, answer)
 }
 
-func (k *Keeper) markGone(seat Seat) {
-	k.gone[identity(seat)] = true
+func (k *Keeper) markEnded(seat Seat) {
+	k.endedProcesses[identity(seat)] = true
 	for _, index := range slices.Sorted(maps.Keys(k.slots)) {
-		if state := k.slots[index]; state.waits() {
+		if state := k.slots[index]; state.awaitsTransfer() {
 			k.trySettle(state)
 		}
 	}
 }
 
-// trySettle applies the two rules of docs/design/at-most-once.md.
-func (k *Keeper) trySettle(state *seatState) {
+// trySettle applies the two rules of docs/design/at-most-once.md by which a keeper
+// becomes settled.
+func (k *Keeper) trySettle(state *slotState) {
 	newest := state.slot.Previous[len(state.slot.Previous)-1]
 	if k.settleFromRecords(state, newest) {
 		return
@@ -156,26 +159,26 @@
 		return
 	}
 	for _, generation := range state.slot.Previous {
-		if k.closed(state, generation) < Overlap(generation) {
+		if k.countSealed(state, generation) < Overlap(generation) {
 			return
 		}
 	}
 	k.settle(state, false, k.now)
 }
 
-// settleFromRecords holds where enough seats of the newest older version to
-// overlap every majority handed their records over and one of them was settled in it.
-func (k *Keeper) settleFromRecords(state *seatState, generation []Seat) bool {
+// settleFromRecords settles the slot if enough seats of the preceding version to
+// intersect every majority have sent their records and one of them was settled in it.
+func (k *Keeper) settleFromRecords(state *slotState, generation []Seat) bool {
 	answers := 0
 	var best *SealReply
 	var bestSince time.Time
 	for _, seat := range generation {
-		reply, found := state.answered[identity(seat)]
+		reply, found := state.sealReplies[identity(seat)]
 		if !found {
 			continue
 		}
 		answers++
-		since := state.heard[identity(seat)].Add(-reply.KnownFor)
+		since := state.sealRepliedAt[identity(seat)].Add(-reply.KnownFor)
 		if reply.Settled && (best == nil || reply.KnowsAll || !best.KnowsAll && since.Before(bestSince)) {
 			best = &reply
 			bestSince = since
@@ -185,53 +188,53 @@
 		return false
 	}
 	k.settle(state, best.KnowsAll, bestSince)
-	state.complete = answers == len(generation) || best.KnowsAll
+	state.isTransferComplete = answers == len(generation) || best.KnowsAll
 	return true
 }
 
-// closed counts the seats that can grant no more: they answered, or ended.
-func (k *Keeper) closed(state *seatState, generation []Seat) int {
+// countSealed counts the seats that can no longer grant because they answered or ended.
+func (k *Keeper) countSealed(state *slotState, generation []Seat) int {
 	count := 0
 	for _, seat := range generation {
-		if _, found := state.answered[identity(seat)]; found || k.gone[identity(seat)] {
+		if _, found := state.sealReplies[identity(seat)]; found || k.endedProcesses[identity(seat)] {
 			count++
 		}
 	}
 	return count
 }
 
-func (k *Keeper) settle(state *seatState, always bool, since time.Time) {
+func (k *Keeper) settle(state *slotState, knowsAll bool, since time.Time) {
 	state.settled = true
 	state.settledVersion = state.slot.Version
-	state.always = always
+	state.knowsAll = knowsAll
 	state.knownSince = since
 }
 
-// askOlderKeepers repeats the requests that were not answered.
-func (k *Keeper) askOlderKeepers() {
+// requestSeals sends the due Seal requests that have not been answered.
+func (k *Keeper) requestSeals() {
 	for _, index := range slices.Sorted(maps.Keys(k.slots)) {
 		state := k.slots[index]
-		if !state.waits() || k.now.Before(state.nextAsk) {
+		if !state.awaitsTransfer() || k.now.Before(state.nextSealRequestAt) {
 			continue
 		}
-		state.nextAsk = k.now.Add(k.options.SealRetryInterval)
-		asked := make(map[Seat]bool)
+		state.nextSealRequestAt = k.now.Add(k.options.SealRetryInterval)
+		requested := make(map[Seat]bool)
 		for _, seat := range slices.Concat(state.slot.Previous...) {
-			_, found := state.answered[identity(seat)]
-			if found || k.gone[identity(seat)] || asked[identity(seat)] {
+			_, found := state.sealReplies[identity(seat)]
+			if found || k.endedProcesses[identity(seat)] || requested[identity(seat)] {
 				continue
 			}
-			asked[identity(seat)] = true
+			requested[identity(seat)] = true
 			k.effects = append(k.effects, RequestSeal{To: seat, Slot: state.slot})
 		}
 	}
 }
 
-// Settled returns the slots in which this process is settled, by index.
+// Settled returns the versions of the slots in which this process is settled, by index.
 func (k *Keeper) Settled() map[int]uint64 {
 	settled := make(map[int]uint64)
 	for index, state := range k.slots {
-		if state.member && state.settled {
+		if state.isMember && state.settled {
 			settled[index] = state.slot.Version
 		}
 	}
