--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,172 +6,177 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// allowance is what a coordinator may give of one quota.
-type allowance struct {
-	// perSecond and burst are those of a token bucket: what comes within it is granted
-	// as it comes.
+// grantLimits is what a coordinator may grant of one quota.
+type grantLimits struct {
+	// perSecond and burst define a token bucket, within which requests are granted as
+	// they arrive.
 	perSecond float64
 	burst     float64
-	// window bounds the sum over any window, and pace is the rate at which what the
-	// bucket leaves of that is granted beyond it.
-	window float64
-	pace   float64
-	length time.Duration
+	// windowTotal limits the sum over any window of windowLength. paceRate is the rate at
+	// which requests beyond the bucket are granted from what it leaves of windowTotal.
+	windowTotal  float64
+	paceRate     float64
+	windowLength time.Duration
 }
 
-// allowance is what a coordinator gives of a quota that hears from a part of the nodes.
-func (t Tolerance) allowance(quota routetable.Quota, part float64) allowance {
+// grantLimits returns the limits of a coordinator that may grant the given fraction of a quota.
+func (t Tolerance) grantLimits(quota routetable.Quota, fraction float64) grantLimits {
 	seconds := max(1, t.Window.Seconds())
-	allowed := allowance{
-		perSecond: quota.PerSecond * (1 + rateShare*t.Overage) * part,
-		burst:     max(1, quota.Burst+burstShare*t.Slack) * part,
-		pace:      paceShare * quota.Burst / seconds * part,
-		length:    t.Window,
+	limits := grantLimits{
+		perSecond:    quota.PerSecond * (1 + rateShare*t.Overage) * fraction,
+		burst:        max(1, quota.Burst+burstShare*t.Slack) * fraction,
+		paceRate:     paceShare * quota.Burst / seconds * fraction,
+		windowLength: t.Window,
 	}
 	if t.StrictRate {
-		allowed.pace = 0
+		limits.paceRate = 0
 	}
-	allowed.window = allowed.perSecond*seconds + allowed.burst
-	return allowed
+	limits.windowTotal = limits.perSecond*seconds + limits.burst
+	return limits
 }
 
-// slots are the parts of a window that its sum is kept by; one more is summed up, so
-// that every window is covered.
-const slots = 16
+// slotCount is the number of slots into which a window's sum is divided; one more slot is
+// added up, so that the sum covers any window in full.
+const slotCount = 16
 
-// account is what a coordinator knows of one tenant: a token bucket, a second one for what a
-// window allows beyond it, and the sum of the last window. A tenant that always sends
-// more than the bucket gives is so granted all that a window may hold, evenly.
+// account is a coordinator's state of one tenant: a token bucket, a second one for what the
+// window allows beyond the first, and the sum of the last window. A tenant that always sends
+// more than the first bucket yields is thus granted all that a window allows, evenly.
 type account struct {
-	bucket bucket
-	pace   bucket
-	opened time.Time
-	// closed is set while little is left.
-	closed bool
-	// mean is what requests count on the average.
-	mean float64
-	// line is when the last one that was refused is to come back.
-	line time.Time
-	sums [slots + 2]struct {
+	bucket     bucket
+	paceBucket bucket
+	openedAt   time.Time
+	// isNearQuota is set while little of the quota remains.
+	isNearQuota bool
+	// meanCost is the moving average of the requests' cost.
+	meanCost float64
+	// lastRetryAt is the latest retry time given to a refused request.
+	lastRetryAt time.Time
+	slots       [slotCount + 2]struct {
 		number int64
 		used   float64
 	}
 }
 
 func newAccount(now time.Time, level float64) *account {
-	return &account{bucket: bucket{level: level, at: now}, pace: bucket{at: now}, opened: now, closed: true}
+	return &account{bucket: bucket{level: level, updatedAt: now}, paceBucket: bucket{updatedAt: now}, openedAt: now, isNearQuota: true}
 }
 
-func (a *account) fill(now time.Time, allowed allowance) {
-	a.bucket.fill(now, allowed.perSecond, allowed.burst)
-	if now.Sub(a.opened) < allowed.length {
-		// What another coordinator granted in this window is not known.
-		a.pace.at = now
+func (a *account) refill(now time.Time, limits grantLimits) {
+	a.bucket.refill(now, limits.perSecond, limits.burst)
+	if now.Sub(a.openedAt) < limits.windowLength {
+		// Another coordinator may have granted requests in this window.
+		a.paceBucket.updatedAt = now
 	}
-	a.pace.fill(now, allowed.pace, allowed.pace*allowed.slot().Seconds())
+	a.paceBucket.refill(now, limits.paceRate, limits.paceRate*limits.slotLength().Seconds())
 }
 
-// note closes or opens the account by what is left.
-func (a *account) note(now time.Time, allowed allowance) {
-	left := min(a.bucket.level, allowed.window-a.used(now, allowed))
+// updateNearQuota sets or clears isNearQuota, with hysteresis, by what remains.
+func (a *account) updateNearQuota(now time.Time, limits grantLimits) {
+	remaining := min(a.bucket.level, limits.windowTotal-a.usedInWindow(now, limits))
 	switch {
-	case left < closeShare*allowed.burst:
-		a.closed = true
-	case left > openShare*allowed.burst:
-		a.closed = false
+	case remaining < enterNearQuotaShare*limits.burst:
+		a.isNearQuota = true
+	case remaining > leaveNearQuotaShare*limits.burst:
+		a.isNearQuota = false
 	}
 }
 
-// left is what may be granted at once.
-func (a *account) left(now time.Time, allowed allowance) float64 {
-	room := allowed.window - a.used(now, allowed)
-	return min(room, max(a.bucket.level, a.pace.level+max(0, a.bucket.level)))
+// available returns what may be granted now.
+func (a *account) available(now time.Time, limits grantLimits) float64 {
+	windowRemaining := limits.windowTotal - a.usedInWindow(now, limits)
+	return min(windowRemaining, max(a.bucket.level, a.paceBucket.level+max(0, a.bucket.level)))
 }
 
 const (
-	// meanWeight is the weight of a new request in the mean of what requests count.
+	// meanWeight is the weight of a new request in meanCost.
 	meanWeight = 0.1
-	// smallShare of the mean is up to where a request is small: it goes by what it counts.
-	smallShare = 0.25
-	// smallDebt of the burst is what small requests may use when nothing is left.
-	smallDebt = 0.1
+	// A request that costs less than smallCostShare of the mean is small: it needs only
+	// its own cost.
+	smallCostShare = 0.25
+	// smallCostDebt is the share of the burst that small requests may use when nothing
+	// remains.
+	smallCostDebt = 0.1
 )
 
-// needed is what has to be left for a request: as much as the mean one counts. Were it
-// all that this one counts, the large requests of a tenant near its quota would be
-// refused nearly always and the others hardly ever. Where other nodes may give, too, a
-// larger one needs it all. The reserve for more urgent requests comes on top, but for a
-// small one: a short command is not held back by what a report counts.
-func (a *account) needed(allowed allowance, cost, reach float64, priority int) float64 {
-	mean := a.mean
-	if mean == 0 {
-		mean = cost
+// requiredLevel returns what must be available for a request to be granted: the mean cost
+// of a request, or half of its own cost if that is more. If it were always the request's
+// own cost, a tenant near its quota would have its large requests refused nearly always and
+// the others hardly ever. If other nodes may grant too, a larger request needs its full
+// cost. The reserve for more urgent requests is added, except for small requests: a short
+// command is not held back by the cost of a report.
+func (a *account) requiredLevel(limits grantLimits, cost, reach float64, priority int) float64 {
+	meanCost := a.meanCost
+	if meanCost == 0 {
+		meanCost = cost
 	}
-	a.mean = mean + meanWeight*(cost-mean)
+	a.meanCost = meanCost + meanWeight*(cost-meanCost)
 	switch {
-	case cost < smallShare*mean:
-		return cost - smallDebt*allowed.burst
-	case reach < almostAll:
-		return reserve(allowed, priority) + max(cost, mean)
+	case cost < smallCostShare*meanCost:
+		return cost - smallCostDebt*limits.burst
+	case reach < nearFullReach:
+		return reservedLevel(limits, priority) + max(cost, meanCost)
 	default:
-		return reserve(allowed, priority) + max(mean, cost/2)
+		return reservedLevel(limits, priority) + max(meanCost, cost/2)
 	}
 }
 
-// use counts cost, against the bucket first.
-func (a *account) use(now time.Time, allowed allowance, cost float64) {
+// charge deducts cost, from the bucket first and then from the pace bucket.
+func (a *account) charge(now time.Time, limits grantLimits, cost float64) {
 	fromBucket := cost
 	if cost > 0 && a.bucket.level < cost {
-		fromPace := min(cost-max(0, a.bucket.level), max(0, a.pace.level))
-		a.pace.level -= fromPace
+		fromPace := min(cost-max(0, a.bucket.level), max(0, a.paceBucket.level))
+		a.paceBucket.level -= fromPace
 		fromBucket -= fromPace
 	}
-	a.bucket.level = min(a.bucket.level-fromBucket, allowed.burst)
-	number := a.slotNumber(now, allowed)
-	place := &a.sums[number%int64(len(a.sums))]
-	if place.number != number {
-		place.number, place.used = number, 0
+	a.bucket.level = min(a.bucket.level-fromBucket, limits.burst)
+	number := a.slotNumber(now, limits)
+	slot := &a.slots[number%int64(len(a.slots))]
+	if slot.number != number {
+		slot.number, slot.used = number, 0
 	}
-	place.used += cost
+	slot.used += cost
 }
 
-// used is the sum of the last window.
-func (a *account) used(now time.Time, allowed allowance) float64 {
-	newest := a.slotNumber(now, allowed)
+// usedInWindow returns the sum of the last window.
+func (a *account) usedInWindow(now time.Time, limits grantLimits) float64 {
+	newest := a.slotNumber(now, limits)
 	sum := 0.0
-	for _, slot := range a.sums {
-		if age := newest - slot.number; slot.number > 0 && age >= 0 && age <= slots {
+	for _, slot := range a.slots {
+		if age := newest - slot.number; slot.number > 0 && age >= 0 && age <= slotCount {
 			sum += slot.used
 		}
 	}
 	return sum
 }
 
-// refuse is when a request that is refused now, for want of what is missing, should come
-// back. Who is refused stands in a line: all would come back at once else, and all but
-// one be refused again.
-func (a *account) refuse(now time.Time, allowed allowance, missing, cost float64) time.Duration {
-	rate := allowed.perSecond + allowed.pace
+// scheduleRetry returns after what time a request that is refused now should be retried, given
+// the missing level. Retries are scheduled one after the other: otherwise all refused requests
+// would return at once, and all but one would be refused again.
+func (a *account) scheduleRetry(now time.Time, limits grantLimits, missing, cost float64) time.Duration {
+	rate := limits.perSecond + limits.paceRate
 	if rate <= 0 {
-		return allowed.length
+		return limits.windowLength
 	}
-	from := now
-	if a.line.After(now) {
-		missing, from = 0, a.line
+	start := now
+	if a.lastRetryAt.After(now) {
+		missing, start = 0, a.lastRetryAt
 	}
-	at := from.Add(time.Duration((missing + cost) / rate * float64(time.Second)))
-	if latest := now.Add(allowed.length); at.After(latest) {
-		at = latest
+	retryAt := start.Add(time.Duration((missing + cost) / rate * float64(time.Second)))
+	if latest := now.Add(limits.windowLength); retryAt.After(latest) {
+		retryAt = latest
 	}
-	a.line = at
-	return at.Sub(now)
+	a.lastRetryAt = retryAt
+	return retryAt.Sub(now)
 }
 
-// slot is the length of a part of the window.
-func (a allowance) slot() time.Duration { return max(time.Millisecond, a.length/slots) }
+// slotLength is the length of a slot of the window.
+func (l grantLimits) slotLength() time.Duration {
+	return max(time.Millisecond, l.windowLength/slotCount)
+}
 
-// slotNumber counts from when the account was opened, as only the steady clock tells
-// spans; 0 is no slot.
-func (a *account) slotNumber(now time.Time, allowed allowance) int64 {
-	return 1 + int64(now.Sub(a.opened)/allowed.slot())
+// slotNumber counts slots from when the account was opened, as the monotonic clock measures
+// only durations. 0 marks an unused slot.
+func (a *account) slotNumber(now time.Time, limits grantLimits) int64 {
+	return 1 + int64(now.Sub(a.openedAt)/limits.slotLength())
 }
--- a/internal/quota/advisory.go
+++ b/internal/quota/advisory.go
@@ -3,68 +3,69 @@
 import "time"
 
 const (
-	// closeShare of its burst is what a tenant has left when its requests begin to be
-	// asked for one by one, and openShare when that ends. Until all nodes have heard
-	// that it is closed, what is left bears what it may send meanwhile.
-	closeShare = 0.5
-	openShare  = 0.75
-	// AdvisoryLifetime is how long a coordinator's advisory is believed.
+	// A tenant becomes near its quota when less than enterNearQuotaShare of its burst remains,
+	// and the coordinator then decides on each of its requests; that ends above
+	// leaveNearQuotaShare. What remains must cover the requests until all nodes have received the advisory.
+	enterNearQuotaShare = 0.5
+	leaveNearQuotaShare = 0.75
+	// AdvisoryLifetime is how long a coordinator's advisory is valid.
 	AdvisoryLifetime = 500 * time.Millisecond
 )
 
-// Advisories are what coordinators told lately: which tenants are near their quota. All others
-// are far below it, and their requests are granted without asking.
+// Advisories holds the recent announcements of coordinators: which tenants are near their
+// quota. All others are far below it, and their requests are granted without asking.
 type Advisories struct {
 	coordinators map[string]advisory
 }
 
 type advisory struct {
-	closed map[string]bool
-	at     time.Time
+	nearQuota  map[string]bool
+	receivedAt time.Time
 }
 
-// NewAdvisories returns those of a node that has heard none.
+// NewAdvisories returns an empty Advisories.
 func NewAdvisories() *Advisories { return &Advisories{coordinators: make(map[string]advisory)} }
 
-// Observe takes a coordinator's advisory.
-func (w *Advisories) Observe(now time.Time, coordinator string, closed []string) {
-	heard := advisory{closed: make(map[string]bool, len(closed)), at: now}
-	for _, tenant := range closed {
-		heard.closed[tenant] = true
+// Observe records a coordinator's advisory.
+func (a *Advisories) Observe(now time.Time, coordinator string, nearQuota []string) {
+	received := advisory{nearQuota: make(map[string]bool, len(nearQuota)), receivedAt: now}
+	for _, tenant := range nearQuota {
+		received.nearQuota[tenant] = true
 	}
-	w.coordinators[coordinator] = heard
+	a.coordinators[coordinator] = received
 }
 
-// IsFarBelowQuota reports whether the tenant is far below its quota by all advisories that are fresh,
-// of which there is one at the least. Two coordinators may speak for a moment after a fault.
-func (w *Advisories) IsFarBelowQuota(now time.Time, tenant string) bool {
-	fresh := false
-	for coordinator, heard := range w.coordinators {
+// IsFarBelowQuota reports whether the tenant is far below its quota according to all valid
+// advisories; it returns false if there is none. Two coordinators may send advisories for a
+// moment after a fault.
+func (a *Advisories) IsFarBelowQuota(now time.Time, tenant string) bool {
+	isAnyFresh := false
+	for coordinator, received := range a.coordinators {
 		switch {
-		case now.Sub(heard.at) > AdvisoryLifetime:
-			delete(w.coordinators, coordinator)
-		case heard.closed[tenant]:
+		case now.Sub(received.receivedAt) > AdvisoryLifetime:
+			delete(a.coordinators, coordinator)
+		case received.nearQuota[tenant]:
 			return false
 		default:
-			fresh = true
+			isAnyFresh = true
 		}
 	}
-	return fresh
+	return isAnyFresh
 }
 
-// NearQuota are the tenants near their quota, by a coordinator that has kept their accounts.
-func (g *Coordinator) NearQuota() []string {
-	var closed []string
-	for tenant, known := range g.accounts {
-		if known.closed {
-			closed = append(closed, tenant)
+// NearQuota returns the tenants near their quota, among those with an account.
+func (c *Coordinator) NearQuota() []string {
+	var tenants []string
+	for tenant, account := range c.accounts {
+		if account.isNearQuota {
+			tenants = append(tenants, tenant)
 		}
 	}
-	return closed
+	return tenants
 }
 
 // IsNearQuota reports whether the tenant is near its quota.
-func (g *Coordinator) IsNearQuota(tenant string) bool {
-	known, ok := g.accounts[tenant]
-	return ok && known.closed
+func (c *Coordinator) IsNearQuota(tenant string) bool {
+	account, ok := c.accounts[tenant]
+	return ok && account.isNearQuota
 }
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,11 +8,11 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// BenchmarkAsk is a coordinator's work for one question.
+// BenchmarkAsk measures a coordinator's work for one request.
 func BenchmarkAsk(b *testing.B) {
 	coordinator := NewCoordinator(tolerance)
 	quota := routetable.Quota{PerSecond: 800_000, Burst: 800_000, CountsTokens: true}
-	now := begin
+	now := startTime
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
@@ -20,20 +20,20 @@
 	}
 }
 
-// BenchmarkAdvisory is what a node does for a request of a tenant far below its quota, with
-// an advisory on 16 tenants.
+// BenchmarkAdvisory measures a node's work for a request of a tenant far below its quota, with
+// an advisory on 4 tenants.
 func BenchmarkAdvisory(b *testing.B) {
 	advisories, share := NewAdvisories(), NewShare(tolerance, true)
 	quota := routetable.Quota{PerSecond: 800_000, Burst: 800_000, CountsTokens: true}
-	var closed []string
+	var nearQuota []string
 	for i := range 4 {
-		closed = append(closed, fmt.Sprint("busy", i))
+		nearQuota = append(nearQuota, fmt.Sprint("busy", i))
 	}
-	advisories.Observe(begin, "coordinator", closed)
+	advisories.Observe(startTime, "coordinator", nearQuota)
 	b.ReportAllocs()
 	for b.Loop() {
-		if advisories.IsFarBelowQuota(begin, "t") {
-			share.RecordGrant(begin, "t", quota, 84, 900)
+		if advisories.IsFarBelowQuota(startTime, "t") {
+			share.RecordGrant(startTime, "t", quota, 84, 900)
 		}
 	}
 }
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -6,150 +6,151 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// majorityReach is what a coordinator gives that hears from half of the nodes or more: those
-// that are silent may be dead, and their callers come to the others. Two halves of a
-// fleet that are cut from each other give 2 x 0.55 of the quota then, which the
-// tolerance bears. A coordinator that hears from fewer gives their part.
-const majorityReach = 0.55
+// majorityFraction is the minimum fraction of a quota that a coordinator grants if it hears from
+// at least half of the nodes: the silent nodes may be dead and their callers use the others. Two
+// partitioned halves of a fleet then grant 2 x 0.55 of the quota, which is within the tolerance.
+// A coordinator that hears from fewer nodes grants only their fraction.
+const majorityFraction = 0.55
 
-// longestPause is the time after which a coordinator that was not observed takes it that it
-// stood still, and that another gave meanwhile.
-const longestPause = time.Second
+// maxPause is the time without a call of Observe after which a coordinator assumes that it was
+// paused, and that another coordinator granted requests meanwhile.
+const maxPause = time.Second
 
 // Coordinator grants requests of tenants on behalf of all nodes.
 type Coordinator struct {
-	tolerance Tolerance
-	accounts  map[string]*account
-	observed  time.Time
-	// newcomer is the level that buckets begin with; only tests change it.
-	newcomer float64
+	tolerance    Tolerance
+	accounts     map[string]*account
+	lastObserved time.Time
+	// initialLevel is the initial level of buckets; only tests change it.
+	initialLevel float64
 }
 
 // Decision is a coordinator's answer.
 type Decision struct {
 	Granted bool
-	// Remaining is what the tenant had left before this request.
+	// Remaining is what was available to the tenant before this request.
 	Remaining float64
-	// RetryAfter is when the request should come back, behind those refused before it.
+	// RetryAfter is how long to wait before a retry, behind the requests refused earlier.
 	RetryAfter time.Duration
 }
 
-// NewCoordinator returns a coordinator that knows nothing of the past.
+// NewCoordinator returns a coordinator without information about earlier grants.
 func NewCoordinator(tolerance Tolerance) *Coordinator {
-	return &Coordinator{tolerance: tolerance, accounts: make(map[string]*account), newcomer: newcomerShare * tolerance.Slack}
+	return &Coordinator{tolerance: tolerance, accounts: make(map[string]*account), initialLevel: initialLevelShare * tolerance.Slack}
 }
 
-// Acquire draws cost from what the tenant may use, or nothing. Reach is the part
-// of all nodes that this one hears from; requests of a priority other than 0, the
-// highest, leave some for the more urgent ones.
-func (g *Coordinator) Acquire(now time.Time, tenant string, quota routetable.Quota, reach, cost float64, priority int) Decision {
-	now = g.notBefore(now)
-	known, allowance := g.filled(now, tenant, quota, reach)
-	verdict := Decision{Remaining: known.left(now, allowance)}
-	// One that is larger than the bucket ever is was never within the quota.
-	missing := known.needed(allowance, cost, reach, priority) - verdict.Remaining
-	if missing > 0 || cost > allowance.burst {
-		verdict.RetryAfter = known.refuse(now, allowance, missing, cost)
-		return verdict
+// Acquire grants the request and deducts cost from what is available to the tenant, or
+// refuses it and deducts nothing. reach is the fraction of all nodes that this one hears
+// from. Priority 0 is the highest; requests of other priorities leave a reserve for more
+// urgent ones.
+func (c *Coordinator) Acquire(now time.Time, tenant string, quota routetable.Quota, reach, cost float64, priority int) Decision {
+	now = c.clampTime(now)
+	account, limits := c.refilledAccount(now, tenant, quota, reach)
+	decision := Decision{Remaining: account.available(now, limits)}
+	// A request that costs more than the burst can never be within the quota.
+	missing := account.requiredLevel(limits, cost, reach, priority) - decision.Remaining
+	if missing > 0 || cost > limits.burst {
+		decision.RetryAfter = account.scheduleRetry(now, limits, missing, cost)
+		return decision
 	}
-	known.use(now, allowance, cost)
-	verdict.Granted = true
-	return verdict
+	account.charge(now, limits, cost)
+	decision.Granted = true
+	return decision
 }
 
-// MinReach is the part of the nodes that a coordinator has to hear from. On an island that
-// is smaller each node lives on its share alone: what such a coordinator may give at once is
-// less than one request.
+// MinReach is the fraction of the nodes that a coordinator must hear from. In a smaller partition
+// each node is limited to its share: what such a coordinator could grant at once is less than one
+// request.
 const MinReach = 0.25
 
-// almostAll is the part of the nodes from which a coordinator takes it that no other gives.
-const almostAll = 0.9
+// nearFullReach is the reach from which a coordinator assumes that no other grants requests.
+const nearFullReach = 0.9
 
-// reserve is what requests of a priority leave of what a tenant has.
-func reserve(allowed allowance, priority int) float64 {
-	return min(mostReserved, reservedShare*float64(priority)) * allowed.burst
+// reservedLevel returns what requests of a priority must leave available to the tenant.
+func reservedLevel(limits grantLimits, priority int) float64 {
+	return min(maxReservedShare, reservedSharePerPriority*float64(priority)) * limits.burst
 }
 
 const (
-	// reservedShare of the burst, for each step of priority, is left for the requests
-	// of the same tenant that are more urgent, mostReserved of it at the most.
-	reservedShare = 0.15
-	mostReserved  = 0.45
+	// reservedSharePerPriority is the share of the burst, per step of priority, that is reserved
+	// for more urgent requests of the same tenant; maxReservedShare limits the total.
+	reservedSharePerPriority = 0.15
+	maxReservedShare         = 0.45
 )
 
-// RecordUse takes that a node used cost of its own share; a cost below 0 is given back.
-func (g *Coordinator) RecordUse(now time.Time, tenant string, quota routetable.Quota, reach, cost float64) {
-	now = g.notBefore(now)
-	known, allowance := g.filled(now, tenant, quota, reach)
-	known.use(now, allowance, cost)
-	known.note(now, allowance)
+// RecordUse records that a node granted cost from its own share; a negative cost is a refund.
+func (c *Coordinator) RecordUse(now time.Time, tenant string, quota routetable.Quota, reach, cost float64) {
+	now = c.clampTime(now)
+	account, limits := c.refilledAccount(now, tenant, quota, reach)
+	account.charge(now, limits, cost)
+	account.updateNearQuota(now, limits)
 }
 
-// Refund returns a grant of one that was not used, where this coordinator granted as much within the
-// window: what another one granted before it is not given once more.
-func (g *Coordinator) Refund(now time.Time, tenant string, quota routetable.Quota, reach float64) {
-	now = g.notBefore(now)
-	known, allowance := g.filled(now, tenant, quota, reach)
-	if known.used(now, allowance) >= 1 {
-		known.use(now, allowance, -1)
+// Refund returns an unused grant of cost 1, if this coordinator granted at least as much within the
+// window: a grant of an earlier coordinator must not be added to this one's accounts.
+func (c *Coordinator) Refund(now time.Time, tenant string, quota routetable.Quota, reach float64) {
+	now = c.clampTime(now)
+	account, limits := c.refilledAccount(now, tenant, quota, reach)
+	if account.usedInWindow(now, limits) >= 1 {
+		account.charge(now, limits, -1)
 	}
 }
 
-// OpenAccount opens the account of a tenant that has not asked yet: it begins low, and is to
-// be full when the tenant comes.
-func (g *Coordinator) OpenAccount(now time.Time, tenant string, quota routetable.Quota, reach float64) {
-	g.filled(g.notBefore(now), tenant, quota, reach)
+// OpenAccount opens the account of a tenant that has sent no request yet: the account starts at a
+// low level and should be full when the first request arrives.
+func (c *Coordinator) OpenAccount(now time.Time, tenant string, quota routetable.Quota, reach float64) {
+	c.refilledAccount(c.clampTime(now), tenant, quota, reach)
 }
 
-// notBefore is the time, or the latest that was told here: who waited for its turn, or was frozen
-// as it did, comes with an earlier one. Accounts know no time before they were opened, and a time
-// that goes back and on again looks like a pause.
-func (g *Coordinator) notBefore(now time.Time) time.Time {
-	if now.Before(g.observed) {
-		return g.observed
+// clampTime returns now, or the latest time observed so far if that is later: a caller that waited
+// for its turn, or was frozen while it waited, passes an earlier time. Accounts have no slots from before
+// they were opened, and a time that goes back and forth would look like a pause.
+func (c *Coordinator) clampTime(now time.Time) time.Time {
+	if now.Before(c.lastObserved) {
+		return c.lastObserved
 	}
 	return now
 }
 
-// Observe is called several times a second: a coordinator that stood still longer forgets
-// what it gave, as another has given meanwhile.
-func (g *Coordinator) Observe(now time.Time) {
-	now = g.notBefore(now)
-	if now.Sub(g.observed) > longestPause {
-		g.Forget()
+// Observe must be called several times a second. A coordinator that was paused for more than
+// maxPause drops its accounts, as another one may have granted requests meanwhile.
+func (c *Coordinator) Observe(now time.Time) {
+	now = c.clampTime(now)
+	if now.Sub(c.lastObserved) > maxPause {
+		c.Forget()
 	}
-	g.observed = now
+	c.lastObserved = now
 }
 
-// part is the part of the quota that a coordinator gives which hears from so many.
-func part(reach float64) float64 {
+// quotaFraction returns the fraction of a quota that a coordinator with the given reach may grant.
+func quotaFraction(reach float64) float64 {
 	if reach >= 0.5 {
-		return min(1, max(majorityReach, reach))
+		return min(1, max(majorityFraction, reach))
 	}
 	return max(0, reach)
 }
 
-func (g *Coordinator) filled(now time.Time, tenant string, quota routetable.Quota, reach float64) (*account, allowance) {
-	g.Observe(now)
-	allowed := g.tolerance.allowance(quota, part(reach))
-	known, ok := g.accounts[tenant]
+func (c *Coordinator) refilledAccount(now time.Time, tenant string, quota routetable.Quota, reach float64) (*account, grantLimits) {
+	c.Observe(now)
+	limits := c.tolerance.grantLimits(quota, quotaFraction(reach))
+	tenantAccount, ok := c.accounts[tenant]
 	if !ok {
-		known = newAccount(now, min(allowed.burst, g.newcomer))
-		g.accounts[tenant] = known
+		tenantAccount = newAccount(now, min(limits.burst, c.initialLevel))
+		c.accounts[tenant] = tenantAccount
 	}
-	known.fill(now, allowed)
-	known.note(now, allowed)
-	return known, allowed
+	tenantAccount.refill(now, limits)
+	tenantAccount.updateNearQuota(now, limits)
+	return tenantAccount, limits
 }
 
-// Forget drops what was given: another node has given meanwhile.
-func (g *Coordinator) Forget() { clear(g.accounts) }
+// Forget drops all accounts, for use when another node has been the coordinator meanwhile.
+func (c *Coordinator) Forget() { clear(c.accounts) }
 
-// Prune drops the accounts of tenants that keep reports as gone.
-func (g *Coordinator) Prune(keep func(tenant string) bool) {
-	for tenant := range g.accounts {
+// Prune drops the accounts of tenants for which keep returns false.
+func (c *Coordinator) Prune(keep func(tenant string) bool) {
+	for tenant := range c.accounts {
 		if !keep(tenant) {
-			delete(g.accounts, tenant)
+			delete(c.accounts, tenant)
 		}
 	}
 }
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// shrinkAfter is how long a node that hears from most of the fleet takes it to be
-	// as large as it was: who is silent may be cut off, and give quotas too. Until
-	// then a fleet that lost nodes for good gives the part that is left.
-	shrinkAfter = 10 * time.Minute
-	// rememberFor is the same for a node that hears from half of it or less: as long
-	// as regions lose each other at times.
-	rememberFor = time.Hour
+	// shrinkDelay is how long a node that hears from most of the fleet keeps the earlier,
+	// larger size: silent nodes may be partitioned and grant quotas themselves. Until
+	// then a fleet that lost nodes for good grants only the remaining nodes' fraction.
+	shrinkDelay = 10 * time.Minute
+	// minorityShrinkDelay is the same for a node that hears from half of the fleet or
+	// less. It covers the longest loss of connection to be expected between regions.
+	minorityShrinkDelay = time.Hour
 )
 
-// FleetSize is the size of the fleet, as one node can tell it. A node that loses sight of
-// others does not take what is left for the whole fleet.
+// FleetSize is one node's estimate of the number of nodes. A node that loses contact with
+// others does not take the remaining ones for the whole fleet.
 type FleetSize struct {
 	size int
-	// at is when as many were last known.
-	at time.Time
+	// knownAt is when this size was last confirmed.
+	knownAt time.Time
 }
 
-// RaiseTo takes a size that was kept elsewhere, as by the holder of the lease.
+// RaiseTo raises the size to one that was recorded elsewhere, such as by the lease holder.
 func (f *FleetSize) RaiseTo(now time.Time, size int) {
 	if size > f.size {
-		f.size, f.at = size, now
+		f.size, f.knownAt = size, now
 	}
 }
 
-// Observe takes how many nodes were known within the last half minute and heard from
-// within the last second or two, this one included. It returns the number to share
-// quotas by, and the part of it that is heard from.
-func (f *FleetSize) Observe(now time.Time, counted, fresh int) (nodes int, reach float64) {
-	counted = max(1, counted, fresh)
-	held := now.Sub(f.at)
-	if counted >= f.size || (2*fresh > f.size && held > shrinkAfter) || held > rememberFor {
-		f.size, f.at = counted, now
+// Observe updates the size from the number of nodes seen within the last half minute (known)
+// and within the last second or two (fresh), including this one. It returns the number of
+// nodes to divide quotas by, and the fraction of them that are fresh.
+func (f *FleetSize) Observe(now time.Time, known, fresh int) (nodes int, reach float64) {
+	known = max(1, known, fresh)
+	age := now.Sub(f.knownAt)
+	if known >= f.size || (2*fresh > f.size && age > shrinkDelay) || age > minorityShrinkDelay {
+		f.size, f.knownAt = known, now
 	}
 	return f.size, float64(fresh) / float64(f.size)
 }
--- a/internal/quota/giveback_test.go
+++ b/internal/quota/giveback_test.go
@@ -7,31 +7,31 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// TestGiveBackReturnsWhatThisCoordinatorGranted, once for each grant, and nothing that another one did.
+// A refund makes one grant available again, but only if this coordinator made the grant.
 func TestGiveBackReturnsWhatThisCoordinatorGranted(t *testing.T) {
-	limit := routetable.Quota{PerSecond: 1, Burst: 4}
+	quota := routetable.Quota{PerSecond: 1, Burst: 4}
 	coordinator := NewCoordinator(Tolerance{Window: 4 * time.Second, StrictRate: true})
-	granted := func(now time.Time) (count int) {
-		for coordinator.Acquire(now, "s", limit, 1, 1, 0).Granted {
+	acquireAll := func(now time.Time) (count int) {
+		for coordinator.Acquire(now, "s", quota, 1, 1, 0).Granted {
 			count++
 		}
 		return count
 	}
-	coordinator.Refund(begin, "s", limit, 1)
-	coordinator.Refund(begin, "s", limit, 1)
-	if got := granted(begin); got != 0 {
-		t.Errorf("%d granted for what another coordinator had granted", got)
+	coordinator.Refund(startTime, "s", quota, 1)
+	coordinator.Refund(startTime, "s", quota, 1)
+	if got := acquireAll(startTime); got != 0 {
+		t.Errorf("%d granted after refunds of another coordinator's grants", got)
 	}
-	now := begin
+	now := startTime
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		coordinator.Observe(now)
 	}
-	if got := granted(now); got != 2 {
-		t.Fatalf("%d granted after 2 s at 1 a second", got)
+	if got := acquireAll(now); got != 2 {
+		t.Fatalf("%d granted after 2 s at 1 per second, want 2", got)
 	}
-	coordinator.Refund(now, "s", limit, 1)
-	if got := granted(now); got != 1 {
-		t.Errorf("%d granted for one that was given back", got)
+	coordinator.Refund(now, "s", quota, 1)
+	if got := acquireAll(now); got != 1 {
+		t.Errorf("%d granted after one refund, want 1", got)
 	}
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -6,43 +6,43 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// aloneDebt is the part of the slack that a node which has just started owes before it
-// may grant requests alone: where all nodes start at once, each would grant one.
-const aloneDebt = 0.25
+// initialDebtShare is the share of the slack by which the buckets of a node that has just started
+// are negative. Without this debt each node would grant a request of its own when all start at once.
+const initialDebtShare = 0.25
 
-// longestDebt bounds how long a node pays back what it granted or was granted beyond
-// its share.
-const longestDebt = 20 * time.Second
+// maxDebtDuration limits how long a node takes to pay back what it granted, or was granted,
+// beyond its share.
+const maxDebtDuration = 20 * time.Second
 
-// Share is one node's part of the tenants' quotas: the n-th of n nodes.
+// Share is one node's share of the tenants' quotas: one n-th of each quota in a fleet of n nodes.
 type Share struct {
 	tolerance Tolerance
 	buckets   map[string]*bucket
-	// spare is kept beside them, for requests that are granted alone.
-	spare map[string]*bucket
-	// debt is the part of the slack that it begins with below nothing.
-	debt float64
+	// spareBuckets are separate from buckets, for requests that exceed the node's share.
+	spareBuckets map[string]*bucket
+	// initialDebt is the share of the slack by which new buckets are negative.
+	initialDebt float64
 }
 
-// NewShare returns the share of a node that has just started; isFirst is set where the
-// whole fleet starts for the first time, so that nothing was granted before.
+// NewShare returns the share of a node that has just started. isFirst is set if the whole
+// fleet starts for the first time, so that nothing was granted before.
 func NewShare(tolerance Tolerance, isFirst bool) *Share {
-	share := &Share{tolerance: tolerance, buckets: make(map[string]*bucket), spare: make(map[string]*bucket)}
+	share := &Share{tolerance: tolerance, buckets: make(map[string]*bucket), spareBuckets: make(map[string]*bucket)}
 	if !isFirst {
-		share.debt = aloneDebt
+		share.initialDebt = initialDebtShare
 	}
 	return share
 }
 
-// Take draws cost from the share, or from what is spare, where it holds as much. The
-// coordinator is to be told.
+// Take deducts cost from the tenant's share, or else from its spare bucket, and reports
+// whether one of them held as much. The caller must report the use to the coordinator.
 func (s *Share) Take(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) bool {
-	known := s.filled(now, tenant, quota, nodes)
-	if known.level >= cost {
-		known.level -= cost
+	tenantBucket := s.refilledBucket(now, tenant, quota, nodes)
+	if tenantBucket.level >= cost {
+		tenantBucket.level -= cost
 		return true
 	}
-	spare := s.filledSpare(now, tenant, nodes)
+	spare := s.refilledSpareBucket(now, tenant, nodes)
 	if spare.level < cost {
 		return false
 	}
@@ -50,59 +50,59 @@
 	return true
 }
 
-// TakeWithoutCoordinator grants a request that Take did not, though no coordinator can be asked, where the
-// share is not overdrawn yet: it may be far larger than what a node's share ever holds.
+// TakeWithoutCoordinator grants a request that Take refused while no coordinator can be asked, if
+// the share is not overdrawn yet: its cost may be far more than a node's share ever holds.
 func (s *Share) TakeWithoutCoordinator(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) bool {
-	known := s.filled(now, tenant, quota, nodes)
-	if known.level < 0 {
+	tenantBucket := s.refilledBucket(now, tenant, quota, nodes)
+	if tenantBucket.level < 0 {
 		return false
 	}
-	known.level -= cost
+	tenantBucket.level -= cost
 	return true
 }
 
-// RecordGrant takes that the coordinator granted a request of this node: it lives on the share,
-// too, so that a node which then loses its coordinator does not grant as much once more. A
-// cost below 0 is given back.
+// RecordGrant deducts a request that the coordinator granted from the share as well, so that a
+// node that then loses its coordinator does not grant as much again. A negative cost is a
+// refund.
 func (s *Share) RecordGrant(now time.Time, tenant string, quota routetable.Quota, nodes int, cost float64) {
-	known := s.filled(now, tenant, quota, nodes)
-	debt := quota.PerSecond / float64(max(1, nodes)) * longestDebt.Seconds()
-	known.level = max(min(known.level, -debt), known.level-cost)
+	tenantBucket := s.refilledBucket(now, tenant, quota, nodes)
+	maxDebt := quota.PerSecond / float64(max(1, nodes)) * maxDebtDuration.Seconds()
+	tenantBucket.level = max(min(tenantBucket.level, -maxDebt), tenantBucket.level-cost)
 }
 
-// Level is the share's level, below 0 where it is overdrawn.
+// Level returns the share's level, which is negative if it is overdrawn.
 func (s *Share) Level(now time.Time, tenant string, quota routetable.Quota, nodes int) float64 {
-	return s.filled(now, tenant, quota, nodes).level
+	return s.refilledBucket(now, tenant, quota, nodes).level
 }
 
-func (s *Share) filled(now time.Time, tenant string, quota routetable.Quota, nodes int) *bucket {
-	known, ok := s.buckets[tenant]
+func (s *Share) refilledBucket(now time.Time, tenant string, quota routetable.Quota, nodes int) *bucket {
+	tenantBucket, ok := s.buckets[tenant]
 	if !ok {
-		known = &bucket{level: -s.debt * s.tolerance.Slack, at: now}
-		s.buckets[tenant] = known
+		tenantBucket = &bucket{level: -s.initialDebt * s.tolerance.Slack, updatedAt: now}
+		s.buckets[tenant] = tenantBucket
 	}
-	part := 1 / float64(max(1, nodes))
-	known.fill(now, quota.PerSecond*part, quota.Burst*part)
-	return known
+	fraction := 1 / float64(max(1, nodes))
+	tenantBucket.refill(now, quota.PerSecond*fraction, quota.Burst*fraction)
+	return tenantBucket
 }
 
-func (s *Share) filledSpare(now time.Time, tenant string, nodes int) *bucket {
-	spare, ok := s.spare[tenant]
+func (s *Share) refilledSpareBucket(now time.Time, tenant string, nodes int) *bucket {
+	spare, ok := s.spareBuckets[tenant]
 	if !ok {
-		spare = &bucket{at: now}
-		s.spare[tenant] = spare
+		spare = &bucket{updatedAt: now}
+		s.spareBuckets[tenant] = spare
 	}
-	part := spareShare * s.tolerance.Slack / float64(max(1, nodes))
-	spare.fill(now, part/max(1, s.tolerance.Window.Seconds()), part)
+	capacity := spareShare * s.tolerance.Slack / float64(max(1, nodes))
+	spare.refill(now, capacity/max(1, s.tolerance.Window.Seconds()), capacity)
 	return spare
 }
 
-// Prune drops the buckets of tenants that keep reports as gone.
+// Prune drops the buckets of tenants for which keep returns false.
 func (s *Share) Prune(keep func(tenant string) bool) {
 	for tenant := range s.buckets {
 		if !keep(tenant) {
 			delete(s.buckets, tenant)
-			delete(s.spare, tenant)
+			delete(s.spareBuckets, tenant)
 		}
 	}
 }
