--- a/internal/allotment/allotment_test.go
+++ b/internal/allotment/allotment_test.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-func facts(name string, most int) catalog.ModelInfo {
-	return catalog.ModelInfo{Model: fleet.ModelVersion{Model: name, Version: "1"}, MaxReplicas: most}
+func modelInfo(name string, maxReplicas int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: fleet.ModelVersion{Model: name, Version: "1"}, MaxReplicas: maxReplicas}
 }
 
 func engines(counts ...int) map[fleet.Zone]int {
@@ -23,9 +23,9 @@
 }
 
 func TestEveryZoneWithEnginesGetsOneBeforeAnyGetsTwo(t *testing.T) {
-	record, changed := Decide(Record{}, Input{Models: []catalog.ModelInfo{facts("a", 3)}, Engines: engines(9, 1, 4, 0)})
+	record, changed := Decide(Record{}, Input{Models: []catalog.ModelInfo{modelInfo("a", 3)}, Engines: engines(9, 1, 4, 0)})
 	if !changed {
-		t.Fatal("nothing decided")
+		t.Fatal("Decide reported no change")
 	}
 	model := fleet.ModelVersion{Model: "a", Version: "1"}
 	for zone, want := range map[fleet.Zone]int{"z0": 1, "z1": 1, "z2": 1, "z3": 0} {
@@ -38,7 +38,7 @@
 func TestSingleReplicasAreSpreadOverZones(t *testing.T) {
 	var models []catalog.ModelInfo
 	for index := range 60 {
-		models = append(models, facts(fmt.Sprintf("m%d", index), 1))
+		models = append(models, modelInfo(fmt.Sprintf("m%d", index), 1))
 	}
 	record, _ := Decide(Record{}, Input{Models: models, Engines: engines(5, 4, 5)})
 	counts := make(map[fleet.Zone]int)
@@ -57,12 +57,12 @@
 	}
 }
 
-// TestCeilingsNeverExceedTheDecision draws bounds, engines, demand, idle
-// replicas and confirmations in any order.
+// Random replica maxima, engines, demand, idle replicas, evacuations and confirmations, in any
+// order, must keep the sum of the ceilings within the decided number.
 func TestCeilingsNeverExceedTheDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := Record{}
-		model := facts("a", 0).Model
+		model := modelInfo("a", 0).Model
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			before := record
 			if rapid.Bool().Draw(t, "confirm") {
@@ -70,7 +70,7 @@
 				record = Confirm(record, zone, record.Unconfirmed(zone))
 			} else {
 				input := Input{
-					Models:       []catalog.ModelInfo{facts("a", rapid.IntRange(0, 5).Draw(t, "most"))},
+					Models:       []catalog.ModelInfo{modelInfo("a", rapid.IntRange(0, 5).Draw(t, "most"))},
 					Engines:      engines(rapid.IntRange(0, 4).Draw(t, "e0"), 2, 3),
 					Demand:       map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "demand")},
 					IdleReplicas: map[fleet.ModelVersion]map[fleet.Zone]int{model: drawCounts(t, "idle")},
@@ -79,7 +79,7 @@
 				}
 				record, _ = Decide(record, input)
 			}
-			check(t, before, record, model)
+			checkInvariants(t, before, record, model)
 		}
 	})
 }
@@ -92,27 +92,27 @@
 	)
 }
 
-func check(t *rapid.T, before, after Record, model fleet.ModelVersion) {
-	was, is := before.Models[model], after.Models[model]
-	if is.CeilingSum() > is.ReplicaLimit {
-		t.Fatalf("ceilings %v exceed %d", is.Zones, is.ReplicaLimit)
+func checkInvariants(t *rapid.T, before, after Record, model fleet.ModelVersion) {
+	oldDecision, newDecision := before.Models[model], after.Models[model]
+	if newDecision.CeilingSum() > newDecision.ReplicaLimit {
+		t.Fatalf("ceilings %v exceed the replica limit %d", newDecision.Zones, newDecision.ReplicaLimit)
 	}
-	if is.ReplicaLimit > max(was.ReplicaLimit, is.Target) {
-		t.Fatalf("decided number grew from %d to %d, target %d", was.ReplicaLimit, is.ReplicaLimit, is.Target)
+	if newDecision.ReplicaLimit > max(oldDecision.ReplicaLimit, newDecision.Target) {
+		t.Fatalf("replica limit grew from %d to %d, target %d", oldDecision.ReplicaLimit, newDecision.ReplicaLimit, newDecision.Target)
 	}
-	for zone, share := range is.Zones {
+	for zone, share := range newDecision.Zones {
 		if share.Limit > share.Ceiling || share.Limit < 0 {
 			t.Fatalf("zone %s: limit %d, ceiling %d", zone, share.Limit, share.Ceiling)
 		}
-		if share.Limit < was.Zones[zone].Limit && share.LoweredAt != after.Generation {
-			t.Fatalf("zone %s lowered without its generation", zone)
+		if share.Limit < oldDecision.Zones[zone].Limit && share.LoweredAt != after.Generation {
+			t.Fatalf("zone %s: limit lowered without setting LoweredAt", zone)
 		}
 	}
 }
 
 func TestIdleReplicaMovesToTheZoneThatWantsIt(t *testing.T) {
-	model := facts("a", 1).Model
-	input := Input{Models: []catalog.ModelInfo{facts("a", 1)}, Engines: engines(2, 2)}
+	model := modelInfo("a", 1).Model
+	input := Input{Models: []catalog.ModelInfo{modelInfo("a", 1)}, Engines: engines(2, 2)}
 	record, _ := Decide(Record{}, input)
 	from, to := fleet.Zone("z0"), fleet.Zone("z1")
 	if record.Limit(model, from) == 0 {
--- a/internal/allotment/change.go
+++ b/internal/allotment/change.go
@@ -6,10 +6,10 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Confirm lowers the ceilings of the zone to its limits for the models given.
-// The caller must hold an established round whose fence carries at least the
-// generation of the record that lowered them, over every engine of the zone,
-// with no more replicas than the limit.
+// Confirm lowers the zone's ceilings of the given models to its limits. The caller
+// must hold an established round over every engine of the zone, with no more
+// replicas than the limit, whose fence carries at least the generation of the
+// record that lowered the limits.
 func Confirm(record Record, zone fleet.Zone, models []fleet.ModelVersion) Record {
 	next := record.Clone()
 	for _, model := range models {
@@ -20,21 +20,21 @@
 		share := decision.Zones[zone]
 		share.Ceiling = share.Limit
 		decision.Zones[zone] = share
-		next.Models[model] = settle(decision)
+		next.Models[model] = updateReplicaLimit(decision)
 	}
-	return next.advanced()
+	return next.withNextGeneration()
 }
 
-// WithEngines replaces the zone's engines: those given join, those gone for
-// good are taken out. It reports whether anything changed.
-func WithEngines(record Record, zone fleet.Zone, present, gone []fleet.BackendName) (Record, bool) {
+// WithEngines updates the zone's engines: new ones among those present are added as
+// joining, removed ones are dropped. It reports whether anything changed.
+func WithEngines(record Record, zone fleet.Zone, present, removed []fleet.BackendName) (Record, bool) {
 	entry := record.Zones[zone]
-	isGone := func(name fleet.BackendName) bool { return slices.Contains(gone, name) }
-	engines := slices.DeleteFunc(slices.Clone(entry.Engines), isGone)
-	joining := slices.DeleteFunc(slices.Clone(entry.Joining), isGone)
+	isRemoved := func(name fleet.BackendName) bool { return slices.Contains(removed, name) }
+	engines := slices.DeleteFunc(slices.Clone(entry.Engines), isRemoved)
+	joining := slices.DeleteFunc(slices.Clone(entry.Joining), isRemoved)
 	joinedAt := entry.JoinedAt
 	for _, name := range present {
-		if !isGone(name) && !slices.Contains(engines, name) && !slices.Contains(joining, name) {
+		if !isRemoved(name) && !slices.Contains(engines, name) && !slices.Contains(joining, name) {
 			joining = append(joining, name)
 			joinedAt = record.Generation + 1
 		}
@@ -45,12 +45,12 @@
 	slices.Sort(joining)
 	next := record.Clone()
 	next.Zones[zone] = ZoneEntry{Engines: engines, Joining: joining, JoinedAt: joinedAt}
-	return next.advanced(), true
+	return next.withNextGeneration(), true
 }
 
-// AdmitEngines lets the engines that joined be used. A majority of the zone's nodes
-// must hold the generation JoinedAt: whoever learns the record from a majority
-// later then knows these engines.
+// AdmitEngines makes the joining engines of the zone usable. A majority of the zone's
+// nodes must hold generation JoinedAt, so that every node that later reads the record
+// from a majority knows these engines.
 func AdmitEngines(record Record, zone fleet.Zone) Record {
 	next := record.Clone()
 	entry := next.Zones[zone]
@@ -58,20 +58,20 @@
 	slices.Sort(entry.Engines)
 	entry.Joining = nil
 	next.Zones[zone] = entry
-	return next.advanced()
+	return next.withNextGeneration()
 }
 
-// Restored is the same decision as a later record, for a store that lost it.
-func (r Record) Restored() Record { return r.Clone().advanced() }
+// Restored returns the same decisions with a new generation, for a store that lost the record.
+func (r Record) Restored() Record { return r.Clone().withNextGeneration() }
 
-func (r Record) advanced() Record {
+func (r Record) withNextGeneration() Record {
 	r.Generation++
 	return r
 }
 
-// settle lowers the decided number as far as the ceilings allow, and raises it
-// at once.
-func settle(decision Decision) Decision {
+// updateReplicaLimit lowers ReplicaLimit towards the target as far as the ceilings allow, or
+// raises it to the target at once.
+func updateReplicaLimit(decision Decision) Decision {
 	decision.ReplicaLimit = max(decision.Target, decision.CeilingSum())
 	return decision
 }
--- a/internal/allotment/decide.go
+++ b/internal/allotment/decide.go
@@ -8,27 +8,27 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Input is what the decider knows.
+// Input is what Decide takes into account besides the previous record.
 type Input struct {
 	Models []catalog.ModelInfo
-	// Engines counts the live engines of each zone; a zone without engines
+	// Engines is the number of live engines of each zone; a zone without engines
 	// gets no allotment.
 	Engines map[fleet.Zone]int
-	// Demand counts what waits for a model in a zone beyond its limit.
+	// Demand is the number of replicas that a zone needs of a model beyond its limit.
 	Demand map[fleet.ModelVersion]map[fleet.Zone]int
-	// IdleReplicas counts the part of a zone's limit that is not loaded.
+	// IdleReplicas is the part of a zone's limit of a model that is not loaded.
 	IdleReplicas map[fleet.ModelVersion]map[fleet.Zone]int
-	// Evacuated are zones that give their allotment away; they count as zones
-	// without engines.
+	// Evacuated are the zones that give up their allotment; they are treated as
+	// zones without engines.
 	Evacuated map[fleet.Zone]bool
-	// RaiseUnconfirmed is a planted fault, set by tests and the simulator only:
+	// RaiseUnconfirmed is a deliberate fault, set only by tests and the simulator:
 	// limits are raised without waiting for lowered ones to be confirmed.
 	RaiseUnconfirmed bool
 }
 
-// Decide returns the next record: targets from the catalog, what is free given
-// to zones, idle allotment lowered where another zone wants it. Limits are
-// raised only by what the ceilings leave of the decided number.
+// Decide returns the next record, and whether it differs: it takes targets from the
+// catalog, assigns free replicas to zones, and lowers idle allotment that another zone
+// needs. Limits are raised only by what the ceilings leave of the target.
 func Decide(record Record, input Input) (Record, bool) {
 	input.Engines = withoutEvacuated(input)
 	next := record.Clone()
@@ -36,13 +36,13 @@
 	changed := false
 	empty := emptyZones(record, input.Engines)
 	known := make(map[fleet.ModelVersion]bool, len(input.Models))
-	for _, facts := range input.Models {
-		known[facts.Model] = true
-		before := next.Models[facts.Model]
-		after := decideModel(before, target(facts), facts.Model, input, next.Generation)
-		after = returnIdle(after, facts.Model, input, empty, next.Generation)
+	for _, info := range input.Models {
+		known[info.Model] = true
+		before := next.Models[info.Model]
+		after := decideModel(before, targetReplicas(info), info.Model, input, next.Generation)
+		after = moveToEmptyZone(after, info.Model, input, empty, next.Generation)
 		if !equalDecision(before, after) {
-			next.Models[facts.Model] = after
+			next.Models[info.Model] = after
 			changed = true
 		}
 	}
@@ -51,7 +51,7 @@
 			continue
 		}
 		before := next.Models[model]
-		after := lowerTo(before, 0, nil, next.Generation)
+		after := lowerLimitsTo(before, 0, nil, next.Generation)
 		if after.CeilingSum() == 0 {
 			delete(next.Models, model)
 			changed = true
@@ -68,9 +68,9 @@
 	return next, true
 }
 
-// target is the number of replicas that the fleet may hold of a model.
-func target(facts catalog.ModelInfo) int {
-	return max(facts.MaxReplicas, facts.MinReplicas, facts.StandingReplicas)
+// targetReplicas returns how many replicas of a model the fleet may hold.
+func targetReplicas(info catalog.ModelInfo) int {
+	return max(info.MaxReplicas, info.MinReplicas, info.StandingReplicas)
 }
 
 func decideModel(before Decision, target int, model fleet.ModelVersion, input Input, generation uint64) Decision {
@@ -78,73 +78,73 @@
 	for zone, share := range before.Zones {
 		after.Zones[zone] = share
 	}
-	after = lowerTo(after, target, input.IdleReplicas[model], generation)
-	after = leaveEvacuated(after, input, generation)
-	after = moveIdle(after, model, input, generation)
-	after = raiseFree(after, model, input)
+	after = lowerLimitsTo(after, target, input.IdleReplicas[model], generation)
+	after = clearEvacuated(after, input, generation)
+	after = moveIdleReplica(after, model, input, generation)
+	after = raiseLimits(after, model, input)
 	return after
 }
 
-// lowerTo lowers limits until their sum is within the number: the idle part of
-// the largest first.
-func lowerTo(decision Decision, number int, idle map[fleet.Zone]int, generation uint64) Decision {
-	lowered := Decision{ReplicaLimit: decision.ReplicaLimit, Target: number, Zones: make(map[fleet.Zone]Share)}
+// lowerLimitsTo lowers limits until their sum is within the target. Zones with idle
+// replicas go first, and among equals the largest limit.
+func lowerLimitsTo(decision Decision, target int, idle map[fleet.Zone]int, generation uint64) Decision {
+	lowered := Decision{ReplicaLimit: decision.ReplicaLimit, Target: target, Zones: make(map[fleet.Zone]Share)}
 	sum := 0
 	for zone, share := range decision.Zones {
 		lowered.Zones[zone] = share
 		sum += share.Limit
 	}
-	idleLeft := make(map[fleet.Zone]int, len(idle))
+	remainingIdle := make(map[fleet.Zone]int, len(idle))
 	for zone, count := range idle {
-		idleLeft[zone] = count
+		remainingIdle[zone] = count
 	}
-	for ; sum > number; sum-- {
-		zone := pick(lowered.Zones, func(zone fleet.Zone) int {
+	for ; sum > target; sum-- {
+		zone := highestScoring(lowered.Zones, func(zone fleet.Zone) int {
 			if lowered.Zones[zone].Limit == 0 {
 				return -1
 			}
-			if idleLeft[zone] > 0 {
+			if remainingIdle[zone] > 0 {
 				return idlePreference + lowered.Zones[zone].Limit
 			}
 			return lowered.Zones[zone].Limit
 		})
-		lowered.Zones[zone] = lowerOne(lowered.Zones[zone], generation)
-		idleLeft[zone]--
+		lowered.Zones[zone] = lowerLimit(lowered.Zones[zone], generation)
+		remainingIdle[zone]--
 	}
-	return settle(lowered)
+	return updateReplicaLimit(lowered)
 }
 
-// idlePreference ranks zones with idle allotment before all others.
+// idlePreference is added to the score of zones with idle replicas, to rank them first.
 const idlePreference = 1 << 20
 
-func lowerOne(share Share, generation uint64) Share {
+func lowerLimit(share Share, generation uint64) Share {
 	share.Limit--
 	share.LoweredAt = generation
 	return share
 }
 
-// moveIdle lowers one idle replica where another zone wants one and nothing is
-// free; it is raised there once the lowering is confirmed.
-func moveIdle(decision Decision, model fleet.ModelVersion, input Input, generation uint64) Decision {
-	wanting := pick(input.Demand[model], func(zone fleet.Zone) int {
+// moveIdleReplica lowers the limit of a zone with an idle replica if another zone needs
+// one and none is free; the other limit is raised once the lowered one is confirmed.
+func moveIdleReplica(decision Decision, model fleet.ModelVersion, input Input, generation uint64) Decision {
+	destination := highestScoring(input.Demand[model], func(zone fleet.Zone) int {
 		if input.Engines[zone] == 0 {
 			return -1
 		}
 		return input.Demand[model][zone]
 	})
-	if input.Demand[model][wanting] <= 0 || decision.ReplicaLimit > limitSum(decision) {
+	if input.Demand[model][destination] <= 0 || decision.ReplicaLimit > limitSum(decision) {
 		return decision
 	}
-	giver := pick(decision.Zones, func(zone fleet.Zone) int {
-		if zone == wanting || decision.Zones[zone].Limit == 0 {
+	source := highestScoring(decision.Zones, func(zone fleet.Zone) int {
+		if zone == destination || decision.Zones[zone].Limit == 0 {
 			return -1
 		}
 		return input.IdleReplicas[model][zone]
 	})
-	if giver == "" || input.IdleReplicas[model][giver] <= 0 {
+	if source == "" || input.IdleReplicas[model][source] <= 0 {
 		return decision
 	}
-	decision.Zones[giver] = lowerOne(decision.Zones[giver], generation)
+	decision.Zones[source] = lowerLimit(decision.Zones[source], generation)
 	return decision
 }
 
@@ -156,9 +156,9 @@
 	return sum
 }
 
-// raiseFree gives what the ceilings leave of the target to the zones that want
-// it most, then to those with the most engines for each replica they have.
-func raiseFree(decision Decision, model fleet.ModelVersion, input Input) Decision {
+// raiseLimits assigns what the ceilings leave of the target: first to zones with demand,
+// then to zones without a replica, then to those with the most engines per replica.
+func raiseLimits(decision Decision, model fleet.ModelVersion, input Input) Decision {
 	free := decision.Target - decision.CeilingSum()
 	if input.RaiseUnconfirmed {
 		free = decision.Target - limitSum(decision)
@@ -168,7 +168,7 @@
 		demand[zone] = count
 	}
 	for ; free > 0; free-- {
-		zone := pick(input.Engines, func(zone fleet.Zone) int {
+		zone := highestScoring(input.Engines, func(zone fleet.Zone) int {
 			return raiseScore(decision.Zones[zone], input.Engines[zone], demand[zone], model, zone)
 		})
 		if zone == "" {
@@ -180,23 +180,23 @@
 		decision.Zones[zone] = share
 		demand[zone]--
 	}
-	return settle(decision)
+	return updateReplicaLimit(decision)
 }
 
-// Zones that want a replica go before those that have none, these before all
+// Zones with demand rank before zones without a replica, and these before all
 // others.
 const (
 	demandWeight = 1 << 50
 	emptyWeight  = 1 << 40
 )
 
-// raiseScore ranks a zone for one more replica; below zero means never.
-// An engine holds a model once, so a zone never gets more than its engines.
+// raiseScore ranks a zone for one more replica; a negative score excludes it.
+// An engine loads a model at most once, so a zone never gets more replicas than engines.
 func raiseScore(share Share, engines, demand int, model fleet.ModelVersion, zone fleet.Zone) int {
 	if share.Limit >= engines || share.Ceiling > share.Limit {
 		return -1
 	}
-	score := spread(model, zone, engines, share.Limit)
+	score := spreadScore(model, zone, engines, share.Limit)
 	if share.Limit == 0 {
 		score += emptyWeight
 	}
@@ -218,9 +218,9 @@
 	return true
 }
 
-// pick returns the zone with the largest score that is not below zero, by name
-// among equals, and "" where there is none.
-func pick[T any](zones map[fleet.Zone]T, score func(fleet.Zone) int) fleet.Zone {
+// highestScoring returns the zone with the highest score, the first by name among equals,
+// or "" if no score is zero or more.
+func highestScoring[T any](zones map[fleet.Zone]T, score func(fleet.Zone) int) fleet.Zone {
 	names := sortedZones(zones)
 	names = slices.DeleteFunc(names, func(zone fleet.Zone) bool { return score(zone) < 0 })
 	if len(names) == 0 {
--- a/internal/allotment/evacuate.go
+++ b/internal/allotment/evacuate.go
@@ -6,17 +6,17 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// withoutEvacuated counts the engines of the zones that may get allotment.
+// withoutEvacuated returns the engine counts without the evacuated zones.
 func withoutEvacuated(input Input) map[fleet.Zone]int {
 	engines := maps.Clone(input.Engines)
 	maps.DeleteFunc(engines, func(zone fleet.Zone, _ int) bool { return input.Evacuated[zone] })
 	return engines
 }
 
-// leaveEvacuated lowers the limits of evacuated zones, so that others may load
-// what stood there once the lowering is confirmed. Where no zone is left to take
-// it, it stays: nothing would be won by unloading.
-func leaveEvacuated(decision Decision, input Input, generation uint64) Decision {
+// clearEvacuated lowers the limits of evacuated zones to zero, so that other zones may
+// load their replicas once that is confirmed. If no other zone has engines, the limits
+// stay, as unloading would gain nothing.
+func clearEvacuated(decision Decision, input Input, generation uint64) Decision {
 	if len(input.Engines) == 0 {
 		return decision
 	}
@@ -26,11 +26,11 @@
 			decision.Zones[zone] = share
 		}
 	}
-	return settle(decision)
+	return updateReplicaLimit(decision)
 }
 
-// emptyZones are the zones with engines that have no allotment of any model, such
-// as one whose evacuation was taken back.
+// emptyZones returns the zones with engines that have no allotment of any model, such
+// as a zone whose evacuation has ended.
 func emptyZones(record Record, engines map[fleet.Zone]int) map[fleet.Zone]int {
 	empty := maps.Clone(engines)
 	maps.DeleteFunc(empty, func(_ fleet.Zone, count int) bool { return count == 0 })
@@ -44,26 +44,26 @@
 	return empty
 }
 
-// returnIdle lowers one idle replica that an empty zone would get if it were dealt
-// out now. Without that the zone's engines would stand idle while the others hold
-// all models: nothing else moves allotment that no zone lacks.
-func returnIdle(decision Decision, model fleet.ModelVersion, input Input, empty map[fleet.Zone]int, generation uint64) Decision {
+// moveToEmptyZone lowers the limit of a zone with an idle replica if an empty zone would
+// rank higher for it now. Otherwise the empty zone's engines would stay unused while the
+// other zones hold all models, as no other rule moves allotment without demand.
+func moveToEmptyZone(decision Decision, model fleet.ModelVersion, input Input, empty map[fleet.Zone]int, generation uint64) Decision {
 	if len(empty) == 0 || decision.Target > limitSum(decision) {
 		return decision
 	}
 	score := func(zone fleet.Zone, limit int) int {
 		return raiseScore(Share{Limit: limit, Ceiling: limit}, input.Engines[zone], 0, model, zone)
 	}
-	taker := pick(empty, func(zone fleet.Zone) int { return score(zone, 0) })
-	giver := pick(decision.Zones, func(zone fleet.Zone) int {
+	destination := highestScoring(empty, func(zone fleet.Zone) int { return score(zone, 0) })
+	source := highestScoring(decision.Zones, func(zone fleet.Zone) int {
 		if decision.Zones[zone].Limit == 0 || input.IdleReplicas[model][zone] <= 0 {
 			return -1
 		}
 		return decision.Zones[zone].Limit
 	})
-	if taker == "" || giver == "" || score(taker, 0) <= score(giver, decision.Zones[giver].Limit-1) {
+	if destination == "" || source == "" || score(destination, 0) <= score(source, decision.Zones[source].Limit-1) {
 		return decision
 	}
-	decision.Zones[giver] = lowerOne(decision.Zones[giver], generation)
+	decision.Zones[source] = lowerLimit(decision.Zones[source], generation)
 	return decision
 }
--- a/internal/allotment/evacuate_test.go
+++ b/internal/allotment/evacuate_test.go
@@ -8,8 +8,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// settled decides until nothing changes, each zone confirming at once.
-func settled(t *testing.T, record Record, input Input) Record {
+// decideUntilStable decides until nothing changes, while each zone confirms at once.
+func decideUntilStable(t *testing.T, record Record, input Input) Record {
 	t.Helper()
 	for range 10 {
 		next, changed := Decide(record, input)
@@ -23,12 +23,12 @@
 		}
 		record = next
 	}
-	t.Fatal("the decision does not settle")
+	t.Fatal("the record still changes after 10 decisions")
 	return record
 }
 
-// limitOf adds up what a zone may load of all models.
-func limitOf(record Record, zone fleet.Zone) int {
+// totalLimit returns the sum of a zone's limits of all models.
+func totalLimit(record Record, zone fleet.Zone) int {
 	sum := 0
 	for _, decision := range record.Models {
 		sum += decision.Zones[zone].Limit
@@ -39,18 +39,18 @@
 func manyModels(count int) []catalog.ModelInfo {
 	var models []catalog.ModelInfo
 	for index := range count {
-		models = append(models, facts(fmt.Sprintf("m%d", index), 1+index%2))
+		models = append(models, modelInfo(fmt.Sprintf("m%d", index), 1+index%2))
 	}
 	return models
 }
 
 func TestEvacuatedZoneGivesItsAllotmentAwayAndGetsItBack(t *testing.T) {
 	input := Input{Models: manyModels(60), Engines: engines(4, 4, 4)}
-	before := settled(t, Record{}, input)
+	before := decideUntilStable(t, Record{}, input)
 	input.Evacuated = map[fleet.Zone]bool{"z0": true, "nowhere": true}
-	during := settled(t, before, input)
-	if limitOf(during, "z0") != 0 || limitOf(during, "z1")+limitOf(during, "z2") != 90 {
-		t.Errorf("evacuated: %d, %d and %d of 90", limitOf(during, "z0"), limitOf(during, "z1"), limitOf(during, "z2"))
+	during := decideUntilStable(t, before, input)
+	if totalLimit(during, "z0") != 0 || totalLimit(during, "z1")+totalLimit(during, "z2") != 90 {
+		t.Errorf("limits during the evacuation: %d, %d and %d of 90", totalLimit(during, "z0"), totalLimit(during, "z1"), totalLimit(during, "z2"))
 	}
 	input.Evacuated = nil
 	input.IdleReplicas = make(map[fleet.ModelVersion]map[fleet.Zone]int)
@@ -60,27 +60,27 @@
 			input.IdleReplicas[model][zone] = share.Limit
 		}
 	}
-	after := settled(t, during, input)
-	if limit := limitOf(after, "z0"); limit < 15 || limitOf(after, "z0")+limitOf(after, "z1")+limitOf(after, "z2") != 90 {
-		t.Errorf("taken back: %d of 90, had %d", limit, limitOf(before, "z0"))
+	after := decideUntilStable(t, during, input)
+	if limit := totalLimit(after, "z0"); limit < 15 || totalLimit(after, "z0")+totalLimit(after, "z1")+totalLimit(after, "z2") != 90 {
+		t.Errorf("limit after the evacuation: %d of 90, before it %d", limit, totalLimit(before, "z0"))
 	}
 }
 
-// TestLoadedReplicasStayWhereTheyAre when a zone comes back.
+// Loaded replicas stay in their zone when the evacuation of another zone ends.
 func TestLoadedReplicasStayWhereTheyAre(t *testing.T) {
 	input := Input{Models: manyModels(60), Engines: engines(4, 4), Evacuated: map[fleet.Zone]bool{"z0": true}}
-	during := settled(t, Record{}, input)
+	during := decideUntilStable(t, Record{}, input)
 	input.Evacuated = nil
 	if after, changed := Decide(during, input); changed {
-		t.Errorf("%d moved", limitOf(after, "z0"))
+		t.Errorf("limits of %d replicas moved", totalLimit(after, "z0"))
 	}
 }
 
 func TestAllZonesEvacuatedKeepTheirAllotment(t *testing.T) {
 	input := Input{Models: manyModels(10), Engines: engines(4, 4)}
-	before := settled(t, Record{}, input)
+	before := decideUntilStable(t, Record{}, input)
 	input.Evacuated = map[fleet.Zone]bool{"z0": true, "z1": true}
 	if after, changed := Decide(before, input); changed {
-		t.Errorf("limits %d and %d, had %d and %d", limitOf(after, "z0"), limitOf(after, "z1"), limitOf(before, "z0"), limitOf(before, "z1"))
+		t.Errorf("limits %d and %d, before the evacuation %d and %d", totalLimit(after, "z0"), totalLimit(after, "z1"), totalLimit(before, "z0"), totalLimit(before, "z1"))
 	}
 }
--- a/internal/allotment/record.go
+++ b/internal/allotment/record.go
@@ -7,49 +7,49 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// ObjectName is the name of the one record in the store.
+// ObjectName is the name of the record's object in the store.
 const ObjectName = "fleet"
 
-// Record is the whole decision. Records are ordered by Generation; a record
-// must not be changed after it was published.
+// Record holds the decisions for the whole fleet. Records are ordered by Generation;
+// a record must not be modified after it was published.
 type Record struct {
-	// Generation grows by one with each write; fences carry it.
+	// Generation increases by one with each write; fences carry it.
 	Generation uint64 `json:"generation"`
 	// Models holds the decision for each model version.
 	Models map[fleet.ModelVersion]Decision `json:"models,omitempty"`
-	// Zones holds what is recorded for each zone.
+	// Zones holds the engines of each zone.
 	Zones map[fleet.Zone]ZoneEntry `json:"zones,omitempty"`
 }
 
-// ZoneEntry is what is recorded for a zone.
+// ZoneEntry holds the engines of one zone.
 type ZoneEntry struct {
 	// Engines are the engines that a leader of the zone may claim and must
-	// count. One that is not listed holds nothing, since no leader may use it.
+	// count. An engine that is not listed holds no replica, since no leader may use it.
 	Engines []fleet.BackendName `json:"engines,omitempty"`
-	// Joining are engines that may not be used before a majority of the zone's
-	// nodes holds the record that first named them, of generation JoinedAt.
+	// Joining are engines that may not be used until a majority of the zone's
+	// nodes holds the record that first listed them, of generation JoinedAt.
 	Joining  []fleet.BackendName `json:"joining,omitempty"`
 	JoinedAt uint64              `json:"joinedAt,omitempty"`
 }
 
 // Decision is the decided number of replicas of one model version.
 type Decision struct {
-	// ReplicaLimit bounds the replicas in the whole fleet; it is never below the
+	// ReplicaLimit limits the replicas in the whole fleet; it is never below the
 	// sum of the ceilings.
 	ReplicaLimit int `json:"decided"`
-	// Target is what Decided becomes once the zones have confirmed.
+	// Target is the value of ReplicaLimit once the zones have confirmed their limits.
 	Target int                  `json:"target"`
 	Zones  map[fleet.Zone]Share `json:"zones,omitempty"`
 }
 
 // Share is one zone's allotment of one model version.
 type Share struct {
-	// Limit is what the zone may load up to.
+	// Limit is the number of replicas up to which the zone may load.
 	Limit int `json:"limit"`
-	// Ceiling is what may still be loaded: Limit, or more until the zone has
-	// confirmed a lowered limit.
+	// Ceiling is the number of replicas that may still be loaded: Limit, or more
+	// until the zone has confirmed a lowered limit.
 	Ceiling int `json:"ceiling"`
-	// LoweredAt is the generation that lowered the limit last.
+	// LoweredAt is the generation that last lowered the limit.
 	LoweredAt uint64 `json:"loweredAt,omitempty"`
 }
 
@@ -71,17 +71,17 @@
 	return clone
 }
 
-// Limit is the number of replicas that the zone may load up to.
+// Limit returns the number of replicas of the model up to which the zone may load.
 func (r Record) Limit(model fleet.ModelVersion, zone fleet.Zone) int {
 	return r.Models[model].Zones[zone].Limit
 }
 
-// Engines are the engines recorded for the zone.
+// Engines returns the zone's usable engines.
 func (r Record) Engines(zone fleet.Zone) []fleet.BackendName {
 	return r.Zones[zone].Engines
 }
 
-// CeilingSum is the most replicas that the zones may hold together.
+// CeilingSum returns the most replicas that all zones together may hold.
 func (d Decision) CeilingSum() int {
 	sum := 0
 	for _, share := range d.Zones {
@@ -90,20 +90,20 @@
 	return sum
 }
 
-// Overcommitted returns the models whose ceilings exceed what was decided.
+// Overcommitted returns the models whose ceilings together exceed ReplicaLimit.
 func (r Record) Overcommitted() []fleet.ModelVersion {
-	var broken []fleet.ModelVersion
+	var models []fleet.ModelVersion
 	for _, model := range sortedModels(r.Models) {
 		decision := r.Models[model]
 		if decision.CeilingSum() > decision.ReplicaLimit {
-			broken = append(broken, model)
+			models = append(models, model)
 		}
 	}
-	return broken
+	return models
 }
 
-// Unconfirmed returns the models whose lowered limit the zone has not yet
-// confirmed.
+// Unconfirmed returns the models of which the zone has not yet confirmed a lowered
+// limit.
 func (r Record) Unconfirmed(zone fleet.Zone) []fleet.ModelVersion {
 	var models []fleet.ModelVersion
 	for _, model := range sortedModels(r.Models) {
--- a/internal/allotment/spread.go
+++ b/internal/allotment/spread.go
@@ -8,18 +8,18 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// spreadScale turns the weights into whole numbers; the largest possible one
-// stays below emptyWeight.
+// spreadScale converts the scores to integers, which maxSpreadScore keeps below
+// emptyWeight.
 const (
-	spreadScale   = 1 << 10
-	largestSpread = emptyWeight - 1
+	spreadScale    = 1 << 10
+	maxSpreadScore = emptyWeight - 1
 )
 
-// spread ranks zones for a model by weighted rendezvous: models are dealt out
-// in proportion to the engines that a zone has for each replica it holds.
-func spread(model fleet.ModelVersion, zone fleet.Zone, engines, limit int) int {
+// spreadScore ranks a zone for a model by weighted rendezvous hashing: models are
+// distributed in proportion to a zone's engines per replica it holds of the model.
+func spreadScore(model fleet.ModelVersion, zone fleet.Zone, engines, limit int) int {
 	hash := xxhash.Sum64String(model.String() + "/" + string(zone))
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 	weight := float64(engines) / float64(limit+1)
-	return int(min(-weight/math.Log(uniform)*spreadScale, largestSpread))
+	return int(min(-weight/math.Log(uniform)*spreadScale, maxSpreadScore))
 }
--- a/internal/allotment/standing.go
+++ b/internal/allotment/standing.go
@@ -2,18 +2,18 @@
 
 import "github.com/spanlanding/spanlanding/internal/fleet"
 
-// StandingShare is the zone's part of the replicas to keep ready: they are
-// dealt out one by one over the zones, in the order of their names, up to each
-// zone's limit.
+// StandingShare returns how many of the replicas that are to be kept ready fall to the
+// zone: they are assigned to the zones in turn, in the order of their names, up to
+// each zone's limit.
 func StandingShare(record Record, model fleet.ModelVersion, zone fleet.Zone, replicas int) int {
 	shares := record.Models[model].Zones
 	zones := sortedZones(shares)
-	dealt := make(map[fleet.Zone]int, len(zones))
+	assigned := make(map[fleet.Zone]int, len(zones))
 	for replicas > 0 {
 		progress := false
 		for _, name := range zones {
-			if replicas > 0 && dealt[name] < shares[name].Limit {
-				dealt[name]++
+			if replicas > 0 && assigned[name] < shares[name].Limit {
+				assigned[name]++
 				replicas--
 				progress = true
 			}
@@ -22,5 +22,5 @@
 			break
 		}
 	}
-	return dealt[zone]
+	return assigned[zone]
 }
