--- a/internal/configsync/bench_test.go
+++ b/internal/configsync/bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// benchObjects is what the size to build towards declares: adapters,
-// deployments, models and selectors.
+// benchObjects is the number of adapters, deployments, models and selectors declared at the target
+// size.
 const benchObjects = 8_700*2 + 54 + 400
 
-// loadedCore holds objects of the length that a deployment's JSON has.
+// loadedCore holds objects as long as a deployment's JSON.
 func loadedCore() *Core {
 	core := New(Options{Self: fleet.Member{Name: "a", Zone: "z", State: fleet.MemberAlive}})
 	core.Step(time.Unix(1, 0), MembersChanged{})
--- a/internal/configsync/cluster_test.go
+++ b/internal/configsync/cluster_test.go
@@ -11,34 +11,34 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// envelope is a message under way to a node's boot.
+// envelope is a message in flight to one boot of a node.
 type envelope struct {
 	to      fleet.NodeName
 	boot    int
 	message Message
-	// call names the digest or push that the message answers.
+	// from is the sender of the message, or the peer that answers a digest.
 	from fleet.NodeName
 }
 
 type testNode struct {
-	// cutOff parts the node from the store alone.
+	// cutOff separates this node alone from the store.
 	cutOff bool
 	member fleet.Member
 	boot   int
 	core   *Core
 	watch  *WatchStore
 	// position is the last revision that the watch delivered.
-	position uint64
-	versions map[objectstore.Key]uint64
-	inForce  uint64
-	machines objectstore.MachineList
-	// checked and checkedMachines are what the rules were last held against.
-	checked         ledgerState
+	position    uint64
+	versions    map[objectstore.Key]uint64
+	lastVersion uint64
+	machines    objectstore.MachineList
+	// checkedObjects and checkedMachines are the states at the last check of the invariants.
+	checkedObjects  objectTableState
 	checkedMachines [2]uint64
 }
 
-// ledgerState tells whether a ledger changed.
-type ledgerState struct {
+// objectTableState identifies the state of an object table, to detect changes.
+type objectTableState struct {
 	loaded     bool
 	version    uint64
 	newest     uint64
@@ -46,27 +46,27 @@
 	tombstones int
 }
 
-func stateOf(held *ledger) ledgerState {
-	return ledgerState{loaded: held.loaded, version: held.version, newest: held.newest, hash: held.hash, tombstones: held.tombstones}
+func stateOf(held *objectTable) objectTableState {
+	return objectTableState{loaded: held.loaded, version: held.version, newest: held.newest, hash: held.hash, tombstones: held.tombstones}
 }
 
-// cluster runs several cores over a network and a store that may fail.
+// cluster runs several cores with a network and a store that can fail.
 type cluster struct {
 	now      time.Time
 	store    testStore
 	nodes    []*testNode
 	inFlight []envelope
 	options  Options
-	// failure is the first broken rule.
-	failure string
-	// reports are the StoreBehind and Diverged effects.
-	reports []Effect
-	calls   uint64
-	asked   map[uint64]envelope
+	// violation is the first violated invariant.
+	violation string
+	// reports are the StoreBehind and PeerDiverged effects.
+	reports        []Effect
+	calls          uint64
+	pendingDigests map[uint64]envelope
 }
 
 func newCluster(zones []fleet.Zone, perZone int, options Options) *cluster {
-	c := &cluster{now: time.Unix(1000, 0), options: options, asked: make(map[uint64]envelope)}
+	c := &cluster{now: time.Unix(1000, 0), options: options, pendingDigests: make(map[uint64]envelope)}
 	for _, zone := range zones {
 		for index := range perZone {
 			name := fleet.NodeName(fmt.Sprintf("%s-%d", zone, index))
@@ -79,7 +79,7 @@
 	return c
 }
 
-// setMachine moves the time on: a list with the time of a change shows it.
+// setMachine advances the time, so that a list as of the time of a change includes it.
 func (c *cluster) setMachine(name string, state objectstore.MachineState) {
 	c.now = c.now.Add(time.Millisecond)
 	c.store.setMachine(c.now, name, state)
@@ -93,9 +93,9 @@
 	node.core = New(options)
 	node.watch = nil
 	node.versions = make(map[objectstore.Key]uint64)
-	node.inForce = 0
+	node.lastVersion = 0
 	node.machines = objectstore.MachineList{}
-	node.checked = ledgerState{}
+	node.checkedObjects = objectTableState{}
 	node.checkedMachines = [2]uint64{}
 	c.step(node, MembersChanged{Members: c.members()})
 }
@@ -112,7 +112,7 @@
 	for _, effect := range node.core.Step(c.now, message) {
 		c.perform(node, effect)
 	}
-	c.check(node)
+	c.checkInvariants(node)
 }
 
 func (c *cluster) send(to *testNode, from fleet.NodeName, message Message) {
@@ -139,11 +139,11 @@
 	case SendDigest:
 		if to := c.node(effect.To.Name); to != nil {
 			c.calls++
-			c.asked[c.calls] = envelope{to: node.member.Name, boot: node.boot, from: to.member.Name}
+			c.pendingDigests[c.calls] = envelope{to: node.member.Name, boot: node.boot, from: to.member.Name}
 			c.send(to, node.member.Name, DigestReceived{Call: c.calls, From: node.member.Name, Digest: effect.Digest})
 		}
 	case AnswerDigest:
-		answer := c.asked[effect.Call]
+		answer := c.pendingDigests[effect.Call]
 		answer.message = DigestAnswered{From: answer.from, Answer: effect.Answer}
 		c.inFlight = append(c.inFlight, answer)
 	case ListMachines:
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// deliver takes a message from the network. Messages to an earlier boot are
-// lost with it, save pushes and digests, which find the new one.
+// deliver delivers a message from the network. Messages to an earlier boot are lost, except pushes
+// and digests, which reach the new one.
 func (c *cluster) deliver(index int, keep bool) {
 	message := c.inFlight[index]
 	if !keep {
@@ -184,8 +184,8 @@
 	c.step(node, message.message)
 }
 
-// pump delivers the next event of a node's watch.
-func (c *cluster) pump(node *testNode) {
+// deliverWatchEvent delivers the next event of a node's watch.
+func (c *cluster) deliverWatchEvent(node *testNode) {
 	if node.watch == nil {
 		return
 	}
@@ -218,8 +218,8 @@
 	}
 }
 
-// heal lets all nodes take each other for alive.
-func (c *cluster) heal() {
+// markAllAlive makes all nodes consider each other alive.
+func (c *cluster) markAllAlive() {
 	for _, node := range c.nodes {
 		node.member.State = fleet.MemberAlive
 	}
@@ -228,46 +228,46 @@
 	}
 }
 
-// settle lets everything arrive.
+// settle delivers all messages and watch events, for a number of rounds.
 func (c *cluster) settle(rounds int) {
 	for range rounds {
 		for len(c.inFlight) > 0 {
 			c.deliver(0, false)
 		}
 		for _, node := range c.nodes {
-			for before := -1; node.watch != nil && before != int(node.position); {
-				before = int(node.position)
-				c.pump(node)
+			for previous := -1; node.watch != nil && previous != int(node.position); {
+				previous = int(node.position)
+				c.deliverWatchEvent(node)
 			}
 		}
 		c.advance(100 * time.Millisecond)
 	}
 }
 
-// check holds the rules against the store's own history: versions only grow,
-// and a version is in force only where every change up to it is held.
-func (c *cluster) check(node *testNode) {
+// checkInvariants compares a node with the store's own history: versions only increase, and a
+// version is in force only if every change up to it is held.
+func (c *cluster) checkInvariants(node *testNode) {
 	c.checkMachines(node)
 	state := stateOf(node.core.objects)
-	if state == node.checked {
+	if state == node.checkedObjects {
 		return
 	}
-	node.checked = state
+	node.checkedObjects = state
 	version, loaded := node.core.Version()
-	if version < node.inForce {
-		c.fail("%s went back from version %d to %d", node.member.Name, node.inForce, version)
+	if version < node.lastVersion {
+		c.fail("version of %s decreased from %d to %d", node.member.Name, node.lastVersion, version)
 	}
-	node.inForce = version
+	node.lastVersion = version
 	for key, object := range node.core.objects.objects {
 		if object.Version < node.versions[key] {
-			c.fail("%s went back on %v from %d to %d", node.member.Name, key, node.versions[key], object.Version)
+			c.fail("%s: version of %v decreased from %d to %d", node.member.Name, key, node.versions[key], object.Version)
 		}
 		node.versions[key] = object.Version
 	}
 	if !loaded {
 		return
 	}
-	for key, change := range c.store.at(version) {
+	for key, change := range c.store.stateAt(version) {
 		if key.Kind == objectstore.KindLease {
 			continue
 		}
@@ -276,14 +276,14 @@
 		case !found && !change.Deleted:
 			c.fail("%s lacks %v@%d at version %d", node.member.Name, key, change.Version, version)
 		case found && held.Deleted && change.Deleted:
-			// A recreation in between may never have been seen.
+			// A recreation in between may never have been received.
 		case found && held.Version < change.Version:
 			c.fail("%s holds %v@%d instead of @%d at version %d", node.member.Name, key, held.Version, change.Version, version)
 		}
 	}
 }
 
-// checkMachines compares what is held with what the list showed at its time.
+// checkMachines compares the held machine list with the store's list at its timestamp.
 func (c *cluster) checkMachines(node *testNode) {
 	held := node.core.machines
 	state := [2]uint64{held.asOf, held.hash}
@@ -293,20 +293,20 @@
 	node.checkedMachines = state
 	want := c.store.machinesAt(int64(held.asOf))
 	if difference := cmp.Diff(want, held.list(), cmpopts.EquateEmpty()); difference != "" {
-		c.fail("%s holds other machines: %s", node.member.Name, difference)
+		c.fail("%s holds different machines (-want +got): %s", node.member.Name, difference)
 	}
 }
 
 func (c *cluster) fail(format string, arguments ...any) {
-	if c.failure == "" {
-		c.failure = fmt.Sprintf(format, arguments...)
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-// differences tells where a node does not hold what the store holds.
+// differences describes the first difference between a node and the store.
 func (c *cluster) differences() string {
 	want := make(map[objectstore.Key]uint64)
-	for key, object := range c.store.at(c.store.version) {
+	for key, object := range c.store.stateAt(c.store.version) {
 		if !object.Deleted && key.Kind != objectstore.KindLease {
 			want[key] = object.Version
 		}
--- a/internal/configsync/core.go
+++ b/internal/configsync/core.go
@@ -9,7 +9,7 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// Defaults of the options.
+// Default option values.
 const (
 	DefaultPushDelay         = 10 * time.Millisecond
 	DefaultDigestInterval    = 2 * time.Second
@@ -21,55 +21,52 @@
 )
 
 const (
-	// foreignDigestShare is one in how many digests goes to another zone.
-	foreignDigestShare = 8
-	// cutOffForeignShare is that of a reader without the store, and
-	// cutOffDigestFactor how much more often it sends digests.
-	cutOffForeignShare = 2
-	cutOffDigestFactor = 4
-	// maxReadBackoff is how many times the read retry may double.
-	maxReadBackoff = 2
-	// jitterShare is the part of an interval that is drawn.
-	jitterShare = 0.5
+	// One in digestsPerCrossZoneDigest digests goes to another zone.
+	digestsPerCrossZoneDigest = 8
+	// cutOffDigestsPerCrossZoneDigest is the same for a reader that cannot reach the store, and
+	// cutOffDigestSpeedup how many times as often it sends digests.
+	cutOffDigestsPerCrossZoneDigest = 2
+	cutOffDigestSpeedup             = 4
+	// maxReadBackoffDoublings is how many times the read retry interval may double.
+	maxReadBackoffDoublings = 2
+	// jitterFraction is the random part of an interval.
+	jitterFraction = 0.5
 )
 
-// Options configure a core. Zero durations and limits take the defaults.
+// Options configure a Core. Zero durations and limits take the defaults.
 type Options struct {
 	// Self is the node's own member; only name, zone and addresses are used.
 	Self fleet.Member
 	Seed uint64
-	// PushDelay gathers changes into one push.
+	// PushDelay is how long changes are collected into one push.
 	PushDelay time.Duration
-	// DigestInterval is the mean time between two digests, of objects and of
-	// machines each.
+	// DigestInterval is the mean time between two digests, for objects and for machines separately.
 	DigestInterval time.Duration
-	// FirstDigestRetry is the interval until the node has something in force.
+	// FirstDigestRetry replaces DigestInterval until the node has a version in force.
 	FirstDigestRetry time.Duration
-	// ReadRetry is the first wait after a failed list or watch; it doubles.
+	// ReadRetry is the first delay after a failed list or watch; it doubles on each further
+	// failure.
 	ReadRetry time.Duration
-	// MachineInterval is how often the first reader asks for the machine list
-	// while it is short.
+	// MachineInterval is how often the first reader requests the machine list while it is short.
 	MachineInterval time.Duration
-	// FullMergeInterval is the least time between two merges of all objects
-	// with peers that hold others at the same version.
+	// FullMergeInterval is the minimum time between two merges of all objects with peers that hold
+	// different objects at the same version.
 	FullMergeInterval time.Duration
-	// TombstoneLimit bounds the tombstones that are kept.
+	// TombstoneLimit bounds the number of tombstones kept.
 	TombstoneLimit int
 	Defects        Defects
 }
 
-// Defects are planted faults. Only tests and the simulator set them.
+// Defects are injected faults. Only tests and the simulator set them.
 type Defects struct {
-	// VersionsMayGoBack takes objects and versions that are older than what
-	// is held.
+	// VersionsMayGoBack accepts objects and versions older than those held.
 	VersionsMayGoBack bool
-	// IgnoreGaps claims a pushed version though changes before it are missing.
+	// IgnoreGaps advances to a pushed version even if changes before it are missing.
 	IgnoreGaps bool
-	// TakeUnknown takes objects that are not held whatever their version, so
-	// that deleted ones come back.
+	// TakeUnknown accepts objects that are not held at any version, so that deleted ones come back.
 	TakeUnknown bool
-	// IgnoreBase applies a change of the machine list to another list than it
-	// was made from.
+	// IgnoreBase applies a change of the machine list to a list other than the one it was made
+	// from.
 	IgnoreBase bool
 }
 
@@ -84,47 +81,47 @@
 	return o
 }
 
-// Core decides for one node who reads the store and who hears of changes.
+// Core decides for one node who reads the store and who is sent changes.
 type Core struct {
 	options Options
 	random  *rand.Rand
 	members []fleet.Member
 
-	objects  *ledger
-	machines *machineTable
-	reader   reader
-	spread   spread
-	effects  []Effect
-	// reported is the version of the last Updated.
-	reported uint64
-	// everReported is false until the first Updated.
-	everReported bool
+	objects    *objectTable
+	machines   *machineTable
+	reader     reader
+	objectSync objectSync
+	effects    []Effect
+	// reportedVersion is the version of the last ObjectsUpdated.
+	reportedVersion uint64
+	// hasReported is set once a version in force was reported.
+	hasReported bool
 }
 
-// New returns a core that holds nothing.
+// New returns a core without any objects.
 func New(options Options) *Core {
 	options = options.withDefaults()
 	return &Core{
 		options:  options,
 		random:   rand.New(rand.NewPCG(options.Seed, hashText(string(options.Self.Name)))),
 		members:  []fleet.Member{options.Self},
-		objects:  newLedger(options.TombstoneLimit, options.Defects),
+		objects:  newObjectTable(options.TombstoneLimit, options.Defects),
 		machines: newMachineTable(),
 	}
 }
 
-// Version is the store revision in force, and false while there is none.
+// Version returns the store revision in force, and false if there is none yet.
 func (c *Core) Version() (uint64, bool) {
 	return c.objects.version, c.objects.loaded
 }
 
-// Objects lists the declared objects and system records held, without
-// tombstones, in the order of their versions.
+// Objects returns the declared objects and system records held, without tombstones, ordered by
+// version.
 func (c *Core) Objects() []objectstore.Object {
-	return c.objects.all()
+	return c.objects.liveObjects()
 }
 
-// Lookup returns the version at which an object or its tombstone is held.
+// Lookup returns the held object or tombstone with the key.
 func (c *Core) Lookup(key objectstore.Key) (objectstore.Object, bool) {
 	object, found := c.objects.objects[key]
 	return object, found
@@ -135,7 +132,7 @@
 	return c.reader.active
 }
 
-// Step takes one message and returns what is to be done.
+// Step processes one message and returns the effects to perform.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	c.effects = nil
 	switch message := message.(type) {
@@ -143,11 +140,11 @@
 	case MembersChanged:
 		c.membersChanged(now, message.Members)
 	case StoreListed:
-		c.listed(now, message)
+		c.storeListed(now, message)
 	case ListFailed:
-		c.readFailed(now, message.Generation)
+		c.listFailed(now, message.Generation)
 	case EventsReceived:
-		c.watched(now, message)
+		c.eventsReceived(now, message)
 	case WatchEnded:
 		c.watchEnded(now, message)
 	case MachinesListed:
@@ -174,14 +171,14 @@
 	case DigestFailed:
 		c.digestFailed(now, message)
 	}
-	c.runDue(now)
+	c.runDueActions(now)
 	return c.effects
 }
 
-// NextWake is the earliest time at which a Tick is wanted.
+// NextWake returns the earliest time at which a Tick is needed.
 func (c *Core) NextWake() time.Time {
-	wake := earliest(c.reader.readAt, c.reader.machinesAt)
-	wake = earliest(wake, earliest(c.spread.pushAt, c.spread.digestAt))
+	wake := earliest(c.reader.nextReadAt, c.reader.nextMachineListAt)
+	wake = earliest(wake, earliest(c.objectSync.pushAt, c.objectSync.digestAt))
 	return earliest(wake, earliest(c.machines.pushAt, c.machines.digestAt))
 }
 
@@ -192,39 +189,39 @@
 	return a
 }
 
-func due(at, now time.Time) bool {
+func isDue(at, now time.Time) bool {
 	return !at.IsZero() && !now.Before(at)
 }
 
-func (c *Core) runDue(now time.Time) {
-	c.readDue(now)
-	c.pushDue(now)
-	c.digestDue(now)
-	c.pushMachinesDue(now)
-	c.digestMachinesDue(now)
+func (c *Core) runDueActions(now time.Time) {
+	c.startReadIfDue(now)
+	c.pushObjectsIfDue(now)
+	c.sendObjectDigestIfDue(now)
+	c.pushMachinesIfDue(now)
+	c.sendMachineDigestIfDue(now)
 }
 
 func (c *Core) emit(effect Effect) {
 	c.effects = append(c.effects, effect)
 }
 
-// jitter draws around an interval, so that nodes do not act in step.
+// jitter randomizes an interval, so that nodes don't act in step.
 func (c *Core) jitter(interval time.Duration) time.Duration {
-	return time.Duration(float64(interval) * (1 - jitterShare/2 + jitterShare*c.random.Float64()))
+	return time.Duration(float64(interval) * (1 - jitterFraction/2 + jitterFraction*c.random.Float64()))
 }
 
-// changed tells the shell of new content, and of the first version in force
-// that reaches content it was told of before.
-func (c *Core) changed(changed []objectstore.Object) {
+// reportChanges emits ObjectsUpdated for changed objects, and for the first version in force that
+// reaches objects reported earlier.
+func (c *Core) reportChanges(changed []objectstore.Object) {
 	version, loaded := c.Version()
 	if !loaded && len(changed) == 0 {
 		return
 	}
-	reachedContent := version > c.reported && c.reported < c.objects.newest
-	if len(changed) == 0 && c.everReported && !reachedContent {
+	reachedContent := version > c.reportedVersion && c.reportedVersion < c.objects.newest
+	if len(changed) == 0 && c.hasReported && !reachedContent {
 		return
 	}
-	c.everReported = c.everReported || loaded
-	c.reported = version
+	c.hasReported = c.hasReported || loaded
+	c.reportedVersion = version
 	c.emit(ObjectsUpdated{Version: version, Changed: changed})
 }
--- a/internal/configsync/first_test.go
+++ b/internal/configsync/first_test.go
@@ -14,9 +14,9 @@
 	members := MembersChanged{Members: []fleet.Member{member("a"), member("b"), member("c"), member("d")}}
 	start := time.Unix(1000, 0)
 	const second = time.Second
-	// sent counts the digests of objects in the second after the first one,
-	// which is answered by the message.
-	sent := func(answer Message) int {
+	// countDigests counts the object digests in the second after the first one, which is answered
+	// by the message.
+	countDigests := func(answer Message) int {
 		core := New(Options{Self: member("d"), Seed: 7})
 		core.Step(start, members)
 		count := 0
@@ -38,13 +38,13 @@
 		}
 		return count
 	}
-	if got := sent(nil); got != 1 {
-		t.Errorf("%d digests went out while the answer to the first was awaited", got)
+	if got := countDigests(nil); got != 1 {
+		t.Errorf("%d digests were sent while waiting for the first answer, want 1", got)
 	}
-	if got := sent(DigestAnswered{From: "a"}); got < 2 {
-		t.Error("no other peer was asked after one that holds nothing itself")
+	if got := countDigests(DigestAnswered{From: "a"}); got < 2 {
+		t.Error("no digest to another peer after one without objects answered")
 	}
-	if got := sent(DigestFailed{To: "a"}); got < 2 {
-		t.Error("no other peer was asked after one that failed")
+	if got := countDigests(DigestFailed{To: "a"}); got < 2 {
+		t.Error("no digest to another peer after one failed")
 	}
 }
--- a/internal/configsync/ledger.go
+++ b/internal/configsync/ledger.go
@@ -11,35 +11,35 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// Changes take a holder of everything up to Since to everything up to Version:
-// Objects are all that changed in between and what is newer.
+// Changes bring a node that holds everything up to Since to everything up to Version: Objects are
+// all objects that changed in between and any newer ones.
 type Changes struct {
 	Since   uint64
 	Version uint64
 	Objects []objectstore.Object
-	// TombstoneHorizon is the version up to which tombstones may be missing. An object
-	// that changed after Since and is not listed was deleted up to Version.
+	// TombstoneHorizon is the version up to which tombstones may be missing. An object that changed
+	// after Since and is not listed was deleted at or before Version.
 	TombstoneHorizon uint64
 }
 
-// ledger holds objects with their versions, tombstones included.
-type ledger struct {
+// objectTable holds objects with their versions, including tombstones.
+type objectTable struct {
 	objects map[objectstore.Key]objectstore.Object
-	// loaded is false until the first claim of a version.
+	// loaded is false until a version is in force for the first time.
 	loaded bool
-	// version is in force: every change up to it is held.
+	// version is the version in force: every change up to it is held.
 	version uint64
-	// contentVersion is the version that was in force after the last step
-	// that changed an object; nothing changed between it and version.
+	// contentVersion is the version in force after the last step that changed an object; nothing
+	// changed between it and version.
 	contentVersion uint64
-	// newest is the largest version of an object held.
+	// newest is the largest version of any object held.
 	newest uint64
-	// horizon is the version up to which tombstones may be missing: who holds
-	// less must be given all objects. It is never above version.
-	horizon uint64
-	// dropped is the largest version of a tombstone that was dropped.
-	dropped uint64
-	// hash is over the objects that are not deleted.
+	// tombstoneHorizon is the version up to which tombstones may be missing: a node whose version
+	// is below it must be sent all objects. It is never above version.
+	tombstoneHorizon uint64
+	// droppedVersion is the largest version of any dropped tombstone.
+	droppedVersion uint64
+	// hash covers the objects that are not deleted.
 	hash       uint64
 	tombstones int
 
@@ -47,204 +47,203 @@
 	defects        Defects
 }
 
-func newLedger(tombstoneLimit int, defects Defects) *ledger {
-	return &ledger{
+func newObjectTable(tombstoneLimit int, defects Defects) *objectTable {
+	return &objectTable{
 		objects:        make(map[objectstore.Key]objectstore.Object),
 		tombstoneLimit: tombstoneLimit,
 		defects:        defects,
 	}
 }
 
-// accept takes an object if it is newer than what is held.
-func (l *ledger) accept(object objectstore.Object) bool {
-	held, found := l.objects[object.Key()]
-	if !l.isNewer(object, held, found) {
+// accept stores an object if it is newer than the one held.
+func (t *objectTable) accept(object objectstore.Object) bool {
+	held, found := t.objects[object.Key()]
+	if !t.isNewer(object, held, found) {
 		return false
 	}
-	l.put(object)
+	t.put(object)
 	return true
 }
 
-// isNewer refuses an object that is not held, or held as a tombstone, with a
-// version up to the one in force: it was deleted, and the tombstone of that
-// deletion may be gone or may never have been seen.
-func (l *ledger) isNewer(object, held objectstore.Object, found bool) bool {
-	if l.defects.VersionsMayGoBack {
+// isNewer rejects an object that is not held, or held as a tombstone, if its version is not above
+// the one in force: the object was deleted, and the tombstone of that deletion may have been
+// dropped or never received.
+func (t *objectTable) isNewer(object, held objectstore.Object, found bool) bool {
+	if t.defects.VersionsMayGoBack {
 		return !found || held.Version != object.Version
 	}
 	if found && !held.Deleted {
 		return object.Version > held.Version
 	}
-	if l.defects.TakeUnknown {
+	if t.defects.TakeUnknown {
 		return object.Version > held.Version
 	}
-	return object.Version > max(held.Version, l.version)
+	return object.Version > max(held.Version, t.version)
 }
 
-func (l *ledger) put(object objectstore.Object) {
-	if held, found := l.objects[object.Key()]; found {
-		l.forget(held)
+func (t *objectTable) put(object objectstore.Object) {
+	if held, found := t.objects[object.Key()]; found {
+		t.remove(held)
 	}
-	l.objects[object.Key()] = object
-	l.newest = max(l.newest, object.Version)
+	t.objects[object.Key()] = object
+	t.newest = max(t.newest, object.Version)
 	if object.Deleted {
-		l.tombstones++
+		t.tombstones++
 	} else {
-		l.hash ^= objectHash(object)
+		t.hash ^= objectHash(object)
 	}
 }
 
-func (l *ledger) forget(held objectstore.Object) {
+func (t *objectTable) remove(held objectstore.Object) {
 	if held.Deleted {
-		l.tombstones--
+		t.tombstones--
 	} else {
-		l.hash ^= objectHash(held)
+		t.hash ^= objectHash(held)
 	}
-	delete(l.objects, held.Key())
+	delete(t.objects, held.Key())
 }
 
-// apply takes changes and returns the objects that were new. The version moves
-// only where the changes close the distance; gap tells that they do not.
-func (l *ledger) apply(changes Changes) (changed []objectstore.Object, gap bool) {
-	ahead := l.newest > changes.Since
-	changed = l.acceptAll(changes.Objects)
-	if changes.Version <= l.version && l.loaded {
+// apply stores changes and returns the objects that were new. The version advances only if the
+// changes leave no gap to it; gap reports that they do.
+func (t *objectTable) apply(changes Changes) (changed []objectstore.Object, gap bool) {
+	hasNewer := t.newest > changes.Since
+	changed = t.acceptAll(changes.Objects)
+	if changes.Version <= t.version && t.loaded {
 		return changed, false
 	}
-	if changes.Since > l.version && !l.defects.IgnoreGaps {
+	if changes.Since > t.version && !t.defects.IgnoreGaps {
 		return changed, true
 	}
-	if ahead {
-		changed = append(changed, l.deleteUnlisted(changes, changes.Since)...)
+	if hasNewer {
+		changed = append(changed, t.deleteUnlisted(changes, changes.Since)...)
 	}
-	l.horizon = max(l.horizon, min(changes.TombstoneHorizon, changes.Version))
-	l.advance(changes.Version, len(changed) > 0)
+	t.tombstoneHorizon = max(t.tombstoneHorizon, min(changes.TombstoneHorizon, changes.Version))
+	t.advance(changes.Version, len(changed) > 0)
 	return changed, false
 }
 
-// applyEvents is apply for events of a watch, which tell every deletion.
-func (l *ledger) applyEvents(events Changes) []objectstore.Object {
-	changed := l.acceptAll(events.Objects)
-	if events.Version > l.version && events.Since <= l.version {
-		l.advance(events.Version, len(changed) > 0)
+// applyEvents is apply for watch events, which include every deletion.
+func (t *objectTable) applyEvents(events Changes) []objectstore.Object {
+	changed := t.acceptAll(events.Objects)
+	if events.Version > t.version && events.Since <= t.version {
+		t.advance(events.Version, len(changed) > 0)
 	}
 	return changed
 }
 
-// applyAll takes everything that exists at a version. What is held up to that
-// version and not listed was deleted. Where the version is not above the one
-// in force nothing can be concluded from absence: objects only merge.
-func (l *ledger) applyAll(all Changes) []objectstore.Object {
-	if l.loaded && all.Version <= l.version {
-		return l.acceptAll(all.Objects)
+// applyFull stores everything that exists at a version. Held objects up to that version that are
+// not listed were deleted. If the version is not above the one in force, absence proves nothing, so
+// objects are only merged.
+func (t *objectTable) applyFull(full Changes) []objectstore.Object {
+	if t.loaded && full.Version <= t.version {
+		return t.acceptAll(full.Objects)
 	}
 	var changed []objectstore.Object
-	for _, object := range all.Objects {
-		held, found := l.objects[object.Key()]
+	for _, object := range full.Objects {
+		held, found := t.objects[object.Key()]
 		if !found || held.Deleted && object.Version > held.Version {
-			l.put(object)
+			t.put(object)
 			changed = append(changed, object)
-		} else if l.accept(object) {
+		} else if t.accept(object) {
 			changed = append(changed, object)
 		}
 	}
-	changed = append(changed, l.deleteUnlisted(all, 0)...)
-	l.horizon = all.Version
-	l.advance(all.Version, len(changed) > 0)
+	changed = append(changed, t.deleteUnlisted(full, 0)...)
+	t.tombstoneHorizon = full.Version
+	t.advance(full.Version, len(changed) > 0)
 	return changed
 }
 
-// applySame claims a version at which exactly the objects with the hash exist,
-// if they still are what is held. What was deleted in between is not known.
-func (l *ledger) applySame(version, hash uint64) {
-	if l.hash != hash || version <= l.version {
+// applyInSync advances to a version at which exactly the objects with the hash exist, if these are
+// still the objects held. Deletions in between remain unknown.
+func (t *objectTable) applyInSync(version, hash uint64) {
+	if t.hash != hash || version <= t.version {
 		return
 	}
-	l.horizon = version
-	l.advance(version, false)
+	t.tombstoneHorizon = version
+	t.advance(version, false)
 }
 
-func (l *ledger) acceptAll(objects []objectstore.Object) []objectstore.Object {
+func (t *objectTable) acceptAll(objects []objectstore.Object) []objectstore.Object {
 	var changed []objectstore.Object
 	for _, object := range objects {
-		if l.accept(object) {
+		if t.accept(object) {
 			changed = append(changed, object)
 		}
 	}
 	return changed
 }
 
-// deleteUnlisted puts tombstones in place of what is held at versions after
-// since up to that of the changes and is not among them.
-func (l *ledger) deleteUnlisted(changes Changes, since uint64) []objectstore.Object {
+// deleteUnlisted stores tombstones for objects that are held at versions after since and up to that
+// of the changes but are not among them.
+func (t *objectTable) deleteUnlisted(changes Changes, since uint64) []objectstore.Object {
 	listed := make(map[objectstore.Key]bool, len(changes.Objects))
 	for _, object := range changes.Objects {
 		listed[object.Key()] = true
 	}
 	var missing []objectstore.Object
-	for key, held := range l.objects {
+	for key, held := range t.objects {
 		if !held.Deleted && held.Version > since && held.Version <= changes.Version && !listed[key] {
 			missing = append(missing, objectstore.Object{Kind: key.Kind, Name: key.Name, Version: changes.Version, Deleted: true})
 		}
 	}
 	sortObjects(missing)
-	return l.acceptAll(missing)
+	return t.acceptAll(missing)
 }
 
-func (l *ledger) advance(version uint64, contentChanged bool) {
-	if version < l.version && !l.defects.VersionsMayGoBack {
+func (t *objectTable) advance(version uint64, contentChanged bool) {
+	if version < t.version && !t.defects.VersionsMayGoBack {
 		return
 	}
-	l.loaded = true
-	l.version = version
+	t.loaded = true
+	t.version = version
 	if contentChanged {
-		l.contentVersion = version
+		t.contentVersion = version
 	}
-	l.dropTombstones()
+	t.dropTombstones()
 }
 
-// dropTombstones keeps the newest ones up to the limit. Only tombstones up to
-// the version in force may go, so that the horizon never hides a change that
-// is still to come.
-func (l *ledger) dropTombstones() {
-	excess := l.tombstones - l.tombstoneLimit
+// dropTombstones keeps the newest ones up to the limit. Only tombstones up to the version in force
+// may be dropped, so that the horizon never hides a change that is still to come.
+func (t *objectTable) dropTombstones() {
+	excess := t.tombstones - t.tombstoneLimit
 	if excess <= 0 {
 		return
 	}
 	var droppable []objectstore.Object
-	for _, held := range l.objects {
-		if held.Deleted && held.Version <= l.version {
+	for _, held := range t.objects {
+		if held.Deleted && held.Version <= t.version {
 			droppable = append(droppable, held)
 		}
 	}
 	sortObjects(droppable)
 	for _, tombstone := range droppable[:min(excess, len(droppable))] {
-		l.forget(tombstone)
-		l.dropped = max(l.dropped, tombstone.Version)
-		l.horizon = max(l.horizon, l.dropped)
+		t.remove(tombstone)
+		t.droppedVersion = max(t.droppedVersion, tombstone.Version)
+		t.tombstoneHorizon = max(t.tombstoneHorizon, t.droppedVersion)
 	}
 }
 
-// ahead tells whether objects newer than the version in force are held.
-func (l *ledger) ahead() bool {
-	return l.newest > l.version
+// hasNewerObjects reports whether objects newer than the version in force are held.
+func (t *objectTable) hasNewerObjects() bool {
+	return t.newest > t.version
 }
 
-// comparableHash is 0 where the hash says nothing about the version in force.
-func (l *ledger) comparableHash() uint64 {
-	if l.ahead() {
+// comparableHash returns 0 if the hash does not describe the version in force.
+func (t *objectTable) comparableHash() uint64 {
+	if t.hasNewerObjects() {
 		return 0
 	}
-	return l.hash
+	return t.hash
 }
 
-// since lists what changed after a version, in the order of the changes.
-func (l *ledger) since(version uint64) []objectstore.Object {
-	if version >= l.newest {
+// changedSince returns the objects changed after a version, ordered by version.
+func (t *objectTable) changedSince(version uint64) []objectstore.Object {
+	if version >= t.newest {
 		return nil
 	}
 	var objects []objectstore.Object
-	for _, held := range l.objects {
+	for _, held := range t.objects {
 		if held.Version > version {
 			objects = append(objects, held)
 		}
@@ -253,21 +252,21 @@
 	return objects
 }
 
-// all lists what is not deleted.
-func (l *ledger) all() []objectstore.Object {
-	return l.listed(func(held objectstore.Object) bool { return !held.Deleted })
+// liveObjects returns the objects that are not deleted.
+func (t *objectTable) liveObjects() []objectstore.Object {
+	return t.filter(func(held objectstore.Object) bool { return !held.Deleted })
 }
 
-// allInForce lists what exists at the version in force. A tombstone that is
-// newer stands for an object that exists at that version.
-func (l *ledger) allInForce() []objectstore.Object {
-	return l.listed(func(held objectstore.Object) bool { return !held.Deleted || held.Version > l.version })
+// liveObjectsInForce returns the objects that exist at the version in force. A newer tombstone
+// stands for an object that exists at that version.
+func (t *objectTable) liveObjectsInForce() []objectstore.Object {
+	return t.filter(func(held objectstore.Object) bool { return !held.Deleted || held.Version > t.version })
 }
 
-func (l *ledger) listed(wanted func(objectstore.Object) bool) []objectstore.Object {
-	objects := make([]objectstore.Object, 0, len(l.objects))
-	for _, held := range l.objects {
-		if wanted(held) {
+func (t *objectTable) filter(keep func(objectstore.Object) bool) []objectstore.Object {
+	objects := make([]objectstore.Object, 0, len(t.objects))
+	for _, held := range t.objects {
+		if keep(held) {
 			objects = append(objects, held)
 		}
 	}
--- a/internal/configsync/machines.go
+++ b/internal/configsync/machines.go
@@ -10,54 +10,53 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// kindMachine is the kind of the machine list's lines when they are spread.
+// kindMachine is the object kind of machine list entries in pushes and digests.
 const kindMachine = "Machine"
 
-// machineTable holds the machine list as it was at one time. Its lines have no
-// versions of their own, and two readers may see different changes between
-// their lists: so a change applies only to exactly the list that it was made
-// from, which the hash tells, and otherwise the whole list is taken.
+// machineTable holds the machine list as of one time. Its entries have no versions of their own,
+// and two readers may see different changes between their lists. A change therefore applies only to
+// exactly the list it was made from, identified by hash; otherwise the whole list is replaced.
 type machineTable struct {
-	machines map[string]machineLine
+	machines map[string]machineEntry
 	loaded   bool
-	// asOf is the platform's time of the list in Unix milliseconds.
+	// asOf is the platform's timestamp of the list in Unix milliseconds.
 	asOf uint64
 	hash uint64
 
-	// pushAt is when the gathered changes are pushed; zero for none.
+	// pushAt is when the collected changes are pushed; zero if there are none.
 	pushAt time.Time
-	// pushBase is the hash before the first gathered change, touched names
-	// the machines that changed since.
-	pushBase uint64
-	touched  map[string]bool
-	// digestAt is when the next digest goes to a drawn peer.
+	// pushBaseHash is the hash before the first collected change, changedNames the machines that
+	// changed since.
+	pushBaseHash uint64
+	changedNames map[string]bool
+	// digestAt is when the next digest goes to a random peer.
 	digestAt time.Time
 }
 
-// machineLine is one machine with its JSON.
-type machineLine struct {
+// machineEntry is one machine with its JSON encoding.
+type machineEntry struct {
 	machine objectstore.Machine
 	raw     []byte
 }
 
 func newMachineTable() *machineTable {
-	return &machineTable{machines: make(map[string]machineLine), touched: make(map[string]bool)}
+	return &machineTable{machines: make(map[string]machineEntry), changedNames: make(map[string]bool)}
 }
 
-func machineName(machine objectstore.Machine) string {
+func machineKey(machine objectstore.Machine) string {
 	return machine.Role + "/" + machine.Name
 }
 
-// set changes one line and reports whether it was another before.
-func (t *machineTable) set(name string, line machineLine) bool {
+// set stores one entry and reports whether it changed.
+func (t *machineTable) set(name string, entry machineEntry) bool {
 	held, found := t.machines[name]
-	if found && bytes.Equal(held.raw, line.raw) {
+	if found && bytes.Equal(held.raw, entry.raw) {
 		return false
 	}
 	t.remove(name)
-	t.machines[name] = line
-	t.hash ^= hashParts(kindMachine, name, line.raw)
-	t.touched[name] = true
+	t.machines[name] = entry
+	t.hash ^= hashParts(kindMachine, name, entry.raw)
+	t.changedNames[name] = true
 	return true
 }
 
@@ -68,27 +67,27 @@
 	}
 	t.hash ^= hashParts(kindMachine, name, held.raw)
 	delete(t.machines, name)
-	t.touched[name] = true
+	t.changedNames[name] = true
 	return true
 }
 
-// replace takes a whole list and reports whether anything changed.
-func (t *machineTable) replace(asOf uint64, lines map[string]machineLine) bool {
+// replace stores a whole list and reports whether anything changed.
+func (t *machineTable) replace(asOf uint64, entries map[string]machineEntry) bool {
 	changed := !t.loaded
 	for name := range t.machines {
-		if _, listed := lines[name]; !listed {
+		if _, listed := entries[name]; !listed {
 			changed = t.remove(name) || changed
 		}
 	}
-	for name, line := range lines {
-		changed = t.set(name, line) || changed
+	for name, entry := range entries {
+		changed = t.set(name, entry) || changed
 	}
 	t.asOf = asOf
 	t.loaded = true
 	return changed
 }
 
-// list is the machine list in the order of role and name.
+// list returns the machine list ordered by role and name.
 func (t *machineTable) list() objectstore.MachineList {
 	list := objectstore.MachineList{AsOfUnixMilli: int64(t.asOf), Machines: make([]objectstore.Machine, 0, len(t.machines))}
 	for _, name := range slices.Sorted(maps.Keys(t.machines)) {
@@ -97,13 +96,13 @@
 	return list
 }
 
-// object is the wire form of a line, or of its absence.
+// object returns the wire form of an entry, or of its absence.
 func (t *machineTable) object(name string) objectstore.Object {
-	line, found := t.machines[name]
-	return objectstore.Object{Kind: kindMachine, Name: name, Version: t.asOf, Deleted: !found, Spec: line.raw}
+	entry, found := t.machines[name]
+	return objectstore.Object{Kind: kindMachine, Name: name, Version: t.asOf, Deleted: !found, Spec: entry.raw}
 }
 
-// answer gives the whole list to whoever holds an older one.
+// answer returns the whole list if the digest's sender holds an older one.
 func (t *machineTable) answer(digest Digest) DigestAnswer {
 	answer := DigestAnswer{
 		Space:   SpaceMachines,
@@ -129,25 +128,25 @@
 	if c.machines.loaded && asOf <= c.machines.asOf {
 		return
 	}
-	lines := make(map[string]machineLine, len(list.Machines))
+	entries := make(map[string]machineEntry, len(list.Machines))
 	for _, machine := range list.Machines {
 		raw, err := json.Marshal(machine)
 		if err == nil {
-			lines[machineName(machine)] = machineLine{machine: machine, raw: raw}
+			entries[machineKey(machine)] = machineEntry{machine: machine, raw: raw}
 		}
 	}
-	c.replaceMachines(now, asOf, lines, true)
+	c.replaceMachines(now, asOf, entries, true)
 }
 
-// replaceMachines hands changes on to the zone where push is set. A node that
-// had nothing has no news.
-func (c *Core) replaceMachines(now time.Time, asOf uint64, lines map[string]machineLine, push bool) {
-	base, known := c.machines.hash, c.machines.loaded
-	changed := c.machines.replace(asOf, lines)
-	c.machinesChanged(now, base, changed, push && known)
+// replaceMachines pushes changes to the zone if push is set. A node without an earlier list pushes
+// nothing: its zone can ask for it.
+func (c *Core) replaceMachines(now time.Time, asOf uint64, entries map[string]machineEntry, push bool) {
+	baseHash, wasLoaded := c.machines.hash, c.machines.loaded
+	changed := c.machines.replace(asOf, entries)
+	c.machinesChanged(now, baseHash, changed, push && wasLoaded)
 }
 
-func (c *Core) machinesChanged(now time.Time, base uint64, changed, push bool) {
+func (c *Core) machinesChanged(now time.Time, baseHash uint64, changed, push bool) {
 	if changed {
 		c.emit(MachinesUpdated{List: c.machines.list()})
 	}
@@ -155,27 +154,27 @@
 	case !c.machines.pushAt.IsZero():
 	case changed && push:
 		c.machines.pushAt = now.Add(c.options.PushDelay)
-		c.machines.pushBase = base
+		c.machines.pushBaseHash = baseHash
 	default:
-		clear(c.machines.touched)
+		clear(c.machines.changedNames)
 	}
 }
 
-func (c *Core) pushMachinesDue(now time.Time) {
-	if !due(c.machines.pushAt, now) {
+func (c *Core) pushMachinesIfDue(now time.Time) {
+	if !isDue(c.machines.pushAt, now) {
 		return
 	}
 	c.machines.pushAt = time.Time{}
 	push := Push{
 		Space:    SpaceMachines,
 		Changes:  Changes{Version: c.machines.asOf},
-		BaseHash: c.machines.pushBase,
+		BaseHash: c.machines.pushBaseHash,
 		Hash:     c.machines.hash,
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.machines.touched)) {
+	for _, name := range slices.Sorted(maps.Keys(c.machines.changedNames)) {
 		push.Changes.Objects = append(push.Changes.Objects, c.machines.object(name))
 	}
-	clear(c.machines.touched)
+	clear(c.machines.changedNames)
 	c.pushToZone(push)
 }
 
@@ -188,7 +187,7 @@
 	case table.loaded && (table.hash == push.BaseHash || c.options.Defects.IgnoreBase):
 		c.applyMachines(now, push)
 	default:
-		if from, found := c.peerNamed(message.From); found {
+		if from, found := c.peerByName(message.From); found {
 			c.emit(SendDigest{To: from, Digest: c.machineDigest()})
 		}
 	}
@@ -196,9 +195,9 @@
 }
 
 func (c *Core) applyMachines(now time.Time, push Push) {
-	base := c.machines.hash
-	for name, line := range decodeMachines(push.Changes.Objects) {
-		c.machines.set(name, line)
+	baseHash := c.machines.hash
+	for name, entry := range decodeMachines(push.Changes.Objects) {
+		c.machines.set(name, entry)
 	}
 	for _, object := range push.Changes.Objects {
 		if object.Deleted {
@@ -206,50 +205,50 @@
 		}
 	}
 	c.machines.asOf = push.Changes.Version
-	c.machinesChanged(now, base, true, false)
+	c.machinesChanged(now, baseHash, true, false)
 }
 
-func decodeMachines(objects []objectstore.Object) map[string]machineLine {
-	lines := make(map[string]machineLine, len(objects))
+func decodeMachines(objects []objectstore.Object) map[string]machineEntry {
+	entries := make(map[string]machineEntry, len(objects))
 	for _, object := range objects {
 		var machine objectstore.Machine
 		if !object.Deleted && json.Unmarshal(object.Spec, &machine) == nil {
-			lines[object.Name] = machineLine{machine: machine, raw: object.Spec}
+			entries[object.Name] = machineEntry{machine: machine, raw: object.Spec}
 		}
 	}
-	return lines
+	return entries
 }
 
 func (c *Core) machineDigest() Digest {
 	digest := Digest{Space: SpaceMachines, Hash: c.machines.hash}
 	if c.machines.loaded {
-		// 0 says that there is nothing to compare.
+		// 0 means that there is nothing to compare.
 		digest.Version = max(c.machines.asOf, 1)
 	}
 	return digest
 }
 
-func (c *Core) digestMachinesDue(now time.Time) {
+func (c *Core) sendMachineDigestIfDue(now time.Time) {
 	if !c.machines.digestAt.IsZero() && now.Before(c.machines.digestAt) {
 		return
 	}
 	c.machines.digestAt = now.Add(c.digestInterval(c.machines.loaded))
-	if member, found := c.drawPeer(c.machines.loaded); found {
+	if member, found := c.randomPeer(c.machines.loaded); found {
 		c.emit(SendDigest{To: member, Digest: c.machineDigest()})
-		c.awaitFirst(now, c.machines.loaded, &c.machines.digestAt)
+		c.awaitFirstAnswer(now, c.machines.loaded, &c.machines.digestAt)
 	}
 }
 
 func (c *Core) machineDigestAnswered(now time.Time, message DigestAnswered) {
 	answer := message.Answer
-	newer := answer.Loaded && (!c.machines.loaded || answer.Changes.Version > c.machines.asOf)
+	isNewer := answer.Loaded && (!c.machines.loaded || answer.Changes.Version > c.machines.asOf)
 	switch {
-	case !newer:
-		c.retryFirst(now, c.machines.loaded, &c.machines.digestAt)
+	case !isNewer:
+		c.retryFirstDigest(now, c.machines.loaded, &c.machines.digestAt)
 	case answer.InSync && answer.Hash == c.machines.hash:
 		c.machines.asOf = answer.Changes.Version
 	case answer.Full:
-		from, found := c.peerNamed(message.From)
-		c.replaceMachines(now, answer.Changes.Version, decodeMachines(answer.Changes.Objects), found && c.isForeign(from))
+		from, found := c.peerByName(message.From)
+		c.replaceMachines(now, answer.Changes.Version, decodeMachines(answer.Changes.Objects), found && c.isInOtherZone(from))
 	}
 }
--- a/internal/configsync/messages.go
+++ b/internal/configsync/messages.go
@@ -8,35 +8,34 @@
 // VersionSpace names what versions count.
 type VersionSpace string
 
-// The spaces.
+// The version spaces.
 const (
 	// SpaceObjects counts the store's revisions.
 	SpaceObjects VersionSpace = ""
-	// SpaceMachines counts the times of the machine list in Unix milliseconds.
+	// SpaceMachines counts timestamps of the machine list in Unix milliseconds.
 	SpaceMachines VersionSpace = "machines"
 )
 
 // Message is an input of the core.
 type Message interface{ message() }
 
-// Tick lets the core do what is due.
+// Tick lets the core perform the actions that are due.
 type Tick struct{}
 
-// MembersChanged gives the members that the node knows, delegates of other
-// zones included.
+// MembersChanged contains the members known to the node, including delegates of other zones.
 type MembersChanged struct{ Members []fleet.Member }
 
-// StoreListed answers ListStore.
+// StoreListed is the result of ListStore.
 type StoreListed struct {
 	Generation uint64
 	List       objectstore.ObjectList
 }
 
-// ListFailed answers ListStore.
+// ListFailed reports that ListStore failed.
 type ListFailed struct{ Generation uint64 }
 
-// EventsReceived hands over events of the watch in their order. A batch without
-// objects only tells the store's revision.
+// EventsReceived contains watch events in order. A batch without objects only reports the store's
+// revision.
 type EventsReceived struct {
 	Generation uint64
 	// Version is the revision that the watch has reached.
@@ -44,29 +43,29 @@
 	Objects []objectstore.Object
 }
 
-// WatchEnded tells that the watch broke off. Compacted means that the store no
-// longer keeps the events that were asked for. Idle means that nothing failed:
-// the watch was given up since it had brought nothing for long.
+// WatchEnded reports that the watch ended. Compacted means that the store no longer keeps the
+// requested events. Idle means that nothing failed: the watch was closed because it had delivered
+// nothing for a long time.
 type WatchEnded struct {
 	Generation uint64
 	Compacted  bool
 	Idle       bool
 }
 
-// MachinesListed answers ListMachines.
+// MachinesListed is the result of ListMachines.
 type MachinesListed struct{ List objectstore.MachineList }
 
-// ListMachinesFailed answers ListMachines.
+// ListMachinesFailed reports that ListMachines failed.
 type ListMachinesFailed struct{}
 
-// PushReceived is a peer's push; AnswerPush with the same Call answers it.
+// PushReceived is a push from a peer, answered by AnswerPush with the same Call.
 type PushReceived struct {
 	Call uint64
 	From fleet.NodeName
 	Push Push
 }
 
-// DigestReceived is a peer's digest; AnswerDigest with the same Call answers it.
+// DigestReceived is a digest from a peer, answered by AnswerDigest with the same Call.
 type DigestReceived struct {
 	Call   uint64
 	From   fleet.NodeName
@@ -79,7 +78,7 @@
 	Answer DigestAnswer
 }
 
-// DigestFailed tells that SendDigest got no answer.
+// DigestFailed reports that SendDigest got no answer.
 type DigestFailed struct {
 	To    fleet.NodeName
 	Space VersionSpace
@@ -98,25 +97,23 @@
 func (DigestAnswered) message()     {}
 func (DigestFailed) message()       {}
 
-// Push hands over changes of one space.
+// Push transfers changes of one space.
 type Push struct {
 	Space   VersionSpace
 	Changes Changes
-	// BaseHash and Hash are over the whole machine list before and after the
-	// changes. They are set in SpaceMachines, where Changes.Since and Horizon
-	// mean nothing.
+	// BaseHash and Hash cover the whole machine list before and after the changes. They are set in
+	// SpaceMachines, where Changes.Since and Changes.TombstoneHorizon are unused.
 	BaseHash uint64
 	Hash     uint64
 }
 
-// Digest tells what a node holds of one space.
+// Digest summarizes what a node holds of one space.
 type Digest struct {
 	Space   VersionSpace
 	Version uint64
-	// Hash is over the objects held that are not deleted; 0 when it must not
-	// be compared.
+	// Hash covers the objects held that are not deleted; 0 if it must not be compared.
 	Hash uint64
-	// WantAll asks for all objects whatever the version.
+	// WantAll requests all objects whatever the version.
 	WantAll bool
 }
 
@@ -127,33 +124,33 @@
 	Hash    uint64
 	// Full is set when Changes holds all objects that are not deleted.
 	Full bool
-	// InSync is set when the sender of the digest held exactly the objects that
-	// exist at the version; Changes holds none then.
+	// InSync is set when the sender of the digest held exactly the objects that exist at the
+	// version; Changes contains no objects then.
 	InSync bool
-	// Loaded is false while the answering node has nothing in force.
+	// Loaded is false while the answering node has no version in force.
 	Loaded bool
 }
 
 // Effect is an output of the core.
 type Effect interface{ effect() }
 
-// ListStore asks for a list of all objects.
+// ListStore requests a list of all objects.
 type ListStore struct{ Generation uint64 }
 
-// WatchStore asks for a watch of all changes after a revision. It replaces the
-// watch of an earlier generation.
+// WatchStore requests a watch of all changes after a revision. It replaces the watch of an earlier
+// generation.
 type WatchStore struct {
 	Generation uint64
 	Since      uint64
 }
 
-// StopReading ends the list or watch under way: the node is no reader now.
+// StopReading ends the current list or watch: the node is no longer a reader.
 type StopReading struct{}
 
-// ListMachines asks for the machine list.
+// ListMachines requests the machine list.
 type ListMachines struct{}
 
-// SendPush sends a push to a peer. A lost push is repaired by digests.
+// SendPush sends a push to a peer. Digests make up for lost pushes.
 type SendPush struct {
 	To   fleet.Member
 	Push Push
@@ -177,24 +174,24 @@
 	Answer DigestAnswer
 }
 
-// ObjectsUpdated tells that objects changed or that the version in force reached
-// them. Changed includes tombstones and the system's own records.
+// ObjectsUpdated reports that objects changed or that the version in force reached them. Changed
+// includes tombstones and the system's own records.
 type ObjectsUpdated struct {
 	Version uint64
 	Changed []objectstore.Object
 }
 
-// MachinesUpdated gives the machine list after a change.
+// MachinesUpdated contains the machine list after a change.
 type MachinesUpdated struct{ List objectstore.MachineList }
 
-// StoreBehind reports that the store shows an older state than the node holds:
-// it was restored or answers from a stale copy. Nothing goes back.
+// StoreBehind reports that the store shows an older state than the node holds, because it was
+// restored or answers from a stale replica. The node keeps its own state.
 type StoreBehind struct {
 	Store uint64
 	Held  uint64
 }
 
-// PeerDiverged reports that a peer at the same version holds other objects.
+// PeerDiverged reports that a peer at the same version holds different objects.
 type PeerDiverged struct {
 	Peer    fleet.NodeName
 	Version uint64
--- a/internal/configsync/scenario_test.go
+++ b/internal/configsync/scenario_test.go
@@ -23,22 +23,22 @@
 	}
 	c.setMachine("engine-1", objectstore.MachineLive)
 	c.settle(100)
-	c.mustHold(t)
+	c.requireConsistent(t)
 	return c
 }
 
-func (c *cluster) mustHold(t *testing.T) {
+func (c *cluster) requireConsistent(t *testing.T) {
 	t.Helper()
-	if c.failure != "" {
-		t.Fatal(c.failure)
+	if c.violation != "" {
+		t.Fatal(c.violation)
 	}
 	if difference := c.differences(); difference != "" {
 		t.Fatal(difference)
 	}
 }
 
-// readers counts the nodes of a zone that watch the store.
-func (c *cluster) readers(zone fleet.Zone) []fleet.NodeName {
+// watchingNodes returns the nodes of a zone that watch the store.
+func (c *cluster) watchingNodes(zone fleet.Zone) []fleet.NodeName {
 	var names []fleet.NodeName
 	for _, node := range c.nodes {
 		if node.member.Zone == zone && node.watch != nil {
@@ -51,7 +51,7 @@
 func TestTwoNodesOfAZoneReadTheStore(t *testing.T) {
 	c := settledCluster(t, []fleet.Zone{"a", "b"}, 8)
 	for _, zone := range []fleet.Zone{"a", "b"} {
-		before := c.readers(zone)
+		before := c.watchingNodes(zone)
 		if len(before) != readersPerZone {
 			t.Fatalf("zone %s has readers %v", zone, before)
 		}
@@ -62,14 +62,14 @@
 	}
 	c.settle(10)
 	for _, zone := range []fleet.Zone{"a", "b"} {
-		var living []fleet.NodeName
-		for _, name := range c.readers(zone) {
+		var alive []fleet.NodeName
+		for _, name := range c.watchingNodes(zone) {
 			if c.node(name).member.Usable() {
-				living = append(living, name)
+				alive = append(alive, name)
 			}
 		}
-		if len(living) != readersPerZone {
-			t.Errorf("zone %s has readers %v after a death", zone, living)
+		if len(alive) != readersPerZone {
+			t.Errorf("zone %s has readers %v after one died", zone, alive)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 func TestNodesStartFromPeersWhileTheStoreIsDown(t *testing.T) {
 	c := settledCluster(t, []fleet.Zone{"a", "b"}, 4)
 	c.store.down = true
-	// One zone after the other loses all its nodes at once.
+	// All nodes of one zone restart at once, then those of the other.
 	for _, zone := range []fleet.Zone{"a", "b"} {
 		for _, node := range c.nodes {
 			if node.member.Zone == zone {
@@ -85,7 +85,7 @@
 			}
 		}
 		c.settle(100)
-		c.mustHold(t)
+		c.requireConsistent(t)
 	}
 }
 
@@ -106,11 +106,11 @@
 	if len(c.reports) == 0 || c.reports[0] != (StoreBehind{Store: 5, Held: held}) {
 		t.Errorf("reports: %v", c.reports)
 	}
-	// Once the store's revisions pass the version in force, its list rules.
+	// Once the store's revision exceeds the version in force, its list takes precedence.
 	for c.store.version <= held {
 		c.store.write("Model", "later", false)
 	}
-	c.failure = ""
+	c.violation = ""
 	c.settle(200)
 	later := objectstore.Key{Kind: "Model", Name: "later"}
 	for _, node := range c.nodes {
@@ -122,8 +122,8 @@
 
 func TestTombstonesAreBounded(t *testing.T) {
 	const limit = 8
-	held := newLedger(limit, Defects{})
-	held.applyAll(Changes{})
+	held := newObjectTable(limit, Defects{})
+	held.applyFull(Changes{})
 	for version := uint64(1); version <= 200; version += 2 {
 		object := objectstore.Object{Kind: "Model", Name: fmt.Sprint("m", version), Version: version}
 		held.apply(Changes{Since: version - 1, Version: version, Objects: []objectstore.Object{object}})
@@ -138,21 +138,21 @@
 	}
 }
 
-// inForceTimes writes and returns how long each write took until all nodes had
-// it in force, in order, on the virtual clock with a millisecond each hop.
-func inForceTimes(t *testing.T, c *cluster, writes int, loss float64) []time.Duration {
+// convergenceTimes writes to the store and returns, sorted, how long each write took to be in force
+// on all nodes, on the virtual clock with one millisecond per hop.
+func convergenceTimes(t *testing.T, c *cluster, writes int, loss float64) []time.Duration {
 	t.Helper()
 	const hop = time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	var times []time.Duration
 	for index := range writes {
 		c.store.write("Model", fmt.Sprintf("w%d", index%7), false)
-		accepted := c.now
-		for !c.allHold(c.store.version) {
+		writtenAt := c.now
+		for !c.allReached(c.store.version) {
 			for _, node := range c.nodes {
-				c.pump(node)
+				c.deliverWatchEvent(node)
 			}
-			for under := len(c.inFlight); under > 0; under-- {
+			for remaining := len(c.inFlight); remaining > 0; remaining-- {
 				if random.Float64() < loss {
 					c.inFlight = c.inFlight[1:]
 					continue
@@ -160,17 +160,17 @@
 				c.deliver(0, false)
 			}
 			c.advance(hop)
-			if c.now.Sub(accepted) > time.Minute {
+			if c.now.Sub(writtenAt) > time.Minute {
 				t.Fatalf("version %d is not in force after a minute", c.store.version)
 			}
 		}
-		times = append(times, c.now.Sub(accepted))
+		times = append(times, c.now.Sub(writtenAt))
 	}
 	slices.Sort(times)
 	return times
 }
 
-func (c *cluster) allHold(version uint64) bool {
+func (c *cluster) allReached(version uint64) bool {
 	for _, node := range c.nodes {
 		if held, _ := node.core.Version(); held < version {
 			return false
@@ -191,20 +191,20 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			c := settledCluster(t, []fleet.Zone{"a", "b", "c", "d"}, 6)
-			times := inForceTimes(t, c, 60, testCase.loss)
+			times := convergenceTimes(t, c, 60, testCase.loss)
 			t.Logf("in force on %d nodes: median %v, longest %v", len(c.nodes), times[len(times)/2], times[len(times)-1])
 			if longest := times[len(times)-1]; longest > testCase.bound {
 				t.Errorf("took %v", longest)
 			}
-			if c.failure != "" {
-				t.Error(c.failure)
+			if c.violation != "" {
+				t.Error(c.violation)
 			}
 		})
 	}
 }
 
-// TestZoneWithoutTheStoreHearsOfChangesSoon parts both readers of a zone from
-// the store: what others accept must still come into force there in time.
+// TestZoneWithoutTheStoreHearsOfChangesSoon cuts both readers of a zone off from the store: changes
+// that other zones read must still come into force there in time.
 func TestZoneWithoutTheStoreHearsOfChangesSoon(t *testing.T) {
 	const bound = 3 * time.Second
 	c := settledCluster(t, []fleet.Zone{"a", "b", "c"}, 2)
@@ -212,12 +212,12 @@
 		node.cutOff = node.member.Zone == "b"
 	}
 	c.settle(50)
-	times := inForceTimes(t, c, 200, 0)
+	times := convergenceTimes(t, c, 200, 0)
 	t.Logf("in force on %d nodes: median %v, longest %v", len(c.nodes), times[len(times)/2], times[len(times)-1])
 	if longest := times[len(times)-1]; longest > bound {
 		t.Errorf("took %v", longest)
 	}
-	if c.failure != "" {
-		t.Error(c.failure)
+	if c.violation != "" {
+		t.Error(c.violation)
 	}
 }
--- a/internal/configsync/schedule_test.go
+++ b/internal/configsync/schedule_test.go
@@ -17,15 +17,15 @@
 const (
 	scheduleSteps = 120
 	settleRounds  = 400
-	// defectSeeds is how many schedules may be tried to show a defect.
+	// defectSeeds is the maximum number of schedules tried to expose a defect.
 	defectSeeds = 300
 )
 
 // draw chooses a number below n.
 type draw func(label string, n int) int
 
-// runSchedule draws writes, losses, repeats, delays, store faults and restarts
-// and returns the first broken rule.
+// runSchedule draws writes, lost, duplicated and delayed messages, store faults and restarts, and
+// returns the first violated invariant.
 func runSchedule(draw draw, defects Defects) string {
 	cluster := newCluster([]fleet.Zone{"a", "b"}, 3, Options{
 		TombstoneLimit: 1 + draw("tombstones", 4),
@@ -33,16 +33,16 @@
 	})
 	for range scheduleSteps {
 		drawStep(draw, cluster)
-		if cluster.failure != "" {
-			return cluster.failure
+		if cluster.violation != "" {
+			return cluster.violation
 		}
 	}
 	cluster.store.down = false
-	cluster.store.shown = 0
-	cluster.heal()
+	cluster.store.visibleVersion = 0
+	cluster.markAllAlive()
 	cluster.settle(settleRounds)
-	if cluster.failure != "" {
-		return cluster.failure
+	if cluster.violation != "" {
+		return cluster.violation
 	}
 	return cluster.differences()
 }
@@ -56,8 +56,8 @@
 	case 3:
 		c.store.down = !c.store.down
 	case 4:
-		if c.store.shown = c.store.version; draw("fresh", 2) == 0 {
-			c.store.shown = 0
+		if c.store.visibleVersion = c.store.version; draw("fresh", 2) == 0 {
+			c.store.visibleVersion = 0
 		}
 	case 5:
 		c.store.compacted = c.store.version
@@ -80,7 +80,7 @@
 	case 13:
 		drawMembership(draw, c)
 	case 14, 15:
-		c.pump(c.nodes[draw("watch", len(c.nodes))])
+		c.deliverWatchEvent(c.nodes[draw("watch", len(c.nodes))])
 	default:
 		if len(c.inFlight) > 0 {
 			c.deliver(draw("delivered", len(c.inFlight)), false)
@@ -88,8 +88,8 @@
 	}
 }
 
-// drawMembership lets some nodes take a member for dead, or for alive again, so
-// that they do not agree on who reads the store.
+// drawMembership makes some nodes consider a member dead, or alive again, so that they disagree on
+// who reads the store.
 func drawMembership(draw draw, c *cluster) {
 	subject := c.nodes[draw("subject", len(c.nodes))]
 	states := []fleet.MemberState{fleet.MemberAlive, fleet.MemberSuspect, fleet.MemberDead}
@@ -103,7 +103,7 @@
 
 func drawWrite(draw draw, c *cluster) {
 	name := fmt.Sprintf("o%d", draw("object", 5))
-	current := c.store.at(c.store.version)[objectstore.Key{Kind: "Model", Name: name}]
+	current := c.store.stateAt(c.store.version)[objectstore.Key{Kind: "Model", Name: name}]
 	exists := current.Version > 0 && !current.Deleted
 	c.store.write("Model", name, exists && draw("delete", 2) == 0)
 }
@@ -111,8 +111,8 @@
 func TestScheduleKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
-		if broken := runSchedule(draw, Defects{}); broken != "" {
-			t.Fatal(broken)
+		if violation := runSchedule(draw, Defects{}); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -129,12 +129,12 @@
 			for seed := range uint64(defectSeeds) {
 				random := rand.New(rand.NewPCG(seed, 0))
 				draw := func(_ string, n int) int { return random.IntN(n) }
-				if broken := runSchedule(draw, defects); broken != "" {
-					t.Logf("seed %d: %s", seed, broken)
+				if violation := runSchedule(draw, defects); violation != "" {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Errorf("%d schedules did not show the defect", defectSeeds)
+			t.Errorf("%d schedules did not expose the defect", defectSeeds)
 		})
 	}
 }
--- a/internal/configsync/spread.go
+++ b/internal/configsync/spread.go
@@ -7,59 +7,59 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// spread is what is due to be sent of the objects.
-type spread struct {
-	// pushAt is when the gathered changes are pushed; zero for none.
+// objectSync schedules the pushes and digests of objects.
+type objectSync struct {
+	// pushAt is when the collected changes are pushed; zero if there are none.
 	pushAt time.Time
-	// pushSince is the version on which they build.
+	// pushSince is the version that the collected changes are based on.
 	pushSince uint64
-	// digestAt is when the next digest goes to a drawn peer.
+	// digestAt is when the next digest goes to a random peer.
 	digestAt time.Time
-	// fullMergeAt is the earliest time for the next merge of all objects.
-	fullMergeAt time.Time
+	// nextFullMergeAt is the earliest time for the next merge of all objects.
+	nextFullMergeAt time.Time
 }
 
-// take applies changes and, where push is set, hands them on to the zone. It
-// reports whether a gap was left.
-func (c *Core) take(now time.Time, changes Changes, push bool) bool {
-	before := c.objects.contentVersion
+// applyChanges applies changes and, if push is set, passes them on to the zone. It reports whether
+// a gap remains.
+func (c *Core) applyChanges(now time.Time, changes Changes, push bool) bool {
+	previousVersion := c.objects.contentVersion
 	changed, gap := c.objects.apply(changes)
-	c.taken(now, before, changed, push)
+	c.objectsApplied(now, previousVersion, changed, push)
 	return gap
 }
 
-func (c *Core) takeAll(now time.Time, all Changes, push bool) {
-	before := c.objects.contentVersion
-	// A node that had nothing has no news: the others ask it when they need.
+func (c *Core) applyFullChanges(now time.Time, full Changes, push bool) {
+	previousVersion := c.objects.contentVersion
+	// A node that had no objects pushes nothing: the others send it digests when they need to.
 	push = push && c.objects.loaded
-	changed := c.objects.applyAll(all)
-	c.taken(now, before, changed, push)
+	changed := c.objects.applyFull(full)
+	c.objectsApplied(now, previousVersion, changed, push)
 }
 
-func (c *Core) taken(now time.Time, before uint64, changed []objectstore.Object, push bool) {
-	if push && len(changed) > 0 && c.spread.pushAt.IsZero() {
-		c.spread.pushAt = now.Add(c.options.PushDelay)
-		c.spread.pushSince = before
+func (c *Core) objectsApplied(now time.Time, previousVersion uint64, changed []objectstore.Object, push bool) {
+	if push && len(changed) > 0 && c.objectSync.pushAt.IsZero() {
+		c.objectSync.pushAt = now.Add(c.options.PushDelay)
+		c.objectSync.pushSince = previousVersion
 	}
-	c.changed(changed)
+	c.reportChanges(changed)
 }
 
-// pushDue pushes all that changed since the version before the first gathered
-// change, from whichever source: so a receiver that holds that version holds
-// the pushed one afterwards.
-func (c *Core) pushDue(now time.Time) {
-	if !due(c.spread.pushAt, now) {
+// pushObjectsIfDue pushes everything that changed since the version before the first collected
+// change, whatever its source, so that a receiver holding that version holds the pushed one
+// afterwards.
+func (c *Core) pushObjectsIfDue(now time.Time) {
+	if !isDue(c.objectSync.pushAt, now) {
 		return
 	}
-	c.spread.pushAt = time.Time{}
+	c.objectSync.pushAt = time.Time{}
 	changes := Changes{
-		Since:            c.spread.pushSince,
+		Since:            c.objectSync.pushSince,
 		Version:          c.objects.version,
-		Objects:          c.objects.since(c.spread.pushSince),
-		TombstoneHorizon: c.objects.horizon,
+		Objects:          c.objects.changedSince(c.objectSync.pushSince),
+		TombstoneHorizon: c.objects.tombstoneHorizon,
 	}
-	if c.objects.dropped > changes.Since {
-		// Tombstones are gone already: the receivers must see a gap and ask.
+	if c.objects.droppedVersion > changes.Since {
+		// Tombstones were dropped already: the receivers must detect a gap and send a digest.
 		changes.Since = changes.Version
 	}
 	c.pushToZone(Push{Space: SpaceObjects, Changes: changes})
@@ -80,15 +80,15 @@
 }
 
 func (c *Core) pushReceived(now time.Time, message PushReceived) {
-	if gap := c.take(now, message.Push.Changes, false); gap {
-		if from, found := c.peerNamed(message.From); found {
+	if gap := c.applyChanges(now, message.Push.Changes, false); gap {
+		if from, found := c.peerByName(message.From); found {
 			c.sendDigest(from, false)
 		}
 	}
 	c.emit(AnswerPush{Call: message.Call, Version: c.objects.version})
 }
 
-func (c *Core) peerNamed(name fleet.NodeName) (fleet.Member, bool) {
+func (c *Core) peerByName(name fleet.NodeName) (fleet.Member, bool) {
 	for _, member := range c.members {
 		if member.Name == name && c.isPeer(member) {
 			return member, true
@@ -97,42 +97,41 @@
 	return fleet.Member{}, false
 }
 
-// digestDue sends a digest to a drawn peer.
-func (c *Core) digestDue(now time.Time) {
-	if !c.spread.digestAt.IsZero() && now.Before(c.spread.digestAt) {
+// sendObjectDigestIfDue sends a digest to a random peer.
+func (c *Core) sendObjectDigestIfDue(now time.Time) {
+	if !c.objectSync.digestAt.IsZero() && now.Before(c.objectSync.digestAt) {
 		return
 	}
-	c.spread.digestAt = now.Add(c.objectDigestInterval())
-	if member, found := c.drawPeer(c.objects.loaded); found {
+	c.objectSync.digestAt = now.Add(c.objectDigestInterval())
+	if member, found := c.randomPeer(c.objects.loaded); found {
 		c.sendDigest(member, false)
-		c.awaitFirst(now, c.objects.loaded, &c.spread.digestAt)
+		c.awaitFirstAnswer(now, c.objects.loaded, &c.objectSync.digestAt)
 	}
 }
 
-// firstDigestPatience is how many retries an unanswered first digest takes the
-// place of. Its answer holds everything, and asking on meanwhile would bring
-// everything again and again.
-const firstDigestPatience = 8
+// firstDigestTimeoutFactor is how many retry intervals to wait for the answer to a first digest.
+// The answer contains everything, and further digests in the meantime would fetch everything again.
+const firstDigestTimeoutFactor = 8
 
-// awaitFirst leaves time for the answer to a first digest.
-func (c *Core) awaitFirst(now time.Time, loaded bool, digestAt *time.Time) {
+// awaitFirstAnswer postpones the next digest until the first one can be answered.
+func (c *Core) awaitFirstAnswer(now time.Time, loaded bool, digestAt *time.Time) {
 	if !loaded {
-		*digestAt = now.Add(c.jitter(firstDigestPatience * c.options.FirstDigestRetry))
+		*digestAt = now.Add(c.jitter(firstDigestTimeoutFactor * c.options.FirstDigestRetry))
 	}
 }
 
-// retryFirst asks another peer soon, where the first digest brought nothing.
-func (c *Core) retryFirst(now time.Time, loaded bool, digestAt *time.Time) {
-	if soon := now.Add(c.jitter(c.options.FirstDigestRetry)); !loaded && digestAt.After(soon) {
-		*digestAt = soon
+// retryFirstDigest sends a digest to another peer soon if the first one yielded nothing.
+func (c *Core) retryFirstDigest(now time.Time, loaded bool, digestAt *time.Time) {
+	if retryAt := now.Add(c.jitter(c.options.FirstDigestRetry)); !loaded && digestAt.After(retryAt) {
+		*digestAt = retryAt
 	}
 }
 
-// objectDigestInterval is short at a reader without the store: its zone may
-// hear of changes from other zones alone.
+// objectDigestInterval is short on a reader without the store: its zone may learn of changes only
+// from other zones.
 func (c *Core) objectDigestInterval() time.Duration {
-	if c.withoutStore() && c.objects.loaded {
-		return c.jitter(c.options.DigestInterval / cutOffDigestFactor)
+	if c.isCutOffFromStore() && c.objects.loaded {
+		return c.jitter(c.options.DigestInterval / cutOffDigestSpeedup)
 	}
 	return c.digestInterval(c.objects.loaded)
 }
@@ -144,46 +143,45 @@
 	return c.jitter(c.options.DigestInterval)
 }
 
-// drawPeer draws mostly from the own zone, and from others now and then; a
-// reader that is cut off from the store does so every other time, since its
-// zone hears of changes through it. A node without anything in force asks its zone's readers every
-// other time.
-func (c *Core) drawPeer(loaded bool) (fleet.Member, bool) {
+// randomPeer picks mostly from the node's own zone and sometimes from others. A reader that is cut
+// off from the store picks from others every second time, since its zone learns of changes through
+// it. A node without a version in force picks one of its zone's readers every second time.
+func (c *Core) randomPeer(loaded bool) (fleet.Member, bool) {
 	if !loaded && c.random.IntN(2) == 0 {
-		if member, found := c.drawReader(); found {
+		if member, found := c.randomReader(); found {
 			return member, true
 		}
 	}
-	var own, foreign []fleet.Member
+	var sameZone, otherZones []fleet.Member
 	for _, member := range c.members {
 		switch {
 		case !c.isPeer(member):
 		case member.Zone == c.options.Self.Zone:
-			own = append(own, member)
+			sameZone = append(sameZone, member)
 		default:
-			foreign = append(foreign, member)
+			otherZones = append(otherZones, member)
 		}
 	}
-	share := foreignDigestShare
-	if loaded && c.withoutStore() {
-		share = cutOffForeignShare
+	digestsPerCrossZone := digestsPerCrossZoneDigest
+	if loaded && c.isCutOffFromStore() {
+		digestsPerCrossZone = cutOffDigestsPerCrossZoneDigest
 	}
-	from := own
-	if len(foreign) > 0 && (len(own) == 0 || c.random.IntN(share) == 0) {
-		from = foreign
+	pool := sameZone
+	if len(otherZones) > 0 && (len(sameZone) == 0 || c.random.IntN(digestsPerCrossZone) == 0) {
+		pool = otherZones
 	}
-	if len(from) == 0 {
+	if len(pool) == 0 {
 		return fleet.Member{}, false
 	}
-	return from[c.random.IntN(len(from))], true
+	return pool[c.random.IntN(len(pool))], true
 }
 
-func (c *Core) drawReader() (fleet.Member, bool) {
+func (c *Core) randomReader() (fleet.Member, bool) {
 	readers := Readers(c.options.Self.Zone, c.members)
 	if len(readers) == 0 {
 		return fleet.Member{}, false
 	}
-	return c.peerNamed(readers[c.random.IntN(len(readers))])
+	return c.peerByName(readers[c.random.IntN(len(readers))])
 }
 
 func (c *Core) sendDigest(to fleet.Member, wantAll bool) {
@@ -199,73 +197,73 @@
 	held := c.objects
 	answer := DigestAnswer{
 		Space:   SpaceObjects,
-		Changes: Changes{Since: digest.Version, Version: held.version, TombstoneHorizon: held.horizon},
+		Changes: Changes{Since: digest.Version, Version: held.version, TombstoneHorizon: held.tombstoneHorizon},
 		Hash:    held.comparableHash(),
 		Loaded:  held.loaded,
 	}
-	comparable := digest.Hash != 0 && answer.Hash != 0
-	equal := comparable && digest.Hash == answer.Hash
-	differs := comparable && !equal && digest.Version == held.version
+	hashesComparable := digest.Hash != 0 && answer.Hash != 0
+	hashesEqual := hashesComparable && digest.Hash == answer.Hash
+	diverged := hashesComparable && !hashesEqual && digest.Version == held.version
 	switch {
 	case !held.loaded:
-	case equal && digest.Version < held.horizon:
+	case hashesEqual && digest.Version < held.tombstoneHorizon:
 		answer.InSync = true
-	case differs || digest.WantAll || digest.Version < held.horizon:
+	case diverged || digest.WantAll || digest.Version < held.tombstoneHorizon:
 		answer.Full = true
 		answer.Changes.Since = 0
-		answer.Changes.Objects = held.allInForce()
+		answer.Changes.Objects = held.liveObjectsInForce()
 	default:
-		answer.Changes.Objects = held.since(digest.Version)
+		answer.Changes.Objects = held.changedSince(digest.Version)
 	}
 	return answer
 }
 
 func (c *Core) digestAnswered(now time.Time, message DigestAnswered) {
 	if !message.Answer.Loaded {
-		c.retryFirst(now, c.objects.loaded, &c.spread.digestAt)
+		c.retryFirstDigest(now, c.objects.loaded, &c.objectSync.digestAt)
 		return
 	}
-	from, found := c.peerNamed(message.From)
-	push := found && c.isForeign(from)
+	from, found := c.peerByName(message.From)
+	push := found && c.isInOtherZone(from)
 	switch {
 	case message.Answer.InSync:
-		c.objects.applySame(message.Answer.Changes.Version, message.Answer.Hash)
-		c.changed(nil)
+		c.objects.applyInSync(message.Answer.Changes.Version, message.Answer.Hash)
+		c.reportChanges(nil)
 	case message.Answer.Full:
-		c.takeAll(now, message.Answer.Changes, push)
+		c.applyFullChanges(now, message.Answer.Changes, push)
 	default:
-		c.take(now, message.Answer.Changes, push)
+		c.applyChanges(now, message.Answer.Changes, push)
 	}
 	c.compareHashes(now, from, found, message.Answer)
 }
 
-// isForeign tells members whose news this zone may not have.
-func (c *Core) isForeign(member fleet.Member) bool {
+// isInOtherZone reports whether the member is of another zone, whose changes this zone may lack.
+func (c *Core) isInOtherZone(member fleet.Member) bool {
 	return member.Zone != c.options.Self.Zone
 }
 
-// compareHashes merges everything with a peer that holds other objects at the
-// same version. That happens only where the store's history was replaced.
+// compareHashes merges everything with a peer that holds different objects at the same version.
+// This happens only if the store's history was replaced.
 func (c *Core) compareHashes(now time.Time, from fleet.Member, found bool, answer DigestAnswer) {
-	own := c.objects.comparableHash()
-	if own == 0 || answer.Hash == 0 || own == answer.Hash || c.objects.version != answer.Changes.Version {
+	ownHash := c.objects.comparableHash()
+	if ownHash == 0 || answer.Hash == 0 || ownHash == answer.Hash || c.objects.version != answer.Changes.Version {
 		return
 	}
-	if now.Before(c.spread.fullMergeAt) {
+	if now.Before(c.objectSync.nextFullMergeAt) {
 		return
 	}
-	c.spread.fullMergeAt = now.Add(c.options.FullMergeInterval)
+	c.objectSync.nextFullMergeAt = now.Add(c.options.FullMergeInterval)
 	c.emit(PeerDiverged{Peer: from.Name, Version: c.objects.version})
 	if found && !answer.Full {
 		c.sendDigest(from, true)
 	}
 }
 
-// digestFailed draws another peer soon while nothing is in force.
+// digestFailed sends a digest to another peer soon if no version is in force.
 func (c *Core) digestFailed(now time.Time, message DigestFailed) {
 	if message.Space == SpaceObjects {
-		c.retryFirst(now, c.objects.loaded, &c.spread.digestAt)
+		c.retryFirstDigest(now, c.objects.loaded, &c.objectSync.digestAt)
 	} else {
-		c.retryFirst(now, c.machines.loaded, &c.machines.digestAt)
+		c.retryFirstDigest(now, c.machines.loaded, &c.machines.digestAt)
 	}
 }
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -8,20 +8,20 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// testStore is the store as the schedules see it. Its history is the judge.
+// testStore simulates the store. Its history is the reference for the checks.
 type testStore struct {
 	version uint64
 	history []objectstore.Object
 	down    bool
-	// shown is the revision that reads show; 0 shows the newest.
-	shown uint64
+	// visibleVersion is the revision that reads return; 0 means the newest.
+	visibleVersion uint64
 	// compacted is the revision before which events are gone.
 	compacted uint64
-	// machines is the machine list after each change, by the time of it.
+	// machines are the machine lists after each change, by timestamp.
 	machines []objectstore.MachineList
 }
 
-// setMachine changes one machine's state; an empty state takes it off.
+// setMachine changes one machine's state; an empty state removes the machine.
 func (s *testStore) setMachine(now time.Time, name string, state objectstore.MachineState) {
 	list := objectstore.MachineList{AsOfUnixMilli: now.UnixMilli()}
 	if len(s.machines) > 0 {
@@ -35,7 +35,7 @@
 	s.machines = append(s.machines, list)
 }
 
-// machinesAt is the machine list as it was at a time.
+// machinesAt returns the machine list as of a time.
 func (s *testStore) machinesAt(unixMilli int64) objectstore.MachineList {
 	shown := objectstore.MachineList{AsOfUnixMilli: unixMilli}
 	for _, list := range s.machines {
@@ -52,14 +52,14 @@
 }
 
 func (s *testStore) visible() uint64 {
-	if s.shown > 0 {
-		return s.shown
+	if s.visibleVersion > 0 {
+		return s.visibleVersion
 	}
 	return s.version
 }
 
-// at returns the last change of each key up to a revision.
-func (s *testStore) at(version uint64) map[objectstore.Key]objectstore.Object {
+// stateAt returns the last change of each key up to a revision.
+func (s *testStore) stateAt(version uint64) map[objectstore.Key]objectstore.Object {
 	state := make(map[objectstore.Key]objectstore.Object)
 	for _, change := range s.history {
 		if change.Version <= version {
@@ -71,7 +71,7 @@
 
 func (s *testStore) list() objectstore.ObjectList {
 	list := objectstore.ObjectList{Version: s.visible()}
-	for _, object := range s.at(s.visible()) {
+	for _, object := range s.stateAt(s.visible()) {
 		if !object.Deleted {
 			list.Objects = append(list.Objects, object)
 		}
