--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -9,15 +9,15 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// foreignBytesPerPacket bounds the news of other zones on a probe's packet.
-const foreignBytesPerPacket = 400
+// otherZoneBytesPerPacket bounds the updates about other zones in one packet.
+const otherZoneBytesPerPacket = 400
 
-// memberUpdate tells all of a live member, and of others only who and how.
+// memberUpdate contains all fields of a live member, and only identity and state of others.
 func memberUpdate(member fleet.Member) update {
 	return update{key: "member " + string(member.Name), member: encodeMember(member)}
 }
 
-// versionUpdate tells a member's configuration version only.
+// versionUpdate contains only a member's configuration version.
 func versionUpdate(member fleet.Member) update {
 	return update{key: "version " + string(member.Name), member: &peerpb.GossipMember{
 		Name:          string(member.Name),
@@ -41,7 +41,7 @@
 		State:       encodeState(member.State),
 		BootId:      member.BootID,
 	}
-	if !live(member) {
+	if !isLive(member) {
 		return encoded
 	}
 	host, _, _ := net.SplitHostPort(member.Addresses.Gossip)
@@ -49,9 +49,9 @@
 	encoded.Draining = member.Draining
 	encoded.ConfigVersion = member.ConfigVersion
 	encoded.Gossip = member.Addresses.Gossip
-	encoded.Caller = shorten(host, member.Addresses.Caller)
-	encoded.Operator = shorten(host, member.Addresses.Operator)
-	encoded.Peer = shorten(host, member.Addresses.Peer)
+	encoded.Caller = omitHost(host, member.Addresses.Caller)
+	encoded.Operator = omitHost(host, member.Addresses.Operator)
+	encoded.Peer = omitHost(host, member.Addresses.Peer)
 	return encoded
 }
 
@@ -67,22 +67,22 @@
 		ConfigVersion: encoded.GetConfigVersion(),
 		Addresses: fleet.Addresses{
 			Gossip:   encoded.GetGossip(),
-			Caller:   lengthen(host, encoded.GetCaller()),
-			Operator: lengthen(host, encoded.GetOperator()),
-			Peer:     lengthen(host, encoded.GetPeer()),
+			Caller:   restoreHost(host, encoded.GetCaller()),
+			Operator: restoreHost(host, encoded.GetOperator()),
+			Peer:     restoreHost(host, encoded.GetPeer()),
 		},
 	}
 }
 
-// shorten leaves out the IP where it is the given one.
-func shorten(host, address string) string {
+// omitHost removes the IP address if it equals host.
+func omitHost(host, address string) string {
 	if other, port, err := net.SplitHostPort(address); err == nil && other == host {
 		return ":" + port
 	}
 	return address
 }
 
-func lengthen(host, address string) string {
+func restoreHost(host, address string) string {
 	if address == "" || address[0] != ':' {
 		return address
 	}
@@ -115,16 +115,16 @@
 	}
 }
 
-// send encodes the packet, filled up with updates, and sends it.
+// send fills the packet up with updates, encodes it and sends it.
 func (c *Core) send(to string, packet *peerpb.GossipPacket) {
 	if to == "" {
 		return
 	}
-	c.updates.fill(packet, c.options.PacketBytes-proto.Size(packet), foreignBytesPerPacket, c.retransmits())
-	c.sendPlain(to, packet)
+	c.updates.fill(packet, c.options.PacketBytes-proto.Size(packet), otherZoneBytesPerPacket, c.retransmitLimit())
+	c.sendWithoutUpdates(to, packet)
 }
 
-func (c *Core) sendPlain(to string, packet *peerpb.GossipPacket) {
+func (c *Core) sendWithoutUpdates(to string, packet *peerpb.GossipPacket) {
 	encoded, err := proto.Marshal(packet)
 	if err != nil || len(encoded) > c.options.PacketBytes {
 		return
@@ -132,7 +132,7 @@
 	c.effects = append(c.effects, Send{To: to, Packet: encoded})
 }
 
-// newPacket starts a packet with what every packet says of its sender.
+// newPacket returns a packet with the fields that every packet contains about its sender.
 func (c *Core) newPacket(kind peerpb.GossipPacket_Kind) *peerpb.GossipPacket {
 	return &peerpb.GossipPacket{
 		Kind:          kind,
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -16,43 +16,43 @@
 	now     time.Time
 	started bool
 
-	self    fleet.NodeName
-	records map[fleet.NodeName]*record
-	zones   map[fleet.Zone]*zoneReport
-	updates queue
-	hints   []ListedNode
+	self        fleet.NodeName
+	records     map[fleet.NodeName]*record
+	zones       map[fleet.Zone]*zoneReport
+	updates     updateQueue
+	listedNodes []ListedNode
 
-	sequence   uint64
-	probe      probe
-	probeOrder []fleet.NodeName
-	relays     map[uint64]relay
+	sequence     uint64
+	probe        probe
+	probeOrder   []fleet.NodeName
+	relayedPings map[uint64]relayedPing
 
 	nextProbe  time.Time
 	nextGossip time.Time
 	nextSync   time.Time
 	nextDigest time.Time
 
-	// localLive and suspects count records; they hold while counted does.
-	localLive int
-	suspects  int
-	counted   bool
+	// localLive and suspects count records; they are valid while countsValid is set.
+	localLive   int
+	suspects    int
+	countsValid bool
 
 	effects []Effect
 	changed bool
 }
 
-// record is what is held of one member.
+// record is the state held of one member.
 type record struct {
 	member fleet.Member
-	// since is when the state was taken.
-	since time.Time
+	// stateSince is when the member's state was last changed.
+	stateSince time.Time
 }
 
-// zoneReport is the newest word from a zone's delegates.
+// zoneReport is the newest report from a zone's delegates.
 type zoneReport struct {
 	stamp       uint64
 	configFloor uint64
-	heard       time.Time
+	receivedAt  time.Time
 	stale       bool
 }
 
@@ -60,18 +60,18 @@
 func New(options Options) *Core {
 	options = options.withDefaults()
 	return &Core{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.RandomSeed, options.Self.BootID)),
-		self:    options.Self.Name,
-		records: make(map[fleet.NodeName]*record),
-		zones:   make(map[fleet.Zone]*zoneReport),
-		relays:  make(map[uint64]relay),
+		options:      options,
+		random:       rand.New(rand.NewPCG(options.RandomSeed, options.Self.BootID)),
+		self:         options.Self.Name,
+		records:      make(map[fleet.NodeName]*record),
+		zones:        make(map[fleet.Zone]*zoneReport),
+		relayedPings: make(map[uint64]relayedPing),
 	}
 }
 
-// Step takes a message. It must be called with a now that does not go back.
+// Step processes a message. Successive calls must not pass a decreasing now.
 func (c *Core) Step(now time.Time, message Message) []Effect {
-	c.excusePause(now)
+	c.compensatePause(now)
 	c.now = now
 	c.effects = nil
 	c.changed = false
@@ -81,7 +81,7 @@
 	case Receive:
 		c.receive(message)
 	case NodesListed:
-		c.takeHints(message.Nodes)
+		c.applyListedNodes(message.Nodes)
 	case SetDraining:
 		c.setDraining(message.Draining)
 	case SetConfigVersion:
@@ -96,7 +96,7 @@
 	return c.effects
 }
 
-// NextWake is when Step wants a Tick.
+// NextWake returns when Step needs a Tick.
 func (c *Core) NextWake() time.Time {
 	if !c.started {
 		return c.now
@@ -111,9 +111,9 @@
 	return wake
 }
 
-// wantsGossip holds while there is news of the own zone or a suspect in it.
+// wantsGossip reports whether there are updates about this zone or suspects in it.
 func (c *Core) wantsGossip() bool {
-	c.recount()
+	c.updateCounts()
 	return c.updates.local > 0 || c.suspects > 0
 }
 
@@ -124,9 +124,9 @@
 	return first
 }
 
-// start sets the first incarnation from the clock, so that a restart under the
-// same name usually overrides what is held of the earlier process at once;
-// where the clock went back, refutation does the same a little later.
+// start derives the first incarnation from the clock, so that a restart under the same name usually
+// overrides the records of the earlier process at once. If the clock went back, refutation does the
+// same a little later.
 func (c *Core) start() {
 	if c.started {
 		return
@@ -135,47 +135,46 @@
 	member := c.options.Self
 	member.State = fleet.MemberAlive
 	member.Incarnation = uint64(max(c.now.UnixMilli(), 1))
-	c.records[c.self] = &record{member: member, since: c.now}
+	c.records[c.self] = &record{member: member, stateSince: c.now}
 	c.nextProbe = c.now.Add(c.jitter(c.options.ProbeInterval))
 	c.nextSync = c.now
 	c.nextDigest = c.now.Add(c.jitter(c.options.DigestInterval))
 	c.changed = true
 }
 
-// pausedProbes is how many probe intervals without a step count as a pause of
-// this process.
-const pausedProbes = 3
+// pauseThresholdProbes is how many probe intervals without a step count as a pause of this process.
+const pauseThresholdProbes = 3
 
-// excusePause drops what a pause of this process would make it believe of
-// others: an unanswered probe and the time that suspects had.
-func (c *Core) excusePause(now time.Time) {
+// compensatePause discards what a pause of this process would wrongly imply about others: an
+// unanswered probe, and the time in which suspects and zones were not heard from.
+func (c *Core) compensatePause(now time.Time) {
 	gap := now.Sub(c.now)
-	if !c.started || gap < pausedProbes*c.options.ProbeInterval {
+	if !c.started || gap < pauseThresholdProbes*c.options.ProbeInterval {
 		return
 	}
 	c.probe = probe{}
 	for _, held := range c.records {
 		if held.member.State == fleet.MemberSuspect {
-			held.since = held.since.Add(gap)
+			held.stateSince = held.stateSince.Add(gap)
 		}
 	}
 	for _, report := range c.zones {
-		report.heard = report.heard.Add(gap)
+		report.receivedAt = report.receivedAt.Add(gap)
 	}
 }
 
-// jitter returns a random share of the duration.
+// jitter returns a random fraction of the duration.
 func (c *Core) jitter(duration time.Duration) time.Duration {
 	return time.Duration(c.random.Float64() * float64(duration))
 }
 
 func (c *Core) runTimers() {
-	c.endSuspicions()
-	c.continueProbe()
+	c.expireSuspicions()
+	c.startIndirectProbesIfLate()
 	if !c.now.Before(c.nextProbe) {
 		c.nextProbe = c.now.Add(c.options.ProbeInterval)
-		c.endProbe()
-		c.beginProbe()
+		c.finishProbe()
+		c.startProbe()
 	}
 	if c.wantsGossip() && !c.now.Before(c.nextGossip) {
 		c.nextGossip = c.now.Add(c.options.GossipInterval)
@@ -199,12 +198,12 @@
 	return c.records[c.self]
 }
 
-// reassert gives this node's record a higher incarnation and spreads it.
-func (c *Core) reassert(above uint64) {
+// raiseIncarnation gives this node's record a higher incarnation and disseminates it.
+func (c *Core) raiseIncarnation(above uint64) {
 	own := c.own()
 	own.member.Incarnation = max(own.member.Incarnation, above) + 1
 	c.updates.add(memberUpdate(own.member), false)
-	c.touch()
+	c.recordChanged()
 }
 
 func (c *Core) setDraining(draining bool) {
@@ -212,7 +211,7 @@
 		return
 	}
 	c.own().member.Draining = draining
-	c.reassert(0)
+	c.raiseIncarnation(0)
 }
 
 func (c *Core) setConfigVersion(version uint64) {
@@ -225,23 +224,23 @@
 	c.changed = true
 }
 
-// leave tells as many as can be told at once; the others hear it from them.
+// leave informs as many members as fit into one step; the others learn of it from them.
 func (c *Core) leave() {
 	own := c.own()
 	own.member.State = fleet.MemberLeft
 	own.member.Draining = true
-	c.reassert(0)
+	c.raiseIncarnation(0)
 	for _, name := range c.pick(leaveNotices, c.isLiveNeighbour) {
 		c.sendPing(c.records[name].member)
 	}
 }
 
-// leaveNotices is how many members a leaving node tells itself.
+// leaveNotices is how many members a leaving node informs itself.
 const leaveNotices = 8
 
-// Members returns all members that are held, sorted by zone and name: this
-// node, its zone with the dead not yet reaped, and the other zones' members,
-// whose ConfigVersion is the least one in force in their zone.
+// Members returns all members held, sorted by zone and name: this node, its zone including dead
+// members not yet reaped, and the members of other zones, whose ConfigVersion is the lowest one in
+// force in their zone.
 func (c *Core) Members() []fleet.Member {
 	members := make([]fleet.Member, 0, len(c.records))
 	for _, held := range c.records {
@@ -267,22 +266,22 @@
 	return member
 }
 
-// touch notes that a record changed.
-func (c *Core) touch() {
+// recordChanged marks the records as changed.
+func (c *Core) recordChanged() {
 	c.changed = true
-	c.counted = false
+	c.countsValid = false
 }
 
-// recount brings the counts of records up to date.
-func (c *Core) recount() {
-	if c.counted {
+// updateCounts recomputes the counts of records if necessary.
+func (c *Core) updateCounts() {
+	if c.countsValid {
 		return
 	}
-	c.counted = true
+	c.countsValid = true
 	c.localLive = 0
 	c.suspects = 0
 	for _, held := range c.records {
-		if !c.isLocal(held.member) || !live(held.member) {
+		if !c.isLocal(held.member) || !isLive(held.member) {
 			continue
 		}
 		c.localLive++
@@ -292,16 +291,16 @@
 	}
 }
 
-// logarithm of the zone's size scales suspicion and retransmission.
-func (c *Core) logarithm() float64 {
-	c.recount()
+// zoneSizeLog is the logarithm of the zone's size, which scales suspicion and retransmission.
+func (c *Core) zoneSizeLog() float64 {
+	c.updateCounts()
 	return max(1, math.Log10(float64(c.localLive)+1))
 }
 
-func (c *Core) retransmits() int {
-	return int(math.Ceil(c.options.RetransmitMultiplier * c.logarithm()))
+func (c *Core) retransmitLimit() int {
+	return int(math.Ceil(c.options.RetransmitMultiplier * c.zoneSizeLog()))
 }
 
-func (c *Core) suspicionTime() time.Duration {
-	return time.Duration(c.options.SuspicionMultiplier * c.logarithm() * float64(c.options.ProbeInterval))
+func (c *Core) suspicionTimeout() time.Duration {
+	return time.Duration(c.options.SuspicionMultiplier * c.zoneSizeLog() * float64(c.options.ProbeInterval))
 }
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -7,20 +7,20 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// joined returns a network whose nodes all know each other.
-func joined(t *testing.T, seed uint64, zones, size int, options func(*Options)) *network {
+// newJoinedNetwork returns a network whose nodes all know each other.
+func newJoinedNetwork(t *testing.T, seed uint64, zones, size int, options func(*Options)) *network {
 	t.Helper()
 	network := newNetwork(seed)
 	if options != nil {
 		network.options = options
 	}
 	network.startZones(zones, size)
-	network.until(t, time.Minute, "join", network.converged)
+	network.runUntil(t, time.Minute, "join", network.converged)
 	return network
 }
 
 func TestNodesJoinThroughOneSeed(t *testing.T) {
-	joined(t, 1, 3, 5, nil)
+	newJoinedNetwork(t, 1, 3, 5, nil)
 }
 
 func TestNodeJoinsThroughMachineList(t *testing.T) {
@@ -28,18 +28,18 @@
 	network.start(0, 1)
 	network.start(0, 2)
 	network.step(address(0, 2), NodesListed{Nodes: []ListedNode{{Name: "node-00-001", GossipAddress: address(0, 1)}}})
-	network.until(t, time.Minute, "join", network.converged)
+	network.runUntil(t, time.Minute, "join", network.converged)
 }
 
 func TestKilledNodeIsFoundDeadAndReaped(t *testing.T) {
-	network := joined(t, 2, 2, 10, nil)
+	network := newJoinedNetwork(t, 2, 2, 10, nil)
 	victim := address(0, 4)
 	delete(network.nodes, victim)
-	network.until(t, 20*time.Second, "death in the zone", func() bool {
+	network.runUntil(t, 20*time.Second, "death in the zone", func() bool {
 		return network.state(address(0, 1), victim) == fleet.MemberDead &&
 			network.state(address(0, 9), victim) == fleet.MemberDead
 	})
-	network.until(t, 20*time.Second, "death in the other zone", func() bool {
+	network.runUntil(t, 20*time.Second, "death in the other zone", func() bool {
 		return network.state(address(1, 1), victim) == fleet.MemberDead
 	})
 	network.run(defaultDeadRetention + 2*defaultSyncInterval)
@@ -49,12 +49,12 @@
 }
 
 func TestLeavingNodeIsNotSuspected(t *testing.T) {
-	network := joined(t, 3, 1, 10, nil)
+	network := newJoinedNetwork(t, 3, 1, 10, nil)
 	leaver := address(0, 4)
 	network.step(leaver, Leave{})
 	network.run(200 * time.Millisecond)
 	delete(network.nodes, leaver)
-	network.until(t, 5*time.Second, "leave", func() bool {
+	network.runUntil(t, 5*time.Second, "leave", func() bool {
 		for _, at := range network.addresses() {
 			if network.state(at, leaver) != fleet.MemberLeft {
 				return false
@@ -70,12 +70,12 @@
 		step time.Duration
 	}{{"forward", 100 * time.Millisecond}, {"clock went back", -time.Hour}} {
 		t.Run(clock.name, func(t *testing.T) {
-			network := joined(t, 4, 2, 5, nil)
+			network := newJoinedNetwork(t, 4, 2, 5, nil)
 			at := address(0, 3)
 			network.skew[at] = clock.step
 			network.start(0, 3, address(0, 1))
 			boot := network.boots
-			network.until(t, 20*time.Second, "new start known", func() bool {
+			network.runUntil(t, 20*time.Second, "new start known", func() bool {
 				return network.converged() && network.boot(address(0, 1), at) == boot &&
 					network.boot(address(1, 1), at) == boot
 			})
@@ -84,84 +84,84 @@
 }
 
 func TestWholeZoneRestarts(t *testing.T) {
-	network := joined(t, 5, 3, 5, nil)
+	network := newJoinedNetwork(t, 5, 3, 5, nil)
 	for index := 1; index <= 5; index++ {
 		delete(network.nodes, address(1, index))
 	}
-	network.until(t, time.Minute, "zone suspect elsewhere", func() bool {
+	network.runUntil(t, time.Minute, "zone suspect elsewhere", func() bool {
 		return network.state(address(0, 2), address(1, 2)) == fleet.MemberSuspect
 	})
 	for index := 1; index <= 5; index++ {
 		network.start(1, index, address(0, 1))
 	}
-	network.until(t, time.Minute, "zone is back", network.converged)
+	network.runUntil(t, time.Minute, "zone is back", network.converged)
 }
 
 func TestPausedNodeComesBackAndRefutes(t *testing.T) {
-	network := joined(t, 6, 1, 10, nil)
+	network := newJoinedNetwork(t, 6, 1, 10, nil)
 	paused := address(0, 5)
 	network.nodes[paused].paused = true
-	network.until(t, 20*time.Second, "death", func() bool {
+	network.runUntil(t, 20*time.Second, "death", func() bool {
 		return network.state(address(0, 1), paused) == fleet.MemberDead
 	})
 	network.run(time.Minute)
 	network.resume(paused)
 	suspected := false
-	network.until(t, 20*time.Second, "return", func() bool {
+	network.runUntil(t, 20*time.Second, "return", func() bool {
 		for _, member := range network.nodes[address(0, 1)].core.Members() {
 			suspected = suspected || member.Addresses.Gossip != paused && member.State != fleet.MemberAlive
 		}
 		return network.converged()
 	})
 	if suspected {
-		t.Error("the node that came back made others suspect")
+		t.Error("the resumed node caused suspicions of others")
 	}
 }
 
 func TestOneWayCutKillsNobody(t *testing.T) {
-	network := joined(t, 7, 1, 8, nil)
+	network := newJoinedNetwork(t, 7, 1, 8, nil)
 	network.cut = func(from, to string) bool { return from == address(0, 1) && to == address(0, 2) }
-	if died := network.deaths(2 * time.Minute); died != 0 {
+	if died := network.countDeadViews(2 * time.Minute); died != 0 {
 		t.Fatalf("%d views of a live member as dead", died)
 	}
 }
 
 func TestLossKillsNobody(t *testing.T) {
 	for seed := range uint64(3) {
-		network := joined(t, seed, 2, 10, nil)
+		network := newJoinedNetwork(t, seed, 2, 10, nil)
 		network.loss = 0.2
-		if died := network.deaths(5 * time.Minute); died != 0 {
+		if died := network.countDeadViews(5 * time.Minute); died != 0 {
 			t.Errorf("seed %d: %d views of a live member as dead", seed, died)
 		}
 	}
 }
 
 func TestCutZoneHealsAndKeepsItsOwnView(t *testing.T) {
-	network := joined(t, 9, 2, 5, nil)
+	network := newJoinedNetwork(t, 9, 2, 5, nil)
 	network.cut = func(from, to string) bool { return from[:7] != to[:7] }
-	network.until(t, time.Minute, "other zone suspect", func() bool {
+	network.runUntil(t, time.Minute, "other zone suspect", func() bool {
 		return network.state(address(0, 1), address(1, 1)) == fleet.MemberSuspect
 	})
 	if state := network.state(address(0, 1), address(0, 2)); state != fleet.MemberAlive {
 		t.Fatalf("own zone's member is %s", state)
 	}
 	network.cut = func(string, string) bool { return false }
-	network.until(t, time.Minute, "heal", network.converged)
+	network.runUntil(t, time.Minute, "heal", network.converged)
 }
 
 func TestHalvesOfOneZoneHeal(t *testing.T) {
-	network := joined(t, 10, 1, 8, nil)
+	network := newJoinedNetwork(t, 10, 1, 8, nil)
 	left := func(at string) bool { return at <= address(0, 4) }
 	network.cut = func(from, to string) bool { return left(from) != left(to) }
-	network.until(t, time.Minute, "halves dead to each other", func() bool {
+	network.runUntil(t, time.Minute, "halves dead to each other", func() bool {
 		return network.state(address(0, 1), address(0, 8)) == fleet.MemberDead
 	})
 	network.cut = func(string, string) bool { return false }
-	network.until(t, 2*time.Minute, "heal", network.converged)
+	network.runUntil(t, 2*time.Minute, "heal", network.converged)
 }
 
 func TestConfigVersionIsKnownWithinASecond(t *testing.T) {
-	network := joined(t, 11, 3, 20, nil)
+	network := newJoinedNetwork(t, 11, 3, 20, nil)
 	network.run(10 * time.Second)
 	for _, at := range network.addresses() {
 		network.step(at, SetConfigVersion{Version: 42})
@@ -172,7 +172,7 @@
 			t.Errorf("%s is held at version %d", member.Name, member.ConfigVersion)
 		}
 	}
-	network.until(t, 10*time.Second, "floors of other zones", func() bool {
+	network.runUntil(t, 10*time.Second, "floors of other zones", func() bool {
 		for _, member := range network.nodes[address(0, 1)].core.Members() {
 			if member.ConfigVersion != 42 {
 				return false
@@ -183,25 +183,25 @@
 }
 
 func TestGoingMachineIsSuspectedAndRefutes(t *testing.T) {
-	network := joined(t, 12, 1, 5, nil)
-	hinted := address(0, 3)
-	network.step(address(0, 1), NodesListed{Nodes: []ListedNode{{Name: "node-00-003", GossipAddress: hinted, Leaving: true}}})
-	if state := network.state(address(0, 1), hinted); state != fleet.MemberSuspect {
-		t.Fatalf("listed as going, held as %s", state)
+	network := newJoinedNetwork(t, 12, 1, 5, nil)
+	listed := address(0, 3)
+	network.step(address(0, 1), NodesListed{Nodes: []ListedNode{{Name: "node-00-003", GossipAddress: listed, Leaving: true}}})
+	if state := network.state(address(0, 1), listed); state != fleet.MemberSuspect {
+		t.Fatalf("listed as leaving, held as %s, want suspect", state)
 	}
-	if died := network.deaths(30 * time.Second); died != 0 {
-		t.Fatalf("the list alone killed a member in %d views", died)
+	if died := network.countDeadViews(30 * time.Second); died != 0 {
+		t.Fatalf("the list alone made a member dead in %d views", died)
 	}
 }
 
-// TestPlantedDefectsShow proves that the checks above can fail.
+// TestPlantedDefectsShow checks that the tests above can fail.
 func TestPlantedDefectsShow(t *testing.T) {
-	network := joined(t, 8, 2, 10, func(options *Options) { options.Defects.NoRefutation = true })
+	network := newJoinedNetwork(t, 8, 2, 10, func(options *Options) { options.Defects.NoRefutation = true })
 	network.loss = 0.2
-	if network.deaths(5*time.Minute) == 0 {
-		t.Error("without refutation nobody was declared dead under loss")
+	if network.countDeadViews(5*time.Minute) == 0 {
+		t.Error("no member was declared dead under loss without refutation")
 	}
-	network = joined(t, 7, 1, 2, func(options *Options) { options.Defects.ResurrectDead = true })
+	network = newJoinedNetwork(t, 7, 1, 2, func(options *Options) { options.Defects.ResurrectDead = true })
 	at := address(0, 1)
 	victim := network.record(at, address(0, 2))
 	delete(network.nodes, address(0, 2))
@@ -209,44 +209,44 @@
 	packet := &Receive{From: at, Packet: statePacket(victim)}
 	network.step(at, *packet)
 	if network.state(at, address(0, 2)) != fleet.MemberAlive {
-		t.Error("stale news of a dead member was not taken in spite of the defect")
+		t.Error("an outdated update of a dead member was not accepted despite the defect")
 	}
 }
 
 func TestStaleNewsDoesNotResurrect(t *testing.T) {
-	network := joined(t, 7, 1, 2, nil)
+	network := newJoinedNetwork(t, 7, 1, 2, nil)
 	at := address(0, 1)
 	victim := network.record(at, address(0, 2))
 	delete(network.nodes, address(0, 2))
 	network.run(20 * time.Second)
 	network.step(at, Receive{From: at, Packet: statePacket(victim)})
 	if state := network.state(at, address(0, 2)); state != fleet.MemberDead {
-		t.Fatalf("dead member is held as %s after stale news", state)
+		t.Fatalf("dead member is held as %s after an outdated update", state)
 	}
 }
 
-// TestBytesPerNode holds the budget of the design note: control may take
-// 8 KB/s a node, of which membership may use a quarter while nothing changes.
+// TestBytesPerNode checks the traffic budget: control traffic may use 8 KB/s per node, of which
+// membership may use a quarter while nothing changes.
 func TestBytesPerNode(t *testing.T) {
 	const quarter = 2 << 10
 	for _, size := range []int{5, 10, 25, 50} {
-		network := joined(t, 13, 4, size, nil)
+		network := newJoinedNetwork(t, 13, 4, size, nil)
 		network.run(10 * time.Second)
 		mean, most, largest := network.measure(20 * time.Second)
-		t.Logf("4 zones of %d: mean %.0f B/s, most %.0f B/s, largest packet %d B", size, mean, most, largest)
+		t.Logf("4 zones of %d: mean %.0f B/s, highest %.0f B/s, largest packet %d B", size, mean, most, largest)
 		if mean > quarter || largest > defaultPacketBytes {
-			t.Errorf("zones of %d: %.0f B/s a node, largest packet %d B", size, mean, largest)
+			t.Errorf("zones of %d: %.0f B/s per node, largest packet %d B", size, mean, largest)
 		}
 	}
 }
 
-// BenchmarkFullSize measures the largest fleet to build towards: how long 800
-// nodes of 16 zones take to join through one seed, and what each sends then.
+// BenchmarkFullSize measures the largest supported fleet: how long 800 nodes in 16 zones take to
+// join through one seed, and the traffic of each node afterwards.
 func BenchmarkFullSize(b *testing.B) {
 	for b.Loop() {
 		network := newNetwork(14)
 		network.startZones(16, 50)
-		took := network.until(b, 2*time.Minute, "join", network.converged)
+		took := network.runUntil(b, 2*time.Minute, "join", network.converged)
 		network.run(30 * time.Second)
 		mean, most, _ := network.measure(30 * time.Second)
 		b.ReportMetric(took.Seconds(), "join-s")
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,8 +1,8 @@
-// Package membership is the failure detector and the member table of a zone,
-// after SWIM: probes, indirect probes, suspicion that its subject can refute,
-// and updates that ride on the probes' packets. A few delegates of each zone
-// exchange the tables with other zones, so that a node's cost grows with its
-// own zone.
+// Package membership is the failure detector and the member table of a zone, based on SWIM: probes,
+// indirect probes, suspicion that the suspect can refute, and updates piggybacked on probe packets.
+// A few delegates of each zone exchange tables with other zones, so that the cost of a node grows
+// only with its own zone.
 //
-// It is a core: no I/O, goroutine or clock. It may import fleet and peerpb.
+// Package node runs the core: it passes in messages and performs the returned effects. The core
+// does no I/O, starts no goroutine and reads no clock. It may import fleet and peerpb.
 package membership
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// FuzzPacket holds that no packet takes a node's word for itself away, that
-// what the node sends stays within its bound, and that it goes on afterwards.
+// FuzzPacket checks that no packet changes a node's own state, that packets sent stay within the
+// size limit, and that the core continues to work afterwards.
 func FuzzPacket(f *testing.F) {
 	for kind := range peerpb.GossipPacket_Kind_name {
 		packet := &peerpb.GossipPacket{
@@ -67,15 +67,15 @@
 		}
 		own++
 		if member.State != fleet.MemberAlive || member.BootID != 9 || member.Addresses.Peer != "10.0.0.2:3" {
-			t.Fatalf("this node is told that it is %+v", member)
+			t.Fatalf("own record changed to %+v", member)
 		}
 	}
 	if own != 1 {
-		t.Fatalf("this node stands %d times in its own table", own)
+		t.Fatalf("this node is %d times in its own table", own)
 	}
 }
 
-// FuzzMember holds that a member that came by the wire goes out as it came.
+// FuzzMember checks that a decoded member is the same after encoding and decoding it again.
 func FuzzMember(f *testing.F) {
 	for _, state := range []fleet.MemberState{fleet.MemberAlive, fleet.MemberSuspect, fleet.MemberDead, fleet.MemberLeft} {
 		encoded, err := proto.Marshal(encodeMember(fuzzMember("other", state)))
@@ -90,11 +90,11 @@
 			return
 		}
 		member := decodeMember(&wire)
-		if !live(member) {
+		if !isLive(member) {
 			return
 		}
 		if difference := cmp.Diff(member, decodeMember(encodeMember(member))); difference != "" {
-			t.Fatalf("(-came +went):\n%s", difference)
+			t.Fatalf("(-decoded +encoded again):\n%s", difference)
 		}
 	})
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,20 +1,20 @@
 package membership
 
-// Message is what a Core takes.
+// Message is an input of a Core.
 type Message interface{ message() }
 
-// Tick says that NextWake has come.
+// Tick reports that NextWake has been reached.
 type Tick struct{}
 
-// Receive is a packet that came from another node.
+// Receive is a packet received from another node.
 type Receive struct {
-	// From is the sender's UDP address; answers go there.
+	// From is the sender's UDP address, to which answers are sent.
 	From   string
 	Packet []byte
 }
 
-// NodesListed are nodes of the platform's machine list. A listed node is a seed; one
-// that is leaving or gone is suspected, and dies only if it does not refute.
+// NodesListed contains the nodes of the platform's machine list. A listed node serves as a seed;
+// one that is leaving or gone is suspected, and is declared dead only if it does not refute.
 type NodesListed struct {
 	Nodes []ListedNode
 }
@@ -22,19 +22,19 @@
 // ListedNode is one node of the machine list.
 type ListedNode struct {
 	Name string
-	// GossipAddress is the node's gossip address.
+	// GossipAddress is the address for membership packets.
 	GossipAddress string
-	// Leaving is set where the list says that the machine leaves or is gone.
+	// Leaving is set if the machine is leaving or gone according to the list.
 	Leaving bool
 }
 
-// SetDraining tells the others whether this node takes new work.
+// SetDraining announces whether this node accepts new work.
 type SetDraining struct{ Draining bool }
 
-// SetConfigVersion tells the others the store revision in force here.
+// SetConfigVersion announces the store revision in force on this node.
 type SetConfigVersion struct{ Version uint64 }
 
-// Leave tells the others that this node goes away.
+// Leave announces that this node is shutting down.
 type Leave struct{}
 
 func (Tick) message()             {}
@@ -44,7 +44,7 @@
 func (SetConfigVersion) message() {}
 func (Leave) message()            {}
 
-// Effect is what a Core wants done.
+// Effect is an output of a Core.
 type Effect interface{ effect() }
 
 // Send is a packet to send by UDP.
@@ -53,7 +53,7 @@
 	Packet []byte
 }
 
-// Changed says that Members returns something new.
+// Changed reports that the result of Members changed.
 type Changed struct{}
 
 func (Send) effect()    {}
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -14,39 +14,39 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// datagramOverheadBytes is what IP and UDP headers add to a packet.
+// datagramOverheadBytes is the size of the IP and UDP headers.
 const datagramOverheadBytes = 28
 
-// network runs cores on a virtual clock over a network with faults.
+// network runs cores on a virtual clock over a faulty network.
 type network struct {
-	now     time.Time
-	random  *rand.Rand
-	nodes   map[string]*testNode
-	flights []flight
-	latency time.Duration
-	loss    float64
+	now      time.Time
+	random   *rand.Rand
+	nodes    map[string]*testNode
+	inFlight []inFlightPacket
+	latency  time.Duration
+	loss     float64
 	// cut reports whether packets from one address to the other are lost.
 	cut     func(from, to string) bool
 	options func(*Options)
 	boots   uint64
-	// skew is what a node's clock is off by.
+	// skew is the clock offset of each node.
 	skew map[string]time.Duration
 }
 
 type testNode struct {
 	core   *Core
 	paused bool
-	// inbox holds what came during a pause.
+	// inbox holds the packets received during a pause.
 	inbox     []Receive
 	sentBytes int
 	largest   int
 }
 
-type flight struct {
-	at       time.Time
-	order    int
-	from, to string
-	packet   []byte
+type inFlightPacket struct {
+	deliverAt time.Time
+	order     int
+	from, to  string
+	packet    []byte
 }
 
 func newNetwork(seed uint64) *network {
@@ -63,7 +63,7 @@
 
 func address(zone, index int) string { return fmt.Sprintf("10.0.%d.%d:7001", zone, index) }
 
-// start begins a node, or begins it anew under the same name and address.
+// start starts a node, or restarts it under the same name and address.
 func (n *network) start(zone, index int, seeds ...string) *testNode {
 	n.boots++
 	gossip := address(zone, index)
@@ -100,8 +100,8 @@
 			continue
 		}
 		jitter := time.Duration(n.random.Int64N(int64(n.latency)))
-		n.flights = append(n.flights, flight{
-			at: n.now.Add(n.latency + jitter), order: len(n.flights), from: at, to: send.To, packet: send.Packet,
+		n.inFlight = append(n.inFlight, inFlightPacket{
+			deliverAt: n.now.Add(n.latency + jitter), order: len(n.inFlight), from: at, to: send.To, packet: send.Packet,
 		})
 	}
 }
@@ -110,14 +110,14 @@
 func (n *network) run(duration time.Duration) {
 	const tick = 5 * time.Millisecond
 	for end := n.now.Add(duration); n.now.Before(end); n.now = n.now.Add(tick) {
-		due := n.flights
-		n.flights = nil
-		slices.SortFunc(due, func(first, second flight) int {
-			return cmp.Or(first.at.Compare(second.at), cmp.Compare(first.order, second.order))
+		due := n.inFlight
+		n.inFlight = nil
+		slices.SortFunc(due, func(first, second inFlightPacket) int {
+			return cmp.Or(first.deliverAt.Compare(second.deliverAt), cmp.Compare(first.order, second.order))
 		})
 		for _, packet := range due {
-			if packet.at.After(n.now) {
-				n.flights = append(n.flights, packet)
+			if packet.deliverAt.After(n.now) {
+				n.inFlight = append(n.inFlight, packet)
 				continue
 			}
 			n.deliver(packet)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (n *network) deliver(packet flight) {
+func (n *network) deliver(packet inFlightPacket) {
 	node := n.nodes[packet.to]
 	if node == nil {
 		return
@@ -161,7 +161,7 @@
 	return addresses
 }
 
-// state returns what one node holds of another.
+// state returns the state of one node as held by another.
 func (n *network) state(at, of string) fleet.MemberState {
 	for _, member := range n.nodes[at].core.Members() {
 		if member.Addresses.Gossip == of {
@@ -171,7 +171,7 @@
 	return ""
 }
 
-// record returns what one node holds of another.
+// record returns the member record of one node as held by another.
 func (n *network) record(at, of string) fleet.Member {
 	for _, held := range n.nodes[at].core.records {
 		if held.member.Addresses.Gossip == of {
@@ -185,42 +185,42 @@
 	return n.record(at, of).BootID
 }
 
-// deaths runs for the duration and counts the views, looked at every 100 ms,
-// in which a running node holds another running one dead.
-func (n *network) deaths(duration time.Duration) int {
-	died := 0
+// countDeadViews runs for the duration and counts, every 100 ms, how many running nodes each
+// running node holds as dead.
+func (n *network) countDeadViews(duration time.Duration) int {
+	deadViews := 0
 	for end := n.now.Add(duration); n.now.Before(end); {
 		n.run(100 * time.Millisecond)
 		for _, at := range n.addresses() {
 			for _, held := range n.nodes[at].core.records {
 				if held.member.State == fleet.MemberDead && n.nodes[held.member.Addresses.Gossip] != nil {
-					died++
+					deadViews++
 				}
 			}
 		}
 	}
-	return died
+	return deadViews
 }
 
-// measure runs for the duration and returns the mean and the most bytes a
-// second that a node sent, headers included, and the largest packet.
+// measure runs for the duration and returns the mean and the highest bytes per second sent by a
+// node, headers included, and the size of the largest packet.
 func (n *network) measure(duration time.Duration) (float64, float64, int) {
 	for _, node := range n.nodes {
 		node.sentBytes = 0
 	}
 	n.run(duration)
-	var total, most float64
+	var total, highest float64
 	largest := 0
 	for _, node := range n.nodes {
 		rate := float64(node.sentBytes) / duration.Seconds()
 		total += rate
-		most = max(most, rate)
+		highest = max(highest, rate)
 		largest = max(largest, node.largest)
 	}
-	return total / float64(len(n.nodes)), most, largest
+	return total / float64(len(n.nodes)), highest, largest
 }
 
-// statePacket tells of one member.
+// statePacket encodes a packet with one member.
 func statePacket(member fleet.Member) []byte {
 	packet, _ := proto.Marshal(&peerpb.GossipPacket{
 		Kind:    peerpb.GossipPacket_STATE,
@@ -229,14 +229,14 @@
 	return packet
 }
 
-// until runs until the condition holds and returns how long it took.
-func (n *network) until(t testing.TB, limit time.Duration, what string, holds func() bool) time.Duration {
+// runUntil runs until the condition is true and returns how long it took.
+func (n *network) runUntil(t testing.TB, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	const step = 50 * time.Millisecond
-	begin := n.now
-	for n.now.Sub(begin) < limit {
-		if holds() {
-			return n.now.Sub(begin)
+	startTime := n.now
+	for n.now.Sub(startTime) < limit {
+		if condition() {
+			return n.now.Sub(startTime)
 		}
 		n.run(step)
 	}
@@ -244,7 +244,7 @@
 	return 0
 }
 
-// converged reports whether every running node holds all others alive.
+// converged reports whether every running node holds all others as alive.
 func (n *network) converged() bool {
 	for _, node := range n.nodes {
 		alive := 0
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -7,59 +7,58 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Options set up a Core. Zero durations and counts take the defaults.
+// Options configure a Core. Zero durations and counts take the defaults.
 type Options struct {
-	// Self is this node; Incarnation and State are chosen by the core.
+	// Self is this node; the core sets its Incarnation and State.
 	Self fleet.Member
-	// Seeds are gossip addresses to join through; a node's own is ignored.
+	// Seeds are gossip addresses to join through; the node's own address is ignored.
 	Seeds []string
-	// RandomSeed makes the core's choices repeatable.
+	// RandomSeed makes the core's random choices repeatable.
 	RandomSeed uint64
 
-	// ProbeInterval is the time between probes; one member is probed in each.
+	// ProbeInterval is the time between probes; one member is probed each time.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before others are asked
-	// to probe too.
+	// ProbeTimeout is how long a direct probe may take before other members are asked to probe.
 	ProbeTimeout time.Duration
 	// IndirectProbes is how many members are asked.
 	IndirectProbes int
-	// SuspicionMultiplier times the logarithm of the zone's size times the
-	// probe interval is how long a suspect has to refute.
+	// SuspicionMultiplier times the logarithm of the zone's size times the probe interval is how
+	// long a suspect has to refute.
 	SuspicionMultiplier float64
-	// RetransmitMultiplier times the logarithm of the zone's size is how often
-	// a node sends an update.
+	// RetransmitMultiplier times the logarithm of the zone's size is how many times a node sends an
+	// update.
 	RetransmitMultiplier float64
-	// GossipInterval is the time between packets that carry news alone, sent
-	// only while there is news of the own zone, and between pings of suspects.
+	// GossipInterval is the time between packets that carry only updates, sent only while there are
+	// updates about this zone, and between pings of suspects.
 	GossipInterval time.Duration
-	// GossipFanout is how many members get them.
+	// GossipFanout is how many members receive these packets.
 	GossipFanout int
 	// DeadRetention is how long a dead or departed member is remembered.
 	DeadRetention time.Duration
-	// SyncInterval is the time between comparisons of the whole table with a
-	// random member of the zone, a seed or a dead member.
+	// SyncInterval is the time between comparisons of the whole table with a random member of the
+	// zone, a seed or a dead member.
 	SyncInterval time.Duration
-	// DigestInterval is the time between a delegate's exchanges with others.
+	// DigestInterval is the time between a delegate's exchanges with other zones.
 	DigestInterval time.Duration
-	// Delegates is how many members of a zone exchange with other zones.
+	// Delegates is how many members of a zone exchange tables with other zones.
 	Delegates int
-	// ZoneStaleAfter is how long a foreign zone may be unheard of before its
-	// members count as suspect.
+	// ZoneStaleAfter is how long no report of another zone may arrive before its members count as
+	// suspect.
 	ZoneStaleAfter time.Duration
 	// PacketBytes bounds an encoded packet.
 	PacketBytes int
-	// Defects plant faults; only tests and the simulator set it.
+	// Defects injects faults; only tests and the simulator set it.
 	Defects Defects
 }
 
-// Defects are planted faults that the checks must find. Only tests and the
-// simulator set them; no setting or flag leads here.
+// Defects are injected faults that the tests must detect. Only tests and the simulator set them; no
+// setting or flag does.
 type Defects struct {
-	// NoRefutation leaves a claim that this node is suspect unanswered.
+	// NoRefutation ignores claims that this node is suspect or dead.
 	NoRefutation bool
-	// NoIndirectProbes suspects after the direct probe alone.
+	// NoIndirectProbes suspects a member after the direct probe alone.
 	NoIndirectProbes bool
-	// ResurrectDead takes older news of a dead member for newer.
+	// ResurrectDead accepts outdated updates that a dead member is alive.
 	ResurrectDead bool
 }
 
@@ -75,8 +74,8 @@
 	defaultSyncInterval         = 5 * time.Second
 	defaultDigestInterval       = time.Second
 	defaultDelegates            = 3
-	defaultZoneStale            = 15 * time.Second
-	// defaultPacketBytes keeps a packet within one frame of any path.
+	defaultZoneStaleAfter       = 15 * time.Second
+	// defaultPacketBytes fits a packet into one frame on any path.
 	defaultPacketBytes = 1200
 )
 
@@ -92,7 +91,7 @@
 	o.SyncInterval = cmp.Or(o.SyncInterval, defaultSyncInterval)
 	o.DigestInterval = cmp.Or(o.DigestInterval, defaultDigestInterval)
 	o.Delegates = cmp.Or(o.Delegates, defaultDelegates)
-	o.ZoneStaleAfter = cmp.Or(o.ZoneStaleAfter, defaultZoneStale)
+	o.ZoneStaleAfter = cmp.Or(o.ZoneStaleAfter, defaultZoneStaleAfter)
 	o.PacketBytes = cmp.Or(o.PacketBytes, defaultPacketBytes)
 	return o
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,24 +8,24 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// probe is the probe under way; there is one at a time.
+// probe is the current probe; there is at most one.
 type probe struct {
 	target   fleet.NodeName
 	sequence uint64
 	started  time.Time
-	// indirect is set once others were asked to probe too.
+	// indirect is set once other members were asked to probe.
 	indirect bool
 }
 
-// relay is a ping sent in another node's place.
-type relay struct {
+// relayedPing is a ping sent on behalf of another node.
+type relayedPing struct {
 	to       string
 	sequence uint64
 	expires  time.Time
 }
 
-func (c *Core) beginProbe() {
-	c.dropRelays()
+func (c *Core) startProbe() {
+	c.expireRelayedPings()
 	target := c.nextTarget()
 	if target == "" {
 		return
@@ -34,8 +34,8 @@
 	c.probe.sequence = c.sendPing(c.records[target].member)
 }
 
-// nextTarget walks all live neighbours in an order drawn anew each round, so
-// that each is probed within two rounds at most.
+// nextTarget goes through all live neighbours in an order shuffled for each round, so that each is
+// probed within two rounds at most.
 func (c *Core) nextTarget() fleet.NodeName {
 	for range 2 {
 		for len(c.probeOrder) > 0 {
@@ -50,23 +50,23 @@
 	return ""
 }
 
-// sendPing pings a member and returns the sequence. What is held against the
-// member goes along, so that it can refute at once.
+// sendPing pings a member and returns the sequence number. The packet includes the member's state
+// held here if it is not alive, so that the member can refute at once.
 func (c *Core) sendPing(member fleet.Member) uint64 {
 	c.sequence++
 	packet := c.newPacket(peerpb.GossipPacket_PING)
 	packet.Sequence = c.sequence
 	packet.To = string(member.Name)
-	c.accuse(packet, member.Name)
+	c.attachSuspicion(packet, member.Name)
 	c.send(member.Addresses.Gossip, packet)
 	return c.sequence
 }
 
-// maxSuspectPings bounds the suspects that are pinged beside the probe.
+// maxSuspectPings bounds the suspects pinged in addition to the probe.
 const maxSuspectPings = 3
 
-// pingSuspects gives suspects of the zone more chances to hear of it and to
-// refute, so that lost packets alone kill nobody.
+// pingSuspects gives the zone's suspects more chances to learn of the suspicion and to refute it,
+// so that packet loss alone makes no member count as dead.
 func (c *Core) pingSuspects() {
 	if c.suspects == 0 {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// gossip sends news to a few neighbours without waiting for a probe.
+// gossip sends updates to a few neighbours without waiting for a probe.
 func (c *Core) gossip() {
 	if c.updates.local == 0 {
 		return
@@ -91,17 +91,17 @@
 	}
 }
 
-// accuse adds what is held against the node that the packet goes to.
-func (c *Core) accuse(packet *peerpb.GossipPacket, name fleet.NodeName) {
+// attachSuspicion adds the receiver's state held here to the packet if it is not alive.
+func (c *Core) attachSuspicion(packet *peerpb.GossipPacket, name fleet.NodeName) {
 	if held := c.records[name]; held != nil && held.member.State != fleet.MemberAlive {
 		packet.Members = append(packet.Members, encodeMember(held.member))
 	}
 }
 
-// continueProbe asks others to probe once the direct probe is late.
-func (c *Core) continueProbe() {
-	late := !c.now.Before(c.probe.started.Add(c.options.ProbeTimeout))
-	if c.probe.target == "" || c.probe.indirect || !late {
+// startIndirectProbesIfLate asks other members to probe once the direct probe has timed out.
+func (c *Core) startIndirectProbesIfLate() {
+	timedOut := !c.now.Before(c.probe.started.Add(c.options.ProbeTimeout))
+	if c.probe.target == "" || c.probe.indirect || !timedOut {
 		return
 	}
 	c.probe.indirect = true
@@ -121,8 +121,8 @@
 	}
 }
 
-// endProbe suspects the target of a probe that nobody answered.
-func (c *Core) endProbe() {
+// finishProbe suspects the target of an unanswered probe.
+func (c *Core) finishProbe() {
 	target := c.probe.target
 	c.probe = probe{}
 	if target != "" {
@@ -136,16 +136,16 @@
 	}
 	answer := c.newPacket(peerpb.GossipPacket_ACK)
 	answer.Sequence = packet.GetSequence()
-	c.accuse(answer, fleet.NodeName(packet.GetFrom()))
-	if c.accused(packet) {
+	c.attachSuspicion(answer, fleet.NodeName(packet.GetFrom()))
+	if c.suspectsSelf(packet) {
 		answer.Members = append(answer.Members, encodeMember(c.own().member))
 	}
 	c.send(from, answer)
 }
 
-// accused reports whether the sender holds this node for other than alive. It
-// then needs the refutation, also where that was spread before.
-func (c *Core) accused(packet *peerpb.GossipPacket) bool {
+// suspectsSelf reports whether the sender considers this node other than alive. It then needs the
+// refutation, even if that was disseminated before.
+func (c *Core) suspectsSelf(packet *peerpb.GossipPacket) bool {
 	return slices.ContainsFunc(packet.GetMembers(), func(member *peerpb.GossipMember) bool {
 		return member.GetName() == string(c.self) && member.GetState() != peerpb.GossipMember_ALIVE
 	})
@@ -153,7 +153,7 @@
 
 func (c *Core) receivePingRequest(from string, packet *peerpb.GossipPacket) {
 	c.sequence++
-	c.relays[c.sequence] = relay{
+	c.relayedPings[c.sequence] = relayedPing{
 		to:       from,
 		sequence: packet.GetSequence(),
 		expires:  c.now.Add(c.options.ProbeInterval),
@@ -161,7 +161,7 @@
 	ping := c.newPacket(peerpb.GossipPacket_PING)
 	ping.Sequence = c.sequence
 	ping.To = packet.GetTo()
-	c.accuse(ping, fleet.NodeName(packet.GetTo()))
+	c.attachSuspicion(ping, fleet.NodeName(packet.GetTo()))
 	c.send(packet.GetTarget(), ping)
 }
 
@@ -171,20 +171,20 @@
 		c.probe = probe{}
 		return
 	}
-	asked, found := c.relays[sequence]
+	relayed, found := c.relayedPings[sequence]
 	if !found {
 		return
 	}
-	delete(c.relays, sequence)
+	delete(c.relayedPings, sequence)
 	answer := c.newPacket(peerpb.GossipPacket_ACK)
-	answer.Sequence = asked.sequence
-	c.send(asked.to, answer)
+	answer.Sequence = relayed.sequence
+	c.send(relayed.to, answer)
 }
 
-func (c *Core) dropRelays() {
-	for sequence, asked := range c.relays {
-		if c.now.After(asked.expires) {
-			delete(c.relays, sequence)
+func (c *Core) expireRelayedPings() {
+	for sequence, relayed := range c.relayedPings {
+		if c.now.After(relayed.expires) {
+			delete(c.relayedPings, sequence)
 		}
 	}
 }
--- a/internal/membership/queue.go
+++ b/internal/membership/queue.go
@@ -9,78 +9,78 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// queue holds the updates that still have to be sent, the least sent first.
-type queue struct {
-	items []*queued
+// updateQueue holds the updates that remain to be sent, those sent the fewest times first.
+type updateQueue struct {
+	items []*queuedUpdate
 	order uint64
-	// local counts the items of the own zone.
+	// local counts the items about this zone.
 	local int
 }
 
-type queued struct {
+type queuedUpdate struct {
 	key string
-	// foreign marks news of other zones, which goes after that of the own.
-	foreign bool
-	member  *peerpb.GossipMember
-	zone    *peerpb.GossipZone
-	bytes   int
-	sent    int
-	order   uint64
+	// otherZone marks updates about other zones, which go after those about this zone.
+	otherZone     bool
+	member        *peerpb.GossipMember
+	zone          *peerpb.GossipZone
+	size          int
+	transmissions int
+	order         uint64
 }
 
-// update is a piece of news; a later one with the same key replaces it.
+// update is one piece of state to disseminate; a later one with the same key replaces it.
 type update struct {
 	key    string
 	member *peerpb.GossipMember
 	zone   *peerpb.GossipZone
 }
 
-// fieldOverheadBytes is the most that tag and length of a field take.
+// fieldOverheadBytes is the maximum size of a field's tag and length.
 const fieldOverheadBytes = 4
 
-func (q *queue) add(news update, foreign bool) {
-	q.items = slices.DeleteFunc(q.items, func(item *queued) bool { return item.key == news.key })
+func (q *updateQueue) add(added update, otherZone bool) {
+	q.items = slices.DeleteFunc(q.items, func(item *queuedUpdate) bool { return item.key == added.key })
 	q.order++
-	item := &queued{key: news.key, foreign: foreign, member: news.member, zone: news.zone, order: q.order}
-	item.bytes = fieldOverheadBytes
-	if news.member != nil {
-		item.bytes += proto.Size(news.member)
+	item := &queuedUpdate{key: added.key, otherZone: otherZone, member: added.member, zone: added.zone, order: q.order}
+	item.size = fieldOverheadBytes
+	if added.member != nil {
+		item.size += proto.Size(added.member)
 	}
-	if news.zone != nil {
-		item.bytes += proto.Size(news.zone)
+	if added.zone != nil {
+		item.size += proto.Size(added.zone)
 	}
 	q.items = append(q.items, item)
 	q.count()
 }
 
-func (q *queue) count() {
+func (q *updateQueue) count() {
 	q.local = 0
 	for _, item := range q.items {
-		if !item.foreign {
+		if !item.otherZone {
 			q.local++
 		}
 	}
 }
 
-// fill adds updates to the packet while they fit, at most foreignBytes of
-// other zones' news, and drops those that were sent often enough.
-func (q *queue) fill(packet *peerpb.GossipPacket, room, foreignBytes, retransmits int) {
-	slices.SortFunc(q.items, func(first, second *queued) int {
+// fill adds updates to the packet while they fit, with at most otherZoneBytes about other zones,
+// and drops those that were sent often enough.
+func (q *updateQueue) fill(packet *peerpb.GossipPacket, available, otherZoneBytes, retransmits int) {
+	slices.SortFunc(q.items, func(first, second *queuedUpdate) int {
 		return cmp.Or(
-			cmp.Compare(first.sent, second.sent),
-			compareBool(first.foreign, second.foreign),
+			cmp.Compare(first.transmissions, second.transmissions),
+			compareBool(first.otherZone, second.otherZone),
 			cmp.Compare(second.order, first.order),
 		)
 	})
 	for _, item := range q.items {
-		if item.bytes > room || item.foreign && item.bytes > foreignBytes {
+		if item.size > available || item.otherZone && item.size > otherZoneBytes {
 			continue
 		}
-		room -= item.bytes
-		if item.foreign {
-			foreignBytes -= item.bytes
+		available -= item.size
+		if item.otherZone {
+			otherZoneBytes -= item.size
 		}
-		item.sent++
+		item.transmissions++
 		if item.member != nil {
 			packet.Members = append(packet.Members, item.member)
 		}
@@ -88,7 +88,7 @@
 			packet.Zones = append(packet.Zones, item.zone)
 		}
 	}
-	q.items = slices.DeleteFunc(q.items, func(item *queued) bool { return item.sent >= retransmits })
+	q.items = slices.DeleteFunc(q.items, func(item *queuedUpdate) bool { return item.transmissions >= retransmits })
 	q.count()
 }
 
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// mergeSenderVersion takes the version that each packet says of its sender.
+// mergeSenderVersion applies the version that each packet contains about its sender.
 func (c *Core) mergeSenderVersion(packet *peerpb.GossipPacket) {
 	held := c.records[fleet.NodeName(packet.GetFrom())]
 	if held == nil || held.member.Name == c.self || !c.isLocal(held.member) {
@@ -45,21 +45,21 @@
 	}
 }
 
-// takeHints keeps the listed nodes as seeds and suspects those that go.
-func (c *Core) takeHints(nodes []ListedNode) {
-	c.hints = nodes
-	for _, hint := range nodes {
-		name := fleet.NodeName(hint.Name)
+// applyListedNodes keeps the listed nodes as seeds and suspects the leaving ones.
+func (c *Core) applyListedNodes(nodes []ListedNode) {
+	c.listedNodes = nodes
+	for _, listed := range nodes {
+		name := fleet.NodeName(listed.Name)
 		held := c.records[name]
-		if hint.Leaving && held != nil && c.isLiveNeighbour(held.member) {
+		if listed.Leaving && held != nil && c.isLiveNeighbour(held.member) {
 			c.suspect(name)
 		}
 	}
 }
 
-// syncOwnZone compares the table with one neighbour, and with one node that
-// is not known to be alive: a seed, a listed node or a dead member. The second
-// joins the fleet at the start and heals it after a cut.
+// syncOwnZone compares the table with one neighbour and with one node not known to be alive: a
+// seed, a listed node or a dead member. The latter joins the fleet at the start and reunites it
+// after a partition.
 func (c *Core) syncOwnZone() {
 	if c.own().member.State == fleet.MemberLeft {
 		return
@@ -67,32 +67,32 @@
 	for _, name := range c.pick(1, c.isLiveNeighbour) {
 		c.sendSync(peerpb.GossipPacket_SYNC, c.records[name].member.Addresses.Gossip)
 	}
-	if strangers := c.strangers(); len(strangers) > 0 {
-		c.sendSync(peerpb.GossipPacket_SYNC, strangers[c.random.IntN(len(strangers))])
+	if joinAddresses := c.joinAddresses(); len(joinAddresses) > 0 {
+		c.sendSync(peerpb.GossipPacket_SYNC, joinAddresses[c.random.IntN(len(joinAddresses))])
 	}
 }
 
-// strangers are the addresses of nodes that may be alive unknown to this one.
-func (c *Core) strangers() []string {
-	known := map[string]bool{c.options.Self.Addresses.Gossip: true, "": true}
+// joinAddresses returns the addresses of nodes that may be alive without this node knowing.
+func (c *Core) joinAddresses() []string {
+	seen := map[string]bool{c.options.Self.Addresses.Gossip: true, "": true}
 	for _, held := range c.records {
-		if live(held.member) {
-			known[held.member.Addresses.Gossip] = true
+		if isLive(held.member) {
+			seen[held.member.Addresses.Gossip] = true
 		}
 	}
 	var addresses []string
 	add := func(address string) {
-		if !known[address] {
-			known[address] = true
+		if !seen[address] {
+			seen[address] = true
 			addresses = append(addresses, address)
 		}
 	}
 	for _, seed := range c.options.Seeds {
 		add(seed)
 	}
-	for _, hint := range c.hints {
-		if !hint.Leaving {
-			add(hint.GossipAddress)
+	for _, listed := range c.listedNodes {
+		if !listed.Leaving {
+			add(listed.GossipAddress)
 		}
 	}
 	for _, name := range c.sortedNames(func(member fleet.Member) bool { return member.State == fleet.MemberDead }) {
@@ -117,7 +117,7 @@
 		}
 		packet.Zones = append(packet.Zones, summary)
 	}
-	c.sendPlain(to, packet)
+	c.sendWithoutUpdates(to, packet)
 }
 
 func (c *Core) summary(zone fleet.Zone) *peerpb.GossipZone {
@@ -131,42 +131,42 @@
 
 // receiveSync answers with the members of the zones whose hashes differ.
 func (c *Core) receiveSync(from string, packet *peerpb.GossipPacket) {
-	theirs := make(map[fleet.Zone]uint64)
+	receivedHashes := make(map[fleet.Zone]uint64)
 	for _, zone := range packet.GetZones() {
-		theirs[fleet.Zone(zone.GetZone())] = zone.GetHash()
+		receivedHashes[fleet.Zone(zone.GetZone())] = zone.GetHash()
 	}
 	if packet.GetKind() == peerpb.GossipPacket_SYNC {
 		c.sendSync(peerpb.GossipPacket_SYNC_REPLY, from)
 	}
 	for _, zone := range c.knownZones() {
-		hash, found := theirs[zone]
+		hash, found := receivedHashes[zone]
 		if found && hash != c.zoneHash(zone) || !found && !packet.GetPartial() {
 			c.sendZone(from, zone)
 		}
 	}
 }
 
-// sendZone sends all that is held of a zone, in as many packets as it takes.
+// sendZone sends all members held of a zone, in as many packets as needed.
 func (c *Core) sendZone(to string, zone fleet.Zone) {
 	packet := c.newPacket(peerpb.GossipPacket_STATE)
-	base := proto.Size(packet)
-	size := base
+	emptySize := proto.Size(packet)
+	size := emptySize
 	for _, name := range c.sortedNames(func(member fleet.Member) bool { return member.Zone == zone }) {
 		member := encodeMember(c.records[name].member)
 		bytes := proto.Size(member) + fieldOverheadBytes
 		if size+bytes > c.options.PacketBytes {
-			c.sendPlain(to, packet)
+			c.sendWithoutUpdates(to, packet)
 			packet = c.newPacket(peerpb.GossipPacket_STATE)
-			size = base
+			size = emptySize
 		}
 		packet.Members = append(packet.Members, member)
 		size += bytes
 	}
-	c.sendPlain(to, packet)
+	c.sendWithoutUpdates(to, packet)
 }
 
-// delegates are the members of a zone that exchange with other zones: the
-// first by a hash of their names, so that all choose the same ones.
+// delegates returns the members of a zone that exchange tables with other zones: the first ones by
+// a hash of their names, so that all nodes select the same ones.
 func (c *Core) delegates(zone fleet.Zone) []fleet.NodeName {
 	names := c.sortedNames(func(member fleet.Member) bool {
 		return member.Zone == zone && member.State == fleet.MemberAlive
@@ -175,8 +175,8 @@
 	return names[:min(c.options.Delegates, len(names))]
 }
 
-// CompareDelegates orders the members of a zone: the first of them, which are its
-// delegates, are those that the nodes of other zones know.
+// CompareDelegates orders the members of a zone. The first of them are its delegates, the members
+// that nodes of other zones know.
 func CompareDelegates(first, second fleet.NodeName) int {
 	return cmp.Compare(xxhash.Sum64String(string(second)), xxhash.Sum64String(string(first)))
 }
@@ -192,16 +192,16 @@
 	if position == 0 {
 		c.reportZone()
 	}
-	var others []fleet.Zone
+	var otherZones []fleet.Zone
 	for _, known := range c.knownZones() {
 		if known != zone {
-			others = append(others, known)
+			otherZones = append(otherZones, known)
 		}
 	}
-	if len(others) == 0 {
+	if len(otherZones) == 0 {
 		return
 	}
-	candidates := c.delegates(others[c.random.IntN(len(others))])
+	candidates := c.delegates(otherZones[c.random.IntN(len(otherZones))])
 	if len(candidates) == 0 {
 		return
 	}
@@ -209,12 +209,12 @@
 	c.sendSync(peerpb.GossipPacket_SYNC, c.records[name].member.Addresses.Gossip)
 }
 
-// reportZone stamps the zone's report: its first delegate does so.
+// reportZone stamps a new report of this zone; only the first delegate calls it.
 func (c *Core) reportZone() {
 	zone := c.options.Self.Zone
 	floor := c.own().member.ConfigVersion
 	for _, held := range c.records {
-		if c.isLocal(held.member) && live(held.member) {
+		if c.isLocal(held.member) && isLive(held.member) {
 			floor = min(floor, held.member.ConfigVersion)
 		}
 	}
@@ -225,27 +225,27 @@
 	}
 	report.stamp = max(report.stamp+1, uint64(c.now.UnixMilli()))
 	report.configFloor = floor
-	report.heard = c.now
+	report.receivedAt = c.now
 }
 
-// mergeReports takes newer reports of other zones and spreads them.
+// mergeReports applies newer reports of other zones and disseminates them.
 func (c *Core) mergeReports(zones []*peerpb.GossipZone) {
-	for _, news := range zones {
-		zone := fleet.Zone(news.GetZone())
+	for _, received := range zones {
+		zone := fleet.Zone(received.GetZone())
 		held := c.zones[zone]
-		if news.GetStamp() == 0 || held != nil && news.GetStamp() <= held.stamp {
+		if received.GetStamp() == 0 || held != nil && received.GetStamp() <= held.stamp {
 			continue
 		}
 		if held == nil {
 			held = &zoneReport{}
 			c.zones[zone] = held
 		}
-		if held.configFloor != news.GetConfigFloor() || held.stale {
+		if held.configFloor != received.GetConfigFloor() || held.stale {
 			c.changed = true
 		}
-		held.stamp = news.GetStamp()
-		held.configFloor = news.GetConfigFloor()
-		held.heard = c.now
+		held.stamp = received.GetStamp()
+		held.configFloor = received.GetConfigFloor()
+		held.receivedAt = c.now
 		held.stale = false
 		if zone != c.options.Self.Zone {
 			c.updates.add(zoneUpdate(zone, held), true)
@@ -253,10 +253,10 @@
 	}
 }
 
-// markStaleZones notices zones whose delegates were not heard of for long.
+// markStaleZones marks zones without a report from their delegates for too long.
 func (c *Core) markStaleZones() {
 	for zone, report := range c.zones {
-		stale := zone != c.options.Self.Zone && c.now.Sub(report.heard) > c.options.ZoneStaleAfter
+		stale := zone != c.options.Self.Zone && c.now.Sub(report.receivedAt) > c.options.ZoneStaleAfter
 		if stale != report.stale {
 			report.stale = stale
 			c.changed = true
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// live reports whether the member is alive or may be.
-func live(member fleet.Member) bool {
+// isLive reports whether the member is alive or may be.
+func isLive(member fleet.Member) bool {
 	return member.State == fleet.MemberAlive || member.State == fleet.MemberSuspect
 }
 
@@ -19,8 +19,8 @@
 	return cmp.Or(cmp.Compare(first.Zone, second.Zone), cmp.Compare(first.Name, second.Name))
 }
 
-// rank orders the states at one incarnation: later ones override.
-func rank(state fleet.MemberState) int {
+// stateRank orders the states within one incarnation: later ones override.
+func stateRank(state fleet.MemberState) int {
 	switch state {
 	case fleet.MemberSuspect:
 		return 1
@@ -33,97 +33,97 @@
 	}
 }
 
-// overrides reports whether news of a member replaces what is held. Two
-// starts with the same incarnation are ordered by boot, so that all agree.
-func overrides(news, held fleet.Member) bool {
+// overrides reports whether incoming state of a member replaces the state held. Two starts with the
+// same incarnation are ordered by boot ID, so that all nodes agree.
+func overrides(incoming, held fleet.Member) bool {
 	return cmp.Or(
-		cmp.Compare(news.Incarnation, held.Incarnation),
-		cmp.Compare(rank(news.State), rank(held.State)),
-		cmp.Compare(news.BootID, held.BootID),
+		cmp.Compare(incoming.Incarnation, held.Incarnation),
+		cmp.Compare(stateRank(incoming.State), stateRank(held.State)),
+		cmp.Compare(incoming.BootID, held.BootID),
 	) > 0
 }
 
-// merge takes news of a member from any source.
-func (c *Core) merge(news fleet.Member) {
-	if news.Name == c.self {
-		c.mergeSelf(news)
+// merge applies state of a member from any source.
+func (c *Core) merge(incoming fleet.Member) {
+	if incoming.Name == c.self {
+		c.mergeSelf(incoming)
 		return
 	}
-	held := c.records[news.Name]
+	held := c.records[incoming.Name]
 	if held == nil {
-		c.mergeUnknown(news)
+		c.mergeUnknown(incoming)
 		return
 	}
-	resurrected := c.options.Defects.ResurrectDead && news.State == fleet.MemberAlive && !live(held.member)
-	if !overrides(news, held.member) && !resurrected {
-		c.mergeVersion(news, held)
+	resurrected := c.options.Defects.ResurrectDead && incoming.State == fleet.MemberAlive && !isLive(held.member)
+	if !overrides(incoming, held.member) && !resurrected {
+		c.mergeVersion(incoming, held)
 		return
 	}
-	if news.Addresses == (fleet.Addresses{}) {
-		news.Addresses = held.member.Addresses
-		news.Zone = held.member.Zone
+	if incoming.Addresses == (fleet.Addresses{}) {
+		incoming.Addresses = held.member.Addresses
+		incoming.Zone = held.member.Zone
 	}
-	if news.BootID == held.member.BootID {
-		news.ConfigVersion = max(news.ConfigVersion, held.member.ConfigVersion)
+	if incoming.BootID == held.member.BootID {
+		incoming.ConfigVersion = max(incoming.ConfigVersion, held.member.ConfigVersion)
 	}
-	if news.State != held.member.State {
-		held.since = c.now
+	if incoming.State != held.member.State {
+		held.stateSince = c.now
 	}
-	held.member = news
-	c.spread(news)
+	held.member = incoming
+	c.disseminate(incoming)
 }
 
-// mergeUnknown adds a member; one without addresses or no longer alive is of
-// no use, and taking it would let a reaped member travel for ever.
-func (c *Core) mergeUnknown(news fleet.Member) {
-	if news.Addresses.Gossip == "" || news.Zone == "" || !live(news) {
+// mergeUnknown adds a member. One without addresses or no longer alive is of no use, and adding it
+// would let a reaped member circulate for ever.
+func (c *Core) mergeUnknown(incoming fleet.Member) {
+	if incoming.Addresses.Gossip == "" || incoming.Zone == "" || !isLive(incoming) {
 		return
 	}
-	c.records[news.Name] = &record{member: news, since: c.now}
-	if c.zones[news.Zone] == nil {
-		c.zones[news.Zone] = &zoneReport{heard: c.now}
+	c.records[incoming.Name] = &record{member: incoming, stateSince: c.now}
+	if c.zones[incoming.Zone] == nil {
+		c.zones[incoming.Zone] = &zoneReport{receivedAt: c.now}
 	}
-	c.spread(news)
+	c.disseminate(incoming)
 }
 
-// mergeVersion takes a newer configuration version of the same process.
-func (c *Core) mergeVersion(news fleet.Member, held *record) {
-	if news.BootID != held.member.BootID || news.ConfigVersion <= held.member.ConfigVersion {
+// mergeVersion applies a newer configuration version of the same process.
+func (c *Core) mergeVersion(incoming fleet.Member, held *record) {
+	if incoming.BootID != held.member.BootID || incoming.ConfigVersion <= held.member.ConfigVersion {
 		return
 	}
-	held.member.ConfigVersion = news.ConfigVersion
+	held.member.ConfigVersion = incoming.ConfigVersion
 	c.changed = true
 	if c.isLocal(held.member) {
 		c.updates.add(versionUpdate(held.member), false)
 	}
 }
 
-// mergeSelf refutes whatever is said of this node and is not its own word.
-func (c *Core) mergeSelf(news fleet.Member) {
+// mergeSelf refutes any state of this node that overrides its own.
+func (c *Core) mergeSelf(incoming fleet.Member) {
 	own := c.own().member
 	if own.State == fleet.MemberLeft || c.options.Defects.NoRefutation {
 		return
 	}
-	if overrides(news, own) {
-		c.reassert(news.Incarnation)
+	if overrides(incoming, own) {
+		c.raiseIncarnation(incoming.Incarnation)
 	}
 }
 
-func (c *Core) spread(member fleet.Member) {
+func (c *Core) disseminate(member fleet.Member) {
 	c.updates.add(memberUpdate(member), !c.isLocal(member))
-	c.touch()
+	c.recordChanged()
 }
 
 func (c *Core) isLocal(member fleet.Member) bool {
 	return member.Zone == c.options.Self.Zone
 }
 
-// isLiveNeighbour holds for the live others of the own zone.
+// isLiveNeighbour reports whether the member is another live member of this zone.
 func (c *Core) isLiveNeighbour(member fleet.Member) bool {
-	return member.Name != c.self && c.isLocal(member) && live(member)
+	return member.Name != c.self && c.isLocal(member) && isLive(member)
 }
 
-// sortedNames returns the names of the members for which the filter holds.
+// sortedNames returns the names of the members that match the filter.
 func (c *Core) sortedNames(filter func(fleet.Member) bool) []fleet.NodeName {
 	var names []fleet.NodeName
 	for name, held := range c.records {
@@ -135,7 +135,7 @@
 	return names
 }
 
-// pick returns up to count random members for which the filter holds.
+// pick returns up to count random members that match the filter.
 func (c *Core) pick(count int, filter func(fleet.Member) bool) []fleet.NodeName {
 	names := c.sortedNames(filter)
 	c.shuffle(names)
@@ -146,18 +146,18 @@
 	c.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
 
-// endSuspicions declares dead every suspect of the zone whose time is up.
-func (c *Core) endSuspicions() {
-	c.recount()
+// expireSuspicions declares dead every suspect of the zone whose time to refute is over.
+func (c *Core) expireSuspicions() {
+	c.updateCounts()
 	if c.suspects == 0 {
 		return
 	}
-	limit := c.now.Add(-c.suspicionTime())
+	cutoff := c.now.Add(-c.suspicionTimeout())
 	for _, name := range c.sortedNames(func(member fleet.Member) bool {
 		return member.State == fleet.MemberSuspect && c.isLocal(member)
 	}) {
 		held := c.records[name]
-		if held.since.After(limit) {
+		if held.stateSince.After(cutoff) {
 			continue
 		}
 		dead := held.member
@@ -176,23 +176,23 @@
 	c.merge(suspected)
 }
 
-// reap forgets members that have been dead or gone for long.
+// reap removes members that have been dead or departed for long enough.
 func (c *Core) reap() {
-	limit := c.now.Add(-c.options.DeadRetention)
+	cutoff := c.now.Add(-c.options.DeadRetention)
 	for name, held := range c.records {
-		if name != c.self && !live(held.member) && held.since.Before(limit) {
+		if name != c.self && !isLive(held.member) && held.stateSince.Before(cutoff) {
 			delete(c.records, name)
-			c.touch()
+			c.recordChanged()
 		}
 	}
 }
 
-// zoneHash covers what the zones must agree on of a zone's live members.
-// Suspicion is left out: it ends by itself.
+// zoneHash covers the state of a zone's live members that the zones must agree on. Suspicion is
+// left out because it ends by itself.
 func (c *Core) zoneHash(zone fleet.Zone) uint64 {
 	digest := xxhash.New()
 	for _, name := range c.sortedNames(func(member fleet.Member) bool {
-		return member.Zone == zone && live(member)
+		return member.Zone == zone && isLive(member)
 	}) {
 		member := c.records[name].member
 		_, _ = digest.WriteString(string(name))
@@ -207,7 +207,7 @@
 	return digest.Sum64()
 }
 
-// knownZones are the zones of all members held, sorted.
+// knownZones returns the zones of all members held, sorted.
 func (c *Core) knownZones() []fleet.Zone {
 	seen := make(map[fleet.Zone]bool)
 	var zones []fleet.Zone
