--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BackendKind tells engines from plain command servers.
+// BackendKind distinguishes engines from plain command servers.
 type BackendKind string
 
 // The kinds of back end.
@@ -11,8 +11,7 @@
 	KindService BackendKind = "service"
 )
 
-// Backend is a back end as the platform's machine list or the back end itself
-// names it.
+// Backend is a back end as described by the platform's machine list or by itself.
 type Backend struct {
 	Name    BackendName `json:"name"`
 	Kind    BackendKind `json:"kind"`
@@ -21,12 +20,12 @@
 	Address string      `json:"address"`
 	// Service is the declared service that a service back end runs.
 	Service string `json:"service,omitempty"`
-	// Leaving is set once the back end or the machine list says that the
-	// machine goes away: no new work may be sent to it.
+	// Leaving is set once the back end or the machine list reports that the machine is being
+	// removed: no new work may be sent to it.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Tier is where a checkpoint lies, as seen from one engine.
+// Tier is where a checkpoint is stored, as seen from one engine.
 type Tier string
 
 // Tiers from fastest to slowest.
@@ -39,8 +38,8 @@
 // LoadState is the state of one model on one engine.
 type LoadState string
 
-// The states of a model on an engine. Loading, ready and unloading all count
-// as a replica, and all hold accelerator memory.
+// The states of a model on an engine. A model in any of them counts as a replica and occupies
+// accelerator memory.
 const (
 	LoadLoading   LoadState = "loading"
 	LoadReady     LoadState = "ready"
@@ -57,30 +56,30 @@
 	ReadySince time.Time `json:"readySince,omitzero"`
 }
 
-// LoadReport is an engine's own account of its work. It lags.
+// LoadReport is an engine's own report of its work. It lags behind.
 type LoadReport struct {
 	AsOf time.Time `json:"asOf"`
 	// Running and Waiting count requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// QueuedTokens are the prompt and answer tokens still to be worked off.
+	// QueuedTokens are the prompt and answer tokens still to be processed.
 	QueuedTokens int64 `json:"queuedTokens"`
-	// TokensPerSecond is the engine's present rate of generation.
+	// TokensPerSecond is the engine's current generation rate.
 	TokensPerSecond float64 `json:"tokensPerSecond"`
-	// KVUsedBytes is the KV cache in use.
+	// KVUsedBytes is the size of the KV cache in use.
 	KVUsedBytes int64 `json:"kvUsedBytes"`
 }
 
-// EngineState is all that an engine tells of itself.
+// EngineState is everything that an engine reports about itself.
 type EngineState struct {
 	Backend
-	// Incarnation differs for each start of the engine; a restarted engine
-	// holds nothing and has forgotten its fence.
+	// Incarnation differs for each start of the engine; a restarted engine holds no models and no
+	// fence.
 	Incarnation uint64 `json:"incarnation"`
 	Fence       Fence  `json:"fence"`
 	Role        string `json:"role,omitempty"`
-	// MemoryBytes is accelerator memory in all; KVReserveBytes of it are
-	// kept for KV cache and not for models.
+	// MemoryBytes is the total accelerator memory; KVReserveBytes of it are reserved for KV cache
+	// and not available to models.
 	MemoryBytes    int64                 `json:"memoryBytes"`
 	KVReserveBytes int64                 `json:"kvReserveBytes"`
 	Models         []LoadedModel         `json:"models,omitempty"`
@@ -88,7 +87,7 @@
 	Report         LoadReport            `json:"report"`
 }
 
-// UsedBytes is the accelerator memory held by models, adapters included.
+// UsedBytes returns the accelerator memory used by models, adapters included.
 func (e EngineState) UsedBytes() int64 {
 	var used int64
 	for _, loaded := range e.Models {
@@ -97,7 +96,7 @@
 	return used
 }
 
-// FreeBytes is the memory that further models and adapters may take.
+// FreeBytes returns the memory available to further models and adapters.
 func (e EngineState) FreeBytes() int64 {
 	return e.MemoryBytes - e.KVReserveBytes - e.UsedBytes()
 }
@@ -112,8 +111,8 @@
 	return nil
 }
 
-// RouteTable is what a zone's leader publishes of the zone's back ends.
-// Tables of one zone are ordered by (Fence, Sequence).
+// RouteTable is a zone's back ends as published by the zone's leader. Tables of one zone are
+// ordered by (Fence, Sequence).
 type RouteTable struct {
 	Zone     Zone          `json:"zone"`
 	Leader   NodeName      `json:"leader"`
@@ -121,11 +120,11 @@
 	Sequence uint64        `json:"sequence"`
 	Engines  []EngineState `json:"engines"`
 	Services []Backend     `json:"services"`
-	// WaitingLoads counts the zone's loads of models without any replica which
-	// wait for their turn at the weight store.
+	// WaitingLoads counts the zone's loads of models without any replica that are queued for the
+	// weight store.
 	WaitingLoads int `json:"waitingLoads,omitempty"`
-	// Refusals are of loads that the leader has just found impossible, for the
-	// nodes of the zone that wait; a table at rest has none.
+	// Refusals are the loads that the leader has just rejected as impossible, for the zone's nodes
+	// with waiting requests; usually there are none.
 	Refusals []LoadRefusal `json:"refusals,omitempty"`
 }
 
@@ -137,7 +136,7 @@
 	return t.Sequence > other.Sequence
 }
 
-// Want says that requests wait for a model at one node.
+// Want reports requests that wait for a model on one node.
 type Want struct {
 	Model   ModelVersion `json:"model"`
 	Adapter AdapterName  `json:"adapter,omitempty"`
@@ -147,11 +146,11 @@
 	Zone    Zone     `json:"zone"`
 	// Waiting counts the requests queued at the node for the model.
 	Waiting int `json:"waiting"`
-	// Priority is the highest of them; larger goes first.
+	// Priority is the highest priority among them; larger goes first.
 	Priority int `json:"priority"`
-	// Deadline is the earliest of them.
+	// Deadline is the earliest deadline among them.
 	Deadline time.Time `json:"deadline"`
-	// Arrivals counts requests that came since the last want, also those
-	// that did not have to wait, so that the leader learns the idle times.
+	// Arrivals counts the requests that arrived since the last want, including those that did not
+	// have to wait, from which the leader derives idle times.
 	Arrivals int `json:"arrivals"`
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// LoadRefusal says that a model cannot be loaded now.
+// LoadRefusal reports that a model cannot be loaded now.
 type LoadRefusal struct {
 	Model ModelVersion `json:"model"`
-	// Regions are those of the wants that are refused.
+	// Regions are those of the refused wants.
 	Regions Regions `json:"regions,omitempty"`
 	Reason  string  `json:"reason"`
 	// RetryAfter is when a load may be possible.
 	RetryAfter time.Duration `json:"retryAfter"`
 }
 
-// DemandReporter takes what waits at a node to whoever decides on loads.
+// DemandReporter passes the demand at a node to whichever component decides on loads.
 type DemandReporter interface {
-	// Report hands over wants; it does not block.
+	// Report passes on wants; it does not block.
 	Report(wants []Want)
-	// OnRefusal registers who is told of models that cannot be loaded now.
+	// OnRefusal registers a callback for models that cannot be loaded now.
 	OnRefusal(func([]LoadRefusal))
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,6 +1,6 @@
-// Package fleet holds the vocabulary that every other package shares: names,
-// fences, members, back ends and the reports they give. It holds data and
-// arithmetic on data only: no I/O, no goroutine, no clock.
+// Package fleet defines the data types that every other package shares: names, fences, members,
+// back ends and their reports. It contains data and computations on data only, without I/O,
+// goroutines or a clock.
 //
 // It may import the standard library and locality.
 package fleet
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -1,10 +1,9 @@
 package fleet
 
-// MemberState is what the failure detector holds of a node.
+// MemberState is a node's state according to the failure detector.
 type MemberState string
 
-// The states of a member, in the order in which they override each other at
-// the same incarnation.
+// The states of a member, in the order in which they override each other within one incarnation.
 const (
 	MemberAlive   MemberState = "alive"
 	MemberSuspect MemberState = "suspect"
@@ -20,18 +19,18 @@
 	Gossip   string `json:"gossip"`
 }
 
-// Member is one node as its zone knows it.
+// Member is one node as known to its zone.
 type Member struct {
 	Name        NodeName    `json:"name"`
 	Zone        Zone        `json:"zone"`
 	Incarnation uint64      `json:"incarnation"`
 	State       MemberState `json:"state"`
 	Addresses   Addresses   `json:"addresses"`
-	// BootID differs for each start of the process, also under one name.
+	// BootID differs for each start of the process, even under the same name.
 	BootID uint64 `json:"bootId"`
-	// Draining is set by a node that no longer takes new work.
+	// Draining is set if the node no longer accepts new work.
 	Draining bool `json:"draining,omitempty"`
-	// ConfigVersion is the store revision that the member has in force.
+	// ConfigVersion is the store revision in force on the member.
 	ConfigVersion uint64 `json:"configVersion"`
 }
 
--- a/internal/fleet/names.go
+++ b/internal/fleet/names.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Zone names a failure domain of the platform. Nodes and back ends of one
-// zone can usually reach each other when the zone is cut off from others.
+// Zone names a failure domain of the platform. Nodes and back ends of one zone can usually reach
+// each other when the zone is cut off from others.
 type Zone string
 
 // NodeName names one spanlanding process, unique in the fleet.
@@ -18,16 +18,16 @@
 // AdapterName names a declared adapter.
 type AdapterName string
 
-// RequestID identifies one caller's request through every attempt.
+// RequestID identifies one caller's request across all attempts.
 type RequestID string
 
-// ModelVersion names the unit that an engine loads: a model at one version.
+// ModelVersion identifies the unit that an engine loads: a model at one version.
 type ModelVersion struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// String returns the form model@version, which ParseModelVersion reads back.
+// String returns the form model@version, which ParseModelVersion parses.
 func (m ModelVersion) String() string {
 	return m.Model + "@" + m.Version
 }
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// ParseModelVersion reads model@version; text without "@" has no version.
+// ParseModelVersion parses model@version; text without "@" has no version.
 func ParseModelVersion(text string) ModelVersion {
 	model, version, _ := strings.Cut(text, "@")
 	return ModelVersion{Model: model, Version: version}
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -6,14 +6,14 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// Regions names the regions in which a request may run, as nodes tell it to each
-// other: their names in order, with commas between them. Empty is without a bound.
+// Regions is the wire form of the regions in which a request may run: their names in order,
+// separated by commas. The empty string means any region.
 type Regions string
 
-// noRegions names the set that allows nothing: a separator with no name around it.
+// noRegions is the wire form of the set that allows no region: a separator without names.
 const noRegions Regions = ","
 
-// RegionsOf names a set.
+// RegionsOf returns the wire form of a set.
 func RegionsOf(set locality.Regions) Regions {
 	if set.IsEmpty() {
 		return noRegions
@@ -21,7 +21,7 @@
 	return Regions(strings.Join(set.Names(), ","))
 }
 
-// Set is the set that the names stand for.
+// Set returns the set of the named regions.
 func (r Regions) Set() locality.Regions {
 	if r == "" {
 		return locality.Regions{}
--- a/internal/fleet/regions_test.go
+++ b/internal/fleet/regions_test.go
@@ -11,10 +11,10 @@
 		{}, locality.Only(), locality.Only("north"), locality.Only("south", "north"),
 	} {
 		if got := RegionsOf(set).Set(); got != set {
-			t.Errorf("%s comes back as %s", set, got)
+			t.Errorf("round trip of %s gave %s", set, got)
 		}
 	}
 	if RegionsOf(locality.Only()) == RegionsOf(locality.Regions{}) {
-		t.Error("a set that allows nothing has the name of one that allows all")
+		t.Error("the sets that allow no region and any region have the same form")
 	}
 }
