--- a/internal/views/doc.go
+++ b/internal/views/doc.go
@@ -1,6 +1,6 @@
-// Package views holds what a node's shells publish to each other: the members,
-// the catalog in force, the route tables and the machine list. Each view has
-// one writer; readers take the newest whole value and never block the writer.
+// Package views holds the values that a node's components publish to each other: the members, the
+// catalog in force, the route tables and the machine list. Each view has one writer; readers get
+// the newest complete value and never block the writer.
 //
 // It may import fleet, catalog and objectstore's wire types.
 package views
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -17,18 +17,18 @@
 	watchers []func(T)
 }
 
-// Get returns the newest value, and false while none was set.
+// Get returns the newest value, and false if none was set.
 func (v *Observable[T]) Get() (T, bool) {
 	current := v.current.Load()
 	if current == nil {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	return *current, true
 }
 
-// Set replaces the value and calls the watchers in the order of their
-// registration. What is set must not be changed afterwards.
+// Set replaces the value and calls the watchers in the order of their registration. The value must
+// not be modified afterwards.
 func (v *Observable[T]) Set(value T) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// Watch calls the function at each later Set, and at once with the value that
-// is already there. The function must not block and must not call Set.
+// Watch calls the function at once if there is a value, and again on each later Set. The function
+// must not block and must not call Set.
 func (v *Observable[T]) Watch(watcher func(T)) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -54,13 +54,13 @@
 
 // Views are the published values of one node.
 type Views struct {
-	// Members is written by the membership shell and includes the node itself
-	// and the delegates known of other zones.
+	// Members is written by the membership component and includes the node itself and the known
+	// delegates of other zones.
 	Members Observable[[]fleet.Member]
-	// Catalog is written by the configuration shell.
+	// Catalog is written by the configuration component.
 	Catalog Observable[*catalog.Snapshot]
-	// RouteTables is written by the control shell.
+	// RouteTables is written by the control component.
 	RouteTables Observable[RouteTables]
-	// Machines is written by the platform shell.
+	// Machines is written by the platform component.
 	Machines Observable[objectstore.MachineList]
 }
