--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// TestGoesOnWhileSuspended: what has passed in a suspension counts, though the standard
-// library's clock does not see it.
+// TestGoesOnWhileSuspended: time spent in a suspension counts, although the standard library's
+// clock does not include it.
 func TestGoesOnWhileSuspended(t *testing.T) {
 	before, steady := Now(), time.Now()
 	SimulateSuspend(5 * time.Second)
 	defer SimulateSuspend(-5 * time.Second)
 	if passed := Since(before); passed < 5*time.Second || passed > 6*time.Second {
-		t.Errorf("%v passed, want 5 s and what the test takes", passed)
+		t.Errorf("%v passed, want 5 s plus the time of the test", passed)
 	}
 	if passed := time.Since(steady); passed > time.Second {
-		t.Errorf("%v passed by the steady clock", passed)
+		t.Errorf("%v passed by the monotonic clock", passed)
 	}
 	if left := Until(before.Add(time.Minute)); left > 55*time.Second {
 		t.Errorf("%v left of a minute after 5 s", left)
 	}
 }
 
-// TestKeepsPaceWithTheSteadyClock: without a suspension both tell the same.
+// TestKeepsPaceWithTheSteadyClock: without a suspension both clocks advance equally.
 func TestKeepsPaceWithTheSteadyClock(t *testing.T) {
 	before, steady := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
@@ -31,7 +31,7 @@
 	}
 }
 
-// One reading takes 72 ns, one of the standard library 65.
+// BenchmarkNow: one reading takes 72 ns, one of the standard library 65 ns.
 func BenchmarkNow(b *testing.B) {
 	for range b.N {
 		Now()
