--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -1,4 +1,5 @@
-// Package storecall describes calls to the object store, for logs and metrics.
+// Package storecall describes calls to the object store, for logs and metrics. The store client
+// reports each call as a Call.
 //
 // It may import the standard library only.
 package storecall
@@ -9,15 +10,15 @@
 type Call struct {
 	Method string
 	Kind   string
-	// Status is 0 where no answer came.
+	// Status is the HTTP status, 0 if there was no response.
 	Status   int
 	Duration time.Duration
-	// Era is what the answer names as the store's era, as it came; empty where it names none.
+	// Era is the store's era as given in the response, unparsed; empty if there is none.
 	Era string
-	// EraError is why that is not believed; nil where it is.
+	// EraError is why the era was rejected; nil if it was accepted.
 	EraError error
-	// FromRevision is the revision that a watch began at; empty of other calls.
+	// FromRevision is the revision at which a watch began; empty for other calls.
 	FromRevision string
-	// AtRevision is the revision that the answer is from; 0 where it names none.
+	// AtRevision is the revision of the response; 0 if it contains none.
 	AtRevision int64
 }
