--- a/internal/edge/admissions_test.go
+++ b/internal/edge/admissions_test.go
@@ -22,13 +22,13 @@
 // hears its peers and has run for a while.
 func newColdNode(t *testing.T, strength uint32) *Node {
 	t.Helper()
-	node := newLimited(t, strength)
+	node := newQuotaNode(t, strength)
 	node.options.ColdOverage, node.options.ColdSlack = 1.5, 5
 	node.options.Tunables.PeerSeeds = []string{"126.0.0.9:1"}
 	node.started = clock.Now().Add(-10 * time.Second)
 	node.admissions = newAdmissions(node)
-	node.admissions.learnFleet(1)
-	node.putInForce(coldTable(12), "read")
+	node.admissions.learnFleetSize(1)
+	node.activateTable(coldTable(12), "read")
 	return node
 }
 
@@ -38,13 +38,13 @@
 	}, routetable.Limits{})
 }
 
-func hearsOf(node *Node, server inventory.Server) {
+func receiveServer(node *Node, server inventory.Server) {
 	server.Address, server.Zone = "127.0.0.1:1", "z"
-	node.hearServers(clock.Now(), newsOf(encodeNews([]gossip.ServerChange{{Server: server}})))
+	node.receivePeerChanges(clock.Now(), decodeChanges(encodeChanges([]gossip.ServerChange{{Server: server}})))
 }
 
-// admitted is how many of some requests one node may send to a server now.
-func admitted(node *Node, serverID string, requests int) int {
+// countAdmitted is how many of some requests one node may send to a server now.
+func countAdmitted(node *Node, serverID string, requests int) int {
 	count := 0
 	for range requests {
 		if node.admissions.Admit(context.Background(), inventory.Start{ID: serverID}, 0).Granted {
@@ -56,22 +56,22 @@
 
 // phaseOf is how the node takes a server of which no start is told.
 func phaseOf(node *Node, serverID string) admission.Phase {
-	return node.admissions.boundsOf(clock.Now(), inventory.Start{ID: serverID}).phase
+	return node.admissions.limitsOf(clock.Now(), inventory.Start{ID: serverID}).phase
 }
 
 // TestServerHeardOfAsNewsIsCold unless the news say otherwise.
 func TestServerHeardOfAsNewsIsCold(t *testing.T) {
 	node := newColdNode(t, 1)
-	hearsOf(node, inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 4)})
-	hearsOf(node, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 5), ReportsCold: true})
-	hearsOf(node, inventory.Server{ID: "cold", Service: "s", Position: storepos.At(0, 6), ReportsCold: true, ColdRemaining: 2 * time.Second})
-	hearsOf(node, inventory.Server{ID: "plain", Service: "plain", Position: storepos.At(0, 7)})
+	receiveServer(node, inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 4)})
+	receiveServer(node, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 5), ReportsCold: true})
+	receiveServer(node, inventory.Server{ID: "cold", Service: "s", Position: storepos.At(0, 6), ReportsCold: true, ColdRemaining: 2 * time.Second})
+	receiveServer(node, inventory.Server{ID: "plain", Service: "plain", Position: storepos.At(0, 7)})
 	for id, want := range map[string]admission.Phase{"silent": admission.Cold, "warm": admission.Warm, "cold": admission.Cold, "plain": admission.Warm} {
 		if got := phaseOf(node, id); got != want {
 			t.Errorf("%s: phase %d, want %d", id, got, want)
 		}
 	}
-	node.useServers([]inventory.Change{{Server: inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 8), ReportsCold: true}}}, "watch")
+	node.applyServerChanges([]inventory.Change{{Server: inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 8), ReportsCold: true}}}, "watch")
 	if got := phaseOf(node, "silent"); got == admission.Cold {
 		t.Error("cold though its entry says otherwise")
 	}
@@ -82,17 +82,17 @@
 	reader, node := newColdNode(t, 2), newColdNode(t, 1)
 	known := inventory.Server{ID: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 4), ReportsCold: true}
 	for _, each := range []*Node{reader, node} {
-		each.listServers(clock.Now(), []inventory.Server{known}, storepos.At(0, 4))
+		each.applyServerList(clock.Now(), []inventory.Server{known}, storepos.At(0, 4))
 	}
 	known.Position, known.ColdRemaining = storepos.At(0, 6), 2*time.Second
-	reader.changeServers([]inventory.Change{{Server: known}}, storepos.At(0, 6))
-	node.hearServers(clock.Now(), newsOf(encodeNews(reader.directory.tell(clock.Now()))))
+	reader.applyServerEvents([]inventory.Change{{Server: known}}, storepos.At(0, 6))
+	node.receivePeerChanges(clock.Now(), decodeChanges(encodeChanges(reader.directory.takeDue(clock.Now()))))
 	for name, each := range map[string]*Node{"the reader": reader, "who heard of it": node} {
 		if got := phaseOf(each, "a"); got != admission.Cold {
 			t.Errorf("%s: phase %d, want cold", name, got)
 		}
 	}
-	if told := node.directory.tell(clock.Now()); len(told) != 1 || told[0].Server.ColdRemaining == 0 {
+	if told := node.directory.takeDue(clock.Now()); len(told) != 1 || told[0].Server.ColdRemaining == 0 {
 		t.Errorf("told on: %+v", told)
 	}
 }
@@ -100,7 +100,7 @@
 // TestSnapshotTellsWhatIsCold as of now, and that nothing is known where that is so.
 func TestSnapshotTellsWhatIsCold(t *testing.T) {
 	peer := newColdNode(t, 1)
-	peer.listServers(clock.Now(), []inventory.Server{
+	peer.applyServerList(clock.Now(), []inventory.Server{
 		{ID: "cold", Service: "s", Position: storepos.At(0, 4), ReportsCold: true, ColdRemaining: 2 * time.Second},
 		{ID: "warm", Service: "s", Position: storepos.At(0, 4), ReportsCold: true},
 		{ID: "silent", Service: "s", Position: storepos.At(0, 4)},
@@ -110,16 +110,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, server := range entriesOf(response.Servers, 0) {
-		left, told := server.ColdRemaining, server.ReportsCold
+	for _, server := range decodeEntries(response.Servers, 0) {
+		remaining, reported := server.ColdRemaining, server.ReportsCold
 		switch server.ID {
 		case "cold":
-			if !told || left <= 0 || left > 1990*time.Millisecond {
-				t.Errorf("cold for %v, %v", left, told)
+			if !reported || remaining <= 0 || remaining > 1990*time.Millisecond {
+				t.Errorf("cold for %v, %v", remaining, reported)
 			}
 		default:
-			if left != 0 || told != (server.ID == "warm") {
-				t.Errorf("%s: cold for %v, %v", server.ID, left, told)
+			if remaining != 0 || reported != (server.ID == "warm") {
+				t.Errorf("%s: cold for %v, %v", server.ID, remaining, reported)
 			}
 		}
 	}
@@ -128,25 +128,25 @@
 // TestColdServerReceivesWhatTheCoordinatorGrants over two nodes, and no more than that.
 func TestColdServerReceivesWhatTheCoordinatorGrants(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
-	meet(coordinator, asker)
+	introduce(coordinator, asker)
 	for _, each := range []*Node{coordinator, asker} {
-		hearsOf(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
-		hearsOf(each, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 4), ReportsCold: true})
+		receiveServer(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
+		receiveServer(each, inventory.Server{ID: "warm", Service: "s", Position: storepos.At(0, 4), ReportsCold: true})
 	}
 	began, granted := clock.Now(), 0
 	for clock.Since(began) < time.Second {
-		granted += admitted(asker, "a", 1) + admitted(coordinator, "a", 1)
+		granted += countAdmitted(asker, "a", 1) + countAdmitted(coordinator, "a", 1)
 		time.Sleep(5 * time.Millisecond)
 	}
 	if granted < 3 || granted > 12 {
 		t.Errorf("%d granted in a second", granted)
 	}
-	if got := admitted(asker, "warm", 100); got != 100 {
+	if got := countAdmitted(asker, "warm", 100); got != 100 {
 		t.Errorf("%d of 100 granted at a warm server", got)
 	}
 	coordinator.started = clock.Now()
 	coordinator.admissions.warmUps.Forget()
-	if got := admitted(asker, "a", 20); got != 0 {
+	if got := countAdmitted(asker, "a", 20); got != 0 {
 		t.Errorf("%d granted by a node that has just started", got)
 	}
 }
@@ -161,26 +161,26 @@
 	}
 	address := dead.LocalAddr().String()
 	_ = dead.Close()
-	node.peers.take(&peerpb.NodeState{Node: "p", Address: address, Life: 1, Sequence: 1, Strength: 900})
+	node.peers.handleState(&peerpb.NodeState{Node: "p", Address: address, Life: 1, Sequence: 1, Strength: 900})
 	for i := range 200 {
 		id := "server-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
-		hearsOf(node, inventory.Server{ID: id, Service: "s", Position: storepos.At(0, int64(4+i))})
+		receiveServer(node, inventory.Server{ID: id, Service: "s", Position: storepos.At(0, int64(4+i))})
 	}
-	node.admissions.isTold.Store(false)
+	node.admissions.fleetSizeReceived.Store(false)
 	sent := func() int {
 		count := 0
 		for i := range 200 {
-			count += admitted(node, "server-"+string(rune('a'+i%26))+string(rune('a'+i/26)), 2)
+			count += countAdmitted(node, "server-"+string(rune('a'+i%26))+string(rune('a'+i/26)), 2)
 		}
 		return count
 	}
 	if got := sent(); got != 0 {
 		t.Errorf("%d sent by a node that does not know how large the fleet is", got)
 	}
-	node.quotas.toldSize(clock.Now(), 68)
-	node.admissions.learnFleet(68)
+	node.quotas.raiseFleetSize(clock.Now(), 68)
+	node.admissions.learnFleetSize(68)
 	// The draw goes by the node's address: this one has lots for two of the servers.
-	node.admissions.warmUpLots = admission.NewWarmUpFallback("10.0.0.4:1")
+	node.admissions.warmUpFallback = admission.NewWarmUpFallback("10.0.0.4:1")
 	if got := sent(); got != 2 {
 		t.Errorf("%d of 400 sent by one of 68 nodes, want one for each of its lots", got)
 	}
@@ -192,10 +192,10 @@
 	node.options.Tunables.PeerSeeds = nil
 	table := coldTable(0)
 	table.Version = 9
-	node.putInForce(table, "read")
-	hearsOf(node, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
+	node.activateTable(table, "read")
+	receiveServer(node, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
 	time.Sleep(300 * time.Millisecond)
-	if got := admitted(node, "a", 20); got != 0 {
+	if got := countAdmitted(node, "a", 20); got != 0 {
 		t.Errorf("%d sent", got)
 	}
 	if verdict := node.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0); verdict.RetryAfter < 2*time.Second {
@@ -205,15 +205,15 @@
 
 // TestColdTimeOnTheWire: what cannot be is bounded.
 func TestColdTimeOnTheWire(t *testing.T) {
-	if _, told := coldLeftOf(encodeColdLeft(time.Second, false)); told {
+	if _, told := decodeColdRemaining(encodeColdRemaining(time.Second, false)); told {
 		t.Error("told what is not known")
 	}
 	for left, want := range map[time.Duration]time.Duration{-time.Hour: 0, 0: 0, time.Second: time.Second, time.Hour: admission.MaxColdTime} {
-		if got, told := coldLeftOf(encodeColdLeft(left, true)); !told || got != want {
+		if got, told := decodeColdRemaining(encodeColdRemaining(left, true)); !told || got != want {
 			t.Errorf("%v: %v, %v", left, got, told)
 		}
 	}
-	if got, _ := coldLeftOf(1<<32 - 1); got != admission.MaxColdTime {
+	if got, _ := decodeColdRemaining(1<<32 - 1); got != admission.MaxColdTime {
 		t.Errorf("endless: %v", got)
 	}
 }
@@ -224,9 +224,9 @@
 	node := newColdNode(t, 1)
 	inZone := inventory.Server{ID: "a", Service: "s", Zone: "y", Position: storepos.At(0, 4), ReportsCold: true}
 	elsewhere := inventory.Server{ID: "b", Service: "s", Zone: "z", Position: storepos.At(0, 4), ReportsCold: true}
-	node.listServers(clock.Now(), []inventory.Server{inZone, elsewhere}, storepos.At(0, 4))
-	node.evacuations.take(evacuation.Snapshot{Zones: []string{"y"}, Position: storepos.At(0, 5)}, "test", 0)
-	node.evacuations.take(evacuation.Snapshot{Position: storepos.At(0, 9)}, "test", 0)
+	node.applyServerList(clock.Now(), []inventory.Server{inZone, elsewhere}, storepos.At(0, 4))
+	node.evacuations.applyPeerList(evacuation.Snapshot{Zones: []string{"y"}, Position: storepos.At(0, 5)}, "test", 0)
+	node.evacuations.applyPeerList(evacuation.Snapshot{Position: storepos.At(0, 9)}, "test", 0)
 	phaseOf := func(id string) admission.Phase {
 		phase := phaseOf(node, id)
 		return phase
@@ -235,15 +235,15 @@
 		t.Errorf("phases %d and %d, want cold in the zone alone", a, b)
 	}
 	inZone.Position = storepos.At(0, 8)
-	node.changeServers([]inventory.Change{{Server: inZone}}, storepos.At(0, 9))
+	node.applyServerEvents([]inventory.Change{{Server: inZone}}, storepos.At(0, 9))
 	if phaseOf("a") != admission.Cold {
 		t.Error("warm by an entry from before the end")
 	}
-	if told := node.admissions.asOf(clock.Now(), []inventory.Server{inZone}); told[0].ReportsCold {
+	if told := node.admissions.withColdState(clock.Now(), []inventory.Server{inZone}); told[0].ReportsCold {
 		t.Error("a peer is told what is not known")
 	}
 	inZone.Position = storepos.At(0, 10)
-	node.changeServers([]inventory.Change{{Server: inZone}}, storepos.At(0, 10))
+	node.applyServerEvents([]inventory.Change{{Server: inZone}}, storepos.At(0, 10))
 	if phaseOf("a") == admission.Cold {
 		t.Error("cold though a newer entry says otherwise")
 	}
@@ -254,23 +254,23 @@
 func TestPartOfAFleetGrantsNothing(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	for _, each := range []*Node{coordinator, asker} {
-		each.admissions.isTold.Store(false)
-		hearsOf(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
+		each.admissions.fleetSizeReceived.Store(false)
+		receiveServer(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
 	}
-	meet(coordinator, asker)
-	admitted(asker, "a", 1) // opens the account, where there is one
+	introduce(coordinator, asker)
+	countAdmitted(asker, "a", 1) // opens the account, where there is one
 	time.Sleep(300 * time.Millisecond)
-	if got := admitted(asker, "a", 5); got != 0 {
+	if got := countAdmitted(asker, "a", 5); got != 0 {
 		t.Errorf("%d granted where nobody knows how large the fleet is", got)
 	}
-	asker.admissions.learnFleet(68)
+	asker.admissions.learnFleetSize(68)
 	told := asker.peers.state(clock.Now())
 	told.Sequence = 2
-	coordinator.peers.take(told)
+	coordinator.peers.handleState(told)
 	coordinator.admissions.observe(clock.Now())
-	admitted(asker, "a", 1) // opens the account
+	countAdmitted(asker, "a", 1) // opens the account
 	time.Sleep(300 * time.Millisecond)
-	if got := admitted(asker, "a", 5); got == 0 {
+	if got := countAdmitted(asker, "a", 5); got == 0 {
 		t.Error("nothing granted though a node knows how large the fleet is")
 	}
 }
@@ -279,12 +279,12 @@
 // it had used up the grant, which was then asked for anew.
 func TestGrantCountsFromItsQuestion(t *testing.T) {
 	silent, coordinator, asker := newColdNode(t, 900), newColdNode(t, 500), newColdNode(t, 100)
-	hearsOf(asker, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
-	hearsOf(coordinator, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
-	meet(silent, asker)
-	meet(coordinator, asker)
+	receiveServer(asker, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
+	receiveServer(coordinator, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
+	introduce(silent, asker)
+	introduce(coordinator, asker)
 	_ = silent.peers.conn.Close()
-	admitted(asker, "a", 1) // opens the account
+	countAdmitted(asker, "a", 1) // opens the account
 	time.Sleep(300 * time.Millisecond)
 	verdict := asker.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0)
 	if left := clock.Until(verdict.ValidUntil); !verdict.Granted || left < admission.GrantLifetime-askTimeout/2 {
@@ -292,10 +292,10 @@
 	}
 }
 
-// hearsLimit lets the node hear from a server itself that it names a limit.
-func hearsLimit(node *Node, start inventory.Start, perSecond float64) {
+// receiveRateLimit lets the node hear from a server itself that it names a limit.
+func receiveRateLimit(node *Node, start inventory.Start, perSecond float64) {
 	now := clock.Now()
-	node.hints.receiveCall(start, inventory.Hint{Limit: inventory.NewRateLimit(perSecond), SentAt: now}, hintFromAnswer)
+	node.hints.receiveFromCall(start, inventory.Hint{Limit: inventory.NewRateLimit(perSecond), SentAt: now}, hintFromAnswer)
 }
 
 // TestLimitedServersAreGrantedByTheCoordinator: one that has not heard of the limit goes by who asks, a
@@ -304,14 +304,14 @@
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
 	for _, node := range []*Node{coordinator, asker} {
-		hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
+		receiveServer(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
 	}
-	meet(coordinator, asker)
+	introduce(coordinator, asker)
 	ask := func() relay.AdmissionDecision { return asker.admissions.Admit(context.Background(), start, 0) }
 	if !ask().Granted || coordinator.admissions.limitedAdmitted.Load() > 0 {
 		t.Fatal("a server without a limit takes a grant")
 	}
-	hearsLimit(asker, start, 10)
+	receiveRateLimit(asker, start, 10)
 	ask() // opens the account
 	time.Sleep(150 * time.Millisecond)
 	first, second := ask(), ask()
@@ -324,8 +324,8 @@
 		t.Error("what was given back is not granted")
 	}
 	now := clock.Now()
-	coordinator.hints.receiveCall(start, inventory.Hint{Limit: inventory.RateLimit{Kind: inventory.RateLimitNone}, SentAt: now}, hintFromAnswer)
-	if !ask().Granted || asker.admissions.boundsOf(clock.Now(), start).isLimited {
+	coordinator.hints.receiveFromCall(start, inventory.Hint{Limit: inventory.RateLimit{Kind: inventory.RateLimitNone}, SentAt: now}, hintFromAnswer)
+	if !ask().Granted || asker.admissions.limitsOf(clock.Now(), start).isLimited {
 		t.Error("the asker does not hear that the limit has ended")
 	}
 }
@@ -335,10 +335,10 @@
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
 	for _, node := range []*Node{coordinator, asker} {
-		hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
+		receiveServer(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "plain", Position: storepos.At(0, 4), ReportsCold: true})
 	}
-	meet(coordinator, asker)
-	hearsLimit(asker, start, 1)
+	introduce(coordinator, asker)
+	receiveRateLimit(asker, start, 1)
 	asker.admissions.AdmitInternalCall(context.Background(), start) // opens the account
 	for range 5 {
 		verdict := asker.admissions.AdmitInternalCall(context.Background(), start)
@@ -347,7 +347,7 @@
 		}
 		asker.admissions.ReturnGrant(start, verdict)
 	}
-	if given := asker.admissions.givenBack.Load(); given != 0 {
+	if given := asker.admissions.returnedGrants.Load(); given != 0 {
 		t.Errorf("%d refusals were given back", given)
 	}
 }
@@ -357,8 +357,8 @@
 func TestColdAndLimitedServerTakesTheLeast(t *testing.T) {
 	node := newColdNode(t, 1)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
-	hearsOf(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 4)})
-	hearsLimit(node, start, 1)
+	receiveServer(node, inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 4)})
+	receiveRateLimit(node, start, 1)
 	granted := func(admit func() relay.AdmissionDecision) (count int) {
 		for range 30 {
 			if admit().Granted {
@@ -373,8 +373,8 @@
 	if got := granted(request) + granted(call); got > 1 {
 		t.Errorf("%d granted in 1.2 s at 1 a second", got)
 	}
-	hearsOf(node, inventory.Server{ID: "nought", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 5)})
-	node.putInForce(coldTable(0), "read")
+	receiveServer(node, inventory.Server{ID: "nought", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 5)})
+	node.activateTable(coldTable(0), "read")
 	if node.admissions.Admit(context.Background(), inventory.Start{ID: "nought", StartedAtMs: 7}, 0).Granted {
 		t.Error("a cold server that takes nothing is sent to")
 	}
@@ -385,9 +385,9 @@
 	node := newColdNode(t, 1)
 	for _, perSecond := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		told := &peerpb.RateLimit{Named: true, PerSecond: perSecond, SentAgeMs: 1}
-		node.hints.receivePeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Limit: told}})
+		node.hints.receiveFromPeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Limit: told}})
 		node.admissions.decide(clock.Now(), &peerpb.QuotaCall{Kind: peerpb.QuotaCall_ASK, Server: "a", Born: 7, Cost: 1, Warm: true, Limit: told})
-		if node.admissions.boundsOf(clock.Now(), inventory.Start{ID: "a", StartedAtMs: 7}).isLimited {
+		if node.admissions.limitsOf(clock.Now(), inventory.Start{ID: "a", StartedAtMs: 7}).isLimited {
 			t.Errorf("%v a second is a limit", perSecond)
 		}
 	}
--- a/internal/edge/answer_bench_test.go
+++ b/internal/edge/answer_bench_test.go
@@ -21,6 +21,6 @@
 	}
 	asker := &peerpb.NodeState{Address: "127.0.0.1:9"}
 	for range b.N {
-		node.peers.answerViews(asker, 7, 0, func(func(string) bool) []dispatch.View { return nil })
+		node.peers.replyViews(asker, 7, 0, func(func(string) bool) []dispatch.View { return nil })
 	}
 }
--- a/internal/edge/bars.go
+++ b/internal/edge/bars.go
@@ -12,7 +12,7 @@
 
 // Bars lists the requests that are barred, for operators.
 func (s *snapshots) Bars(context.Context, *peerpb.BarsRequest) (*peerpb.BarsResponse, error) {
-	return &peerpb.BarsResponse{Bars: s.node.suspects.list()}, nil
+	return &peerpb.BarsResponse{Bars: s.node.suspects.listBars()}, nil
 }
 
 // LiftBar ends the bar of a request here and tells all nodes; the next renewal of the lease
@@ -22,11 +22,11 @@
 	if !ok {
 		return nil, twirp.InvalidArgumentError("fingerprint", "16 bytes are wanted")
 	}
-	return &peerpb.LiftBarResponse{WasBarred: s.node.suspects.lift(fingerprint)}, nil
+	return &peerpb.LiftBarResponse{WasBarred: s.node.suspects.liftBar(fingerprint)}, nil
 }
 
-// list are the barred requests, in order.
-func (s *suspects) list() []*peerpb.Bar {
+// listBars are the barred requests, in order.
+func (s *suspects) listBars() []*peerpb.Bar {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,15 +41,15 @@
 	return bars
 }
 
-// lift ends the bar of a request at all nodes; it reports whether it was barred here.
-func (s *suspects) lift(fingerprint poison.Fingerprint) bool {
+// liftBar ends the bar of a request at all nodes; it reports whether it was barred here.
+func (s *suspects) liftBar(fingerprint poison.Fingerprint) bool {
 	now := clock.Now()
 	wasBarred := s.Status(fingerprint) == poison.StatusBarred
 	report := poison.Report{Fingerprint: fingerprint, Lifted: true}
-	s.takeAll(now, operatorName, []poison.Report{report})
-	s.tellAll(now, report)
+	s.recordReports(now, operatorReporter, []poison.Report{report})
+	s.broadcastReport(now, report)
 	return wasBarred
 }
 
-// operatorName is who reports what an operator decided.
-const operatorName = "operator"
+// operatorReporter is who reports what an operator decided.
+const operatorReporter = "operator"
--- a/internal/edge/builds_test.go
+++ b/internal/edge/builds_test.go
@@ -16,8 +16,8 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// landedBuild is a message of a build that landed, as it was recorded there.
-func landedBuild(t *testing.T, path, name string) []byte {
+// recordedMessage is a message of a build that landed, as it was recorded there.
+func recordedMessage(t *testing.T, path, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return messages[name]
 }
 
-func landedBuilds(t *testing.T) []string {
+func recordedBuilds(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("..", "peer", "testdata", "builds", "*.json"))
 	if err != nil || len(paths) == 0 {
@@ -41,15 +41,15 @@
 
 // TestNodeOfALandedBuildIsHeard: its datagrams, with all that it may say.
 func TestNodeOfALandedBuildIsHeard(t *testing.T) {
-	for _, path := range landedBuilds(t) {
+	for _, path := range recordedBuilds(t) {
 		node := newTestNode(t)
 		for _, name := range []string{"state", "quota", "trial"} {
-			node.peers.takeDatagram(landedBuild(t, path, name))
+			node.peers.handleDatagram(recordedMessage(t, path, name))
 		}
 		if node.peers.unreadable.Load() > 0 {
 			t.Errorf("%s: %d datagrams cannot be read", path, node.peers.unreadable.Load())
 		}
-		if got := node.peers.near(clock.Now()); got != "127.0.0.1:9" {
+		if got := node.peers.randomNearby(clock.Now()); got != "127.0.0.1:9" {
 			t.Errorf("%s: the node is not heard: %q", path, got)
 		}
 	}
@@ -61,18 +61,20 @@
 	server := inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}
 	for name, tell := range map[string]func(node *Node){
 		"list": func(node *Node) {
-			node.listPeerServers(entriesOf([]*peerpb.ServerEntry{{Server: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Revision: 9}}, 0), storepos.At(0, 9))
+			node.applyPeerServerList(decodeEntries([]*peerpb.ServerEntry{{Server: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Revision: 9}}, 0), storepos.At(0, 9))
 		},
 		"news": func(node *Node) {
-			node.hearServers(clock.Now(), newsOf([]*peerpb.ServerNews{{Server: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Revision: 9}}))
+			node.receivePeerChanges(clock.Now(), decodeChanges([]*peerpb.ServerNews{{Server: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Revision: 9}}))
 		},
 		"view": func(node *Node) {
-			node.dispatch.Do(func(core *dispatch.Core) { core.SetViews(clock.Now(), 5, viewsOf([]*peerpb.ServerView{{Server: "a"}})) })
+			node.dispatch.Do(func(core *dispatch.Core) {
+				core.SetViews(clock.Now(), 5, decodeViews([]*peerpb.ServerView{{Server: "a"}}))
+			})
 		},
 	} {
 		node := newTestNode(t)
-		node.listServers(clock.Now(), []inventory.Server{server}, storepos.At(0, 3))
-		node.hints.receiveCall(server.Start(), inventory.Hint{Draining: true}, hintFromAnswer)
+		node.applyServerList(clock.Now(), []inventory.Server{server}, storepos.At(0, 3))
+		node.hints.receiveFromCall(server.Start(), inventory.Hint{Draining: true}, hintFromAnswer)
 		tell(node)
 		if got := startOf(node); got != 0 {
 			t.Errorf("%s: start %d is sent to, which had said that it leaves", name, got)
@@ -89,12 +91,12 @@
 		t.Fatal(err)
 	}
 	later := protowire.AppendString(protowire.AppendTag(datagram, 4000, protowire.BytesType), "news of a later build")
-	node.peers.takeDatagram(later)
-	if got := node.peers.near(clock.Now()); got != "127.0.0.1:9" || node.peers.unreadable.Load() != 0 {
+	node.peers.handleDatagram(later)
+	if got := node.peers.randomNearby(clock.Now()); got != "127.0.0.1:9" || node.peers.unreadable.Load() != 0 {
 		t.Errorf("a node of a later build is not heard: %q, %d unreadable", got, node.peers.unreadable.Load())
 	}
 	for end := 1; end < len(later); end++ {
-		node.peers.takeDatagram(later[:end])
+		node.peers.handleDatagram(later[:end])
 	}
 	if node.peers.unreadable.Load() == 0 {
 		t.Error("no datagram that was cut short is counted")
--- a/internal/edge/confirmation_test.go
+++ b/internal/edge/confirmation_test.go
@@ -22,7 +22,7 @@
 	node.firstRead = 0
 	node.peers.roster.SetStrength(weakStrength)
 	node.handler.SetTable(routetable.New(7, nil, nil, routetable.Limits{}))
-	node.listPeerServers([]inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 2))
+	node.applyPeerServerList([]inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 2))
 	for i := range strong {
 		node.peers.roster.Observe(clock.Now(), &peerpb.NodeState{
 			Node: fmt.Sprint("strong-", i), Address: fmt.Sprintf("126.0.0.%d:1", i+1), Life: 1, Sequence: 1, Strength: strongStrength,
@@ -31,10 +31,10 @@
 	return node
 }
 
-// hears takes a datagram of a strong node.
-func hears(node *Node, sequence uint64, version int64, configAge, serversAge uint32) {
-	digest, at := node.directory.standing()
-	node.peers.take(&peerpb.NodeState{
+// receiveState takes a datagram of a strong node.
+func receiveState(node *Node, sequence uint64, version int64, configAge, serversAge uint32) {
+	digest, at := node.directory.digestAndPosition()
+	node.peers.handleState(&peerpb.NodeState{
 		Node: "strong-0", Address: "126.0.0.1:1", Life: 1, Sequence: sequence, Strength: strongStrength,
 		ConfigVersion: version, ConfigAgeMs: configAge, ServersDigest: digest, ServersRevision: at.Revision, ServersAgeMs: serversAge,
 	})
@@ -46,51 +46,51 @@
 	node := newFollower(t, 3)
 	asks := func(after time.Duration) bool {
 		now := clock.Now().Add(after)
-		return node.watchesStore(now, &node.configConfirmed) || node.watchesStore(now, &node.serversConfirmed)
+		return node.shouldQueryStore(now, &node.configConfirmed) || node.shouldQueryStore(now, &node.serversConfirmed)
 	}
-	if !asks(usualApplyWithin) {
+	if !asks(defaultApplyWithin) {
 		t.Error("a node to which nobody ever confirmed what it knows does not ask the store")
 	}
-	hears(node, 2, 7, 101, 101)
-	if asks(0) || asks(node.shareOf(confirmedShare)-200*time.Millisecond) {
+	receiveState(node, 2, 7, 101, 101)
+	if asks(0) || asks(node.fractionOfBound(confirmedFraction)-200*time.Millisecond) {
 		t.Error("a node asks the store for what was confirmed 100 ms ago")
 	}
-	if !asks(node.shareOf(confirmedShare + takeoverShare)) {
+	if !asks(node.fractionOfBound(confirmedFraction + takeoverFraction)) {
 		t.Error("a node that hears no confirmation any more does not ask the store")
 	}
-	if limit := node.shareOf(confirmedShare + takeoverShare); limit >= usualApplyWithin {
-		t.Errorf("a node may act for %v on what nobody confirmed, longer than the bound of %v", limit, usualApplyWithin)
+	if limit := node.fractionOfBound(confirmedFraction + takeoverFraction); limit >= defaultApplyWithin {
+		t.Errorf("a node may act for %v on what nobody confirmed, longer than the bound of %v", limit, defaultApplyWithin)
 	}
 }
 
 // TestWhoIsBehindIsNotConfirmed until it has what the peer has.
 func TestWhoIsBehindIsNotConfirmed(t *testing.T) {
 	node := newFollower(t, 3)
-	hears(node, 2, 8, 1, 1)
+	receiveState(node, 2, 8, 1, 1)
 	if _, known := node.configConfirmed.age(clock.Now()); known {
 		t.Error("a peer that has a newer configuration confirms the older one")
 	}
 	select {
-	case wanted := <-node.snapshots.wanted:
-		if wanted.address != "126.0.0.1:1" || !node.snapshots.isDue(wanted) {
+	case wanted := <-node.snapshots.pending:
+		if wanted.address != "126.0.0.1:1" || !node.snapshots.isNeeded(wanted) {
 			t.Errorf("%+v is asked, want the peer that told", wanted)
 		}
 		node.handler.SetTable(routetable.New(8, nil, nil, routetable.Limits{}))
-		if node.snapshots.isDue(wanted) {
+		if node.snapshots.isNeeded(wanted) {
 			t.Error("the peer is asked for a configuration that has come meanwhile")
 		}
 		node.handler.SetTable(routetable.New(7, nil, nil, routetable.Limits{}))
 	default:
 		t.Error("the peer is not asked for the newer configuration")
 	}
-	node.peers.take(&peerpb.NodeState{
+	node.peers.handleState(&peerpb.NodeState{
 		Node: "strong-0", Address: "126.0.0.1:1", Life: 1, Sequence: 3, ConfigVersion: 7, ServersDigest: 99, ServersRevision: 1, ServersAgeMs: 1,
 	})
 	if age, _ := node.serversConfirmed.age(clock.Now()); age > time.Second {
 		t.Errorf("age %v after the first datagram, which told of the same servers", age)
 	}
-	node.serversConfirmed.at = time.Time{}
-	node.peers.take(&peerpb.NodeState{
+	node.serversConfirmed.confirmedAt = time.Time{}
+	node.peers.handleState(&peerpb.NodeState{
 		Node: "strong-0", Address: "126.0.0.1:1", Life: 1, Sequence: 4, ConfigVersion: 7, ServersDigest: 99, ServersRevision: 1, ServersAgeMs: 1,
 	})
 	if _, known := node.serversConfirmed.age(clock.Now()); known {
@@ -103,11 +103,11 @@
 func TestStartingNodeIsNoSentinel(t *testing.T) {
 	node := newFollower(t, 0)
 	node.configConfirmed.confirm(node.started)
-	if node.watchesStore(node.started.Add(time.Second), &node.configConfirmed) {
+	if node.shouldQueryStore(node.started.Add(time.Second), &node.configConfirmed) {
 		t.Error("a node that started a second ago, and has just read, watches the store for others")
 	}
-	node.configConfirmed.confirm(node.started.Add(sentinelAfter))
-	if !node.watchesStore(node.started.Add(sentinelAfter), &node.configConfirmed) {
+	node.configConfirmed.confirm(node.started.Add(sentinelDelay))
+	if !node.shouldQueryStore(node.started.Add(sentinelDelay), &node.configConfirmed) {
 		t.Error("a node that is alone does not watch the store")
 	}
 }
@@ -119,7 +119,7 @@
 	for answered, want := range map[time.Duration]time.Duration{
 		300 * time.Millisecond: 0, time.Second: time.Second, 3 * time.Second: time.Second,
 	} {
-		if got := confirmedBy(asked, time.Second, asked.Add(answered)).Sub(asked); got != want {
+		if got := confirmedUntil(asked, time.Second, asked.Add(answered)).Sub(asked); got != want {
 			t.Errorf("answered after %v: confirmed up to %v, want %v", answered, got, want)
 		}
 	}
@@ -130,7 +130,7 @@
 func TestFirstNodesStepInFirst(t *testing.T) {
 	weak, first := newFollower(t, 40), newFollower(t, 0)
 	now := clock.Now()
-	if early, late := first.takeover(now), weak.takeover(now); early != 0 || late <= 0 || late > weak.shareOf(takeoverShare) {
+	if early, late := first.takeoverDelay(now), weak.takeoverDelay(now); early != 0 || late <= 0 || late > weak.fractionOfBound(takeoverFraction) {
 		t.Errorf("the first steps in after %v, the last after %v", early, late)
 	}
 }
@@ -139,19 +139,19 @@
 func TestAgeOnTheWire(t *testing.T) {
 	now := clock.Now()
 	var known, heard confirmation
-	if known.wire(now) != 0 {
+	if known.encodedAge(now) != 0 {
 		t.Error("an age is told of what was never confirmed")
 	}
 	known.confirm(now)
-	if got := known.wire(now.Add(250 * time.Millisecond)); got != 251 {
+	if got := known.encodedAge(now.Add(250 * time.Millisecond)); got != 251 {
 		t.Errorf("told %d, want 251", got)
 	}
-	heard.hear(now, 0)
+	heard.receiveAge(now, 0)
 	if _, ok := heard.age(now); ok {
 		t.Error("an age that is not known confirms")
 	}
-	heard.hear(now, 251)
-	heard.hear(now, 900)
+	heard.receiveAge(now, 251)
+	heard.receiveAge(now, 900)
 	if age, _ := heard.age(now); age != 250*time.Millisecond {
 		t.Errorf("age %v, want the least of those heard, 250ms", age)
 	}
@@ -162,28 +162,28 @@
 func TestCallerMakesAStartingNodeAskAtOnce(t *testing.T) {
 	node := newTestNode(t)
 	node.firstRead = time.Hour
-	if node.watchesStore(clock.Now(), &node.configConfirmed) {
+	if node.shouldQueryStore(clock.Now(), &node.configConfirmed) {
 		t.Fatal("a node that nobody asked does not wait for its turn")
 	}
 	ended := make(chan struct{})
 	go func() {
-		node.awaitKnowledge(context.Background())
+		node.awaitRequiredState(context.Background())
 		close(ended)
 	}()
-	for !node.asked.Load() {
+	for !node.callerWaiting.Load() {
 		runtime.Gosched()
 	}
-	if !node.watchesStore(clock.Now(), &node.configConfirmed) || !node.watchesStore(clock.Now(), &node.serversConfirmed) {
+	if !node.shouldQueryStore(clock.Now(), &node.configConfirmed) || !node.shouldQueryStore(clock.Now(), &node.serversConfirmed) {
 		t.Error("a node that a caller waits for does not ask the store")
 	}
 	node.handler.SetTable(routetable.New(7, nil, nil, routetable.Limits{}))
-	node.listServers(clock.Now(), []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 2))
+	node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 2))
 	<-ended
 	node.configConfirmed.confirm(clock.Now())
-	if node.watchesStore(clock.Now(), &node.configConfirmed) {
+	if node.shouldQueryStore(clock.Now(), &node.configConfirmed) {
 		t.Error("a node goes on asking the store for what was confirmed to it")
 	}
 	failing := newTestNode(t)
 	failing.storeFailing.Store(true)
-	failing.awaitKnowledge(context.Background())
+	failing.awaitRequiredState(context.Background())
 }
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -12,23 +12,23 @@
 // directory is what a node knows of the servers: what the store last told it
 // and, ahead of that, the news that peers tell. It is safe for concurrent use.
 type directory struct {
-	mu    sync.Mutex
-	table *inventory.Table
-	news  *gossip.ServerChanges
-	// heard is the latest position of what peers told.
-	heard storepos.Position
-	// lagSince is when a peer with a later position began to know other servers;
+	mu       sync.Mutex
+	table    *inventory.Table
+	outgoing *gossip.ServerChanges
+	// peerPosition is the latest position of what peers told.
+	peerPosition storepos.Position
+	// differsSince is when a peer with a later position began to know other servers;
 	// zero while none does.
-	lagSince time.Time
+	differsSince time.Time
 }
 
 func newDirectory() *directory {
-	return &directory{table: inventory.NewTable(), news: gossip.NewServerChanges()}
+	return &directory{table: inventory.NewTable(), outgoing: gossip.NewServerChanges()}
 }
 
-// list are the servers that take work, the position that they are known up to, and
+// listAvailable are the servers that take work, the position that they are known up to, and
 // their digest. Those that go are left out: nobody needs them.
-func (d *directory) list() (servers []inventory.Server, at storepos.Position, digest uint64) {
+func (d *directory) listAvailable() (servers []inventory.Server, at storepos.Position, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for server := range d.table.All {
@@ -47,71 +47,71 @@
 }
 
 // replace takes a whole list, asked for at asked. What it changed is news unless it is the first.
-func (d *directory) replace(now, asked time.Time, servers []inventory.Server, at storepos.Position) (changes []inventory.Change, hasNews bool) {
+func (d *directory) replace(now, requestedAt time.Time, servers []inventory.Server, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	isFirst := d.table.Position().IsZero()
-	worked, wasCold := make(map[inventory.Start]bool, len(servers)), make(map[inventory.Start]bool)
+	wasAvailable, wasCold := make(map[inventory.Start]bool, len(servers)), make(map[inventory.Start]bool)
 	for server := range d.table.All {
-		worked[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdRemaining > 0
+		wasAvailable[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdRemaining > 0
 	}
-	changes = d.table.Replace(now, asked, servers, at)
-	if at.Era < d.heard.Era {
-		d.heard = at
+	changes = d.table.Replace(now, requestedAt, servers, at)
+	if at.Era < d.peerPosition.Era {
+		d.peerPosition = at
 	}
 	if isFirst {
 		return changes, false
 	}
-	return changes, d.learn(now, news(changes, worked, wasCold), at)
+	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// news are the changes by which a server came, started again, turned cold or takes no more
+// notableChanges are the changes by which a server came, started again, turned cold or takes no more
 // work: all that others need to hear at once.
-func news(changes []inventory.Change, worked, wasCold map[inventory.Start]bool) []inventory.Change {
-	var news []inventory.Change
+func notableChanges(changes []inventory.Change, wasAvailable, wasCold map[inventory.Start]bool) []inventory.Change {
+	var notable []inventory.Change
 	for _, change := range changes {
 		start := change.Server.Start()
 		turnedCold := change.Server.ColdRemaining > 0 && !wasCold[start]
-		if change.Gone || change.Server.Draining || turnedCold || !worked[start] {
-			news = append(news, change)
+		if change.Gone || change.Server.Draining || turnedCold || !wasAvailable[start] {
+			notable = append(notable, change)
 		}
 	}
-	return news
+	return notable
 }
 
 // apply takes the store's events.
-func (d *directory) apply(now time.Time, events []inventory.Change, at storepos.Position) (changes []inventory.Change, hasNews bool) {
+func (d *directory) apply(now time.Time, events []inventory.Change, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	worked, wasCold := make(map[inventory.Start]bool, len(events)), make(map[inventory.Start]bool)
+	wasAvailable, wasCold := make(map[inventory.Start]bool, len(events)), make(map[inventory.Start]bool)
 	for _, event := range events {
 		start := event.Server.Start()
-		worked[start] = d.table.HasStart(start) && d.table.IsAvailable(start.ID)
+		wasAvailable[start] = d.table.HasStart(start) && d.table.IsAvailable(start.ID)
 		wasCold[start] = d.table.HasStart(start) && d.table.IsCold(start.ID)
 	}
 	changes = d.table.Apply(events, at)
-	return changes, d.learn(now, news(changes, worked, wasCold), at)
+	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// learn makes news of changes that the store told.
-func (d *directory) learn(now time.Time, changes []inventory.Change, at storepos.Position) bool {
-	learned := false
+// queueChanges makes news of changes that the store told.
+func (d *directory) queueChanges(now time.Time, changes []inventory.Change, at storepos.Position) bool {
+	queued := false
 	for _, change := range changes {
 		server := change.Server
 		if change.Gone {
 			server = inventory.Server{ID: server.ID, StartedAtMs: server.StartedAtMs, Draining: true, Position: at}
 		}
-		if d.news.Learn(now, gossip.ServerChange{Server: server}) {
-			learned = true
+		if d.outgoing.Learn(now, gossip.ServerChange{Server: server}) {
+			queued = true
 		}
 	}
-	return learned
+	return queued
 }
 
-// hear takes what a peer tells, and returns what of it is new here. A word that a server
+// applyPeerChanges takes what a peer tells, and returns what of it is new here. A word that a server
 // goes counts also where the entry is held back here as lapsed, and whether or not it is
 // told on.
-func (d *directory) hear(now time.Time, items []gossip.ServerChange) []inventory.Change {
+func (d *directory) applyPeerChanges(now time.Time, items []gossip.ServerChange) []inventory.Change {
 	if len(items) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 		}
 		item.Server = server
 		if !server.Draining && server.ColdRemaining > item.Age && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) && d.table.IsNewer(server.ID, server.Position) {
-			d.news.Learn(now, item)
+			d.outgoing.Learn(now, item)
 			changes = append(changes, d.table.MarkCold(server.ID, server.ColdRemaining-item.Age, server.Position))
 			continue
 		}
@@ -140,51 +140,51 @@
 		if !d.table.IsNewer(server.ID, server.Position) {
 			continue
 		}
-		isToldOn := d.news.Learn(now, item)
+		isQueued := d.outgoing.Learn(now, item)
 		switch {
 		case server.Draining && d.table.IsAvailable(server.ID):
 			changes = append(changes, d.table.MarkDraining(server.ID, server.Position))
-		case isToldOn:
+		case isQueued:
 			server.ColdRemaining = max(0, server.ColdRemaining-item.Age)
 			changes = append(changes, d.table.ApplyAnnouncement(server)...)
 		default:
 			continue
 		}
-		d.heard = storepos.Later(d.heard, server.Position)
+		d.peerPosition = storepos.Later(d.peerPosition, server.Position)
 	}
 	return changes
 }
 
-// tell returns the news that are told in this period.
-func (d *directory) tell(now time.Time) []gossip.ServerChange {
+// takeDue returns the news that are told in this period.
+func (d *directory) takeDue(now time.Time) []gossip.ServerChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.news.TakeDue(now)
+	return d.outgoing.TakeDue(now)
 }
 
-// standing is a digest of the servers known, and the position they are from.
-func (d *directory) standing() (digest uint64, at storepos.Position) {
+// digestAndPosition is a digest of the servers known, and the position they are from.
+func (d *directory) digestAndPosition() (digest uint64, at storepos.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table.Digest(), d.newest()
+	return d.table.Digest(), d.latestPosition()
 }
 
-// completeTo is the position up to which the servers are known.
-func (d *directory) completeTo() storepos.Position {
+// position is the position up to which the servers are known.
+func (d *directory) position() storepos.Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Position()
 }
 
-// settles reports whether the list is to be read anew, as entries of an earlier era were kept.
-func (d *directory) settles(now time.Time) bool {
+// isReloadDue reports whether the list is to be read anew, as entries of an earlier era were kept.
+func (d *directory) isReloadDue(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.ReloadDue(now)
 }
 
-// awaiting counts the servers of which an entry of an earlier era is kept.
-func (d *directory) awaiting(now time.Time) int {
+// countEarlierEra counts the servers of which an entry of an earlier era is kept.
+func (d *directory) countEarlierEra(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.EarlierEraCount(now)
@@ -206,24 +206,26 @@
 	}
 }
 
-// newest is the latest position of what is known. The lock is held.
-func (d *directory) newest() storepos.Position { return storepos.Later(d.table.Position(), d.heard) }
+// latestPosition is the latest position of what is known. The lock is held.
+func (d *directory) latestPosition() storepos.Position {
+	return storepos.Later(d.table.Position(), d.peerPosition)
+}
 
-// lags reports whether a peer has known other servers from a later position, or
+// isBehind reports whether a peer has known other servers from a later position, or
 // confirmed later, for longer than news take: somebody is to be asked.
-func (d *directory) lags(now time.Time, digest uint64, at storepos.Position, isFresher bool, tolerated time.Duration) bool {
+func (d *directory) isBehind(now time.Time, digest uint64, at storepos.Position, isFresher bool, tolerance time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case at.Era > d.newest().Era:
+	case at.Era > d.latestPosition().Era:
 		return true
 	case digest == d.table.Digest():
-		d.lagSince = time.Time{}
-	case !at.WithDefaultEra(d.newest().Era).IsAfter(d.newest()) && !isFresher:
-	case d.lagSince.IsZero():
-		d.lagSince = now
-	case now.Sub(d.lagSince) > tolerated:
-		d.lagSince = time.Time{}
+		d.differsSince = time.Time{}
+	case !at.WithDefaultEra(d.latestPosition().Era).IsAfter(d.latestPosition()) && !isFresher:
+	case d.differsSince.IsZero():
+		d.differsSince = now
+	case now.Sub(d.differsSince) > tolerance:
+		d.differsSince = time.Time{}
 		return true
 	}
 	return false
--- a/internal/edge/directory_test.go
+++ b/internal/edge/directory_test.go
@@ -13,9 +13,9 @@
 
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-func told(directory *directory, now time.Time) map[string]bool {
+func takeChanges(directory *directory, now time.Time) map[string]bool {
 	told := make(map[string]bool)
-	for _, item := range directory.tell(now) {
+	for _, item := range directory.takeDue(now) {
 		told[item.Server.ID] = item.Server.Draining
 	}
 	return told
@@ -24,7 +24,7 @@
 func TestWhoComesOrGoesIsNews(t *testing.T) {
 	directory := newDirectory()
 	directory.replace(begin, begin, []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}, {ID: "b", Position: storepos.At(0, 2)}}, storepos.At(0, 3))
-	if news := told(directory, begin); len(news) != 0 {
+	if news := takeChanges(directory, begin); len(news) != 0 {
 		t.Errorf("the first list is no news: %v", news)
 	}
 	directory.apply(begin, []inventory.Change{
@@ -32,12 +32,12 @@
 		{Server: inventory.Server{ID: "b", Position: storepos.At(0, 5), Draining: true}},
 		{Server: inventory.Server{ID: "c", Position: storepos.At(0, 6)}},
 	}, storepos.At(0, 6))
-	if diff := cmp.Diff(map[string]bool{"b": true, "c": false}, told(directory, begin)); diff != "" {
+	if diff := cmp.Diff(map[string]bool{"b": true, "c": false}, takeChanges(directory, begin)); diff != "" {
 		t.Error(diff)
 	}
 	// A list after a gap of the history tells as well who went meanwhile.
 	directory.replace(begin, begin, []inventory.Server{{ID: "c", Position: storepos.At(0, 6)}}, storepos.At(0, 9))
-	if _, ok := told(directory, begin)["a"]; !ok {
+	if _, ok := takeChanges(directory, begin)["a"]; !ok {
 		t.Error("a server that a later list lacks is no news")
 	}
 }
@@ -49,11 +49,11 @@
 	directory := newDirectory()
 	directory.replace(begin, begin, []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}, {ID: "b", Position: storepos.At(0, 2)}}, storepos.At(0, 3))
 	directory.replace(begin, begin, []inventory.Server{{ID: "a", Position: storepos.At(0, 5)}, {ID: "b", Position: storepos.At(0, 6)}, {ID: "c", Position: storepos.At(0, 7)}}, storepos.At(0, 8))
-	if diff := cmp.Diff(map[string]bool{"c": false}, told(directory, begin)); diff != "" {
+	if diff := cmp.Diff(map[string]bool{"c": false}, takeChanges(directory, begin)); diff != "" {
 		t.Error(diff)
 	}
-	directory.hear(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 9)}}})
-	if _, ok := told(directory, begin)["b"]; ok {
+	directory.applyPeerChanges(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 9)}}})
+	if _, ok := takeChanges(directory, begin)["b"]; ok {
 		t.Error("a peer's word of a server that is known is told on")
 	}
 }
@@ -67,8 +67,8 @@
 	other.replace(begin, begin, list, storepos.At(0, 3))
 	sentinel.apply(begin, []inventory.Change{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true}}}, storepos.At(0, 8))
 	compare := func(after time.Duration) bool {
-		digest, revision := sentinel.standing()
-		return other.lags(begin.Add(after), digest, revision, false, 400*time.Millisecond)
+		digest, revision := sentinel.digestAndPosition()
+		return other.isBehind(begin.Add(after), digest, revision, false, 400*time.Millisecond)
 	}
 	if compare(0) || compare(300*time.Millisecond) {
 		t.Error("the store is asked before news had time to come")
@@ -76,7 +76,7 @@
 	if !compare(500 * time.Millisecond) {
 		t.Error("the store is not asked though news were missed")
 	}
-	other.hear(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true, Announced: true}}})
+	other.applyPeerChanges(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true, Announced: true}}})
 	for after := range 10 {
 		if compare(time.Duration(after) * time.Second) {
 			t.Errorf("the store is asked %d s after the news came", after)
@@ -101,7 +101,7 @@
 	}
 	for _, step := range steps {
 		now := begin.Add(step.after * time.Millisecond)
-		if got := lag.passes(now, step.version, 400*time.Millisecond); got != step.want {
+		if got := lag.exceeds(now, step.version, 400*time.Millisecond); got != step.want {
 			t.Errorf("after %d ms, version %d: asked anew %v", step.after, step.version, got)
 		}
 	}
--- a/internal/edge/eras_test.go
+++ b/internal/edge/eras_test.go
@@ -16,7 +16,7 @@
 func newInEra(t *testing.T, era int64) *Node {
 	t.Helper()
 	node := newTestNode(t)
-	node.listServers(clock.Now(), []inventory.Server{{ID: "a", Service: "s", Position: storepos.At(era, 5)}}, storepos.At(era, 9))
+	node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", Service: "s", Position: storepos.At(era, 5)}}, storepos.At(era, 9))
 	return node
 }
 
@@ -36,11 +36,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			node := newInEra(t, 3)
-			node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: c.at}}})
-			if got := takesWork(node, "a"); got != c.takes {
+			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: c.at}}})
+			if got := isAvailable(node, "a"); got != c.takes {
 				t.Errorf("takes work %v, want %v", got, c.takes)
 			}
-			if got := node.directory.lags(clock.Now(), 1, c.at, false, time.Minute); got != c.lags {
+			if got := node.directory.isBehind(clock.Now(), 1, c.at, false, time.Minute); got != c.lags {
 				t.Errorf("the list is asked for at once: %v, want %v", got, c.lags)
 			}
 		})
@@ -51,20 +51,20 @@
 func TestListLeftOutConfirmsNothing(t *testing.T) {
 	node := newInEra(t, 3)
 	asked := clock.Now().Add(-time.Minute)
-	if node.listServers(asked, nil, storepos.At(2, 50)) || node.listServers(asked, nil, storepos.At(3, 8)) {
+	if node.applyServerList(asked, nil, storepos.At(2, 50)) || node.applyServerList(asked, nil, storepos.At(3, 8)) {
 		t.Error("a list that is older than what is known is in force")
 	}
-	if !takesWork(node, "a") {
+	if !isAvailable(node, "a") {
 		t.Error("an older list takes a server out of use")
 	}
-	if !node.listServers(clock.Now(), []inventory.Server{{ID: "a", Service: "s", Position: storepos.At(4, 2)}}, storepos.At(4, 2)) {
+	if !node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", Service: "s", Position: storepos.At(4, 2)}}, storepos.At(4, 2)) {
 		t.Error("the first list of a later era is left out")
 	}
 }
 
 func TestNodeIsReadyOnceSeedsWereAsked(t *testing.T) {
 	node := newFollower(t, 0)
-	node.peersAsked.Store(false)
+	node.seedsQueried.Store(false)
 	if node.isReady() {
 		t.Error("ready by what the store says alone")
 	}
@@ -107,7 +107,7 @@
 			(<-leader.inbox)()
 		}
 	}
-	if pause := leader.nextCall.Sub(clock.Now()); pause < leaseRetry/8 {
+	if pause := leader.nextCall.Sub(clock.Now()); pause < leaseRetryPause/8 {
 		t.Errorf("the next write is %v after the second refusal", pause)
 	}
 }
--- a/internal/edge/hints.go
+++ b/internal/edge/hints.go
@@ -26,9 +26,9 @@
 // serverHints passes on what servers tell of themselves with their answers. It is safe for
 // concurrent use.
 type serverHints struct {
-	node *Node
-	mu   sync.Mutex
-	told *gossip.Hints
+	node     *Node
+	mu       sync.Mutex
+	outgoing *gossip.Hints
 	// unread are the names of fields that servers told and nodes do not read, and unreadCount counts
 	// the answers that had one.
 	unread      map[string]bool
@@ -39,11 +39,11 @@
 const maxUnreadFields = 32
 
 func newServerHints(node *Node) *serverHints {
-	return &serverHints{node: node, told: gossip.NewHints(), unread: make(map[string]bool)}
+	return &serverHints{node: node, outgoing: gossip.NewHints(), unread: make(map[string]bool)}
 }
 
-// noteUnread logs the name of a field that nodes do not read, once.
-func (h *serverHints) noteUnread(serverID, field string) {
+// recordUnreadField logs the name of a field that nodes do not read, once.
+func (h *serverHints) recordUnreadField(serverID, field string) {
 	h.unreadCount.Add(1)
 	h.mu.Lock()
 	isNew := !h.unread[field] && len(h.unread) < maxUnreadFields
@@ -56,54 +56,54 @@
 	}
 }
 
-// receiveCall takes what a server told with its answer to an order or the question for a report.
-func (h *serverHints) receiveCall(start inventory.Start, hint inventory.Hint, from hintSource) {
-	news := false
-	h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceiveHint(clock.Now(), start, hint) })
-	if news {
-		h.passOn(start, hint, from)
+// receiveFromCall takes what a server told with its answer to an order or the question for a report.
+func (h *serverHints) receiveFromCall(start inventory.Start, hint inventory.Hint, from hintSource) {
+	changed := false
+	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceiveHint(clock.Now(), start, hint) })
+	if changed {
+		h.propagate(start, hint, from)
 	}
 }
 
 // receivePeerLimit takes what a peer knows of a start's rate limit.
 func (h *serverHints) receivePeerLimit(now time.Time, start inventory.Start, limit admission.Observation) {
-	news := false
-	h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceivePeerLimit(now, start, limit) })
-	if news {
-		h.passOn(start, inventory.Hint{Limit: limit.Limit, SentAt: limit.SentAt}, hintFromPeer)
+	changed := false
+	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceivePeerLimit(now, start, limit) })
+	if changed {
+		h.propagate(start, inventory.Hint{Limit: limit.Limit, SentAt: limit.SentAt}, hintFromPeer)
 	}
 }
 
-// passOn logs what is news here, and lets peers hear of it.
-func (h *serverHints) passOn(start inventory.Start, hint inventory.Hint, from hintSource) {
+// propagate logs what is news here, and lets peers hear of it.
+func (h *serverHints) propagate(start inventory.Start, hint inventory.Hint, from hintSource) {
 	var limit admission.RateLimit
 	h.node.dispatch.Do(func(core *dispatch.Core) { limit, _ = core.RateLimit(start) })
-	withLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.StartedAtMs).Bool("leaving", hint.Draining).
+	addLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.StartedAtMs).Bool("leaving", hint.Draining).
 		Int64("rest_ms", hint.Backoff.Milliseconds()).Str("from", string(from)).Msg("server_word")
 	h.node.metrics.hint(hint, from)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told.Learn(clock.Now(), gossip.HintItem{Start: start, Hint: hint, Limit: limit.Latest()})
+	h.outgoing.Learn(clock.Now(), gossip.HintItem{Start: start, Hint: hint, Limit: limit.Latest()})
 }
 
-// receivePeer takes what a peer tells.
-func (h *serverHints) receivePeer(now time.Time, told []*peerpb.ServerWord) {
-	for _, item := range hintsOf(now, told) {
-		news := false
-		h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceivePeerHint(now, item.Start, item.Hint) })
-		if news {
-			h.passOn(item.Start, item.Hint, hintFromPeer)
+// receiveFromPeer takes what a peer tells.
+func (h *serverHints) receiveFromPeer(now time.Time, encoded []*peerpb.ServerWord) {
+	for _, item := range decodeHints(now, encoded) {
+		changed := false
+		h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceivePeerHint(now, item.Start, item.Hint) })
+		if changed {
+			h.propagate(item.Start, item.Hint, hintFromPeer)
 		}
 		h.receivePeerLimit(now, item.Start, item.Limit)
 	}
 }
 
-// wire are the hints that are told in this period.
-func (h *serverHints) wire(now time.Time) []*peerpb.ServerWord {
+// takeDue are the hints that are told in this period.
+func (h *serverHints) takeDue(now time.Time) []*peerpb.ServerWord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var encoded []*peerpb.ServerWord
-	for _, item := range h.told.TakeDue(now) {
+	for _, item := range h.outgoing.TakeDue(now) {
 		encoded = append(encoded, &peerpb.ServerWord{
 			Server: item.Start.ID, Born: item.Start.StartedAtMs, Leaving: item.Hint.Draining, RestMs: uint32(item.Hint.Backoff.Milliseconds()),
 			Limit: encodeLimit(now, item.Limit),
@@ -112,10 +112,10 @@
 	return encoded
 }
 
-// hintsOf are the hints that a peer tells. A server without a name is none.
-func hintsOf(now time.Time, told []*peerpb.ServerWord) []gossip.HintItem {
-	items := make([]gossip.HintItem, 0, len(told))
-	for _, hint := range told {
+// decodeHints are the hints that a peer tells. A server without a name is none.
+func decodeHints(now time.Time, encoded []*peerpb.ServerWord) []gossip.HintItem {
+	items := make([]gossip.HintItem, 0, len(encoded))
+	for _, hint := range encoded {
 		if hint.Server == "" || hint.Born < 0 {
 			continue
 		}
@@ -137,28 +137,28 @@
 	}
 	return &peerpb.RateLimit{
 		Named: limit.Limit.IsSet(), PerSecond: limit.Limit.PerSecond,
-		SentAgeMs: wireAge(now, limit.SentAt) + 1, HeardAgeMs: wireAge(now, limit.ReceivedAt),
+		SentAgeMs: ageMillis(now, limit.SentAt) + 1, HeardAgeMs: ageMillis(now, limit.ReceivedAt),
 	}
 }
 
-// wireAge is the age of a moment in milliseconds, up to longestAge.
-func wireAge(now, at time.Time) uint32 {
-	return uint32(min(max(0, now.Sub(at)), longestAge).Milliseconds())
+// ageMillis is the age of a moment in milliseconds, up to longestAge.
+func ageMillis(now, at time.Time) uint32 {
+	return uint32(min(max(0, now.Sub(at)), maxWireAge).Milliseconds())
 }
 
 // decodeLimit is what a peer tells of a rate limit; ok is false where it tells none, or none that
 // can be.
-func decodeLimit(now time.Time, told *peerpb.RateLimit) (limit admission.Observation, ok bool) {
-	if told == nil || told.Named && !inventory.IsValidRate(told.PerSecond) {
+func decodeLimit(now time.Time, encoded *peerpb.RateLimit) (limit admission.Observation, ok bool) {
+	if encoded == nil || encoded.Named && !inventory.IsValidRate(encoded.PerSecond) {
 		return limit, false
 	}
 	limit = admission.Observation{
 		Limit:      inventory.RateLimit{Kind: inventory.RateLimitNone},
-		SentAt:     now.Add(-time.Duration(told.SentAgeMs) * time.Millisecond),
-		ReceivedAt: now.Add(-time.Duration(told.HeardAgeMs) * time.Millisecond),
+		SentAt:     now.Add(-time.Duration(encoded.SentAgeMs) * time.Millisecond),
+		ReceivedAt: now.Add(-time.Duration(encoded.HeardAgeMs) * time.Millisecond),
 	}
-	if told.Named {
-		limit.Limit = inventory.NewRateLimit(told.PerSecond)
+	if encoded.Named {
+		limit.Limit = inventory.NewRateLimit(encoded.PerSecond)
 	}
 	return limit, true
 }
--- a/internal/edge/leader.go
+++ b/internal/edge/leader.go
@@ -25,8 +25,8 @@
 	WriteLease(ctx context.Context, record storelease.Record) (at storepos.Position, won bool, err error)
 }
 
-// errServerRests says that a report was not asked for.
-var errServerRests = errors.New("the server rests, or takes no more for now")
+// errCallNotAdmitted says that a report was not asked for.
+var errCallNotAdmitted = errors.New("the server rests, or takes no more for now")
 
 // EngineClient are the servers that take orders.
 type EngineClient interface {
@@ -42,22 +42,22 @@
 	leaseDuration = 2 * time.Second
 	leaseRenewal  = 700 * time.Millisecond
 	leaseMargin   = 300 * time.Millisecond
-	// leaseRetry is the pause between calls of a candidate, or of a holder
+	// leaseRetryPause is the pause between calls of a candidate, or of a holder
 	// whose write failed.
-	leaseRetry = 500 * time.Millisecond
-	// leaseRead is the pause between two looks of a candidate at a lease that
+	leaseRetryPause = 500 * time.Millisecond
+	// leaseReadInterval is the pause between two looks of a candidate at a lease that
 	// another may hold.
-	leaseRead = time.Second
-	// firstCandidacy is how long a node listens before it may become leader.
-	firstCandidacy = 800 * time.Millisecond
+	leaseReadInterval = time.Second
+	// candidacyDelay is how long a node listens before it may become leader.
+	candidacyDelay = 800 * time.Millisecond
 	// rankDelay keeps candidates from calling the store all at once.
 	rankDelay = 700 * time.Millisecond
-	// lapseTolerated is how long others leave a leader to renew a lapsed lease.
-	lapseTolerated = 1500 * time.Millisecond
-	leaderPeriod   = 50 * time.Millisecond
-	// viewPeriod is the least time between the leader's datagrams.
-	viewPeriod = 15 * time.Millisecond
-	inboxSize  = 256
+	// leaseExpiryTolerance is how long others leave a leader to renew a lapsed lease.
+	leaseExpiryTolerance = 1500 * time.Millisecond
+	leaderPeriod         = 50 * time.Millisecond
+	// minPublishInterval is the least time between the leader's datagrams.
+	minPublishInterval = 15 * time.Millisecond
+	inboxSize          = 256
 )
 
 // leader is the part of a node that holds the lease at times, and orders models
@@ -70,41 +70,41 @@
 	// demand is kept by every node, for the term that it may begin.
 	demand *placer.Demand
 	// loads are what all nodes have under way, while this node leads.
-	loads     *dispatch.FleetLoads
-	countedAt time.Time
-	// loadsToldAt is when loads were last told.
-	loadsToldAt time.Time
-
-	started   time.Time
-	quietFrom time.Time
-	// yieldLook is when this leader last looked for a much stronger node,
+	loads           *dispatch.FleetLoads
+	demandCountedAt time.Time
+	// loadsPublishedAt is when loads were last told.
+	loadsPublishedAt time.Time
+
+	started         time.Time
+	leaderlessSince time.Time
+	// yieldCheckedAt is when this leader last looked for a much stronger node,
 	// yieldFrom since when it sees one (zero while none is), and yielded when it
 	// last left the lead to one.
-	yieldLook time.Time
-	yieldFrom time.Time
-	yielded   time.Time
+	yieldCheckedAt time.Time
+	strongerSince  time.Time
+	yieldedAt      time.Time
 	// reserveNow asks for a write of the lease ahead of its time.
-	reserveNow bool
-	calling    bool
-	// refused counts the writes refused in a row.
-	refused  int
-	nextCall time.Time
-	servers  *inventory.Table
-	toldAt   time.Time
-	changed  bool
-	// lookedAt is when the lease was last looked at, and steppedAt when the core
+	reserveNow  bool
+	callPending bool
+	// refusedWrites counts the writes refusedWrites in a row.
+	refusedWrites int
+	nextCall      time.Time
+	servers       *inventory.Table
+	publishedAt   time.Time
+	viewsChanged  bool
+	// leaseCheckedAt is when the lease was last looked at, and steppedAt when the core
 	// last made a step.
-	lookedAt  time.Time
-	steppedAt time.Time
-	// loggedAt is when the placement was last logged.
-	loggedAt time.Time
+	leaseCheckedAt time.Time
+	steppedAt      time.Time
+	// placementLoggedAt is when the placement was last logged.
+	placementLoggedAt time.Time
 
 	// What other goroutines may read.
-	term       atomic.Int64
-	validUntil atomic.Int64
-	orderFrom  atomic.Int64
-	leaseEra   atomic.Int64
-	revision   atomic.Int64
+	term         atomic.Int64
+	validUntil   atomic.Int64
+	firstOrderAt atomic.Int64
+	leaseEra     atomic.Int64
+	revision     atomic.Int64
 }
 
 func newLeader(node *Node) *leader {
@@ -134,8 +134,8 @@
 	}
 }
 
-// call hands over the result of a call, which must not be left out.
-func (l *leader) call(ctx context.Context, work func()) {
+// deliver hands over the result of a deliver, which must not be left out.
+func (l *leader) deliver(ctx context.Context, work func()) {
 	select {
 	case l.inbox <- work:
 	case <-ctx.Done():
@@ -152,7 +152,7 @@
 		case work := <-l.inbox:
 			work()
 			l.drainInbox()
-			if l.core == nil && clock.Since(l.lookedAt) < leaderPeriod {
+			if l.core == nil && clock.Since(l.leaseCheckedAt) < leaderPeriod {
 				// Nothing to order: the lease is looked at with the ticker.
 				continue
 			}
@@ -175,12 +175,12 @@
 
 func (l *leader) step(ctx context.Context) {
 	now := clock.Now()
-	l.lookedAt = now
-	l.keepLease(ctx, now)
+	l.leaseCheckedAt = now
+	l.maintainLease(ctx, now)
 	l.followTerm(now)
-	if l.core != nil || now.Sub(l.countedAt) >= gossipPeriod {
-		l.countedAt = now
-		l.ownCounts(now)
+	if l.core != nil || now.Sub(l.demandCountedAt) >= gossipPeriod {
+		l.demandCountedAt = now
+		l.countOwnDemand(now)
 	}
 	if l.core == nil || now.Sub(l.steppedAt) < l.stepPause() {
 		return
@@ -196,58 +196,58 @@
 	})
 	effects := l.core.Step(now, l.lease.MayIssueOrders(now))
 	for _, order := range effects.Orders {
-		l.order(ctx, order)
+		l.sendOrder(ctx, order)
 	}
 	for _, call := range effects.ReportRequests {
-		l.report(ctx, call)
+		l.fetchReport(ctx, call)
 	}
-	l.changed = l.changed || effects.ViewsChanged
+	l.viewsChanged = l.viewsChanged || effects.ViewsChanged
 	l.logPlacement(now)
 	l.publish(now)
 }
 
 const (
-	// leastStepPause and stepPauseShare, which counts for each server, bound how
+	// minStepPause and stepPauseShare, which counts for each server, bound how
 	// often orders are thought over: every datagram of every node asks for it.
-	leastStepPause = 5 * time.Millisecond
-	stepPauseShare = 500 * time.Microsecond
+	minStepPause       = 5 * time.Millisecond
+	stepPausePerServer = 500 * time.Microsecond
 )
 
 // stepPause is the time between two steps of the core. With many servers it is
 // the ticker's period.
 func (l *leader) stepPause() time.Duration {
-	return min(leaderPeriod, leastStepPause+time.Duration(l.core.ServerCount())*stepPauseShare)
+	return min(leaderPeriod, minStepPause+time.Duration(l.core.ServerCount())*stepPausePerServer)
 }
 
-// leaseAt is where this node last wrote the lease.
-func (l *leader) leaseAt() storepos.Position {
+// leasePosition is where this node last wrote the lease.
+func (l *leader) leasePosition() storepos.Position {
 	return storepos.At(l.leaseEra.Load(), l.revision.Load())
 }
 
-// standing is the term of this node, and how long ago its lease ended.
-func (l *leader) standing() (term int64, lapsed time.Duration) {
+// leadership is the term of this node, and how long ago its lease ended.
+func (l *leader) leadership() (term int64, expiredFor time.Duration) {
 	term = l.term.Load()
 	return term, max(0, clock.Since(l.started)-time.Duration(l.validUntil.Load()))
 }
 
-// orderIn is the time until the first order of the term may leave.
-func (l *leader) orderIn() time.Duration {
-	return max(0, time.Duration(l.orderFrom.Load())-clock.Since(l.started))
+// untilFirstOrder is the time until the first order of the term may leave.
+func (l *leader) untilFirstOrder() time.Duration {
+	return max(0, time.Duration(l.firstOrderAt.Load())-clock.Since(l.started))
 }
 
-// orderTime is how long an order of the term to a server of the zone that leaves now may be
+// orderTimeout is how long an order of the term to a server of the zone that leaves now may be
 // under way: until the lease ends, 0 where none may leave. Any goroutine may ask, right before it sends.
-func (l *leader) orderTime(term int64, zone string) time.Duration {
+func (l *leader) orderTimeout(term int64, zone string) time.Duration {
 	now := clock.Since(l.started)
-	if l.term.Load() != term || now < time.Duration(l.orderFrom.Load()) || l.node.evacuations.isEvacuated(zone) {
+	if l.term.Load() != term || now < time.Duration(l.firstOrderAt.Load()) || l.node.evacuations.isEvacuated(zone) {
 		return 0
 	}
 	return max(0, time.Duration(l.validUntil.Load())-now)
 }
 
-// keepLeaseAt keeps where the lease was written for others to read: nowhere, where the record is
+// storeLeasePosition keeps where the lease was written for others to read: nowhere, where the record is
 // not the newest.
-func (l *leader) keepLeaseAt() {
+func (l *leader) storeLeasePosition() {
 	at := l.lease.Record().Position
 	if l.lease.IsRestored() {
 		at = storepos.Position{}
@@ -260,8 +260,8 @@
 func (l *leader) followTerm(now time.Time) {
 	term := l.lease.Term()
 	l.validUntil.Store(int64(l.lease.ValidUntil().Sub(l.started)))
-	l.orderFrom.Store(int64(l.lease.FirstOrderAt().Sub(l.started)))
-	l.keepLeaseAt()
+	l.firstOrderAt.Store(int64(l.lease.FirstOrderAt().Sub(l.started)))
+	l.storeLeasePosition()
 	previous := l.term.Swap(term)
 	if term == previous {
 		return
@@ -273,7 +273,7 @@
 	}
 	l.node.options.Logger.Info().Int64("term", term).
 		Int64("order_in_ms", l.lease.FirstOrderAt().Sub(now).Milliseconds()).Msg("lease_taken")
-	l.node.peers.forgetViews(func(string) bool { return false })
+	l.node.peers.pruneViews(func(string) bool { return false })
 	l.loads = dispatch.NewFleetLoads()
 	l.core = placer.New(placer.Options{
 		Window: l.node.options.ModelLoadWindow, Overage: l.node.options.ModelLoadOverage,
@@ -291,30 +291,30 @@
 	l.reserveNow = true
 }
 
-// listServers and changeServers keep the leader's table of servers, which goes
+// applyServerList and changeServers keep the leader's table of servers, which goes
 // by the store alone.
-func (l *leader) listServers(now, asked time.Time, servers []inventory.Server, at storepos.Position) {
-	l.useServers(l.servers.Replace(now, asked, servers, at))
+func (l *leader) applyServerList(now, requestedAt time.Time, servers []inventory.Server, at storepos.Position) {
+	l.applyServerChanges(l.servers.Replace(now, requestedAt, servers, at))
 }
 
-func (l *leader) changeServers(now time.Time, events []inventory.Change, at storepos.Position) {
-	l.useServers(l.servers.Apply(events, at))
+func (l *leader) applyServerEvents(now time.Time, events []inventory.Change, at storepos.Position) {
+	l.applyServerChanges(l.servers.Apply(events, at))
 }
 
-func (l *leader) useServers(changes []inventory.Change) {
+func (l *leader) applyServerChanges(changes []inventory.Change) {
 	if l.core != nil {
 		l.core.SetServers(clock.Now(), changes)
 	}
 }
 
-// takeState takes what a node counted, and answers it where it asks for views.
-func (l *leader) takeState(state *peerpb.NodeState) {
+// handleState takes what a node counted, and answers it where it asks for views.
+func (l *leader) handleState(state *peerpb.NodeState) {
 	now := clock.Now()
 	if state.TellsWanted {
-		l.demand.SetCounts(now, state.Address, state.Life, countsOf(state.Wanted, l.node.options.Topology.Region(state.Zone)))
+		l.demand.SetCounts(now, state.Address, state.Life, decodeCounts(state.Wanted, l.node.options.Topology.Region(state.Zone)))
 	}
 	if l.core != nil && state.ViewsWanted {
-		l.node.peers.answerViews(state, l.term.Load(), l.lease.ExpiredFor(now), func(wanted func(serverID string) bool) []dispatch.View {
+		l.node.peers.replyViews(state, l.term.Load(), l.lease.ExpiredFor(now), func(wanted func(serverID string) bool) []dispatch.View {
 			return withDigests(l.core.ViewsOf(now, wanted))
 		})
 	}
@@ -323,17 +323,17 @@
 // withDigests gives views their digests.
 func withDigests(views []dispatch.View) []dispatch.View {
 	for i := range views {
-		views[i].Digest = digest(views[i].ServerID, signature(views[i]))
+		views[i].Digest = viewDigest(views[i].ServerID, viewSignature(views[i]))
 	}
 	return views
 }
 
-// ownCounts takes this node's own counts as those of any other.
-func (l *leader) ownCounts(now time.Time) {
-	l.demand.SetCounts(now, l.node.options.PeerAddress, l.node.peers.life, countsOf(l.node.peers.wanted(now, wantedAge), l.node.options.Topology.Region(l.node.options.Zone)))
+// countOwnDemand takes this node's own counts as those of any other.
+func (l *leader) countOwnDemand(now time.Time) {
+	l.demand.SetCounts(now, l.node.options.PeerAddress, l.node.peers.incarnation, decodeCounts(l.node.peers.recentDemand(now, demandWindow), l.node.options.Topology.Region(l.node.options.Zone)))
 }
 
-func (l *leader) order(ctx context.Context, order placer.Order) {
+func (l *leader) sendOrder(ctx context.Context, order placer.Order) {
 	term := l.term.Load()
 	core := l.core
 	started := clock.Now()
@@ -343,18 +343,18 @@
 		result, hint := placer.ResultNotSent, inventory.Hint{}
 		if admitted.Granted {
 			result, hint = l.node.options.Engines.Order(ctx, order, l.node.options.Name, term, func() time.Duration {
-				if !l.mayCall(order.Start(), admitted) {
+				if !l.mayCallServer(order.Start(), admitted) {
 					return 0
 				}
-				return l.orderTime(term, zone)
+				return l.orderTimeout(term, zone)
 			})
 		}
 		if result == placer.ResultNotSent {
 			l.node.admissions.ReturnGrant(order.Start(), admitted)
 		}
-		l.node.hints.receiveCall(order.Start(), hint, hintFromOrder)
-		l.call(ctx, func() {
-			withLimit(l.node.options.Logger.Info(), hint).Int64("term", term).Str("server", order.ServerID).
+		l.node.hints.receiveFromCall(order.Start(), hint, hintFromOrder)
+		l.deliver(ctx, func() {
+			addLimit(l.node.options.Logger.Info(), hint).Int64("term", term).Str("server", order.ServerID).
 				Str("operation", order.Operation.String()).Str("model", order.Model).Str("adapter", order.Adapter).
 				Int64("expected", order.ExpectedSequence).Str("source", order.Source.String()).Str("reason", order.Reason).
 				Str("result", result.String()).Int64("took_ms", clock.Since(started).Milliseconds()).
@@ -368,17 +368,17 @@
 	}()
 }
 
-// withLimit adds the rate limit that an answer names to a line.
-func withLimit(entry *log.Entry, hint inventory.Hint) *log.Entry {
+// addLimit adds the rate limit that an answer names to a line.
+func addLimit(entry *log.Entry, hint inventory.Hint) *log.Entry {
 	if hint.Limit.IsSet() {
 		entry.Float64("server_limit", hint.Limit.PerSecond)
 	}
 	return entry
 }
 
-// mayCall reports whether a call of the system itself may leave for the server now, which was
+// mayCallServer reports whether a call of the system itself may leave for the server now, which was
 // admitted: the server does not rest, and named no rate limit meanwhile that the verdict lacks.
-func (l *leader) mayCall(start inventory.Start, admitted relay.AdmissionDecision) (may bool) {
+func (l *leader) mayCallServer(start inventory.Start, admitted relay.AdmissionDecision) (may bool) {
 	now := clock.Now()
 	l.node.dispatch.Do(func(core *dispatch.Core) {
 		_, isLimited := core.RateLimit(start)
@@ -387,19 +387,19 @@
 	return may
 }
 
-func (l *leader) report(ctx context.Context, call placer.ReportRequest) {
+func (l *leader) fetchReport(ctx context.Context, call placer.ReportRequest) {
 	core := l.core
 	go func() {
-		report, err := placer.Report{}, errServerRests
+		report, err := placer.Report{}, errCallNotAdmitted
 		admitted := l.node.admissions.AdmitInternalCall(ctx, call.Start())
-		if l.mayCall(call.Start(), admitted) {
+		if l.mayCallServer(call.Start(), admitted) {
 			report, err = l.node.options.Engines.FetchReport(ctx, call)
-			l.node.hints.receiveCall(call.Start(), report.Hint, hintFromReport)
+			l.node.hints.receiveFromCall(call.Start(), report.Hint, hintFromReport)
 		} else if admitted.Granted {
 			l.node.admissions.ReturnGrant(call.Start(), admitted)
 		}
-		l.call(ctx, func() {
-			withLimit(l.node.options.Logger.Info(), report.Hint).Str("server", call.ServerID).Int64("sequence", report.Sequence).
+		l.deliver(ctx, func() {
+			addLimit(l.node.options.Logger.Info(), report.Hint).Str("server", call.ServerID).Int64("sequence", report.Sequence).
 				Bool("busy", report.Busy).Int("models", len(report.Models)).Bool("ok", err == nil).Msg("report_read")
 			core.HandleReport(clock.Now(), call.ServerID, report, err == nil)
 		})
@@ -410,53 +410,53 @@
 // there are, the more rarely, so that its cost a second stays the same.
 func (l *leader) publish(now time.Time) {
 	nodes := time.Duration(l.node.peers.count())
-	quiet, busy := max(gossipPeriod, nodes*publishCost), max(viewPeriod, nodes*publishCost/4)
-	due := now.Sub(l.toldAt)
-	if due < busy || (!l.changed && due < quiet) {
+	quiet, busy := max(gossipPeriod, nodes*publishCostPerNode), max(minPublishInterval, nodes*publishCostPerNode/4)
+	sincePublished := now.Sub(l.publishedAt)
+	if sincePublished < busy || (!l.viewsChanged && sincePublished < quiet) {
 		return
 	}
-	l.changed = false
-	l.toldAt = now
+	l.viewsChanged = false
+	l.publishedAt = now
 	views := withDigests(l.core.Views(now))
 	term := l.term.Load()
-	lapsed, orderIn := l.lease.ExpiredFor(now), l.orderIn()
+	expiredFor, untilFirstOrder := l.lease.ExpiredFor(now), l.untilFirstOrder()
 	l.node.dispatch.Do(func(core *dispatch.Core) {
 		core.SetViews(now, term, views)
-		core.SetLeader(now, term, lapsed > 0, orderIn)
+		core.SetLeader(now, term, expiredFor > 0, untilFirstOrder)
 	})
-	l.node.peers.forgetViews(l.core.HasServer)
-	l.changed = l.node.peers.tellViews(term, lapsed, views, l.busiest(now))
+	l.node.peers.pruneViews(l.core.HasServer)
+	l.viewsChanged = l.node.peers.publishViews(term, expiredFor, views, l.publishedLoads(now))
 }
 
-// loadsPeriod is the least time between two tellings of the busiest servers: their loads are
+// loadsPublishPeriod is the least time between two tellings of the busiest servers: their loads are
 // smoothed over a second, and took most of the bytes that the leader sent when they were in
 // each datagram.
-const loadsPeriod = 400 * time.Millisecond
+const loadsPublishPeriod = 400 * time.Millisecond
 
-// busiestTold is the number of servers whose loads the leader tells, as many as go
+// maxPublishedLoads is the number of servers whose loads the leader tells, as many as go
 // into a datagram.
-const busiestTold = 48
+const maxPublishedLoads = 48
 
-// busiest are the busiest servers, where nodes hear of each other's requests too
+// publishedLoads are the publishedLoads servers, where nodes hear of each other's requests too
 // rarely to know them; they are in force here, too.
-func (l *leader) busiest(now time.Time) []dispatch.PeerLoad {
-	if l.node.peers.count() <= loadedNodes || now.Sub(l.loadsToldAt) < loadsPeriod {
+func (l *leader) publishedLoads(now time.Time) []dispatch.PeerLoad {
+	if l.node.peers.count() <= maxLoadSharingNodes || now.Sub(l.loadsPublishedAt) < loadsPublishPeriod {
 		return nil
 	}
-	l.loadsToldAt = now
-	loads := l.loads.Busiest(busiestTold)
+	l.loadsPublishedAt = now
+	loads := l.loads.Busiest(maxPublishedLoads)
 	l.node.dispatch.Do(func(core *dispatch.Core) { core.SetFleetLoads(now, l.term.Load(), loads) })
 	return loads
 }
 
-// placementPeriod is the time between two lines on where models stand.
-const placementPeriod = 2 * time.Second
+// placementLogPeriod is the time between two lines on where models stand.
+const placementLogPeriod = 2 * time.Second
 
 func (l *leader) logPlacement(now time.Time) {
-	if now.Sub(l.loggedAt) < placementPeriod {
+	if now.Sub(l.placementLoggedAt) < placementLogPeriod {
 		return
 	}
-	l.loggedAt = now
+	l.placementLoggedAt = now
 	for _, placed := range l.core.Summaries(now) {
 		l.node.options.Logger.Info().Int64("term", l.term.Load()).Str("service", placed.Service).
 			Int("servers", placed.Servers).Int("known", placed.Known).Int("copies", placed.Copies).
@@ -466,6 +466,6 @@
 	}
 }
 
-// publishCost is the time between two datagrams of the leader's to one node for
+// publishCostPerNode is the time between two datagrams of the leader's to one node for
 // each node that there is.
-const publishCost = 2 * time.Millisecond
+const publishCostPerNode = 2 * time.Millisecond
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -32,16 +32,16 @@
 	node := newCandidate(t)
 	leader := node.leader
 	leader.lease.ObserveAbsent(leader.started, leader.started, 0)
-	if leader.isCandidate(leader.started.Add(firstEver - time.Millisecond)) {
+	if leader.isCandidate(leader.started.Add(initialLeaseDelay - time.Millisecond)) {
 		t.Error("a candidate for a lease that nobody ever had, before nodes know each other")
 	}
-	leader.isCandidate(leader.started.Add(firstEver))
-	if !leader.isCandidate(leader.started.Add(firstEver + time.Second)) {
+	leader.isCandidate(leader.started.Add(initialLeaseDelay))
+	if !leader.isCandidate(leader.started.Add(initialLeaseDelay + time.Second)) {
 		t.Error("no candidate though it is alone")
 	}
 	leader = newCandidate(t).leader
 	leader.lease.Observe(leader.started, leader.started, storelease.Record{Holder: "other", Position: storepos.At(0, 3)})
-	if !leader.isCandidate(leader.started.Add(firstCandidacy + time.Millisecond)) {
+	if !leader.isCandidate(leader.started.Add(candidacyDelay + time.Millisecond)) {
 		t.Error("the wait for the very first lease holds up a later one")
 	}
 }
@@ -56,10 +56,10 @@
 		node.peers.roster.Observe(now.Add(after), &peerpb.NodeState{
 			Node: "strong", Address: "126.0.0.1:1", Life: 1, Sequence: uint64(after) + 1, Strength: strongStrength,
 		})
-		return leader.yields(now.Add(after))
+		return leader.shouldYield(now.Add(after))
 	}
 	yieldedAt := time.Duration(0)
-	for after := time.Duration(0); after <= 20*time.Second; after += yieldPeriod {
+	for after := time.Duration(0); after <= 20*time.Second; after += yieldCheckPeriod {
 		if !look(after) {
 			continue
 		}
@@ -68,14 +68,14 @@
 		}
 		yieldedAt = after
 	}
-	if yieldedAt < yieldAfter || yieldedAt > yieldAfter+2*yieldPeriod {
-		t.Errorf("yields after %v, want about %v", yieldedAt, yieldAfter)
+	if yieldedAt < yieldDelay || yieldedAt > yieldDelay+2*yieldCheckPeriod {
+		t.Errorf("yields after %v, want about %v", yieldedAt, yieldDelay)
 	}
 	leader.lease.Observe(now, now, storelease.Record{Holder: node.options.Name, Position: storepos.At(0, 3)})
-	if leader.isCandidate(now.Add(yieldedAt + yieldTime - time.Millisecond)) {
+	if leader.isCandidate(now.Add(yieldedAt + yieldStandDown - time.Millisecond)) {
 		t.Error("takes the lease back at once")
 	}
-	if !leader.isCandidate(now.Add(yieldedAt + yieldTime + time.Millisecond)) {
+	if !leader.isCandidate(now.Add(yieldedAt + yieldStandDown + time.Millisecond)) {
 		t.Error("leaves the fleet without a leader where the stronger one does not lead")
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -18,16 +18,16 @@
 // metrics are the figures of a node, in the Prometheus text form. Counters that
 // others keep are read when they are asked for.
 type metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.HistogramVec
-	orders   *prometheus.CounterVec
-	hints    *prometheus.CounterVec
-	store    *prometheus.CounterVec
-	storeLag prometheus.Histogram
-	leftOut  *prometheus.CounterVec
-	// eraChanges counts that the store came back from a copy, doubtfulEras answers whose era is
+	registry          *prometheus.Registry
+	requests          *prometheus.HistogramVec
+	orders            *prometheus.CounterVec
+	hints             *prometheus.CounterVec
+	storeCalls        *prometheus.CounterVec
+	storeWriteLatency prometheus.Histogram
+	staleAnswers      *prometheus.CounterVec
+	// eraChanges counts that the store came back from a copy, invalidEras answers whose era is
 	// not believed.
-	eraChanges, doubtfulEras prometheus.Counter
+	eraChanges, invalidEras prometheus.Counter
 }
 
 const metricsPrefix = "spanlanding_edge_"
@@ -42,10 +42,10 @@
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: metricsPrefix + "orders_total", Help: "Orders given to servers, by their answer.",
 		}, []string{"operation", "result"}),
-		store: prometheus.NewCounterVec(prometheus.CounterOpts{
+		storeCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: metricsPrefix + "store_calls_total", Help: "Calls to the object store; status 0 is no answer.",
 		}, []string{"method", "kind", "status"}),
-		storeLag: prometheus.NewHistogram(prometheus.HistogramOpts{
+		storeWriteLatency: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: metricsPrefix + "store_write_seconds", Help: "Time of writes to the object store.",
 			Buckets: []float64{0.005, 0.02, 0.1, 0.5, 2},
 		}),
@@ -53,16 +53,16 @@
 	m.hints = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: metricsPrefix + "server_words_total", Help: "What servers told of themselves with answers, by where it was heard.",
 	}, []string{"word", "from"})
-	m.leftOut = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.staleAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: metricsPrefix + "store_answers_left_out_total", Help: "Answers of the object store that changed nothing, as older than what is known.",
 	}, []string{"kind", "from"})
 	m.eraChanges = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: metricsPrefix + "store_era_changes_total", Help: "Times that the object store came back from a copy.",
 	})
-	m.doubtfulEras = prometheus.NewCounter(prometheus.CounterOpts{
+	m.invalidEras = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: metricsPrefix + "store_eras_doubtful_total", Help: "Answers of the object store whose era is not believed.",
 	})
-	m.registry.MustRegister(m.requests, m.orders, m.hints, m.store, m.storeLag, m.leftOut, m.eraChanges, m.doubtfulEras)
+	m.registry.MustRegister(m.requests, m.orders, m.hints, m.storeCalls, m.storeWriteLatency, m.staleAnswers, m.eraChanges, m.invalidEras)
 	m.gauges(node)
 	m.counters(node)
 	return m
@@ -89,17 +89,17 @@
 		}
 		return 0
 	})
-	m.gauge("ready", "1 while the node says that it is ready.", func() float64 { return oneIf(node.isReady()) })
-	m.gauge("store_failing", "1 while the last call to the store failed.", func() float64 { return oneIf(node.storeFailing.Load()) })
+	m.gauge("ready", "1 while the node says that it is ready.", func() float64 { return boolValue(node.isReady()) })
+	m.gauge("store_failing", "1 while the last call to the store failed.", func() float64 { return boolValue(node.storeFailing.Load()) })
 	m.gauge("config_confirmed_seconds", "Time since some node's call to the store confirmed the configuration in force; -1 is never.", confirmedSeconds(&node.configConfirmed))
 	m.gauge("servers_confirmed_seconds", "The same for the servers known.", confirmedSeconds(&node.serversConfirmed))
 	m.gauge("evacuations_confirmed_seconds", "The same for the evacuated zones.", confirmedSeconds(&node.evacuations.confirmed))
 	m.gauge("servers_awaiting_rewrite", "Servers of which an entry is kept that the store lost.", func() float64 {
-		return float64(node.directory.awaiting(clock.Now()))
+		return float64(node.directory.countEarlierEra(clock.Now()))
 	})
 	m.gauge("zones_evacuated", "Zones to whose servers nothing new is sent.", func() float64 { return float64(len(node.evacuations.zones())) })
 	m.gauge("lease_term", "Fencing token while this node holds the lease, else 0.", func() float64 {
-		term, _ := node.leader.standing()
+		term, _ := node.leader.leadership()
 		return float64(term)
 	})
 	m.gauge("peers_alive", "Other nodes heard from lately.", func() float64 {
@@ -117,9 +117,9 @@
 	}
 }
 
-func confirmedSeconds(known *confirmation) func() float64 {
+func confirmedSeconds(confirmed *confirmation) func() float64 {
 	return func() float64 {
-		age, ok := known.age(clock.Now())
+		age, ok := confirmed.age(clock.Now())
 		if !ok {
 			return -1
 		}
@@ -127,29 +127,29 @@
 	}
 }
 
-func oneIf(holds bool) float64 {
-	if holds {
+func boolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
 func (m *metrics) counters(node *Node) {
-	counts := &node.handler.Metrics
-	m.counter("repeats_total", "Requests sent to a server again.", counts.Retries.Load)
-	m.counter("resumed_total", "Streams taken up at another server.", counts.Resumed.Load)
-	m.counter("rejected_total", "Sends that a server did not run.", counts.Rejected.Load)
-	m.counter("budget_empty_total", "Requests given up for want of a repeat.", counts.BudgetEmpty.Load)
-	m.counter("dial_failures_total", "Connections to servers that did not come up.", counts.DialFailures.Load)
+	handlerMetrics := &node.handler.Metrics
+	m.counter("repeats_total", "Requests sent to a server again.", handlerMetrics.Retries.Load)
+	m.counter("resumed_total", "Streams taken up at another server.", handlerMetrics.Resumed.Load)
+	m.counter("rejected_total", "Sends that a server did not run.", handlerMetrics.Rejected.Load)
+	m.counter("budget_empty_total", "Requests given up for want of a repeat.", handlerMetrics.BudgetEmpty.Load)
+	m.counter("dial_failures_total", "Connections to servers that did not come up.", handlerMetrics.DialFailures.Load)
 	m.counter("connections_total", "Connections opened to servers.", node.pool.DialCount)
-	m.counter("requests_blamed_total", "Requests of this node under which servers ended.", node.suspects.blamed.Load)
+	m.counter("requests_blamed_total", "Requests of this node under which servers ended.", node.suspects.reportedCrashes.Load)
 	m.counter("requests_barred_total", "Requests that this node learned to bar, as they end each server that runs them.", node.suspects.barred.Load)
 	m.counter("barred_refused_total", "Times that barred requests were refused.", node.handler.Metrics.BarredRefused.Load)
-	m.counter("region_refused_total", "Requests refused as their regions have no server, or meet nowhere.", counts.RegionRefused.Load)
+	m.counter("region_refused_total", "Requests refused as their regions have no server, or meet nowhere.", handlerMetrics.RegionRefused.Load)
 	m.gauge("requests_barred", "Requests that are barred now.", func() float64 { return float64(node.suspects.count()) })
 	m.counter("quota_granted_total", "Requests of limited tenants within their quota.", node.quotas.granted.Load)
 	m.counter("quota_refused_total", "Requests refused as beyond their tenant's quota.", node.quotas.refused.Load)
-	m.counter("quota_alone_total", "Requests decided without a coordinator of quotas.", node.quotas.alone.Load)
+	m.counter("quota_alone_total", "Requests decided without a coordinator of quotas.", node.quotas.uncoordinated.Load)
 	m.counter("quota_unanswered_total", "Questions to coordinators of quotas without an answer.", node.quotas.unanswered.Load)
 	m.gauge("servers_cold", "Servers that bear little yet, as they have just started or come back.", func() float64 {
 		count := 0
@@ -158,15 +158,15 @@
 	})
 	m.counter("cold_admitted_total", "Sends to cold servers that were granted.", node.admissions.admitted.Load)
 	m.counter("limited_admitted_total", "Sends to servers that name a rate limit that were granted.", node.admissions.limitedAdmitted.Load)
-	m.counter("limited_given_back_total", "Grants of such sends that were not used.", node.admissions.givenBack.Load)
+	m.counter("limited_given_back_total", "Grants of such sends that were not used.", node.admissions.returnedGrants.Load)
 	m.counter("cold_held_total", "Times that a send was held back at a cold or limited server.", node.handler.Metrics.ColdHeld.Load)
-	m.counter("cold_alone_total", "Sends to cold servers decided without a coordinator.", node.admissions.alone.Load)
-	for what := range trafficKinds {
-		m.counter("peer_"+what.String()+"_bytes_total", "Bytes sent to peers: "+what.String()+".", func() int64 { return node.peers.sentBytes.of(what) })
+	m.counter("cold_alone_total", "Sends to cold servers decided without a coordinator.", node.admissions.uncoordinated.Load)
+	for kind := range trafficKindCount {
+		m.counter("peer_"+kind.String()+"_bytes_total", "Bytes sent to peers: "+kind.String()+".", func() int64 { return node.peers.sentBytes.byKind(kind) })
 	}
 	for distance := range locality.DistanceCount {
-		m.counter("peer_"+distance.String()+"_bytes_total", "Bytes sent to peers there.", func() int64 { return node.peers.sentBytes.to(distance) })
-		m.counter("servers_"+distance.String()+"_bytes_total", "Bytes of bodies to and from servers there.", counts.ServerBytes[distance].Load)
+		m.counter("peer_"+distance.String()+"_bytes_total", "Bytes sent to peers there.", func() int64 { return node.peers.sentBytes.byDistance(distance) })
+		m.counter("servers_"+distance.String()+"_bytes_total", "Bytes of bodies to and from servers there.", handlerMetrics.ServerBytes[distance].Load)
 	}
 	m.counter("server_fields_unread_total", "Answers with a field by which a server tells of itself and which nodes do not read.", node.hints.unreadCount.Load)
 	m.counter("datagrams_unreadable_total", "Datagrams of peers dropped as they could not be read.", func() int64 { return node.peers.unreadable.Load() })
@@ -183,29 +183,29 @@
 	n.options.Logger.Info().Str("method", call.Method).Str("kind", call.Kind).Int("status", call.Status).
 		Str("era", call.Era).Str("from", call.FromRevision).Int64("at", call.AtRevision).
 		Int64("took_ms", call.Duration.Milliseconds()).Bool("sentinel", n.peers.isSentinel()).Msg("store_call")
-	n.followEra(call)
-	n.metrics.store.WithLabelValues(call.Method, call.Kind, strconv.Itoa(call.Status)).Inc()
+	n.trackEra(call)
+	n.metrics.storeCalls.WithLabelValues(call.Method, call.Kind, strconv.Itoa(call.Status)).Inc()
 	if call.Method != http.MethodGet {
-		n.metrics.storeLag.Observe(call.Duration.Seconds())
+		n.metrics.storeWriteLatency.Observe(call.Duration.Seconds())
 	}
 }
 
-// followEra logs and counts the eras that the store names.
-func (n *Node) followEra(call storecall.Call) {
+// trackEra logs and counts the eras that the store names.
+func (n *Node) trackEra(call storecall.Call) {
 	if call.Status == 0 {
 		return
 	}
 	if call.EraError != nil {
-		n.metrics.doubtfulEras.Inc()
+		n.metrics.invalidEras.Inc()
 		n.options.Logger.Warn().Str("kind", call.Kind).Str("era", call.Era).Str("error", call.EraError.Error()).Msg("store_era_doubtful")
 		return
 	}
-	before := n.storeEra.Swap(&call.Era)
-	if before == nil || *before == call.Era {
+	previous := n.storeEra.Swap(&call.Era)
+	if previous == nil || *previous == call.Era {
 		return
 	}
 	n.metrics.eraChanges.Inc()
-	n.options.Logger.Warn().Str("before", *before).Str("era", call.Era).Str("kind", call.Kind).Int64("at", call.AtRevision).Msg("store_era_changed")
+	n.options.Logger.Warn().Str("before", *previous).Str("era", call.Era).Str("kind", call.Kind).Int64("at", call.AtRevision).Msg("store_era_changed")
 }
 
 func (m *metrics) order(order placer.Order, result placer.Result) {
--- a/internal/edge/news_bench_test.go
+++ b/internal/edge/news_bench_test.go
@@ -15,22 +15,22 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// benchServers, benchLoads and periodsASecond are the size of a fleet of today, and
+// benchServers, benchLoads and periodsPerSecond are the size of a fleet of today, and
 // what one of its nodes has under way.
 const (
-	benchServers   = 166
-	benchLoads     = 4
-	periodsASecond = int(time.Second / gossipPeriod)
+	benchServers     = 166
+	benchLoads       = 4
+	periodsPerSecond = int(time.Second / gossipPeriod)
 )
 
-// newsOfNode is one node's datagram.
-func newsOfNode(b *testing.B, node *Node, index int, sequence uint64) []byte {
+// nodeDatagram is one node's datagram.
+func nodeDatagram(b *testing.B, node *Node, index int, sequence uint64) []byte {
 	b.Helper()
 	state := &peerpb.NodeState{
 		Node: fmt.Sprint("node-", index), Address: benchAddress(index), Life: 5, Sequence: sequence,
 		Strength: 192, ConfigVersion: 7, ConfigAgeMs: 300, ServersAgeMs: 300,
 	}
-	digest, at := node.directory.standing()
+	digest, at := node.directory.digestAndPosition()
 	state.ServersDigest, state.ServersRevision = digest, at.Revision
 	for load := range benchLoads {
 		state.Loads = append(state.Loads, &peerpb.ServerLoad{Server: fmt.Sprint("server-", (index*7+load)%benchServers), Running: 1, PendingTokens: 100})
@@ -64,15 +64,15 @@
 			for i := range benchServers {
 				servers = append(servers, inventory.Server{ID: fmt.Sprint("server-", i), Service: "s", Address: benchAddress(i), Position: storepos.At(0, 3), Slots: 64})
 			}
-			node.listPeerServers(servers, storepos.At(0, 4))
+			node.applyPeerServerList(servers, storepos.At(0, 4))
 			node.leader.lease.Observe(clock.Now(), clock.Now(), storelease.Record{Holder: "other", Position: storepos.At(0, 3)})
 			before := heapBytes()
 			sequence := uint64(1)
 			for i := range nodes {
-				node.peers.takeDatagram(newsOfNode(b, node, i, sequence))
+				node.peers.handleDatagram(nodeDatagram(b, node, i, sequence))
 			}
 			after := heapBytes()
-			datagrams := make([][]byte, 0, periodsASecond*(gossipFanout+1))
+			datagrams := make([][]byte, 0, periodsPerSecond*(gossipFanout+1))
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -80,11 +80,11 @@
 				sequence++
 				datagrams = datagrams[:0]
 				for i := range cap(datagrams) {
-					datagrams = append(datagrams, newsOfNode(b, node, int(sequence)*31*i%nodes, sequence*100+uint64(i)))
+					datagrams = append(datagrams, nodeDatagram(b, node, int(sequence)*31*i%nodes, sequence*100+uint64(i)))
 				}
 				b.StartTimer()
 				for i, datagram := range datagrams {
-					node.peers.takeDatagram(datagram)
+					node.peers.handleDatagram(datagram)
 					if i%(gossipFanout+1) == 0 {
 						node.peers.tick()
 						node.leader.drainInbox()
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -109,17 +109,17 @@
 
 // Node is one process.
 type Node struct {
-	options  Options
-	dispatch *dispatch.Shared
-	pool     *backendconn.Pool
-	handler  *relay.Handler
-	peers    *peers
-	leader   *leader
-	metrics  *metrics
-	callers  *callers
-	quotas   *quotas
-	suspects *suspects
-	hints    *serverHints
+	options     Options
+	dispatch    *dispatch.Shared
+	pool        *backendconn.Pool
+	handler     *relay.Handler
+	peers       *peers
+	leader      *leader
+	metrics     *metrics
+	callerConns *callerConns
+	quotas      *quotas
+	suspects    *suspects
+	hints       *serverHints
 	// admissions keeps what is sent to servers below what they bear.
 	admissions *admissions
 	// evacuations are the zones to whose servers nothing new is sent.
@@ -135,60 +135,60 @@
 	serversConfirmed confirmation
 
 	// Nudges end a watch that seems to have missed something.
-	configNudge  chan struct{}
-	serversNudge chan struct{}
-	directory    *directory
-	configLag    configLag
-	lapses       lapses
-
-	grace        atomic.Int64
-	storeFailing atomic.Bool
-	// failingFrom is when, from the start on, storeFailing was set last.
-	failingFrom atomic.Int64
-	hasServers  atomic.Bool
-	// relistServers is set where the list of servers is to be read whole: a nudge alone may
+	configRefresh  chan struct{}
+	serversRefresh chan struct{}
+	directory      *directory
+	configLag      configLag
+	expiryGrace    expiryGrace
+
+	gracePeriodNanos atomic.Int64
+	storeFailing     atomic.Bool
+	// failingSince is when, from the start on, storeFailing was set last.
+	failingSince atomic.Int64
+	hasServers   atomic.Bool
+	// reloadServers is set where the list of servers is to be read whole: a nudge alone may
 	// fall into a rest between two calls for changes, which it only ends.
-	relistServers atomic.Bool
-	// asked is set once a caller came that the node knew too little to answer.
-	asked    atomic.Bool
-	stopping atomic.Bool
-	// peersAsked is set once this node has asked the seeds for what they know: the store may have
+	reloadServers atomic.Bool
+	// callerWaiting is set once a caller came that the node knew too little to answer.
+	callerWaiting atomic.Bool
+	stopping      atomic.Bool
+	// seedsQueried is set once this node has asked the seeds for what they know: the store may have
 	// come back from a copy that is behind them.
-	peersAsked atomic.Bool
+	seedsQueried atomic.Bool
 	// storeEra is what the store last named.
 	storeEra atomic.Pointer[string]
 }
 
-// usualApplyWithin is taken where no bound is told.
-const usualApplyWithin = 2 * time.Second
+// defaultApplyWithin is taken where no bound is told.
+const defaultApplyWithin = 2 * time.Second
 
 // New returns a node; Run starts it.
 func New(options Options) *Node {
 	if options.ApplyWithin <= 0 {
-		options.ApplyWithin = usualApplyWithin
+		options.ApplyWithin = defaultApplyWithin
 	}
 	if options.PeerListenAddress == "" {
 		options.PeerListenAddress = options.PeerAddress
 	}
-	spread := restartSpread
+	readSpread := restartReadSpread
 	if options.IsBootstrap {
-		spread = firstReadSpread
+		readSpread = bootstrapReadSpread
 	}
 	node := &Node{
-		options:  options,
-		dispatch: dispatch.NewShared(dispatch.Options{Zone: options.Zone, Topology: options.Topology, Seed: rand.Uint64()}),
-		pool:     options.Pool,
-		callers:  newCallers(),
+		options:     options,
+		dispatch:    dispatch.NewShared(dispatch.Options{Zone: options.Zone, Topology: options.Topology, Seed: rand.Uint64()}),
+		pool:        options.Pool,
+		callerConns: newCallerConns(),
 
 		started:   clock.Now(),
-		firstRead: rand.N(spread),
+		firstRead: rand.N(readSpread),
 
-		configNudge:  make(chan struct{}, 1),
-		serversNudge: make(chan struct{}, 1),
-		directory:    newDirectory(),
+		configRefresh:  make(chan struct{}, 1),
+		serversRefresh: make(chan struct{}, 1),
+		directory:      newDirectory(),
 	}
-	node.peersAsked.Store(len(options.Tunables.PeerSeeds) == 0)
-	node.grace.Store(int64(options.Tunables.GracePeriod))
+	node.seedsQueried.Store(len(options.Tunables.PeerSeeds) == 0)
+	node.gracePeriodNanos.Store(int64(options.Tunables.GracePeriod))
 	node.leader = newLeader(node)
 	node.snapshots = newSnapshots(node)
 	node.quotas = newQuotas(node, options.QuotaTolerance, options.IsBootstrap)
@@ -202,18 +202,18 @@
 		Pool:      node.pool,
 		Budget:    options.Tunables.RetryBudget,
 		Logger:    options.Logger,
-		OnWaiting: func() { node.peers.tellWanted() },
+		OnWaiting: func() { node.peers.sendWaitingDemand() },
 		Quotas:    node.quotas,
 		Suspects:  node.suspects,
 		OnHint: func(start inventory.Start, hint inventory.Hint) {
-			node.hints.passOn(start, hint, hintFromAnswer)
+			node.hints.propagate(start, hint, hintFromAnswer)
 		},
-		OnUnreadField: node.hints.noteUnread,
+		OnUnreadField: node.hints.recordUnreadField,
 
 		Admission: node.admissions,
 
-		IsReady:    node.knowsEnough,
-		AwaitReady: node.awaitKnowledge,
+		IsReady:    node.hasRequiredState,
+		AwaitReady: node.awaitRequiredState,
 	})
 	node.metrics = newMetrics(node)
 	node.handler.OnFinished = func(route, outcome string, took time.Duration) {
@@ -224,14 +224,14 @@
 
 // UpdateTunables puts other tunables in force.
 func (n *Node) UpdateTunables(tunables Tunables) {
-	n.grace.Store(int64(tunables.GracePeriod))
+	n.gracePeriodNanos.Store(int64(tunables.GracePeriod))
 	n.handler.SetBudget(tunables.RetryBudget)
 	if n.peers != nil {
 		n.peers.addSeeds(tunables.PeerSeeds)
 	}
 }
 
-func (n *Node) stopTime() time.Duration { return time.Duration(n.grace.Load()) }
+func (n *Node) gracePeriod() time.Duration { return time.Duration(n.gracePeriodNanos.Load()) }
 
 // Run serves until stop ends, and then until what is under way has ended.
 func (n *Node) Run(stop context.Context) error {
@@ -246,7 +246,7 @@
 	if n.peers, err = newPeers(n); err != nil {
 		return err
 	}
-	answers, err := net.Listen("tcp", n.options.PeerListenAddress)
+	peerListener, err := net.Listen("tcp", n.options.PeerListenAddress)
 	if err != nil {
 		return err
 	}
@@ -260,7 +260,7 @@
 	if err := n.serveMetrics(group); err != nil {
 		return err
 	}
-	group.Go(func() error { return n.snapshots.serve(ctx, answers) })
+	group.Go(func() error { return n.snapshots.serve(ctx, peerListener) })
 	group.Go(func() error { n.snapshots.run(ctx); return nil })
 	group.Go(func() error { n.followConfiguration(ctx); return nil })
 	group.Go(func() error { n.followServers(ctx); return nil })
@@ -290,19 +290,19 @@
 const (
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = 10 * time.Second
-	// callerIdleTime bounds rest until a configuration tells less.
-	callerIdleTime = 2 * time.Minute
-	// restSlack is added to the bound: callers take connections up within it.
-	restSlack = time.Second
+	// defaultIdleTimeout bounds rest until a configuration tells less.
+	defaultIdleTimeout = 2 * time.Minute
+	// idleSlack is added to the bound: callers take connections up within it.
+	idleSlack = time.Second
 )
 
 func (n *Node) callerServer() *http.Server {
 	return &http.Server{
-		Handler:           n.callers.guard(n.handler),
+		Handler:           n.callerConns.rejectClosed(n.handler),
 		ReadHeaderTimeout: defaultHeaderTimeout,
-		IdleTimeout:       callerIdleTime,
+		IdleTimeout:       defaultIdleTimeout,
 		MaxHeaderBytes:    defaultMaxHeaderBytes,
-		ConnState:         n.callers.changed,
+		ConnState:         n.callerConns.onConnState,
 		ConnContext:       withConn,
 	}
 }
@@ -336,60 +336,60 @@
 }
 
 func (n *Node) isReady() bool {
-	hasAsked := n.peersAsked.Load() || clock.Since(n.started) > longestPeersAsk
-	return n.knowsEnough() && hasAsked && !n.stopping.Load()
+	seedsQueried := n.seedsQueried.Load() || clock.Since(n.started) > maxSeedsWait
+	return n.hasRequiredState() && seedsQueried && !n.stopping.Load()
 }
 
-// longestPeersAsk is how long a node that started waits for the answers of its seeds.
-const longestPeersAsk = time.Second
+// maxSeedsWait is how long a node that started waits for the answers of its seeds.
+const maxSeedsWait = time.Second
 
-// knowsEnough reports whether callers can be answered.
-func (n *Node) knowsEnough() bool {
-	return n.handler.Table() != nil && n.hasServers.Load() && n.evacuations.areKnown()
+// hasRequiredState reports whether callers can be answered.
+func (n *Node) hasRequiredState() bool {
+	return n.handler.Table() != nil && n.hasServers.Load() && n.evacuations.isInitialized()
 }
 
-// knowledgeCheck is the time between looks whether the node knows enough.
-const knowledgeCheck = 5 * time.Millisecond
+// stateCheckPeriod is the time between looks whether the node knows enough.
+const stateCheckPeriod = 5 * time.Millisecond
 
-// awaitKnowledge waits until the node knows enough to answer a caller, the store fails
+// awaitRequiredState waits until the node knows enough to answer a caller, the store fails
 // or ctx ends. A node that a caller waits for asks the store at once.
-func (n *Node) awaitKnowledge(ctx context.Context) {
-	n.asked.Store(true)
-	for !n.knowsEnough() && !n.storeFailing.Load() && ctx.Err() == nil {
-		sleep(ctx, knowledgeCheck)
+func (n *Node) awaitRequiredState(ctx context.Context) {
+	n.callerWaiting.Store(true)
+	for !n.hasRequiredState() && !n.storeFailing.Load() && ctx.Err() == nil {
+		sleep(ctx, stateCheckPeriod)
 	}
 }
 
 const (
-	// entryNotices is how long new connections still come after the node says
+	// entryDrainDelay is how long new connections still come after the node says
 	// that it is not ready. A request on a kept connection that comes later
 	// might not end within the grace.
-	entryNotices = 2600 * time.Millisecond
+	entryDrainDelay = 2600 * time.Millisecond
 	// stopMargin is left before the process is killed.
 	stopMargin = 300 * time.Millisecond
-	// waitMargin is left for what has no server yet, so that it is refused and
+	// refusalMargin is left for what has no server yet, so that it is refused and
 	// not cut.
-	waitMargin  = 1200 * time.Millisecond
-	sweepPeriod = time.Second
-	// drainPeriod is the time between looks at what is still under way.
-	drainPeriod = 25 * time.Millisecond
+	refusalMargin = 1200 * time.Millisecond
+	sweepPeriod   = time.Second
+	// drainCheckPeriod is the time between looks at what is still under way.
+	drainCheckPeriod = 25 * time.Millisecond
 )
 
 // drain serves on while callers may still come, closes the connections that
 // rest then, and waits for what is under way, at the most for the grace.
 func (n *Node) drain(server *http.Server, frontend net.Listener) {
-	deadline := clock.Now().Add(n.stopTime() - stopMargin)
+	deadline := clock.Now().Add(n.gracePeriod() - stopMargin)
 	n.stopping.Store(true)
-	n.handler.SetDraining(deadline.Add(stopMargin - waitMargin))
+	n.handler.SetDraining(deadline.Add(stopMargin - refusalMargin))
 	n.options.Logger.Info().Int64("active", n.handler.Active()).Msg("node_draining")
-	time.Sleep(entryNotices)
+	time.Sleep(entryDrainDelay)
 	_ = frontend.Close()
 	// The library's Shutdown would close connections with a request that it has
 	// read and not yet counted.
-	busy := n.callers.closeAllResting()
+	busy := n.callerConns.closeAllIdle()
 	for busy > 0 && clock.Now().Before(deadline) {
-		time.Sleep(drainPeriod)
-		busy = n.callers.closeAllResting()
+		time.Sleep(drainCheckPeriod)
+		busy = n.callerConns.closeAllIdle()
 	}
 	_ = server.Close()
 	n.options.Logger.Info().Int64("active", n.handler.Active()).Bool("whole", busy == 0).Msg("node_stopped")
@@ -407,13 +407,13 @@
 			n.pool.CloseExpired()
 			n.checkRegions(&regions)
 			n.leader.post(func() { n.leader.demand.Prune(clock.Now()) })
-			n.forgiveStore(clock.Now())
+			n.clearOldStoreFailure(clock.Now())
 			n.quotas.sweep(clock.Now())
 			n.suspects.sweep(clock.Now())
 			n.admissions.sweep(clock.Now())
 			n.evacuations.reportUnknown()
 			if table := n.handler.Table(); table != nil && table.Limits.IdleTimeout > 0 {
-				n.callers.closeResting(clock.Now(), table.Limits.IdleTimeout+restSlack)
+				n.callerConns.closeIdle(clock.Now(), table.Limits.IdleTimeout+idleSlack)
 			}
 		}
 	}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -25,63 +25,63 @@
 	// decide; a node's cost does not grow with the fleet beyond it. Beyond manyNodes
 	// it is manyFanout: news reach all a period later, and nodes of unlike zones
 	// tell each other less, which is priced.
-	gossipFanout = 8
-	manyNodes    = 64
-	manyFanout   = 6
-	// loadedNodes is the number of nodes up to which each hears from all others
+	gossipFanout     = 8
+	largeFleetNodes  = 64
+	largeFleetFanout = 6
+	// maxLoadSharingNodes is the number of nodes up to which each hears from all others
 	// within the time that a peer's load is believed.
-	loadedNodes = gossipFanout * int(time.Second/gossipPeriod)
-	// toldPeers is the number of other nodes that a datagram names, and
+	maxLoadSharingNodes = gossipFanout * int(time.Second/gossipPeriod)
+	// sampledPeers is the number of other nodes that a datagram names, and
 	// manyToldPeers that beyond manyNodes.
-	toldPeers     = 6
-	manyToldPeers = 2
-	// wantedAge is how long a count is told after its last change. The nodes that
+	sampledPeers           = 6
+	largeFleetSampledPeers = 2
+	// demandWindow is how long a count is told after its last change. The nodes that
 	// go by it hear it in each period, so several datagrams may be lost.
-	wantedAge = 2 * time.Second
-	// noteAlivePeriod is the time between log lines on who lives.
-	noteAlivePeriod = time.Second
-	// wantedPause is the least time between datagrams to the leader that tell
+	demandWindow = 2 * time.Second
+	// aliveLogPeriod is the time between log lines on who lives.
+	aliveLogPeriod = time.Second
+	// minDemandInterval is the least time between datagrams to the leader that tell
 	// of requests without a server.
-	wantedPause = 10 * time.Millisecond
-	// viewsLag is how long a node has other views than the leader told until it
+	minDemandInterval = 10 * time.Millisecond
+	// viewsRequestDelay is how long a node has other views than the leader told until it
 	// asks for all, and the least time between two answers.
-	viewsLag = 400 * time.Millisecond
-	// datagramBytes bounds the views of one datagram.
-	datagramBytes = 1200
+	viewsRequestDelay = 400 * time.Millisecond
+	// maxViewsBytes bounds the views of one datagram.
+	maxViewsBytes = 1200
 	maxDatagram   = 64 << 10
 )
 
 // peers is the node's socket to the others.
 type peers struct {
-	node     *Node
-	conn     *net.UDPConn
-	life     uint64
-	address  string
-	mu       sync.Mutex
-	roster   *gossip.Roster
-	sequence uint64
-	lastWant time.Time
-	told     *toldViews
-	toldAll  map[string]time.Time
-	// staleSince is when the views of this node began to differ from the
+	node           *Node
+	conn           *net.UDPConn
+	incarnation    uint64
+	address        string
+	mu             sync.Mutex
+	roster         *gossip.Roster
+	sequence       uint64
+	lastDemandSent time.Time
+	published      *publishedViews
+	viewsSentAt    map[string]time.Time
+	// viewsDifferSince is when the views of this node began to differ from the
 	// leader's; zero while they do not.
-	staleSince time.Time
-	// viewsHeard is when a leader's digest of its views came last.
-	viewsHeard time.Time
-	// standbysTold is when nodes that may lead next were told last what is wanted;
+	viewsDifferSince time.Time
+	// viewsDigestAt is when a leader's digest of its views came last.
+	viewsDigestAt time.Time
+	// standbysSentAt is when nodes that may lead next were told last what is wanted;
 	// toldLeader is the leader that is told, and since when.
-	standbysTold   time.Time
-	toldLeader     string
-	toldLeaderFrom time.Time
+	standbysSentAt    time.Time
+	demandLeader      string
+	demandLeaderSince time.Time
 	// spreaders are who sent on last, and asked when all views were asked for last, by
 	// region, while this node leads.
-	spreaders map[string]string
-	asked     map[string]askedViews
-	alive     map[string]bool
-	// notedAt is when alive was last brought up to date.
-	notedAt       time.Time
-	trafficLogged time.Time
-	sentBytes     sentBytes
+	spreaders     map[string]string
+	viewsRequests map[string]viewsRequest
+	alive         map[string]bool
+	// aliveCheckedAt is when alive was last brought up to date.
+	aliveCheckedAt  time.Time
+	trafficLoggedAt time.Time
+	sentBytes       sentBytes
 	// unreadable counts datagrams that were dropped as they could not be read.
 	unreadable atomic.Int64
 	// wasSentinel is whether this node watched the store for the others at its
@@ -100,23 +100,23 @@
 	if err != nil {
 		return nil, err
 	}
-	life := rand.Uint64()
-	roster := gossip.New(node.options.PeerAddress, node.options.Tunables.PeerSeeds, life)
+	incarnation := rand.Uint64()
+	roster := gossip.New(node.options.PeerAddress, node.options.Tunables.PeerSeeds, incarnation)
 	roster.SetStrength(node.options.Strength)
 	roster.SetLocation(node.options.Zone, node.options.Topology)
 	return &peers{
-		node:    node,
-		conn:    conn,
-		life:    life,
-		address: node.options.PeerAddress,
-		roster:  roster,
-		told:    newToldViews(),
-		toldAll: make(map[string]time.Time),
-		alive:   make(map[string]bool),
+		node:        node,
+		conn:        conn,
+		incarnation: incarnation,
+		address:     node.options.PeerAddress,
+		roster:      roster,
+		published:   newPublishedViews(),
+		viewsSentAt: make(map[string]time.Time),
+		alive:       make(map[string]bool),
 
-		viewsHeard: clock.Now(),
-		spreaders:  make(map[string]string),
-		asked:      make(map[string]askedViews),
+		viewsDigestAt: clock.Now(),
+		spreaders:     make(map[string]string),
+		viewsRequests: make(map[string]viewsRequest),
 		// Alone at first, the node watches for itself; its watches are new.
 		wasSentinel: true,
 	}, nil
@@ -130,69 +130,69 @@
 	for ctx.Err() == nil {
 		count, _, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			sleep(ctx, wantedPause)
+			sleep(ctx, minDemandInterval)
 			continue
 		}
-		p.takeDatagram(buffer[:count])
+		p.handleDatagram(buffer[:count])
 	}
 }
 
-// takeDatagram takes what came; what cannot be read is counted and dropped.
-func (p *peers) takeDatagram(datagram []byte) {
+// handleDatagram takes what came; what cannot be read is counted and dropped.
+func (p *peers) handleDatagram(datagram []byte) {
 	state := &peerpb.NodeState{}
 	if err := proto.Unmarshal(datagram, state); err != nil {
 		p.unreadable.Add(1)
 		return
 	}
 	if state.Quota != nil {
-		p.node.quotas.take(state.Quota)
+		p.node.quotas.handleCall(state.Quota)
 		return
 	}
 	if state.Trial != nil {
-		p.node.suspects.takeTrial(state.Trial)
+		p.node.suspects.handleTrial(state.Trial)
 		return
 	}
 	if state.Spread != nil {
-		p.sendOn(clock.Now(), state)
+		p.forward(clock.Now(), state)
 	}
-	p.node.suspects.hear(cmp.Or(state.Address, state.Node), state.Crashes)
+	p.node.suspects.receive(cmp.Or(state.Address, state.Node), state.Crashes)
 	if state.Address != "" {
-		p.take(state)
+		p.handleState(state)
 	}
 }
 
-func (p *peers) take(state *peerpb.NodeState) {
+func (p *peers) handleState(state *peerpb.NodeState) {
 	now := clock.Now()
 	p.mu.Lock()
 	isNew := !p.roster.Knows(state.Address, state.Life)
-	fresh := p.roster.Observe(now, state)
-	isOlder := !fresh && p.roster.Knows(state.Address, state.Life)
+	isNewer := p.roster.Observe(now, state)
+	isOlder := !isNewer && p.roster.Knows(state.Address, state.Life)
 	count := p.roster.Count(now)
 	p.mu.Unlock()
 	if isOlder {
-		p.takeLateViews(now, state.Leader)
+		p.applyLateViews(now, state.Leader)
 	}
-	if !fresh {
+	if !isNewer {
 		return
 	}
 	p.greet(now, state, isNew)
 	p.node.handler.SetNodes(count)
-	p.node.quotas.heardSize(now, int(state.FleetNodes))
+	p.node.quotas.receiveFleetSize(now, int(state.FleetNodes))
 	if state.FleetKnown {
-		p.node.admissions.learnFleet(int(state.FleetNodes))
+		p.node.admissions.learnFleetSize(int(state.FleetNodes))
 	}
-	p.node.hearServers(now, newsOf(state.News))
-	p.node.hints.receivePeer(now, state.Words)
+	p.node.receivePeerChanges(now, decodeChanges(state.News))
+	p.node.hints.receiveFromPeer(now, state.Words)
 	p.node.dispatch.Do(func(core *dispatch.Core) {
-		core.SetPeerLoads(now, state.Address, peerLoads(state.Loads))
+		core.SetPeerLoads(now, state.Address, decodeLoads(state.Loads))
 		if state.Leader != nil {
 			core.SetLeader(now, state.Leader.Term, state.Leader.LapsedMs > 0, time.Duration(state.Leader.OrderInMs)*time.Millisecond)
 		}
 		if state.Leader != nil && len(state.Leader.Loads) > 0 {
-			core.SetFleetLoads(now, state.Leader.Term, peerLoads(state.Leader.Loads))
+			core.SetFleetLoads(now, state.Leader.Term, decodeLoads(state.Leader.Loads))
 		}
 		if state.Leader != nil && len(state.Leader.Views) > 0 {
-			core.SetViews(now, state.Leader.Term, viewsOf(state.Leader.Views))
+			core.SetViews(now, state.Leader.Term, decodeViews(state.Leader.Views))
 		}
 	})
 	if state.Leader != nil {
@@ -200,9 +200,9 @@
 	}
 	p.node.compareConfiguration(now, state.Address, state.ConfigVersion, state.ConfigAgeMs)
 	p.node.compareServers(now, state)
-	p.node.evacuations.hear(now, state.Address, state.Evacuations)
+	p.node.evacuations.receive(now, state.Address, state.Evacuations)
 	if state.TellsWanted || state.ViewsWanted {
-		p.node.leader.post(func() { p.node.leader.takeState(state) })
+		p.node.leader.post(func() { p.node.leader.handleState(state) })
 	}
 }
 
@@ -222,12 +222,12 @@
 
 func (p *peers) tick() {
 	now := clock.Now()
-	p.noteSentinel()
+	p.refreshOnSentinel()
 	p.mu.Lock()
 	p.greetings = 0
 	p.mu.Unlock()
-	p.node.endLapses(now)
-	p.node.evacuations.settle(now)
+	p.node.finishExpiryGrace(now)
+	p.node.evacuations.expireOverrides(now)
 	p.node.quotas.observe(now)
 	p.node.admissions.observe(now)
 	p.node.suspects.tick(now)
@@ -235,70 +235,70 @@
 	p.mu.Lock()
 	nodes := len(p.roster.Alive(now))
 	fanout := gossipFanout
-	if nodes > manyNodes {
-		fanout = manyFanout
+	if nodes > largeFleetNodes {
+		fanout = largeFleetFanout
 	}
 	targets := p.roster.Targets(now, fanout)
-	leader, standbys := p.deciders(now, nodes)
+	leader, standbys := p.demandTargets(now, nodes)
 	if p.node.needsCoordinator() {
 		// A coordinator has to know how many nodes it gives for.
-		targets = union(targets, p.roster.Coordinators(now, true))
+		targets = addCoordinators(targets, p.roster.Coordinators(now, true))
 	}
-	p.noteAlive(now)
+	p.logAliveChanges(now)
 	p.mu.Unlock()
 	state := p.state(now)
-	news := p.node.directory.tell(now)
-	state.News = encodeNews(news)
-	state.Crashes = p.node.suspects.bars(now)
-	state.Words = p.node.hints.wire(now)
+	changes := p.node.directory.takeDue(now)
+	state.News = encodeChanges(changes)
+	state.Crashes = p.node.suspects.encodeDueBars(now)
+	state.Words = p.node.hints.takeDue(now)
 	loads, digests := state.Loads, state.ViewsDigests
 	state.ViewsDigests = nil
-	if nodes > loadedNodes {
+	if nodes > maxLoadSharingNodes {
 		state.Loads = nil
 	}
-	near, far := p.split(without(targets, append(leader, standbys...)))
-	p.send(trafficGossip, near, state)
-	state.News = encodeNews(p.farNews(news))
-	p.send(trafficGossip, far, state)
+	sameRegion, otherRegion := p.splitByRegion(exclude(targets, append(leader, standbys...)))
+	p.send(trafficGossip, sameRegion, state)
+	state.News = encodeChanges(p.crossRegionChanges(changes))
+	p.send(trafficGossip, otherRegion, state)
 	// Those that decide watch the store for servers that come.
-	state.News = encodeNews(slices.DeleteFunc(news, func(item gossip.ServerChange) bool { return !item.Server.Draining }))
+	state.News = encodeChanges(slices.DeleteFunc(changes, func(item gossip.ServerChange) bool { return !item.Server.Draining }))
 	state.Loads, state.ViewsDigests, state.TellsWanted = loads, digests, true
-	state.Wanted = p.wanted(now, p.leaderAge(now, leader))
-	p.send(trafficWanted, leader, state)
+	state.Wanted = p.recentDemand(now, p.demandWindowFor(now, leader))
+	p.send(trafficDemand, leader, state)
 	if len(standbys) > 0 {
-		state.Wanted = p.wanted(now, wantedAge)
-		p.send(trafficWanted, standbys, state)
+		state.Wanted = p.recentDemand(now, demandWindow)
+		p.send(trafficDemand, standbys, state)
 	}
 }
 
-// farNews are the news that this node tells in other regions.
-func (p *peers) farNews(news []gossip.ServerChange) []gossip.ServerChange {
+// crossRegionChanges are the news that this node tells in other regions.
+func (p *peers) crossRegionChanges(changes []gossip.ServerChange) []gossip.ServerChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	teller := p.roster.CrossRegionFilter()
-	var told []gossip.ServerChange
-	for _, item := range news {
-		if item.Server.Draining || item.CrossRegion && teller.ShouldForward(item.Server.ID) {
-			told = append(told, item)
+	filter := p.roster.CrossRegionFilter()
+	var forwarded []gossip.ServerChange
+	for _, item := range changes {
+		if item.Server.Draining || item.CrossRegion && filter.ShouldForward(item.Server.ID) {
+			forwarded = append(forwarded, item)
 		}
 	}
-	return told
+	return forwarded
 }
 
-// split divides addresses into those of this region and of others.
-func (p *peers) split(addresses []string) (near, far []string) {
+// splitByRegion divides addresses into those of this region and of others.
+func (p *peers) splitByRegion(addresses []string) (sameRegion, otherRegion []string) {
 	for _, address := range addresses {
-		if p.isFar(address) {
-			far = append(far, address)
+		if p.isInOtherRegion(address) {
+			otherRegion = append(otherRegion, address)
 		} else {
-			near = append(near, address)
+			sameRegion = append(sameRegion, address)
 		}
 	}
-	return near, far
+	return sameRegion, otherRegion
 }
 
-// union adds the coordinators that are not among the addresses.
-func union(addresses []string, coordinators []gossip.Coordinator) []string {
+// addCoordinators adds the coordinators that are not among the addresses.
+func addCoordinators(addresses []string, coordinators []gossip.Coordinator) []string {
 	for _, coordinator := range coordinators {
 		if !slices.Contains(addresses, coordinator.Address) {
 			addresses = append(addresses, coordinator.Address)
@@ -307,23 +307,23 @@
 	return addresses
 }
 
-// without returns the addresses that are not among the others.
-func without(addresses, others []string) []string {
+// exclude returns the addresses that are not among the others.
+func exclude(addresses, others []string) []string {
 	return slices.DeleteFunc(addresses, func(address string) bool { return slices.Contains(others, address) })
 }
 
-// noteSentinel begins the watches anew where this node becomes a sentinel: those
+// refreshOnSentinel begins the watches anew where this node becomes a sentinel: those
 // that it has may be deaf for seconds more.
-func (p *peers) noteSentinel() {
-	is := p.isSentinel()
+func (p *peers) refreshOnSentinel() {
+	isSentinel := p.isSentinel()
 	p.mu.Lock()
-	became := is && !p.wasSentinel
-	p.wasSentinel = is
+	became := isSentinel && !p.wasSentinel
+	p.wasSentinel = isSentinel
 	p.mu.Unlock()
 	if became {
-		send(p.node.configNudge)
-		send(p.node.serversNudge)
-		send(p.node.evacuations.nudge)
+		signal(p.node.configRefresh)
+		signal(p.node.serversRefresh)
+		signal(p.node.evacuations.refresh)
 	}
 }
 
@@ -331,13 +331,13 @@
 	state := &peerpb.NodeState{
 		Node:     p.node.options.Name,
 		Address:  p.address,
-		Life:     p.life,
+		Life:     p.incarnation,
 		Strength: p.node.options.Strength,
 		Zone:     p.node.options.Zone,
 		Leaving:  p.node.stopping.Load(),
 
 		StoreFailing: p.node.storeFailing.Load(),
-		ViewsWanted:  p.wantsViews(now),
+		ViewsWanted:  p.shouldRequestViews(now),
 	}
 	if state.ViewsWanted {
 		state.ViewsDigests = p.ownViewDigests()
@@ -345,21 +345,21 @@
 	state.ConfigVersion = p.node.configVersion()
 	if p.node.needsCoordinator() {
 		size, _ := p.node.quotas.fleetSize(now)
-		state.FleetNodes, state.FleetKnown = uint32(size), p.node.admissions.knowsFleet(now)
+		state.FleetNodes, state.FleetKnown = uint32(size), p.node.admissions.knowsFleetSize(now)
 	}
-	state.Evacuations = p.node.evacuations.wire(now)
-	state.ConfigAgeMs = p.node.configConfirmed.wire(now)
-	state.ServersAgeMs = p.node.serversConfirmed.wire(now)
-	digest, at := p.node.directory.standing()
+	state.Evacuations = p.node.evacuations.encode(now)
+	state.ConfigAgeMs = p.node.configConfirmed.encodedAge(now)
+	state.ServersAgeMs = p.node.serversConfirmed.encodedAge(now)
+	digest, at := p.node.directory.digestAndPosition()
 	state.ServersDigest, state.ServersEra, state.ServersRevision = digest, at.Era, at.Revision
 	p.node.dispatch.Do(func(core *dispatch.Core) {
 		state.Loads = encodeLoads(core.OwnLoads())
 	})
-	if term, lapsed := p.node.leader.standing(); term != 0 {
-		leaseAt := p.node.leader.leaseAt()
+	if term, expiredFor := p.node.leader.leadership(); term != 0 {
+		leasePosition := p.node.leader.leasePosition()
 		state.Leader = &peerpb.LeaderState{
-			Term: term, LapsedMs: uint32(lapsed.Milliseconds()), LeaseEra: leaseAt.Era, LeaseRevision: leaseAt.Revision,
-			OrderInMs: uint32(p.node.leader.orderIn().Milliseconds()),
+			Term: term, LapsedMs: uint32(expiredFor.Milliseconds()), LeaseEra: leasePosition.Era, LeaseRevision: leasePosition.Revision,
+			OrderInMs: uint32(p.node.leader.untilFirstOrder().Milliseconds()),
 		}
 	}
 	return state
--- a/internal/edge/peers_roster.go
+++ b/internal/edge/peers_roster.go
@@ -14,8 +14,8 @@
 	return len(p.alive)
 }
 
-// addHints tries addresses that a peer named, for a while.
-func (p *peers) addHints(now time.Time, addresses []string) {
+// addCandidates tries addresses that a peer named, for a while.
+func (p *peers) addCandidates(now time.Time, addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.AddCandidates(now, addresses)
@@ -36,30 +36,30 @@
 	return p.roster.Rank(now), 1 + len(p.roster.Alive(now))
 }
 
-// some are addresses of living nodes.
-func (p *peers) some(now time.Time, most int) []string {
+// sampleAddresses are addresses of living nodes.
+func (p *peers) sampleAddresses(now time.Time, limit int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.SampleAddresses(now, most)
+	return p.roster.SampleAddresses(now, limit)
 }
 
-// near is the address of some living node, of this region if there is one; empty where
+// randomNearby is the address of some living node, of this region if there is one; empty where
 // none lives.
-func (p *peers) near(now time.Time) string {
+func (p *peers) randomNearby(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.RandomNearby(now)
 }
 
-// rankNear is the number of living nodes of this region that come before this one.
-func (p *peers) rankNear(now time.Time) int {
+// regionRank is the number of living nodes of this region that come before this one.
+func (p *peers) regionRank(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.RegionRank(now)
 }
 
-// isFar reports whether the node at an address is in another region.
-func (p *peers) isFar(address string) bool {
+// isInOtherRegion reports whether the node at an address is in another region.
+func (p *peers) isInOtherRegion(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.DistanceTo(address) == locality.OtherRegion
@@ -67,18 +67,18 @@
 
 // isSentinel reports whether this node watches the store for the others.
 func (p *peers) isSentinel() bool {
-	term, _ := p.node.leader.standing()
+	term, _ := p.node.leader.leadership()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.IsSentinel(clock.Now(), term != 0, p.node.storeFailing.Load())
 }
 
-// noteAlive logs the peers that came and went. The lock is held.
-func (p *peers) noteAlive(now time.Time) {
-	if now.Sub(p.notedAt) < noteAlivePeriod {
+// logAliveChanges logs the peers that came and went. The lock is held.
+func (p *peers) logAliveChanges(now time.Time) {
+	if now.Sub(p.aliveCheckedAt) < aliveLogPeriod {
 		return
 	}
-	p.notedAt = now
+	p.aliveCheckedAt = now
 	alive := make(map[string]bool, len(p.alive))
 	for _, peer := range p.roster.Alive(now) {
 		alive[peer.Address] = true
@@ -94,15 +94,15 @@
 	p.alive = alive
 }
 
-// all are the addresses of all living nodes but this one.
-func (p *peers) all(now time.Time) []string {
+// aliveAddresses are the addresses of aliveAddresses living nodes but this one.
+func (p *peers) aliveAddresses(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addresses(now)
+	return p.aliveAddressesLocked(now)
 }
 
-// addresses are those of all living nodes but this one. The lock is held.
-func (p *peers) addresses(now time.Time) []string {
+// aliveAddressesLocked are those of all living nodes but this one. The lock is held.
+func (p *peers) aliveAddressesLocked(now time.Time) []string {
 	alive := p.roster.Alive(now)
 	addresses := make([]string, 0, len(alive))
 	for _, peer := range alive {
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -31,10 +31,10 @@
 	return node
 }
 
-func nudges(nudge chan struct{}) int {
-	count := len(nudge)
-	for len(nudge) > 0 {
-		<-nudge
+func countSignals(signals chan struct{}) int {
+	count := len(signals)
+	for len(signals) > 0 {
+		<-signals
 	}
 	return count
 }
@@ -48,21 +48,21 @@
 	hear := func(failing bool) {
 		sequence++
 		for _, address := range []string{"126.0.0.1:1", "126.0.0.2:1"} {
-			node.peers.take(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, StoreFailing: failing})
+			node.peers.handleState(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, StoreFailing: failing})
 		}
 	}
 	hear(false)
-	node.peers.noteSentinel()
-	if config, servers := nudges(node.configNudge), nudges(node.serversNudge); config+servers != 0 {
+	node.peers.refreshOnSentinel()
+	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
 		t.Errorf("%d and %d watches begun anew by a node that is no sentinel", config, servers)
 	}
 	hear(true)
-	node.peers.noteSentinel()
-	if config, servers := nudges(node.configNudge), nudges(node.serversNudge); config != 1 || servers != 1 {
+	node.peers.refreshOnSentinel()
+	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config != 1 || servers != 1 {
 		t.Errorf("%d and %d watches begun anew, want both", config, servers)
 	}
-	node.peers.noteSentinel()
-	if config, servers := nudges(node.configNudge), nudges(node.serversNudge); config+servers != 0 {
+	node.peers.refreshOnSentinel()
+	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
 		t.Errorf("%d and %d watches begun anew by a node that was a sentinel before", config, servers)
 	}
 }
@@ -71,8 +71,8 @@
 // itself, and each began its first watches anew for that.
 func TestNodeThatStartsKeepsItsWatches(t *testing.T) {
 	node := newTestNode(t)
-	node.peers.noteSentinel()
-	if config, servers := nudges(node.configNudge), nudges(node.serversNudge); config+servers != 0 {
+	node.peers.refreshOnSentinel()
+	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
 		t.Errorf("%d and %d watches begun anew by a node that just started", config, servers)
 	}
 }
@@ -90,7 +90,7 @@
 	go func() {
 		defer close(done)
 		for sequence := range uint64(datagrams) {
-			node.peers.take(&peerpb.NodeState{
+			node.peers.handleState(&peerpb.NodeState{
 				Node: "other", Address: "126.0.0.1:1", Life: 1, Sequence: sequence + 1, Leader: &peerpb.LeaderState{Term: 3},
 			})
 		}
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -20,19 +20,19 @@
 	// coordinatorSilence is after how long without a word the next node gives in a coordinator's
 	// place; coordinators hear each other in each period.
 	coordinatorSilence = 7 * gossipPeriod / 2
-	// A coordinator that left mostUnanswered questions in a row without an answer is not asked
+	// A coordinator that left maxUnanswered questions in a row without an answer is not asked
 	// for unansweredTime: one late answer says little of it.
-	mostUnanswered = 3
-	unansweredTime = time.Second
-	// givesAfter is how long a node that has just started listens before it gives: by
+	maxUnanswered   = 3
+	unansweredPause = time.Second
+	// coordinatorDelay is how long a node that has just started listens before it gives: by
 	// then it knows who is before it, or that there is nobody. Where all nodes start at
 	// once, each would give. One that was told how large the fleet is listens for
 	// givesToldAfter.
-	givesAfter     = time.Second
-	givesToldAfter = 300 * time.Millisecond
-	// admitPatience is how long a request waits for its quota, or for a node that gives
+	coordinatorDelay          = time.Second
+	knownSizeCoordinatorDelay = 300 * time.Millisecond
+	// maxAdmitWait is how long a request waits for its quota, or for a node that gives
 	// where this one has just started; at the most half of the time that it has left.
-	admitPatience = 700 * time.Millisecond
+	maxAdmitWait = 700 * time.Millisecond
 )
 
 // quotas keeps the tenants of this node's callers below their quotas. It is safe for
@@ -45,26 +45,26 @@
 	share       *quota.Share
 	advisories  *quota.Advisories
 	fleet       quota.FleetSize
-	// wasTold is set once this node was told how large the fleet is.
-	wasTold bool
-	asked   *questions[*peerpb.QuotaCall]
-	// silent are coordinators that did not answer.
-	silent map[string]silence
-	// told are the closed tenants that this node last told as the coordinator, and toldAt when.
-	told   string
-	toldAt time.Time
+	// sizeReceived is set once this node was told how large the fleet is.
+	sizeReceived bool
+	pending      *pendingCalls[*peerpb.QuotaCall]
+	// unresponsive are coordinators that did not answer.
+	unresponsive map[string]missedAnswers
+	// publishedClosed are the closed tenants that this node last publishedClosed as the coordinator, and toldAt when.
+	publishedClosed string
+	publishedAt     time.Time
 	// Counters for metrics.
-	granted, refused, alone, unanswered atomic.Int64
+	granted, refused, uncoordinated, unanswered atomic.Int64
 }
 
 func newQuotas(node *Node, tolerance quota.Tolerance, isFirst bool) *quotas {
 	return &quotas{
-		node:        node,
-		coordinator: quota.NewCoordinator(tolerance),
-		share:       quota.NewShare(tolerance, isFirst),
-		advisories:  quota.NewAdvisories(),
-		asked:       newQuestions[*peerpb.QuotaCall](),
-		silent:      make(map[string]silence),
+		node:         node,
+		coordinator:  quota.NewCoordinator(tolerance),
+		share:        quota.NewShare(tolerance, isFirst),
+		advisories:   quota.NewAdvisories(),
+		pending:      newPendingCalls[*peerpb.QuotaCall](),
+		unresponsive: make(map[string]missedAnswers),
 	}
 }
 
@@ -73,38 +73,38 @@
 // Admit implements relay.Quotas. A request that is to be granted within admitPatience is
 // kept until then: its caller would come back for it no sooner.
 func (q *quotas) Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
-	asked := clock.Now()
-	patience := admitPatience
+	requestedAt := clock.Now()
+	maxWait := maxAdmitWait
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = min(patience, time.Until(deadline)/2)
+		maxWait = min(maxWait, time.Until(deadline)/2)
 	}
 	for {
-		verdict := q.admitNow(ctx, tenant, cost, priority)
-		pause := max(verdict.RetryAfter, knowledgeCheck)
+		decision := q.tryAdmit(ctx, tenant, cost, priority)
+		pause := max(decision.RetryAfter, stateCheckPeriod)
 		switch {
-		case verdict.Granted:
+		case decision.Granted:
 			q.granted.Add(1)
-			return verdict
-		case verdict.IsUnknown && q.isYoung():
-			pause = knowledgeCheck
-		case verdict.IsUnknown:
-			return verdict
+			return decision
+		case decision.IsUnknown && q.isDiscovering():
+			pause = stateCheckPeriod
+		case decision.IsUnknown:
+			return decision
 		}
-		if ctx.Err() != nil || clock.Since(asked)+pause > patience {
+		if ctx.Err() != nil || clock.Since(requestedAt)+pause > maxWait {
 			q.refused.Add(1)
-			return verdict
+			return decision
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// admitNow asks once.
-func (q *quotas) admitNow(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
+// tryAdmit asks once.
+func (q *quotas) tryAdmit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
 	now := clock.Now()
 	nodes, _ := q.fleetSize(now)
-	if by := q.takeUnasked(now, tenant, nodes, cost); by != "" {
-		q.tellUsed(now, tenant, cost)
-		return relay.QuotaDecision{Granted: true, DecidedBy: by}
+	if source := q.admitLocally(now, tenant, nodes, cost); source != "" {
+		q.reportUse(now, tenant, cost)
+		return relay.QuotaDecision{Granted: true, DecidedBy: source}
 	}
 	for _, coordinator := range q.node.peers.coordinators(now) {
 		answer := q.ask(ctx, coordinator.Address, &peerpb.QuotaCall{
@@ -113,14 +113,14 @@
 		if answer == nil {
 			continue
 		}
-		return q.answered(tenant, cost, nodes, coordinator.Address, answer)
+		return q.decodeDecision(tenant, cost, nodes, coordinator.Address, answer)
 	}
-	return q.admitAlone(tenant, cost, nodes)
+	return q.admitUncoordinated(tenant, cost, nodes)
 }
 
-// takeUnasked grants a request of a tenant that is far below its quota, or within the
+// admitLocally grants a request of a tenant that is far below its quota, or within the
 // share of this node; it returns by what, or nothing.
-func (q *quotas) takeUnasked(now time.Time, tenant *routetable.Tenant, nodes int, cost float64) string {
+func (q *quotas) admitLocally(now time.Time, tenant *routetable.Tenant, nodes int, cost float64) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.advisories.IsFarBelowQuota(now, tenant.Name) {
@@ -133,42 +133,42 @@
 	return ""
 }
 
-// isYoung reports whether this node has just started, and will soon know who gives.
-func (q *quotas) isYoung() bool { return clock.Since(q.node.started) < meetsFor }
+// isDiscovering reports whether this node has just started, and will soon know who gives.
+func (q *quotas) isDiscovering() bool { return clock.Since(q.node.started) < discoveryPeriod }
 
-// mayGive reports whether this node knows enough of the others to give.
-func (q *quotas) mayGive(now time.Time) bool {
+// mayCoordinate reports whether this node knows enough of the others to give.
+func (q *quotas) mayCoordinate(now time.Time) bool {
 	q.mu.Lock()
-	told := q.wasTold
+	sizeReceived := q.sizeReceived
 	q.mu.Unlock()
 	age := now.Sub(q.node.started)
-	return age >= givesAfter || (told && age >= givesToldAfter) || len(q.node.options.Tunables.PeerSeeds) == 0
+	return age >= coordinatorDelay || (sizeReceived && age >= knownSizeCoordinatorDelay) || len(q.node.options.Tunables.PeerSeeds) == 0
 }
 
-// answered takes a coordinator's advisory.
-func (q *quotas) answered(tenant *routetable.Tenant, cost float64, nodes int, coordinator string, answer *peerpb.QuotaCall) relay.QuotaDecision {
-	verdict := relay.QuotaDecision{
+// decodeDecision takes a coordinator's advisory.
+func (q *quotas) decodeDecision(tenant *routetable.Tenant, cost float64, nodes int, coordinator string, answer *peerpb.QuotaCall) relay.QuotaDecision {
+	decision := relay.QuotaDecision{
 		Granted: answer.Kind == peerpb.QuotaCall_GRANTED, DecidedBy: coordinator, Remaining: float64(answer.Left),
 		RetryAfter: time.Duration(answer.RetryMs) * time.Millisecond,
 	}
-	if !verdict.Granted {
-		return verdict
+	if !decision.Granted {
+		return decision
 	}
 	q.mu.Lock()
 	q.share.RecordGrant(clock.Now(), tenant.Name, tenant.Quota, nodes, cost)
 	q.mu.Unlock()
-	return verdict
+	return decision
 }
 
-// admitAlone decides where no coordinator answers.
-func (q *quotas) admitAlone(tenant *routetable.Tenant, cost float64, nodes int) relay.QuotaDecision {
+// admitUncoordinated decides where no coordinator answers.
+func (q *quotas) admitUncoordinated(tenant *routetable.Tenant, cost float64, nodes int) relay.QuotaDecision {
 	now := clock.Now()
-	q.alone.Add(1)
+	q.uncoordinated.Add(1)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	verdict := relay.QuotaDecision{DecidedBy: "alone", IsUnknown: true, Remaining: q.share.Level(now, tenant.Name, tenant.Quota, nodes), RetryAfter: unansweredTime}
-	verdict.Granted = q.share.TakeWithoutCoordinator(now, tenant.Name, tenant.Quota, nodes, cost)
-	return verdict
+	decision := relay.QuotaDecision{DecidedBy: "alone", IsUnknown: true, Remaining: q.share.Level(now, tenant.Name, tenant.Quota, nodes), RetryAfter: unansweredPause}
+	decision.Granted = q.share.TakeWithoutCoordinator(now, tenant.Name, tenant.Quota, nodes, cost)
+	return decision
 }
 
 // Refund implements relay.Quotas.
@@ -178,18 +178,18 @@
 	q.mu.Lock()
 	q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, -cost)
 	q.mu.Unlock()
-	q.tellUsed(now, tenant, -cost)
+	q.reportUse(now, tenant, -cost)
 }
 
-// tellUsed tells the coordinator what was used without asking.
-func (q *quotas) tellUsed(now time.Time, tenant *routetable.Tenant, cost float64) {
+// reportUse tells the coordinator what was used without asking.
+func (q *quotas) reportUse(now time.Time, tenant *routetable.Tenant, cost float64) {
 	call := &peerpb.QuotaCall{Kind: peerpb.QuotaCall_USED, Asker: q.node.options.PeerAddress, Tenant: tenant.Name, Cost: int64(cost)}
 	for _, coordinator := range q.node.peers.coordinators(now) {
-		if q.isSilent(now, coordinator.Address) {
+		if q.isUnresponsive(now, coordinator.Address) {
 			continue
 		}
 		if coordinator.Address == q.node.options.PeerAddress {
-			q.take(call)
+			q.handleCall(call)
 		} else {
 			q.node.peers.sendQuota(coordinator.Address, call)
 		}
@@ -202,51 +202,51 @@
 	now := clock.Now()
 	call.Asker = q.node.options.PeerAddress
 	if address == q.node.options.PeerAddress {
-		return known(q.decide(now, call))
+		return decided(q.decide(now, call))
 	}
-	if q.isSilent(now, address) {
+	if q.isUnresponsive(now, address) {
 		return nil
 	}
-	answer, ok := q.asked.ask(ctx, askTimeout, func(id uint64) {
+	answer, ok := q.pending.call(ctx, askTimeout, func(id uint64) {
 		call.Id = id
 		q.node.peers.sendQuota(address, call)
 	})
 	switch {
 	case ok:
 		q.mu.Lock()
-		delete(q.silent, address)
+		delete(q.unresponsive, address)
 		q.mu.Unlock()
-		return known(answer)
+		return decided(answer)
 	case ctx.Err() == nil:
-		q.noteSilence(clock.Now(), address)
+		q.recordMissedAnswer(clock.Now(), address)
 	}
 	return nil
 }
 
-// known is the answer, or nil for one that cannot say.
-func known(answer *peerpb.QuotaCall) *peerpb.QuotaCall {
+// decided is the answer, or nil for one that cannot say.
+func decided(answer *peerpb.QuotaCall) *peerpb.QuotaCall {
 	if answer.Kind == peerpb.QuotaCall_UNKNOWN {
 		return nil
 	}
 	return answer
 }
 
-// silence is the questions in a row that a coordinator did not answer, and the last of them.
-type silence struct {
-	questions int
-	at        time.Time
+// missedAnswers is the questions in a row that a coordinator did not answer, and the last of them.
+type missedAnswers struct {
+	count int
+	at    time.Time
 }
 
-func (q *quotas) noteSilence(now time.Time, address string) {
+func (q *quotas) recordMissedAnswer(now time.Time, address string) {
 	q.unanswered.Add(1)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.silent[address] = silence{questions: q.silent[address].questions + 1, at: now}
+	q.unresponsive[address] = missedAnswers{count: q.unresponsive[address].count + 1, at: now}
 }
 
-func (q *quotas) isSilent(now time.Time, address string) bool {
+func (q *quotas) isUnresponsive(now time.Time, address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	known := q.silent[address]
-	return known.questions >= mostUnanswered && now.Sub(known.at) < unansweredTime
+	missed := q.unresponsive[address]
+	return missed.count >= maxUnanswered && now.Sub(missed.at) < unansweredPause
 }
--- a/internal/edge/quotas_coordinator.go
+++ b/internal/edge/quotas_coordinator.go
@@ -11,14 +11,14 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// take takes a call of another node.
-func (q *quotas) take(call *peerpb.QuotaCall) {
+// handleCall takes a call of another node.
+func (q *quotas) handleCall(call *peerpb.QuotaCall) {
 	now := clock.Now()
 	switch call.Kind {
 	case peerpb.QuotaCall_ASK, peerpb.QuotaCall_USED:
-		if better := q.better(now); better != "" && !call.Forwarded {
+		if preferred := q.preferredCoordinator(now); preferred != "" && !call.Forwarded {
 			call.Forwarded = true
-			q.node.peers.sendQuota(better, call)
+			q.node.peers.sendQuota(preferred, call)
 			return
 		}
 		answer := q.decide(now, call)
@@ -30,7 +30,7 @@
 		q.advisories.Observe(now, call.Asker, call.Closed)
 		q.mu.Unlock()
 	default:
-		q.asked.answered(call.Id, call)
+		q.pending.resolve(call.Id, call)
 	}
 }
 
@@ -41,60 +41,60 @@
 	}
 	answer := &peerpb.QuotaCall{Kind: peerpb.QuotaCall_UNKNOWN, Id: call.Id, Tenant: call.Tenant}
 	tenant, ok := q.tenant(call.Tenant)
-	if !ok || !q.mayGive(now) || q.better(now) != "" {
+	if !ok || !q.mayCoordinate(now) || q.preferredCoordinator(now) != "" {
 		return answer
 	}
 	_, reach := q.fleetSize(now)
 	if reach < quota.MinReach {
 		return answer
 	}
-	defer q.speak(now)
+	defer q.publishAdvisory(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if call.Kind == peerpb.QuotaCall_USED {
 		q.coordinator.RecordUse(now, tenant.Name, tenant.Quota, reach, float64(call.Cost))
 		return answer
 	}
-	verdict := q.coordinator.Acquire(now, tenant.Name, tenant.Quota, reach, float64(call.Cost), int(call.Priority))
-	answer.Kind, answer.Left = peerpb.QuotaCall_REFUSED, int64(verdict.Remaining)
-	answer.RetryMs = uint32(min(verdict.RetryAfter, longestAge).Milliseconds())
-	if verdict.Granted {
+	decision := q.coordinator.Acquire(now, tenant.Name, tenant.Quota, reach, float64(call.Cost), int(call.Priority))
+	answer.Kind, answer.Left = peerpb.QuotaCall_REFUSED, int64(decision.Remaining)
+	answer.RetryMs = uint32(min(decision.RetryAfter, maxWireAge).Milliseconds())
+	if decision.Granted {
 		answer.Kind = peerpb.QuotaCall_GRANTED
 	}
 	return answer
 }
 
-// advisoryPeriod is the time between two advisories of a coordinator to all, advisoryShare, which counts
+// advisoryPeriod is the time between two advisories of a coordinator to all, advisoryPeriodPerNode, which counts
 // for each node, bounds what that costs in large fleets to a thousand datagrams a
 // second; beyond some four hundred nodes advisories are older than they are believed, and
 // the tenants' requests are asked for.
 const (
-	advisoryPeriod = gossipPeriod
-	advisoryShare  = time.Millisecond
+	advisoryPeriod        = gossipPeriod
+	advisoryPeriodPerNode = time.Millisecond
 )
 
-// speak lets all nodes know which tenants are near their quota: in each period, and at
+// publishAdvisory lets all nodes know which tenants are near their quota: in each period, and at
 // once where that changed.
-func (q *quotas) speak(now time.Time) {
-	if !q.node.hasQuotas() || !q.mayGive(now) || q.better(now) != "" {
+func (q *quotas) publishAdvisory(now time.Time) {
+	if !q.node.hasQuotas() || !q.mayCoordinate(now) || q.preferredCoordinator(now) != "" {
 		return
 	}
 	if _, reach := q.fleetSize(now); reach < quota.MinReach {
 		return
 	}
-	period := max(advisoryPeriod, q.node.nodes()*advisoryShare)
+	period := max(advisoryPeriod, q.node.nodeFactor()*advisoryPeriodPerNode)
 	q.mu.Lock()
 	closed := q.coordinator.NearQuota()
 	slices.Sort(closed)
 	joined := strings.Join(closed, ",")
-	due := joined != q.told || now.Sub(q.toldAt) >= period-gossipPeriod/4
+	due := joined != q.publishedClosed || now.Sub(q.publishedAt) >= period-gossipPeriod/4
 	if due {
-		q.told, q.toldAt = joined, now
+		q.publishedClosed, q.publishedAt = joined, now
 		q.advisories.Observe(now, q.node.options.PeerAddress, closed)
 	}
 	q.mu.Unlock()
 	if due {
-		q.node.peers.tellAll(&peerpb.QuotaCall{Kind: peerpb.QuotaCall_ADVISORY, Asker: q.node.options.PeerAddress, Closed: closed})
+		q.node.peers.broadcastQuota(&peerpb.QuotaCall{Kind: peerpb.QuotaCall_ADVISORY, Asker: q.node.options.PeerAddress, Closed: closed})
 	}
 }
 
@@ -106,9 +106,9 @@
 	return table.Tenant(name)
 }
 
-// better is the node that gives before this one and was heard from lately; empty where
+// preferredCoordinator is the node that gives before this one and was heard from lately; empty where
 // this node is the coordinator.
-func (q *quotas) better(now time.Time) string {
+func (q *quotas) preferredCoordinator(now time.Time) string {
 	for _, coordinator := range q.node.peers.coordinators(now) {
 		if coordinator.Address == q.node.options.PeerAddress {
 			return ""
@@ -122,23 +122,23 @@
 
 // observe is called in each period: a coordinator that stood still has to notice.
 func (q *quotas) observe(now time.Time) {
-	isCoordinator := q.better(now) == ""
+	isCoordinator := q.preferredCoordinator(now) == ""
 	q.mu.Lock()
 	q.coordinator.Observe(now)
-	q.keep(now, isCoordinator)
+	q.openAccounts(now, isCoordinator)
 	q.mu.Unlock()
-	q.speak(now)
+	q.publishAdvisory(now)
 }
 
-// keep opens the accounts of all tenants, so that they are full when callers come. The
+// openAccounts opens the accounts of all tenants, so that they are full when callers come. The
 // lock is held.
-func (q *quotas) keep(now time.Time, isCoordinator bool) {
+func (q *quotas) openAccounts(now time.Time, isCoordinator bool) {
 	table := q.node.handler.Table()
 	if table == nil || !table.HasQuotas() {
 		return
 	}
-	counted, fresh := q.node.peers.standing(now)
-	nodes, reach := q.fleet.Observe(now, counted, fresh)
+	known, reachable := q.node.peers.countNodes(now)
+	nodes, reach := q.fleet.Observe(now, known, reachable)
 	for _, tenant := range table.Tenants() {
 		if !tenant.Quota.IsLimited() {
 			continue
@@ -153,7 +153,7 @@
 // sweep drops what is not needed: the buckets of tenants that are gone and, where
 // another node gives, what this one gave before.
 func (q *quotas) sweep(now time.Time) {
-	isCoordinator := q.better(now) == ""
+	isCoordinator := q.preferredCoordinator(now) == ""
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	keep := func(name string) bool { _, ok := q.tenant(name); return ok }
--- a/internal/edge/quotas_fleet.go
+++ b/internal/edge/quotas_fleet.go
@@ -32,8 +32,8 @@
 	return p.roster.Coordinators(now, p.node.stopping.Load())
 }
 
-// standing is how many nodes this one knew of lately, and how many it hears from.
-func (p *peers) standing(now time.Time) (counted, fresh int) {
+// countNodes is how many nodes this one knew of lately, and how many it hears from.
+func (p *peers) countNodes(now time.Time) (known, reachable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.CountNodes(now)
@@ -42,26 +42,26 @@
 // fleetSize is the number of nodes that share the quotas, and the part of them that
 // this node hears from.
 func (q *quotas) fleetSize(now time.Time) (nodes int, reach float64) {
-	counted, fresh := q.node.peers.standing(now)
+	known, reachable := q.node.peers.countNodes(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.fleet.Observe(now, counted, fresh)
+	return q.fleet.Observe(now, known, reachable)
 }
 
-// toldSize takes the size that the store keeps with the lease.
-func (q *quotas) toldSize(now time.Time, size int) {
+// raiseFleetSize takes the size that the store keeps with the lease.
+func (q *quotas) raiseFleetSize(now time.Time, size int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fleet.RaiseTo(now, size)
-	q.wasTold = q.wasTold || size > 0
+	q.sizeReceived = q.sizeReceived || size > 0
 }
 
-// learnsSize is how long after its start a node takes the size of the fleet from
+// fleetSizeLearningPeriod is how long after its start a node takes the size of the fleet from
 // others: later it knows itself, and would never see the fleet shrink.
-const learnsSize = 30 * time.Second
+const fleetSizeLearningPeriod = 30 * time.Second
 
-func (q *quotas) heardSize(now time.Time, size int) {
-	if now.Sub(q.node.started) < learnsSize {
-		q.toldSize(now, size)
+func (q *quotas) receiveFleetSize(now time.Time, size int) {
+	if now.Sub(q.node.started) < fleetSizeLearningPeriod {
+		q.raiseFleetSize(now, size)
 	}
 }
--- a/internal/edge/quotas_test.go
+++ b/internal/edge/quotas_test.go
@@ -21,8 +21,8 @@
 	return table
 }
 
-// newLimited returns a node whose quotas tolerate little, which hears its peers.
-func newLimited(t *testing.T, strength uint32) *Node {
+// newQuotaNode returns a node whose quotas tolerate little, which hears its peers.
+func newQuotaNode(t *testing.T, strength uint32) *Node {
 	t.Helper()
 	node := newTestNode(t)
 	node.quotas = newQuotas(node, quota.Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 8000}, false)
@@ -38,15 +38,15 @@
 	return node
 }
 
-// meet lets two nodes know each other.
-func meet(a, b *Node) {
+// introduce lets two nodes know each other.
+func introduce(a, b *Node) {
 	now := clock.Now()
-	a.peers.take(b.peers.state(now))
-	b.peers.take(a.peers.state(now))
+	a.peers.handleState(b.peers.state(now))
+	b.peers.handleState(a.peers.state(now))
 }
 
-// askItself asks the node's own accounts, beside its peers.
-func askItself(node *Node, now time.Time, tenant *routetable.Tenant, cost float64) quota.Decision {
+// acquireDirectly asks the node's own accounts, beside its peers.
+func acquireDirectly(node *Node, now time.Time, tenant *routetable.Tenant, cost float64) quota.Decision {
 	node.quotas.mu.Lock()
 	defer node.quotas.mu.Unlock()
 	return node.quotas.coordinator.Acquire(now, tenant.Name, tenant.Quota, 1, cost, 0)
@@ -64,11 +64,11 @@
 // TestStrongestNodeCoordinates: another asks it, is granted what it has and refused more,
 // with the time to come back.
 func TestStrongestNodeCoordinates(t *testing.T) {
-	coordinator, asker := newLimited(t, 900), newLimited(t, 100)
-	meet(coordinator, asker)
+	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
+	introduce(coordinator, asker)
 	tenant := tenantOf(t, asker)
 	now := clock.Now()
-	askItself(coordinator, now, tenant, 0)
+	acquireDirectly(coordinator, now, tenant, 0)
 	got := asker.quotas.Admit(context.Background(), tenant, 700, 0)
 	if !got.Granted || got.DecidedBy != coordinator.options.PeerAddress {
 		t.Errorf("%+v, want granted by the strongest node", got)
@@ -78,7 +78,7 @@
 	if got.Granted || got.RetryAfter <= 0 || got.RetryAfter > 3*time.Second {
 		t.Errorf("%+v, want refused for about a second", got)
 	}
-	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 3000 {
+	if level := acquireDirectly(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 3000 {
 		t.Errorf("the coordinator has %.0f left", level)
 	}
 }
@@ -86,8 +86,8 @@
 // TestSilentCoordinatorIsPassedOver: the node lives on its own share, and asks a coordinator that
 // did not answer only once a second.
 func TestSilentCoordinatorIsPassedOver(t *testing.T) {
-	coordinator, asker := newLimited(t, 900), newLimited(t, 100)
-	meet(coordinator, asker)
+	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
+	introduce(coordinator, asker)
 	_ = coordinator.peers.conn.Close()
 	tenant := tenantOf(t, asker)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -96,35 +96,35 @@
 	if got.Granted || got.DecidedBy != "alone" {
 		t.Errorf("%+v of a node that just started and reaches no coordinator, want refused", got)
 	}
-	for range 2 * mostUnanswered {
+	for range 2 * maxUnanswered {
 		asker.quotas.Admit(context.Background(), tenant, 5000, 0)
 	}
-	if asked := asker.quotas.unanswered.Load(); asked != mostUnanswered {
+	if asked := asker.quotas.unanswered.Load(); asked != maxUnanswered {
 		t.Errorf("%d questions without an answer: a silent coordinator was asked again at once", asked)
 	}
 }
 
 // TestAskedNodeSendsOnToTheCoordinator: a node that hears one before it does not give.
 func TestAskedNodeSendsOnToTheCoordinator(t *testing.T) {
-	coordinator, second, asker := newLimited(t, 900), newLimited(t, 500), newLimited(t, 100)
-	meet(coordinator, second)
-	meet(second, asker)
+	coordinator, second, asker := newQuotaNode(t, 900), newQuotaNode(t, 500), newQuotaNode(t, 100)
+	introduce(coordinator, second)
+	introduce(second, asker)
 	got := asker.quotas.Admit(context.Background(), tenantOf(t, asker), 700, 0)
 	if !got.Granted {
 		t.Errorf("%+v", got)
 	}
 	tenant := tenantOf(t, coordinator)
-	if level := askItself(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 700 {
+	if level := acquireDirectly(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 700 {
 		t.Errorf("the coordinator has %.0f left: it was not asked", level)
 	}
 }
 
 // TestRequestWaitsForItsQuota: one that will be granted in a moment is not sent away.
 func TestRequestWaitsForItsQuota(t *testing.T) {
-	coordinator, asker := newLimited(t, 900), newLimited(t, 100)
-	meet(coordinator, asker)
+	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
+	introduce(coordinator, asker)
 	tenant := tenantOf(t, asker)
-	for askItself(coordinator, clock.Now(), tenant, 700).Granted {
+	for acquireDirectly(coordinator, clock.Now(), tenant, 700).Granted {
 		t.Log("the coordinator begins with a little")
 	}
 	if got := asker.quotas.Admit(context.Background(), tenant, 1500, 0); !got.Granted {
--- a/internal/edge/regions.go
+++ b/internal/edge/regions.go
@@ -5,14 +5,14 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// mostNamed bounds the routes that one look names as without servers.
-const mostNamed = 8
+// maxReportedRoutes bounds the routes that one look names as without servers.
+const maxReportedRoutes = 8
 
 // regionCheck names the routes whose regions have no server, once for each version of the
 // configuration. One goroutine uses it.
 type regionCheck struct {
-	version int64
-	named   map[string]bool
+	version  int64
+	reported map[string]bool
 }
 
 // checkRegions logs the services of routes that have no server in the route's regions:
@@ -22,24 +22,24 @@
 	if table == nil || !n.hasServers.Load() {
 		return
 	}
-	if check.named == nil || table.Version != check.version {
-		check.version, check.named = table.Version, make(map[string]bool)
+	if check.reported == nil || table.Version != check.version {
+		check.version, check.reported = table.Version, make(map[string]bool)
 	}
-	for _, bound := range table.RegionRestrictions() {
-		if len(check.named) >= mostNamed {
+	for _, restriction := range table.RegionRestrictions() {
+		if len(check.reported) >= maxReportedRoutes {
 			return
 		}
-		if check.named[bound.Route] || n.hasServerIn(bound) {
+		if check.reported[restriction.Route] || n.hasServerIn(restriction) {
 			continue
 		}
-		check.named[bound.Route] = true
-		n.options.Logger.Warn().Str("route", bound.Route).Str("service", bound.Service).Str("regions", bound.Regions.String()).
+		check.reported[restriction.Route] = true
+		n.options.Logger.Warn().Str("route", restriction.Route).Str("service", restriction.Service).Str("regions", restriction.Regions.String()).
 			Int64("config", table.Version).Msg("region_without_servers")
 	}
 }
 
-func (n *Node) hasServerIn(bound routetable.RegionRestriction) bool {
+func (n *Node) hasServerIn(restriction routetable.RegionRestriction) bool {
 	found := false
-	n.dispatch.Do(func(core *dispatch.Core) { found = core.HasServer(bound.Service, bound.Regions) })
+	n.dispatch.Do(func(core *dispatch.Core) { found = core.HasServer(restriction.Service, restriction.Regions) })
 	return found
 }
--- a/internal/edge/relist_test.go
+++ b/internal/edge/relist_test.go
@@ -11,18 +11,18 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// eventfulStore tells one event of its servers, and then none.
-type eventfulStore struct {
+// singleEventStore tells one event of its servers, and then none.
+type singleEventStore struct {
 	sourceStore
 	lists, watches atomic.Int64
 }
 
-func (s *eventfulStore) Servers(context.Context) ([]inventory.Server, storepos.Position, error) {
+func (s *singleEventStore) Servers(context.Context) ([]inventory.Server, storepos.Position, error) {
 	s.lists.Add(1)
 	return []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 2), nil
 }
 
-func (s *eventfulStore) WatchServers(ctx context.Context, from storepos.Position, wait time.Duration) ([]inventory.Change, storepos.Position, error) {
+func (s *singleEventStore) WatchServers(ctx context.Context, from storepos.Position, wait time.Duration) ([]inventory.Change, storepos.Position, error) {
 	if s.watches.Add(1) == 1 {
 		return []inventory.Change{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 3)}}}, storepos.At(0, 3), nil
 	}
@@ -38,9 +38,9 @@
 // falls into the rest between two calls for changes.
 func TestLapsesEndInARest(t *testing.T) {
 	node := newFollower(t, 0)
-	store := &eventfulStore{}
+	store := &singleEventStore{}
 	node.options.Store = store
-	node.asked.Store(true)
+	node.callerWaiting.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { node.followServers(ctx); close(done) }()
@@ -49,11 +49,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond)
-	node.lapses.mu.Lock()
-	node.lapses.hold(inventory.Server{ID: "c"})
-	node.lapses.mu.Unlock()
+	node.expiryGrace.mu.Lock()
+	node.expiryGrace.hold(inventory.Server{ID: "c"})
+	node.expiryGrace.mu.Unlock()
 	before := store.lists.Load()
-	node.endLapses(clock.Now())
+	node.finishExpiryGrace(clock.Now())
 	for end := time.Now().Add(5 * time.Second); store.lists.Load() == before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the servers are not read anew within 5 s of the end of the lapses")
--- a/internal/edge/return_test.go
+++ b/internal/edge/return_test.go
@@ -10,14 +10,14 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-func takesWork(node *Node, server string) (takes bool) {
-	node.dispatch.Do(func(core *dispatch.Core) { takes = core.IsAvailable(server) })
-	return takes
+func isAvailable(node *Node, server string) (available bool) {
+	node.dispatch.Do(func(core *dispatch.Core) { available = core.IsAvailable(server) })
+	return available
 }
 
-// tellAll lets one node hear the other's news of this period.
-func tellAll(from, to *Node) {
-	to.hearServers(clock.Now(), from.directory.tell(clock.Now()))
+// shareChanges lets one node hear the other's news of this period.
+func shareChanges(from, to *Node) {
+	to.receivePeerChanges(clock.Now(), from.directory.takeDue(clock.Now()))
 }
 
 // TestServerThatWentAndCameBackTakesWork: where a server's entry went and came back
@@ -33,21 +33,21 @@
 		at     int64
 		want   bool
 	}{
-		{"went and came back", []inventory.Change{gone("a"), {Server: back}}, 9, true},
-		{"went, came back and went", []inventory.Change{gone("a"), {Server: back}, gone("a")}, 10, false},
+		{"went and came back", []inventory.Change{removal("a"), {Server: back}}, 9, true},
+		{"went, came back and went", []inventory.Change{removal("a"), {Server: back}, removal("a")}, 10, false},
 		{"left, lapsed and came back", []inventory.Change{
-			{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5), Draining: true}}, gone("a"), {Server: back},
+			{Server: inventory.Server{ID: "a", Position: storepos.At(0, 5), Draining: true}}, removal("a"), {Server: back},
 		}, 9, true},
-		{"went", []inventory.Change{gone("a")}, 9, false},
+		{"went", []inventory.Change{removal("a")}, 9, false},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
 			watcher, other := newFollower(t, 0), newFollower(t, 0)
-			watcher.changeServers(step.events, storepos.At(0, step.at))
-			tellAll(watcher, other)
-			tellAll(other, watcher)
+			watcher.applyServerEvents(step.events, storepos.At(0, step.at))
+			shareChanges(watcher, other)
+			shareChanges(other, watcher)
 			for name, node := range map[string]*Node{"watcher": watcher, "other": other} {
-				if got := takesWork(node, "a"); got != step.want {
+				if got := isAvailable(node, "a"); got != step.want {
 					t.Errorf("%s: takes work %v, want %v", name, got, step.want)
 				}
 				if got := node.directory.table.IsAvailable("a"); got != step.want {
@@ -65,9 +65,9 @@
 	for _, order := range [][]gossip.ServerChange{{word, back}, {back, word}} {
 		node := newFollower(t, 0)
 		for _, item := range order {
-			node.hearServers(clock.Now(), []gossip.ServerChange{item})
+			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{item})
 		}
-		if !takesWork(node, "a") {
+		if !isAvailable(node, "a") {
 			t.Errorf("heard %v: the server takes no work", order)
 		}
 	}
@@ -81,32 +81,32 @@
 func TestPeersWordGoesBeforeAHeldEntry(t *testing.T) {
 	back := inventory.Server{ID: "a", Position: storepos.At(0, 10)}
 	returns := map[string]func(node *Node){
-		"by the store": func(node *Node) { node.changeServers([]inventory.Change{{Server: back}}, storepos.At(0, 10)) },
+		"by the store": func(node *Node) { node.applyServerEvents([]inventory.Change{{Server: back}}, storepos.At(0, 10)) },
 		"by a peer's word": func(node *Node) {
-			node.hearServers(clock.Now(), []gossip.ServerChange{{Server: back}})
+			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: back}})
 		},
-		"by a peer's list": func(node *Node) { node.listPeerServers([]inventory.Server{back}, storepos.At(0, 11)) },
+		"by a peer's list": func(node *Node) { node.applyPeerServerList([]inventory.Server{back}, storepos.At(0, 11)) },
 		"unchanged, by the store's list": func(node *Node) {
-			node.listServers(clock.Now(), []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 11))
+			node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}}, storepos.At(0, 11))
 		},
 	}
 	for name, comesBack := range returns {
 		node := newFollower(t, 0)
-		before, _ := node.directory.standing()
-		node.lapses.storeReturned(clock.Now())
-		node.listServers(clock.Now(), nil, storepos.At(0, 9))
-		if !takesWork(node, "a") {
+		before, _ := node.directory.digestAndPosition()
+		node.expiryGrace.begin(clock.Now())
+		node.applyServerList(clock.Now(), nil, storepos.At(0, 9))
+		if !isAvailable(node, "a") {
 			t.Fatal("a lapsed entry is not held back")
 		}
-		node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 8)}}})
-		if takesWork(node, "a") || node.directory.table.IsAvailable("a") {
+		node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 8)}}})
+		if isAvailable(node, "a") || node.directory.table.IsAvailable("a") {
 			t.Error("the server takes work though a peer knows that it is gone")
 		}
-		if digest, _ := node.directory.standing(); digest == before {
+		if digest, _ := node.directory.digestAndPosition(); digest == before {
 			t.Error("peers cannot tell that this node sends nothing to the server")
 		}
 		comesBack(node)
-		if !takesWork(node, "a") || !node.directory.table.IsAvailable("a") {
+		if !isAvailable(node, "a") || !node.directory.table.IsAvailable("a") {
 			t.Errorf("%s: the server takes no work though its entry came back", name)
 		}
 	}
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -16,151 +16,151 @@
 const (
 	// serversPause is the pause between two calls for changes of the servers, whose
 	// entries change many times a second in a large fleet. It is a part of the time
-	// within which changes must be known (serversPauseShare), at the most
+	// within which changes must be known (serversPauseFraction), at the most
 	// longestServersPause.
-	serversPauseShare   = 0.3
-	longestServersPause = 1200 * time.Millisecond
-	// lagTolerated, lagShare for each node and longestLag bound how long a peer
+	serversPauseFraction = 0.3
+	maxServersPause      = 1200 * time.Millisecond
+	// serversLagTolerance, lagShare for each node and longestLag bound how long a peer
 	// may know other servers before this node asks it: news take longer in a
 	// larger fleet.
-	lagTolerated = 400 * time.Millisecond
-	lagShare     = 8 * time.Millisecond
-	longestLag   = time.Second
+	serversLagTolerance = 400 * time.Millisecond
+	serversLagPerNode   = 8 * time.Millisecond
+	maxServersLag       = time.Second
 )
 
 // followServers keeps the directory of servers.
 func (n *Node) followServers(ctx context.Context) {
 	var pause backoff
 	for ctx.Err() == nil {
-		if !n.watchesStore(clock.Now(), &n.serversConfirmed) {
-			discard(n.serversNudge)
-			n.relistServers.Store(false)
-			sleep(ctx, watchCheck)
+		if !n.shouldQueryStore(clock.Now(), &n.serversConfirmed) {
+			clearSignal(n.serversRefresh)
+			n.reloadServers.Store(false)
+			sleep(ctx, roleCheckPeriod)
 			continue
 		}
-		asked := clock.Now()
-		n.relistServers.Store(false)
+		requestedAt := clock.Now()
+		n.reloadServers.Store(false)
 		servers, at, err := n.options.Store.Servers(ctx)
 		if err != nil {
-			n.serversFailed(ctx, err, &pause)
+			n.handleServersError(ctx, err, &pause)
 			continue
 		}
-		n.storeAnswered()
-		if n.listServers(asked, servers, at) {
-			n.serversConfirmed.confirm(asked)
+		n.recordStoreSuccess()
+		if n.applyServerList(requestedAt, servers, at) {
+			n.serversConfirmed.confirm(requestedAt)
 		}
-		for err == nil && ctx.Err() == nil && !n.relistServers.Load() && n.watchesStore(clock.Now(), &n.serversConfirmed) {
+		for err == nil && ctx.Err() == nil && !n.reloadServers.Load() && n.shouldQueryStore(clock.Now(), &n.serversConfirmed) {
 			pause.reset()
 			at, err = n.watchServers(ctx, at)
 		}
 		if err != nil {
-			n.serversFailed(ctx, err, &pause)
+			n.handleServersError(ctx, err, &pause)
 		}
 	}
 }
 
-func (n *Node) serversFailed(ctx context.Context, err error, pause *backoff) {
-	n.storeFailed("servers", err)
+func (n *Node) handleServersError(ctx context.Context, err error, pause *backoff) {
+	n.recordStoreFailure("servers", err)
 	if !errors.Is(err, context.Canceled) {
 		// What ended this watch may have made the other one deaf.
-		send(n.configNudge)
+		signal(n.configRefresh)
 	}
-	pause.wait(ctx, n.longestStorePause())
+	pause.wait(ctx, n.storePauseLimit())
 }
 
 // watchServers waits for changes once; a nudge ends the wait.
 func (n *Node) watchServers(ctx context.Context, from storepos.Position) (at storepos.Position, err error) {
-	watch, cancel := nudged(ctx, n.serversNudge)
+	watch, cancel := cancelOnSignal(ctx, n.serversRefresh)
 	defer cancel()
-	asked, wait := clock.Now(), n.watchTime()
+	requestedAt, wait := clock.Now(), n.watchTimeout()
 	events, at, err := n.options.Store.WatchServers(watch, from, wait)
 	if err != nil {
 		return at, err
 	}
-	n.storeAnswered()
-	n.changeServers(events, at)
+	n.recordStoreSuccess()
+	n.applyServerEvents(events, at)
 	if len(events) == 0 {
-		n.serversConfirmed.confirm(confirmedBy(asked, wait, clock.Now()))
+		n.serversConfirmed.confirm(confirmedUntil(requestedAt, wait, clock.Now()))
 		return at, nil
 	}
-	n.serversConfirmed.confirm(asked)
-	n.restServers(ctx)
+	n.serversConfirmed.confirm(requestedAt)
+	n.pauseServersWatch(ctx)
 	return at, nil
 }
 
-// restServers gathers changes into one call; a nudge ends the rest.
-func (n *Node) restServers(ctx context.Context) {
-	timer := time.NewTimer(min(longestServersPause, n.shareOf(serversPauseShare)))
+// pauseServersWatch gathers changes into one call; a nudge ends the rest.
+func (n *Node) pauseServersWatch(ctx context.Context) {
+	timer := time.NewTimer(min(maxServersPause, n.fractionOfBound(serversPauseFraction)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-n.serversNudge:
+	case <-n.serversRefresh:
 	case <-ctx.Done():
 	}
 }
 
-// listServers takes the store's whole list, which was asked for at asked. It reports whether that is
+// applyServerList takes the store's whole list, which was asked for at asked. It reports whether that is
 // not older than what is known.
-func (n *Node) listServers(asked time.Time, servers []inventory.Server, at storepos.Position) bool {
+func (n *Node) applyServerList(requestedAt time.Time, servers []inventory.Server, at storepos.Position) bool {
 	now := clock.Now()
-	known, knownAt, _ := n.directory.list()
-	n.logLeftOut("list", len(servers), at, knownAt)
-	servers = n.lapses.complete(now, servers, known)
-	changes, hasNews := n.directory.replace(now, asked, servers, at)
-	n.leader.call(context.Background(), func() { n.leader.listServers(now, asked, servers, at) })
-	n.useServers(changes, "list")
+	known, knownAt, _ := n.directory.listAvailable()
+	n.logStaleAnswer("list", len(servers), at, knownAt)
+	servers = n.expiryGrace.addMissing(now, servers, known)
+	changes, hasOutgoing := n.directory.replace(now, requestedAt, servers, at)
+	n.leader.deliver(context.Background(), func() { n.leader.applyServerList(now, requestedAt, servers, at) })
+	n.applyServerChanges(changes, "list")
 	n.hasServers.Store(true)
-	n.passOnNews(hasNews)
+	n.announceChanges(hasOutgoing)
 	if at.Era != knownAt.Era && !knownAt.IsZero() {
 		n.options.Logger.Info().Str("at", at.String()).Str("known", knownAt.String()).Int("listed", len(servers)).
-			Int("changed", len(changes)).Int("awaiting_rewrite", n.directory.awaiting(now)).Msg("servers_kept_over_era")
+			Int("changed", len(changes)).Int("awaiting_rewrite", n.directory.countEarlierEra(now)).Msg("servers_kept_over_era")
 	}
-	return !at.IsBefore(n.directory.completeTo())
+	return !at.IsBefore(n.directory.position())
 }
 
-// listPeerServers takes the whole list of a peer.
-func (n *Node) listPeerServers(servers []inventory.Server, at storepos.Position) {
-	n.useServers(n.directory.replaceByPeer(clock.Now(), servers, at), "peer_list")
+// applyPeerServerList takes the whole list of a peer.
+func (n *Node) applyPeerServerList(servers []inventory.Server, at storepos.Position) {
+	n.applyServerChanges(n.directory.replaceByPeer(clock.Now(), servers, at), "peer_list")
 	n.hasServers.Store(true)
 }
 
-// changeServers takes the store's events.
-func (n *Node) changeServers(events []inventory.Change, at storepos.Position) {
+// applyServerEvents takes the store's events.
+func (n *Node) applyServerEvents(events []inventory.Change, at storepos.Position) {
 	now := clock.Now()
-	n.logLeftOut("watch", len(events), at, n.directory.completeTo())
-	events = n.lapses.filter(now, events)
+	n.logStaleAnswer("watch", len(events), at, n.directory.position())
+	events = n.expiryGrace.filterRemovals(now, events)
 	if len(events) > 0 {
-		n.leader.call(context.Background(), func() { n.leader.changeServers(now, events, at) })
+		n.leader.deliver(context.Background(), func() { n.leader.applyServerEvents(now, events, at) })
 	}
-	changes, hasNews := n.directory.apply(now, events, at)
-	n.useServers(changes, "watch")
-	n.passOnNews(hasNews)
+	changes, hasOutgoing := n.directory.apply(now, events, at)
+	n.applyServerChanges(changes, "watch")
+	n.announceChanges(hasOutgoing)
 }
 
-// logLeftOut writes that an answer of the store is older than what is known, and changes nothing.
-func (n *Node) logLeftOut(from string, entries int, at, known storepos.Position) {
+// logStaleAnswer writes that an answer of the store is older than what is known, and changes nothing.
+func (n *Node) logStaleAnswer(from string, entries int, at, known storepos.Position) {
 	if entries == 0 || !at.IsBefore(known) {
 		return
 	}
-	n.metrics.leftOut.WithLabelValues("servers", from).Inc()
+	n.metrics.staleAnswers.WithLabelValues("servers", from).Inc()
 	n.options.Logger.Warn().Str("from", from).Int("entries", entries).Str("at", at.String()).Str("known", known.String()).Msg("servers_left_out")
 }
 
-// passOnNews lets peers hear at once of what the store told.
-func (n *Node) passOnNews(hasNews bool) {
-	if hasNews {
+// announceChanges lets peers hear at once of what the store told.
+func (n *Node) announceChanges(hasOutgoing bool) {
+	if hasOutgoing {
 		n.peers.tick()
 	}
 }
 
-// hearServers takes the news of a peer. Entries from before a word that a server goes
+// receivePeerChanges takes the news of a peer. Entries from before a word that a server goes
 // may be under way to the choice of servers still: they do not bring the server back.
-func (n *Node) hearServers(now time.Time, items []gossip.ServerChange) {
-	changes := n.directory.hear(now, items)
+func (n *Node) receivePeerChanges(now time.Time, items []gossip.ServerChange) {
+	changes := n.directory.applyPeerChanges(now, items)
 	if len(changes) == 0 {
 		return
 	}
-	n.useServers(changes, "peer")
+	n.applyServerChanges(changes, "peer")
 	n.dispatch.Do(func(core *dispatch.Core) {
 		for _, change := range changes {
 			if change.Server.Draining {
@@ -170,16 +170,16 @@
 	})
 }
 
-// useServers puts changes in force.
-func (n *Node) useServers(changes []inventory.Change, from string) {
+// applyServerChanges puts changes in force.
+func (n *Node) applyServerChanges(changes []inventory.Change, from string) {
 	if len(changes) == 0 {
 		return
 	}
 	now := clock.Now()
-	worked, startedAgain := make(map[string]bool, len(changes)), make(map[string]bool)
+	wasAvailable, startedAgain := make(map[string]bool, len(changes)), make(map[string]bool)
 	n.dispatch.Do(func(core *dispatch.Core) {
 		for _, change := range changes {
-			worked[change.Server.ID] = core.Stays(change.Server.ID)
+			wasAvailable[change.Server.ID] = core.Stays(change.Server.ID)
 			startedAgain[change.Server.ID] = !change.Gone && core.KnowsOtherStart(change.Server.Start())
 		}
 		core.SetServers(changes)
@@ -193,16 +193,16 @@
 		if change.Gone || change.Server.Draining || startedAgain[change.Server.ID] {
 			n.pool.CloseIdle(change.Server.Address)
 		}
-		n.logServer(change, worked[change.Server.ID] && !startedAgain[change.Server.ID], from)
+		n.logServerChange(change, wasAvailable[change.Server.ID] && !startedAgain[change.Server.ID], from)
 	}
 }
 
-// logServer writes what became known of a server. Whether it takes work is an event
+// logServerChange writes what became known of a server. Whether it takes work is an event
 // of its own, of which every line is kept: entries that say what engines hold change
 // hundreds of times a second in a large fleet.
-func (n *Node) logServer(change inventory.Change, worked bool, from string) {
+func (n *Node) logServerChange(change inventory.Change, wasAvailable bool, from string) {
 	event := "server_changed"
-	if worked && !change.Gone && !change.Server.Draining {
+	if wasAvailable && !change.Gone && !change.Server.Draining {
 		event = "server_entry"
 	}
 	n.options.Logger.Info().Str("server", change.Server.ID).Int64("born", change.Server.StartedAtMs).Str("address", change.Server.Address).
@@ -218,19 +218,19 @@
 	n.confirmServers(now, state.ServersDigest, state.ServersAgeMs)
 	age, known := n.serversConfirmed.age(now)
 	isFresher := state.ServersAgeMs > 0 && (!known || time.Duration(state.ServersAgeMs)*time.Millisecond < age)
-	tolerated := min(longestLag, lagTolerated+n.nodes()*lagShare)
+	tolerance := min(maxServersLag, serversLagTolerance+n.nodeFactor()*serversLagPerNode)
 	switch {
 	case !n.hasServers.Load() && state.ServersRevision > 0:
-		if !n.snapshots.mayAsk(now, state.Address) {
+		if !n.snapshots.mayRequest(now, state.Address) {
 			return
 		}
-		n.snapshots.want(wantedSnapshot{address: state.Address})
-	case !n.directory.lags(now, state.ServersDigest, storepos.At(state.ServersEra, state.ServersRevision), isFresher, tolerated):
-	case n.watchesStore(now, &n.serversConfirmed):
-		send(n.serversNudge)
-	case !n.snapshots.mayAsk(now, state.Address):
+		n.snapshots.enqueue(wantedSnapshot{address: state.Address})
+	case !n.directory.isBehind(now, state.ServersDigest, storepos.At(state.ServersEra, state.ServersRevision), isFresher, tolerance):
+	case n.shouldQueryStore(now, &n.serversConfirmed):
+		signal(n.serversRefresh)
+	case !n.snapshots.mayRequest(now, state.Address):
 	default:
-		n.snapshots.want(wantedSnapshot{address: state.Address})
+		n.snapshots.enqueue(wantedSnapshot{address: state.Address})
 	}
 }
 
@@ -240,7 +240,7 @@
 	if !n.hasServers.Load() {
 		return
 	}
-	if own, _ := n.directory.standing(); own == digest {
-		n.serversConfirmed.hear(now, age)
+	if own, _ := n.directory.digestAndPosition(); own == digest {
+		n.serversConfirmed.receiveAge(now, age)
 	}
 }
--- a/internal/edge/signature.go
+++ b/internal/edge/signature.go
@@ -11,14 +11,14 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// digest is a number for a signature of a server's view.
-func digest(serverID, signature string) uint64 {
+// viewDigest is a number for a signature of a server's view.
+func viewDigest(serverID, signature string) uint64 {
 	return xxhash.Sum64String(serverID + " " + signature)
 }
 
-// signature is a text that is the same for two views that say the same, but for
+// viewSignature is a text that is the same for two views that say the same, but for
 // the times left.
-func signature(view dispatch.View) string {
+func viewSignature(view dispatch.View) string {
 	var text strings.Builder
 	text.WriteString(strconv.FormatInt(view.Sequence, 10))
 	for _, model := range slices.Sorted(maps.Keys(view.Held)) {
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -32,12 +32,12 @@
 type snapshots struct {
 	node   *Node
 	client *http.Client
-	// wanted are peers that know more; one that waits is enough.
-	wanted chan wantedSnapshot
-	// farSince is when a peer of another region began to know more, since when this node
+	// pending are peers that know more; one that waits is enough.
+	pending chan wantedSnapshot
+	// otherRegionSince is when a peer of another region began to know more, since when this node
 	// leaves it to others of its own region to ask there. The goroutine that takes
 	// datagrams alone uses it.
-	farSince time.Time
+	otherRegionSince time.Time
 }
 
 // wantedSnapshot is a peer to ask.
@@ -56,7 +56,7 @@
 			Timeout:   snapshotTimeout,
 			Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 		},
-		wanted: make(chan wantedSnapshot, 1),
+		pending: make(chan wantedSnapshot, 1),
 	}
 }
 
@@ -68,62 +68,62 @@
 	return serve(server, listener)
 }
 
-// want asks the peer for what it knows, unless another waits to be asked.
-func (s *snapshots) want(wanted wantedSnapshot) {
+// enqueue asks the peer for what it knows, unless another waits to be asked.
+func (s *snapshots) enqueue(wanted wantedSnapshot) {
 	select {
-	case s.wanted <- wanted:
+	case s.pending <- wanted:
 	default:
 	}
 }
 
 const (
-	// farAskers is the number of nodes of a region that ask peers of other regions at
+	// otherRegionRequesters is the number of nodes of a region that ask peers of other regions at
 	// once; the others hear from them, or ask after farPatience themselves. A list of a
 	// thousand servers has 100 KB.
-	farAskers   = 2
-	farPatience = 600 * time.Millisecond
+	otherRegionRequesters = 2
+	otherRegionDelay      = 600 * time.Millisecond
 )
 
-// mayAsk reports whether a peer that knows more is to be asked now.
-func (s *snapshots) mayAsk(now time.Time, address string) bool {
+// mayRequest reports whether a peer that knows more is to be asked now.
+func (s *snapshots) mayRequest(now time.Time, address string) bool {
 	peers := s.node.peers
-	if !peers.isFar(address) || peers.rankNear(now) < farAskers {
+	if !peers.isInOtherRegion(address) || peers.regionRank(now) < otherRegionRequesters {
 		return true
 	}
-	waited := now.Sub(s.farSince)
-	if waited > 2*farPatience {
-		s.farSince, waited = now, 0
+	waited := now.Sub(s.otherRegionSince)
+	if waited > 2*otherRegionDelay {
+		s.otherRegionSince, waited = now, 0
 	}
-	return waited > farPatience
+	return waited > otherRegionDelay
 }
 
-// isDue reports whether what is wanted did not come meanwhile, from another peer
+// isNeeded reports whether what is wanted did not come meanwhile, from another peer
 // or the store.
-func (s *snapshots) isDue(wanted wantedSnapshot) bool {
+func (s *snapshots) isNeeded(wanted wantedSnapshot) bool {
 	return wanted.version == 0 || wanted.version > s.node.configVersion()
 }
 
 // run asks the seeds once, as the node starts, and then whom others name.
 func (s *snapshots) run(ctx context.Context) {
 	for _, seed := range s.node.options.Tunables.PeerSeeds {
-		if seed != s.node.options.PeerAddress && s.fetch(ctx, seed, s.node.known()) {
+		if seed != s.node.options.PeerAddress && s.fetch(ctx, seed, s.node.knownState()) {
 			break
 		}
 	}
-	s.node.peersAsked.Store(true)
+	s.node.seedsQueried.Store(true)
 	refresh := time.NewTimer(refreshPeriod + rand.N(refreshPeriod))
 	defer refresh.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-s.wanted:
-			if s.isDue(wanted) {
-				s.fetch(ctx, wanted.address, s.node.known())
+		case wanted := <-s.pending:
+			if s.isNeeded(wanted) {
+				s.fetch(ctx, wanted.address, s.node.knownState())
 			}
 		case <-refresh.C:
 			refresh.Reset(refreshPeriod + rand.N(refreshPeriod))
-			if address := s.node.peers.near(clock.Now()); address != "" && !s.node.watchesStore(clock.Now(), &s.node.serversConfirmed) {
+			if address := s.node.peers.randomNearby(clock.Now()); address != "" && !s.node.shouldQueryStore(clock.Now(), &s.node.serversConfirmed) {
 				// All servers, whatever is known: the list drops what is gone.
 				s.fetch(ctx, address, &peerpb.SnapshotRequest{ConfigVersion: s.node.configVersion()})
 			}
@@ -131,12 +131,12 @@
 	}
 }
 
-// known is what the node has and need not be told. Servers that it heard of as news
+// knownState is what the node has and need not be told. Servers that it heard of as news
 // alone are no list: news do not say that they are all.
-func (n *Node) known() *peerpb.SnapshotRequest {
+func (n *Node) knownState() *peerpb.SnapshotRequest {
 	request := &peerpb.SnapshotRequest{ConfigVersion: n.configVersion()}
 	if n.hasServers.Load() {
-		request.ServersDigest, _ = n.directory.standing()
+		request.ServersDigest, _ = n.directory.digestAndPosition()
 	}
 	return request
 }
@@ -145,14 +145,14 @@
 // enough to answer callers.
 func (s *snapshots) fetch(ctx context.Context, address string, request *peerpb.SnapshotRequest) bool {
 	node := s.node
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	response, err := peerpb.NewNodesProtobufClient("http://"+address, s.client).Snapshot(ctx, request)
 	if err != nil {
-		node.options.Logger.Warn().Str("peer", address).Int64("took_ms", clock.Since(asked).Milliseconds()).
+		node.options.Logger.Warn().Str("peer", address).Int64("took_ms", clock.Since(requestedAt).Milliseconds()).
 			Str("error", err.Error()).Msg("snapshot_failed")
 		return false
 	}
-	node.peers.addHints(asked, response.Peers)
+	node.peers.addCandidates(requestedAt, response.Peers)
 	node.peers.countSnapshot(address, response)
 	if len(response.Config) > 0 {
 		table, err := node.options.Store.DecodeConfiguration(response.Config)
@@ -160,46 +160,46 @@
 			node.options.Logger.Warn().Str("peer", address).Str("error", err.Error()).Msg("snapshot_unreadable")
 			return false
 		}
-		node.putInForce(table, "peer")
+		node.activateTable(table, "peer")
 	}
 	if response.ConfigVersion <= node.configVersion() {
-		node.configConfirmed.hear(asked, response.ConfigAgeMs)
+		node.configConfirmed.receiveAge(requestedAt, response.ConfigAgeMs)
 	}
 	if response.ServersRevision > 0 {
-		at := storepos.At(response.ServersEra, response.ServersRevision).WithDefaultEra(node.directory.completeTo().Era)
-		node.listPeerServers(entriesOf(response.Servers, at.Era), at)
+		at := storepos.At(response.ServersEra, response.ServersRevision).WithDefaultEra(node.directory.position().Era)
+		node.applyPeerServerList(decodeEntries(response.Servers, at.Era), at)
 		if response.EraAgeMs > 0 {
-			node.directory.beginEra(asked.Add(-time.Duration(response.EraAgeMs-1) * time.Millisecond))
+			node.directory.beginEra(requestedAt.Add(-time.Duration(response.EraAgeMs-1) * time.Millisecond))
 		}
 	}
-	node.confirmServers(asked, response.ServersDigest, response.ServersAgeMs)
-	node.evacuations.hear(asked, address, response.Evacuations)
+	node.confirmServers(requestedAt, response.ServersDigest, response.ServersAgeMs)
+	node.evacuations.receive(requestedAt, address, response.Evacuations)
 	node.options.Logger.Info().Str("peer", address).Int64("config", response.ConfigVersion).
 		Int("config_bytes", len(response.Config)).Int("servers", len(response.Servers)).
-		Int64("revision", response.ServersRevision).Int64("era", response.ServersEra).Int64("took_ms", clock.Since(asked).Milliseconds()).Msg("snapshot_taken")
-	return node.knowsEnough()
+		Int64("revision", response.ServersRevision).Int64("era", response.ServersEra).Int64("took_ms", clock.Since(requestedAt).Milliseconds()).Msg("snapshot_taken")
+	return node.hasRequiredState()
 }
 
 // Snapshot answers a peer with what this node knows.
 func (s *snapshots) Snapshot(_ context.Context, request *peerpb.SnapshotRequest) (*peerpb.SnapshotResponse, error) {
 	now := clock.Now()
 	node := s.node
-	response := &peerpb.SnapshotResponse{Peers: node.peers.some(now, snapshotPeers), Evacuations: node.evacuations.whole(now)}
+	response := &peerpb.SnapshotResponse{Peers: node.peers.sampleAddresses(now, snapshotPeers), Evacuations: node.evacuations.encodeFull(now)}
 	if table := node.handler.Table(); table != nil {
 		response.ConfigVersion = table.Version
-		response.ConfigAgeMs = node.configConfirmed.wire(now)
+		response.ConfigAgeMs = node.configConfirmed.encodedAge(now)
 		if table.Version > request.ConfigVersion {
 			response.Config = table.Source
 		}
 	}
 	if node.hasServers.Load() {
-		response.ServersDigest, _ = node.directory.standing()
-		response.ServersAgeMs = node.serversConfirmed.wire(now)
+		response.ServersDigest, _ = node.directory.digestAndPosition()
+		response.ServersAgeMs = node.serversConfirmed.encodedAge(now)
 		if response.ServersDigest != request.ServersDigest {
 			// Most who ask know them: a list for each took half of the memory that a leader of 300
 			// nodes and 3,000 servers used, 120 MB a second.
-			servers, at, digest := node.directory.list()
-			response.Servers, response.ServersDigest = encodeEntries(node.admissions.asOf(now, servers)), digest
+			servers, at, digest := node.directory.listAvailable()
+			response.Servers, response.ServersDigest = encodeEntries(node.admissions.withColdState(now, servers)), digest
 			response.ServersEra, response.ServersRevision = at.Era, at.Revision
 			if age, ok := node.directory.eraAge(now); ok {
 				response.EraAgeMs = encodeAge(age)
@@ -209,8 +209,8 @@
 	return response, nil
 }
 
-// entriesOf are the servers that a peer lists, in the era where it does not tell theirs.
-func entriesOf(wire []*peerpb.ServerEntry, era int64) []inventory.Server {
+// decodeEntries are the servers that a peer lists, in the era where it does not tell theirs.
+func decodeEntries(wire []*peerpb.ServerEntry, era int64) []inventory.Server {
 	servers := make([]inventory.Server, 0, len(wire))
 	for _, entry := range wire {
 		server := inventory.Server{
@@ -220,7 +220,7 @@
 		if !isUsable(server) {
 			continue
 		}
-		server.ColdRemaining, server.ReportsCold = coldLeftOf(entry.ColdLeftMs)
+		server.ColdRemaining, server.ReportsCold = decodeColdRemaining(entry.ColdLeftMs)
 		for _, model := range entry.Held {
 			server.Models = append(server.Models, inventory.HeldModel{Name: model.Model, Adapters: model.Adapters})
 		}
@@ -243,17 +243,17 @@
 }
 
 func encodeEntries(servers []inventory.Server) []*peerpb.ServerEntry {
-	wire := make([]*peerpb.ServerEntry, 0, len(servers))
+	encoded := make([]*peerpb.ServerEntry, 0, len(servers))
 	for _, server := range servers {
 		entry := &peerpb.ServerEntry{
 			Server: server.ID, Born: server.StartedAtMs, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Slots: uint32(server.Slots), Draining: server.Draining, Revision: server.Position.Revision, Era: server.Position.Era,
-			ColdLeftMs: encodeColdLeft(server.ColdRemaining, server.ReportsCold),
+			ColdLeftMs: encodeColdRemaining(server.ColdRemaining, server.ReportsCold),
 		}
 		for _, model := range server.Models {
 			entry.Held = append(entry.Held, &peerpb.HeldModel{Model: model.Name, Adapters: model.Adapters})
 		}
-		wire = append(wire, entry)
+		encoded = append(encoded, entry)
 	}
-	return wire
+	return encoded
 }
--- a/internal/edge/snapshot_bench_test.go
+++ b/internal/edge/snapshot_bench_test.go
@@ -15,8 +15,8 @@
 	for i := range 3000 {
 		servers = append(servers, inventory.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: benchAddress(i), Position: storepos.At(0, 3)})
 	}
-	node.listPeerServers(servers, storepos.At(0, 4))
-	request := node.known()
+	node.applyPeerServerList(servers, storepos.At(0, 4))
+	request := node.knownState()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
