--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -15,7 +15,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-var errShort = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // sourceStore reads a configuration from its source alone.
 type sourceStore struct{ Store }
@@ -49,18 +49,18 @@
 		each.options.Store = sourceStore{}
 	}
 	address := serveSnapshots(t, peer)
-	if node.snapshots.fetch(context.Background(), address, node.known()) {
+	if node.snapshots.fetch(context.Background(), address, node.knownState()) {
 		t.Error("a peer that knows nothing brought something")
 	}
 	table, _ := sourceStore{}.DecodeConfiguration([]byte("version nine"))
-	peer.putInForce(table, "read")
-	peer.listPeerServers([]inventory.Server{
+	peer.activateTable(table, "read")
+	peer.applyPeerServerList([]inventory.Server{
 		{ID: "a", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 6, Position: storepos.At(0, 4), Models: []inventory.HeldModel{{Name: "m", Adapters: []string{"x"}}}},
 		{ID: "b", Position: storepos.At(0, 5), Draining: true},
 	}, storepos.At(0, 6))
 	peer.configConfirmed.confirm(clock.Now().Add(-300 * time.Millisecond))
 	peer.serversConfirmed.confirm(clock.Now().Add(-300 * time.Millisecond))
-	if !node.snapshots.fetch(context.Background(), address, node.known()) {
+	if !node.snapshots.fetch(context.Background(), address, node.knownState()) {
 		t.Fatal("nothing came")
 	}
 	if node.configVersion() != 9 || !node.directory.table.IsAvailable("a") || node.directory.table.IsAvailable("b") {
@@ -78,7 +78,7 @@
 func TestSnapshotLeavesOutWhatTheAskerHas(t *testing.T) {
 	peer, node := newTestNode(t), newTestNode(t)
 	for _, each := range []*Node{peer, node} {
-		each.listPeerServers([]inventory.Server{{ID: "a", Position: storepos.At(0, 4)}}, storepos.At(0, 6))
+		each.applyPeerServerList([]inventory.Server{{ID: "a", Position: storepos.At(0, 4)}}, storepos.At(0, 6))
 	}
 	peer.serversConfirmed.confirm(clock.Now())
 	cases := []struct {
@@ -86,7 +86,7 @@
 		request *peerpb.SnapshotRequest
 		servers int
 	}{
-		{"the same servers", node.known(), 0},
+		{"the same servers", node.knownState(), 0},
 		{"others", &peerpb.SnapshotRequest{ServersDigest: 9}, 1},
 		{"all", &peerpb.SnapshotRequest{}, 1},
 	}
@@ -96,7 +96,7 @@
 			t.Errorf("%s: %d servers, age %d, %v; want %d", c.name, len(response.Servers), response.ServersAgeMs, err, c.servers)
 		}
 	}
-	node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.known())
+	node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState())
 	if _, known := node.serversConfirmed.age(clock.Now()); !known || !node.directory.table.IsAvailable("a") {
 		t.Error("an answer without servers does not confirm those known, or drops them")
 	}
@@ -111,7 +111,7 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	if node.snapshots.fetch(context.Background(), address, node.known()) {
+	if node.snapshots.fetch(context.Background(), address, node.knownState()) {
 		t.Error("a dead peer brought something")
 	}
 }
@@ -125,17 +125,17 @@
 	table := routetable.New(9, nil, nil, routetable.Limits{})
 	node.handler.SetTable(table)
 	peer.handler.SetTable(table)
-	peer.listPeerServers([]inventory.Server{{ID: "a", Position: storepos.At(0, 4)}}, storepos.At(0, 6))
+	peer.applyPeerServerList([]inventory.Server{{ID: "a", Position: storepos.At(0, 4)}}, storepos.At(0, 6))
 	peer.serversConfirmed.confirm(clock.Now())
-	node.hearServers(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 4), Announced: true}}})
-	digest, at := peer.directory.standing()
-	node.peers.take(&peerpb.NodeState{
+	node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 4), Announced: true}}})
+	digest, at := peer.directory.digestAndPosition()
+	node.peers.handleState(&peerpb.NodeState{
 		Node: "p", Address: "126.0.0.1:1", Life: 1, Sequence: 1, ServersDigest: digest, ServersRevision: at.Revision, ServersAgeMs: 1,
 	})
 	if _, confirmed := node.serversConfirmed.age(clock.Now()); confirmed {
 		t.Error("what a node heard as news alone is confirmed as the whole list")
 	}
-	if !node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.known()) || !node.isReady() {
+	if !node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState()) || !node.isReady() {
 		t.Error("the peer's list does not make the node ready")
 	}
 }
--- a/internal/edge/spread_test.go
+++ b/internal/edge/spread_test.go
@@ -16,20 +16,20 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// standinPeer keeps the datagrams of leaders that come to a socket.
-type standinPeer struct {
+// fakePeer keeps the datagrams of leaders that come to a socket.
+type fakePeer struct {
 	address string
 	states  chan *peerpb.NodeState
 }
 
-func newStandinPeer(t *testing.T) *standinPeer {
+func newFakePeer(t *testing.T) *fakePeer {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	peer := &standinPeer{address: conn.LocalAddr().String(), states: make(chan *peerpb.NodeState, 64)}
+	peer := &fakePeer{address: conn.LocalAddr().String(), states: make(chan *peerpb.NodeState, 64)}
 	go func() {
 		buffer := make([]byte, maxDatagram)
 		for {
@@ -47,7 +47,7 @@
 }
 
 // next is the next datagram; nil where none comes soon.
-func (p *standinPeer) next() *peerpb.NodeState {
+func (p *fakePeer) next() *peerpb.NodeState {
 	select {
 	case state := <-p.states:
 		return state
@@ -56,8 +56,8 @@
 	}
 }
 
-// newPlacedNode is a node in a zone of two regions.
-func newPlacedNode(t *testing.T, zone string) *Node {
+// newZonedNode is a node in a zone of two regions.
+func newZonedNode(t *testing.T, zone string) *Node {
 	t.Helper()
 	node := newTestNode(t)
 	node.options.Zone = zone
@@ -66,24 +66,24 @@
 	return node
 }
 
-func (n *Node) hearPeer(zone string, peer *standinPeer, sequence uint64) {
-	n.peers.take(&peerpb.NodeState{Node: peer.address, Address: peer.address, Life: 1, Sequence: sequence, Zone: zone, Strength: 5})
+func (n *Node) observePeer(zone string, peer *fakePeer, sequence uint64) {
+	n.peers.handleState(&peerpb.NodeState{Node: peer.address, Address: peer.address, Life: 1, Sequence: sequence, Zone: zone, Strength: 5})
 }
 
 // TestViewsGoOnceToARegionAndOnFromThere: the leader sends one datagram to a region, and
 // who gets it sends it on as it is, without the order to do so.
 func TestViewsGoOnceToARegionAndOnFromThere(t *testing.T) {
-	leader, spreader := newPlacedNode(t, "n"), newPlacedNode(t, "s1")
-	var south []*standinPeer
+	leader, spreader := newZonedNode(t, "n"), newZonedNode(t, "s1")
+	var south []*fakePeer
 	for i := range 4 {
-		peer := newStandinPeer(t)
+		peer := newFakePeer(t)
 		south = append(south, peer)
-		leader.hearPeer("s"+strconv.Itoa(i%2+1), peer, 1)
-		spreader.hearPeer("s"+strconv.Itoa(i%2+1), peer, 1)
+		leader.observePeer("s"+strconv.Itoa(i%2+1), peer, 1)
+		spreader.observePeer("s"+strconv.Itoa(i%2+1), peer, 1)
 	}
 	view := dispatch.View{ServerID: "i", Sequence: 1, Held: map[string][]string{"m": nil}}
-	view.Digest = digest(view.ServerID, signature(view))
-	leader.peers.tellViews(7, 0, []dispatch.View{view}, nil)
+	view.Digest = viewDigest(view.ServerID, viewSignature(view))
+	leader.peers.publishViews(7, 0, []dispatch.View{view}, nil)
 	var sent *peerpb.NodeState
 	count := 0
 	for _, peer := range south {
@@ -100,28 +100,28 @@
 		t.Fatal(err)
 	}
 	sent.Address, sent.Spread = "127.0.0.1:9", nil
-	spreader.peers.takeDatagram(datagram)
+	spreader.peers.handleDatagram(datagram)
 	for _, peer := range south {
 		state := peer.next()
 		if state == nil || state.Spread != nil || state.Leader == nil || state.Leader.Term != 7 || len(state.Leader.Views) != 1 || state.Sequence != sent.Sequence {
 			t.Errorf("%s got %v, want the leader's datagram as it was", peer.address, state)
 		}
 	}
-	if got := leader.peers.sentBytes[trafficViews][locality.OtherRegion].Load(); got == 0 || got != leader.peers.sentBytes.of(trafficViews) {
-		t.Errorf("%d bytes are counted as sent to another region, of %d", got, leader.peers.sentBytes.of(trafficViews))
+	if got := leader.peers.sentBytes[trafficViews][locality.OtherRegion].Load(); got == 0 || got != leader.peers.sentBytes.byKind(trafficViews) {
+		t.Errorf("%d bytes are counted as sent to another region, of %d", got, leader.peers.sentBytes.byKind(trafficViews))
 	}
 }
 
 // TestOvertakenViewsAreTaken: a datagram that came over another node is not lost where one
 // that the leader sent later came straight.
 func TestOvertakenViewsAreTaken(t *testing.T) {
-	node := newPlacedNode(t, "s1")
+	node := newZonedNode(t, "s1")
 	node.dispatch.Do(func(core *dispatch.Core) {
 		core.SetServers([]inventory.Change{{Server: inventory.Server{ID: "i", Service: "s", Address: "127.0.0.1:1", Zone: "s1"}}})
 	})
 	later := &peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 9, Zone: "n", Leader: &peerpb.LeaderState{Term: 7}}
-	node.peers.take(later)
-	node.peers.take(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 8, Zone: "n", Leader: &peerpb.LeaderState{
+	node.peers.handleState(later)
+	node.peers.handleState(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 8, Zone: "n", Leader: &peerpb.LeaderState{
 		Term: 7, Views: []*peerpb.ServerView{{Server: "i", Sequence: 1, Held: []*peerpb.HeldModel{{Model: "m"}}}},
 	}})
 	node.dispatch.Do(func(core *dispatch.Core) {
@@ -134,18 +134,18 @@
 // TestNodeWithoutViewsAsksForThem: who sends on may not reach it. What it has already is
 // only confirmed to it.
 func TestNodeWithoutViewsAsksForThem(t *testing.T) {
-	node := newPlacedNode(t, "s1")
+	node := newZonedNode(t, "s1")
 	now := clock.Now()
-	node.peers.take(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 9, Zone: "n", Leader: &peerpb.LeaderState{Term: 7}})
-	if node.peers.wantsViews(now.Add(viewsSilence / 2)) {
+	node.peers.handleState(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 9, Zone: "n", Leader: &peerpb.LeaderState{Term: 7}})
+	if node.peers.shouldRequestViews(now.Add(maxViewsSilence / 2)) {
 		t.Error("asks before they are due")
 	}
-	node.peers.viewsHeard = now.Add(-2 * viewsSilence)
+	node.peers.viewsDigestAt = now.Add(-2 * maxViewsSilence)
 	if !node.peers.state(now).ViewsWanted {
 		t.Error("does not ask for views though a leader lives")
 	}
-	node.peers.take(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 10, Zone: "n", Leader: &peerpb.LeaderState{Term: 7, ViewsDigest: 5}})
-	if node.peers.wantsViews(clock.Now()) {
+	node.peers.handleState(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 10, Zone: "n", Leader: &peerpb.LeaderState{Term: 7, ViewsDigest: 5}})
+	if node.peers.shouldRequestViews(clock.Now()) {
 		t.Error("asks though it heard of the views just now")
 	}
 }
@@ -153,23 +153,23 @@
 // TestAnswersGoOnceToARegion that asks from several nodes at once, and what an asker has
 // is only confirmed.
 func TestAnswersGoOnceToARegion(t *testing.T) {
-	leader := newPlacedNode(t, "n")
-	var south []*standinPeer
+	leader := newZonedNode(t, "n")
+	var south []*fakePeer
 	for range 4 {
-		peer := newStandinPeer(t)
+		peer := newFakePeer(t)
 		south = append(south, peer)
-		leader.hearPeer("s1", peer, 1)
+		leader.observePeer("s1", peer, 1)
 	}
 	view := dispatch.View{ServerID: "i", Sequence: 1, Held: map[string][]string{"m": nil}}
-	view.Digest = digest(view.ServerID, signature(view))
-	leader.peers.told.tell("i", view.Digest)
+	view.Digest = viewDigest(view.ServerID, viewSignature(view))
+	leader.peers.published.record("i", view.Digest)
 	asked := 0
 	views := func(wanted func(string) bool) []dispatch.View {
 		asked++
-		return viewsWanted([]dispatch.View{view}, wanted)
+		return filterViews([]dispatch.View{view}, wanted)
 	}
 	for _, peer := range south {
-		leader.peers.answerViews(&peerpb.NodeState{Address: peer.address}, 7, 0, views)
+		leader.peers.replyViews(&peerpb.NodeState{Address: peer.address}, 7, 0, views)
 	}
 	direct, spread := 0, 0
 	for _, peer := range south {
@@ -186,35 +186,35 @@
 	}
 	var has dispatch.ViewDigests
 	has.Add("i", view.Digest)
-	leader.peers.answerViews(&peerpb.NodeState{Address: south[0].address, ViewsDigests: has[:]}, 7, 0, views)
+	leader.peers.replyViews(&peerpb.NodeState{Address: south[0].address, ViewsDigests: has[:]}, 7, 0, views)
 	if state := south[0].next(); state == nil || len(state.Leader.Views) != 0 || state.Leader.ViewsDigest != view.Digest || asked != 2 {
 		t.Errorf("answered %v to a node that has all views, want their digest alone", state)
 	}
 }
 
-// viewsWanted are those of the servers that an answer needs.
-func viewsWanted(views []dispatch.View, wanted func(serverID string) bool) []dispatch.View {
+// filterViews are those of the servers that an answer needs.
+func filterViews(views []dispatch.View, wanted func(serverID string) bool) []dispatch.View {
 	return slices.DeleteFunc(slices.Clone(views), func(view dispatch.View) bool { return !wanted(view.ServerID) })
 }
 
 // TestOnlyWhatDiffersIsAnswered: of many servers a node misses the view of one.
 func TestOnlyWhatDiffersIsAnswered(t *testing.T) {
-	leader := newPlacedNode(t, "n")
-	peer := newStandinPeer(t)
-	leader.hearPeer("s1", peer, 1)
+	leader := newZonedNode(t, "n")
+	peer := newFakePeer(t)
+	leader.observePeer("s1", peer, 1)
 	var has dispatch.ViewDigests
 	var views []dispatch.View
 	for i := range 400 {
 		view := dispatch.View{ServerID: "server-" + strconv.Itoa(i), Sequence: 1, Held: map[string][]string{"m": nil}}
-		view.Digest = digest(view.ServerID, signature(view))
+		view.Digest = viewDigest(view.ServerID, viewSignature(view))
 		views = append(views, view)
-		leader.peers.told.tell(view.ServerID, view.Digest)
+		leader.peers.published.record(view.ServerID, view.Digest)
 		if i > 0 {
 			has.Add(view.ServerID, view.Digest)
 		}
 	}
-	leader.peers.answerViews(&peerpb.NodeState{Address: peer.address, ViewsDigests: has[:]}, 7, 0, func(wanted func(string) bool) []dispatch.View {
-		return viewsWanted(views, wanted)
+	leader.peers.replyViews(&peerpb.NodeState{Address: peer.address, ViewsDigests: has[:]}, 7, 0, func(wanted func(string) bool) []dispatch.View {
+		return filterViews(views, wanted)
 	})
 	answered := make(map[string]bool)
 	for state := peer.next(); state != nil; state = peer.next() {
@@ -230,25 +230,25 @@
 // TestViewsGoOutInBursts that a receiver's socket holds, all in the end, and each once; the
 // digest never covers what was not told yet.
 func TestViewsGoOutInBursts(t *testing.T) {
-	leader := newPlacedNode(t, "n")
-	peer := newStandinPeer(t)
-	leader.hearPeer("n", peer, 1)
+	leader := newZonedNode(t, "n")
+	peer := newFakePeer(t)
+	leader.observePeer("n", peer, 1)
 	var views []dispatch.View
 	for i := range 1500 {
 		view := dispatch.View{ServerID: "server-" + strconv.Itoa(i), Sequence: 1, Held: map[string][]string{"a-model-of-some-name": nil}}
-		view.Digest = digest(view.ServerID, signature(view))
+		view.Digest = viewDigest(view.ServerID, viewSignature(view))
 		views = append(views, view)
 	}
 	told := make(map[string]int)
 	all := uint64(0)
 	for bursts, rest := 0, true; rest; bursts++ {
-		before := leader.peers.sentBytes.of(trafficViews)
-		rest = leader.peers.tellViews(7, 0, views, nil)
-		if sent := leader.peers.sentBytes.of(trafficViews) - before; sent > 3*burstBytes/2 || bursts > 10 {
+		before := leader.peers.sentBytes.byKind(trafficViews)
+		rest = leader.peers.publishViews(7, 0, views, nil)
+		if sent := leader.peers.sentBytes.byKind(trafficViews) - before; sent > 3*maxBurstBytes/2 || bursts > 10 {
 			t.Fatalf("burst %d has %d bytes", bursts, sent)
 		}
 		for state := peer.next(); state != nil; state = peer.next() {
-			for _, view := range viewsOf(state.Leader.Views) {
+			for _, view := range decodeViews(state.Leader.Views) {
 				told[view.ServerID]++
 				all ^= view.Digest
 			}
@@ -270,15 +270,15 @@
 // TestReplacedLeaderHidesNothing: one that goes on telling its views, which all have, must
 // not hide that those of the new leader are missing.
 func TestReplacedLeaderHidesNothing(t *testing.T) {
-	node := newPlacedNode(t, "s1")
+	node := newZonedNode(t, "s1")
 	hear := func(address string, sequence uint64, term int64, digest uint64, views ...*peerpb.ServerView) {
-		node.peers.take(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, Zone: "n", Leader: &peerpb.LeaderState{
+		node.peers.handleState(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, Zone: "n", Leader: &peerpb.LeaderState{
 			Term: term, ViewsDigest: digest, Views: views,
 		}})
 	}
 	hear("126.0.0.1:1", 1, 8, 77, &peerpb.ServerView{Server: "i", Sequence: 1})
 	hear("126.0.0.2:1", 1, 7, 5)
-	if !node.peers.wantsViews(clock.Now().Add(2 * viewsLag)) {
+	if !node.peers.shouldRequestViews(clock.Now().Add(2 * viewsRequestDelay)) {
 		t.Error("the word of a leader that was replaced hides that views are missing")
 	}
 }
@@ -286,23 +286,23 @@
 // TestFewAskOtherRegions for what they know: the first of a region, and others only where
 // these do not hand it on.
 func TestFewAskOtherRegions(t *testing.T) {
-	node := newPlacedNode(t, "s1")
+	node := newZonedNode(t, "s1")
 	node.options.Strength = 1
-	far, near := newStandinPeer(t), []*standinPeer{newStandinPeer(t), newStandinPeer(t)}
-	node.hearPeer("n", far, 1)
+	far, near := newFakePeer(t), []*fakePeer{newFakePeer(t), newFakePeer(t)}
+	node.observePeer("n", far, 1)
 	now := clock.Now()
-	if !node.snapshots.mayAsk(now, far.address) {
+	if !node.snapshots.mayRequest(now, far.address) {
 		t.Error("the first of its region does not ask")
 	}
 	for _, peer := range near {
-		node.hearPeer("s2", peer, 1)
+		node.observePeer("s2", peer, 1)
 	}
 	node.peers.roster.SetStrength(1)
 	now = clock.Now()
-	if node.snapshots.mayAsk(now, far.address) || node.snapshots.mayAsk(now.Add(farPatience/2), far.address) {
+	if node.snapshots.mayRequest(now, far.address) || node.snapshots.mayRequest(now.Add(otherRegionDelay/2), far.address) {
 		t.Error("asks though stronger nodes of its region do")
 	}
-	if !node.snapshots.mayAsk(now.Add(farPatience/2), near[0].address) || !node.snapshots.mayAsk(now.Add(farPatience+time.Millisecond), far.address) {
+	if !node.snapshots.mayRequest(now.Add(otherRegionDelay/2), near[0].address) || !node.snapshots.mayRequest(now.Add(otherRegionDelay+time.Millisecond), far.address) {
 		t.Error("does not ask near, or not after a while")
 	}
 }
--- a/internal/edge/starts_test.go
+++ b/internal/edge/starts_test.go
@@ -29,24 +29,24 @@
 	}
 	ways := map[string]func(node *Node, told inventory.Server){
 		"the store's list": func(node *Node, told inventory.Server) {
-			node.listServers(clock.Now(), []inventory.Server{told}, told.Position)
+			node.applyServerList(clock.Now(), []inventory.Server{told}, told.Position)
 		},
 		"a watch": func(node *Node, told inventory.Server) {
-			node.changeServers([]inventory.Change{{Server: told}}, told.Position)
+			node.applyServerEvents([]inventory.Change{{Server: told}}, told.Position)
 		},
 		"a peer's list": func(node *Node, told inventory.Server) {
-			node.listPeerServers(entriesOf(encodeEntries([]inventory.Server{told}), 0), told.Position)
+			node.applyPeerServerList(decodeEntries(encodeEntries([]inventory.Server{told}), 0), told.Position)
 		},
 		"a peer's news": func(node *Node, told inventory.Server) {
-			node.hearServers(clock.Now(), newsOf([]*peerpb.ServerNews{{
+			node.receivePeerChanges(clock.Now(), decodeChanges([]*peerpb.ServerNews{{
 				Server: told.ID, Born: told.StartedAtMs, Service: told.Service, Address: told.Address, Zone: told.Zone, Revision: told.Position.Revision,
 			}}))
 		},
 	}
 	for name, tell := range ways {
 		node := newTestNode(t)
-		node.listServers(clock.Now(), []inventory.Server{server(7, 3)}, storepos.At(0, 3))
-		node.hints.receiveCall(inventory.Start{ID: "a", StartedAtMs: 7}, inventory.Hint{Draining: true}, hintFromAnswer)
+		node.applyServerList(clock.Now(), []inventory.Server{server(7, 3)}, storepos.At(0, 3))
+		node.hints.receiveFromCall(inventory.Start{ID: "a", StartedAtMs: 7}, inventory.Hint{Draining: true}, hintFromAnswer)
 		if got := startOf(node); got != 0 {
 			t.Errorf("%s: start %d is sent to, which leaves", name, got)
 		}
@@ -58,11 +58,11 @@
 		if got := startOf(node); got != 8 {
 			t.Errorf("%s: start %d is sent to, want the later one", name, got)
 		}
-		node.hints.receivePeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Leaving: true}})
+		node.hints.receiveFromPeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Leaving: true}})
 		if got := startOf(node); got != 8 {
 			t.Errorf("%s: a peer's late word on the start before binds the later one", name)
 		}
-		node.hints.receivePeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 8, RestMs: 60000}, {Server: "", Born: 8, Leaving: true}, {Server: "a", Born: -1, Leaving: true}})
+		node.hints.receiveFromPeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 8, RestMs: 60000}, {Server: "", Born: 8, Leaving: true}, {Server: "a", Born: -1, Leaving: true}})
 		if got := startOf(node); got != 8 {
 			t.Errorf("%s: a rest that a peer was asked for, or a word of nobody, binds this node", name)
 		}
@@ -72,10 +72,10 @@
 // TestViewOfALaterStartIsTakenForOne: the leader may hear of it from the server itself, first.
 func TestViewOfALaterStartIsTakenForOne(t *testing.T) {
 	node := newTestNode(t)
-	node.listServers(clock.Now(), []inventory.Server{{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}}, storepos.At(0, 3))
+	node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}}, storepos.At(0, 3))
 	view := func(born int64) {
 		node.dispatch.Do(func(core *dispatch.Core) {
-			core.SetViews(clock.Now(), 5, viewsOf([]*peerpb.ServerView{{Server: "a", Born: born, Held: []*peerpb.HeldModel{{Model: "m"}}}}))
+			core.SetViews(clock.Now(), 5, decodeViews([]*peerpb.ServerView{{Server: "a", Born: born, Held: []*peerpb.HeldModel{{Model: "m"}}}}))
 		})
 	}
 	for _, step := range []struct{ told, want int64 }{{0, 7}, {6, 7}, {8, 8}, {7, 8}} {
@@ -92,15 +92,15 @@
 	revision := int64(3)
 	change := func(born int64, draining bool) {
 		revision++
-		node.changeServers([]inventory.Change{{Server: inventory.Server{
+		node.applyServerEvents([]inventory.Change{{Server: inventory.Server{
 			ID: "a", StartedAtMs: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, revision), Draining: draining,
 		}}}, storepos.At(0, revision))
 	}
-	node.listServers(clock.Now(), nil, storepos.At(0, revision))
+	node.applyServerList(clock.Now(), nil, storepos.At(0, revision))
 	for born := int64(1); born <= 3; born++ {
 		change(born, false)
 		change(born, true)
-		told := node.directory.tell(clock.Now().Add(time.Millisecond))
+		told := node.directory.takeDue(clock.Now().Add(time.Millisecond))
 		if len(told) != 1 || told[0].Server.StartedAtMs != born || !told[0].Server.Draining {
 			t.Errorf("start %d leaves: told %+v", born, told)
 		}
@@ -119,14 +119,14 @@
 	} {
 		bad := &peerpb.ServerEntry{Server: "b", Born: 7, Service: "s", Address: "127.0.0.1:2", Zone: "z", Revision: 4}
 		change(bad)
-		if got := entriesOf([]*peerpb.ServerEntry{bad, good}, 0); len(got) != 1 || got[0].ID != "a" {
+		if got := decodeEntries([]*peerpb.ServerEntry{bad, good}, 0); len(got) != 1 || got[0].ID != "a" {
 			t.Errorf("a list, %s: %+v", name, got)
 		}
 		news := []*peerpb.ServerNews{
 			{Server: bad.Server, Born: bad.Born, Service: bad.Service, Address: bad.Address, Zone: bad.Zone, Revision: bad.Revision},
 			{Server: "gone", Going: true, Revision: 9},
 		}
-		if got := newsOf(news); len(got) != 1 || got[0].Server.ID != "gone" {
+		if got := decodeChanges(news); len(got) != 1 || got[0].Server.ID != "gone" {
 			t.Errorf("news, %s: %+v", name, got)
 		}
 	}
--- a/internal/edge/suspects_test.go
+++ b/internal/edge/suspects_test.go
@@ -12,8 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// newInFleet is a node of a fleet of so many nodes; it is the strongest where isStrong.
-func newInFleet(t *testing.T, nodes int, isStrong bool) *Node {
+// newFleetNode is a node of a fleet of so many nodes; it is the strongest where isStrong.
+func newFleetNode(t *testing.T, nodes int, isStrong bool) *Node {
 	t.Helper()
 	node := newTestNode(t)
 	strength := uint32(weakStrength)
@@ -32,22 +32,22 @@
 // TestWhoIsToldOfCrashes: in a small fleet all; in a large one the coordinators, which tell
 // all from the second server of a request on, and of good ends.
 func TestWhoIsToldOfCrashes(t *testing.T) {
-	const small, large = 7, 2 * loadedNodes
+	const small, large = 7, 2 * maxLoadSharingNodes
 	now := clock.Now()
-	if got := len(newInFleet(t, small, false).suspects.targets(now)); got != small-1 {
+	if got := len(newFleetNode(t, small, false).suspects.targets(now)); got != small-1 {
 		t.Errorf("a node of %d tells %d others", small, got)
 	}
-	if got := len(newInFleet(t, large, false).suspects.targets(now)); got != coordinatorsNamed {
+	if got := len(newFleetNode(t, large, false).suspects.targets(now)); got != greetingCoordinators {
 		t.Errorf("a node of %d tells %d others, want the coordinators", large, got)
 	}
-	coordinator := newInFleet(t, large, true)
+	coordinator := newFleetNode(t, large, true)
 	if got := len(coordinator.suspects.targets(now)); got != large-1 {
 		t.Errorf("a coordinator of %d tells %d others, want all", large, got)
 	}
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	hears := func(at time.Time, report poison.Report) int {
 		report.Fingerprint = fingerprint
-		return len(coordinator.suspects.takeAll(at, "peer", []poison.Report{report}))
+		return len(coordinator.suspects.recordReports(at, "peer", []poison.Report{report}))
 	}
 	if told := hears(now, poison.Report{ServerID: "a"}); told != 0 {
 		t.Errorf("tells %d reports of the first server", told)
@@ -66,7 +66,7 @@
 // TestBadReportsAreDropped: what is no fingerprint is nobody's.
 func TestBadReportsAreDropped(t *testing.T) {
 	node := newTestNode(t)
-	node.peers.takeDatagram(mustMarshal(t, &peerpb.NodeState{Node: "x", Crashes: []*peerpb.CrashReport{{Fingerprint: []byte("short"), Server: "a"}, {}}}))
+	node.peers.handleDatagram(mustMarshal(t, &peerpb.NodeState{Node: "x", Crashes: []*peerpb.CrashReport{{Fingerprint: []byte("short"), Server: "a"}, {}}}))
 	if node.suspects.Any() {
 		t.Error("remembers a report without a fingerprint")
 	}
--- a/internal/edge/suspension_test.go
+++ b/internal/edge/suspension_test.go
@@ -25,7 +25,7 @@
 	leader.lease.Observe(now, now, storelease.Record{Holder: node.options.Name, Position: storepos.At(0, 3)})
 	leader.lease.WriteSucceeded(now, now, storepos.At(0, 4))
 	leader.followTerm(now)
-	leader.orderFrom.Store(0)
+	leader.firstOrderAt.Store(0)
 	return leader
 }
 
@@ -33,14 +33,14 @@
 func TestNoOrderAfterASuspension(t *testing.T) {
 	leader := holdLease(newCandidate(t))
 	term := leader.term.Load()
-	if leader.orderTime(term, "z") == 0 {
+	if leader.orderTimeout(term, "z") == 0 {
 		t.Fatal("the holder may not order")
 	}
 	suspend(t, 5*time.Second)
-	if leader.orderTime(term, "z") > 0 {
+	if leader.orderTimeout(term, "z") > 0 {
 		t.Error("may order 5 s after its lease of 2 s was written")
 	}
-	if _, lapsed := leader.standing(); lapsed < 2*time.Second {
+	if _, lapsed := leader.leadership(); lapsed < 2*time.Second {
 		t.Errorf("tells others that its lease ended %v ago", lapsed)
 	}
 }
@@ -50,10 +50,10 @@
 	leader := holdLease(newCandidate(t))
 	term := leader.term.Load()
 	suspend(t, leaseDuration-200*time.Millisecond)
-	if left := leader.orderTime(term, "z"); left <= 0 || left > 200*time.Millisecond {
+	if left := leader.orderTimeout(term, "z"); left <= 0 || left > 200*time.Millisecond {
 		t.Errorf("an order may be under way for %v, of 200 ms that the lease holds", left)
 	}
-	if left := leader.orderTime(term+1, "z"); left != 0 {
+	if left := leader.orderTimeout(term+1, "z"); left != 0 {
 		t.Errorf("an order of another term may be under way for %v", left)
 	}
 }
@@ -66,7 +66,7 @@
 	suspend(t, 5*time.Second)
 	leader.lease.WriteSucceeded(sent, clock.Now(), storepos.At(0, 5))
 	leader.followTerm(clock.Now())
-	if leader.orderTime(leader.term.Load(), "z") > 0 {
+	if leader.orderTimeout(leader.term.Load(), "z") > 0 {
 		t.Error("may order by a write that was sent 5 s ago")
 	}
 }
@@ -102,7 +102,7 @@
 	node := newTestNode(t)
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, server := range []string{"a", "b", "c"} {
-		node.suspects.takeAll(clock.Now(), "", []poison.Report{{Fingerprint: fingerprint, ServerID: server}})
+		node.suspects.recordReports(clock.Now(), "", []poison.Report{{Fingerprint: fingerprint, ServerID: server}})
 		suspend(t, time.Second)
 	}
 	reports := node.suspects.tally.Reports(clock.Now(), fingerprint)
--- a/internal/edge/told_test.go
+++ b/internal/edge/told_test.go
@@ -13,16 +13,16 @@
 // what is left.
 func TestToldViewsKeepTheirDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := newToldViews()
+		told := newPublishedViews()
 		left := make(map[string]uint64)
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			id := fmt.Sprint("i-", rapid.IntRange(0, 6).Draw(t, "server"))
 			if rapid.Bool().Draw(t, "forgets") {
-				told.forget(func(serverID string) bool { return serverID != id })
+				told.prune(func(serverID string) bool { return serverID != id })
 				delete(left, id)
 			} else {
 				left[id] = rapid.Uint64().Draw(t, "digest")
-				told.tell(id, left[id])
+				told.record(id, left[id])
 			}
 		}
 		all, buckets := uint64(0), dispatch.ViewDigests{}
@@ -33,8 +33,8 @@
 				t.Fatalf("%s was told with another digest", id)
 			}
 		}
-		if told.all != all || told.buckets != buckets {
-			t.Fatalf("digests %x and %x, want %x and %x", told.all, told.buckets, all, buckets)
+		if told.digest != all || told.buckets != buckets {
+			t.Fatalf("digests %x and %x, want %x and %x", told.digest, told.buckets, all, buckets)
 		}
 	})
 }
--- a/internal/edge/trials.go
+++ b/internal/edge/trials.go
@@ -16,7 +16,7 @@
 	granted, by := false, ""
 	for _, coordinator := range s.node.peers.coordinators(clock.Now()) {
 		var answered bool
-		if granted, answered = s.askTrial(ctx, coordinator.Address, fingerprint); answered {
+		if granted, answered = s.requestTrial(ctx, coordinator.Address, fingerprint); answered {
 			by = coordinator.Address
 			break
 		}
@@ -29,22 +29,22 @@
 	return granted
 }
 
-// askTrial asks one coordinator.
-func (s *suspects) askTrial(ctx context.Context, address string, fingerprint poison.Fingerprint) (granted, answered bool) {
+// requestTrial asks one coordinator.
+func (s *suspects) requestTrial(ctx context.Context, address string, fingerprint poison.Fingerprint) (granted, answered bool) {
 	if address == s.node.peers.address {
 		return s.decideTrial(fingerprint), true
 	}
 	call := &peerpb.TrialCall{Kind: peerpb.TrialCall_ASK, Asker: s.node.peers.address, Fingerprint: fingerprint[:]}
-	return s.trials.ask(ctx, askTimeout, func(id uint64) {
+	return s.pendingTrials.call(ctx, askTimeout, func(id uint64) {
 		call.Id = id
 		s.node.peers.sendTrial(address, call)
 	})
 }
 
-// takeTrial takes a question or an answer of another node.
-func (s *suspects) takeTrial(call *peerpb.TrialCall) {
+// handleTrial takes a question or an answer of another node.
+func (s *suspects) handleTrial(call *peerpb.TrialCall) {
 	if call.Kind != peerpb.TrialCall_ASK {
-		s.trials.answered(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
+		s.pendingTrials.resolve(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
 		return
 	}
 	fingerprint, ok := poison.DecodeFingerprint(call.Fingerprint)
@@ -65,10 +65,10 @@
 		return false
 	}
 	s.mu.Lock()
-	left := s.tally.BarRemaining(now, fingerprint)
+	remaining := s.tally.BarRemaining(now, fingerprint)
 	s.mu.Unlock()
-	if left > 0 {
-		s.tellAll(now, poison.Report{Fingerprint: fingerprint, BarredFor: left})
+	if remaining > 0 {
+		s.broadcastReport(now, poison.Report{Fingerprint: fingerprint, BarredFor: remaining})
 	}
 	return true
 }
@@ -77,14 +77,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	granted := s.tally.ClaimTrial(now, fingerprint)
-	s.any.Store(s.tally.Size() > 0)
+	s.nonEmpty.Store(s.tally.Size() > 0)
 	return granted
 }
 
-// tellAll sends a report to all living nodes, at once and again in the next periods.
-func (s *suspects) tellAll(now time.Time, report poison.Report) {
+// broadcastReport sends a report to all living nodes, at once and again in the next periods.
+func (s *suspects) broadcastReport(now time.Time, report poison.Report) {
 	s.mu.Lock()
-	s.tellAgain(now, report)
+	s.scheduleRepeat(now, report)
 	s.mu.Unlock()
-	s.node.peers.sendCrashes(s.node.peers.all(now), peer.EncodeCrashReports([]poison.Report{report}))
+	s.node.peers.sendCrashes(s.node.peers.aliveAddresses(now), peer.EncodeCrashReports([]poison.Report{report}))
 }
--- a/internal/edge/trials_test.go
+++ b/internal/edge/trials_test.go
@@ -41,12 +41,12 @@
 	return nodes
 }
 
-// onTrialEverywhere makes a request known as one whose bar is over.
-func onTrialEverywhere(t *testing.T, nodes []*Node) poison.Fingerprint {
+// putOnTrial makes a request known as one whose bar is over.
+func putOnTrial(t *testing.T, nodes []*Node) poison.Fingerprint {
 	t.Helper()
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, node := range nodes {
-		node.suspects.takeAll(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, BarredFor: time.Millisecond}})
+		node.suspects.recordReports(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, BarredFor: time.Millisecond}})
 	}
 	time.Sleep(5 * time.Millisecond)
 	for i, node := range nodes {
@@ -61,7 +61,7 @@
 // meanwhile.
 func TestOneNodeClaimsATrial(t *testing.T) {
 	nodes := newConnectedNodes(t, 4)
-	fingerprint := onTrialEverywhere(t, nodes)
+	fingerprint := putOnTrial(t, nodes)
 	var granted atomic.Int32
 	var asking sync.WaitGroup
 	for _, node := range nodes {
@@ -90,7 +90,7 @@
 // TestNoTrialWithoutACoordinator that answers: the request stays as it is.
 func TestNoTrialWithoutACoordinator(t *testing.T) {
 	nodes := newConnectedNodes(t, 4)
-	fingerprint := onTrialEverywhere(t, nodes)
+	fingerprint := putOnTrial(t, nodes)
 	for _, node := range nodes[:3] {
 		_ = node.peers.conn.Close()
 	}
@@ -104,7 +104,7 @@
 	nodes := newConnectedNodes(t, 3)
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
 	for _, node := range nodes {
-		node.suspects.takeAll(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, ServerID: "a", BarredFor: time.Minute}})
+		node.suspects.recordReports(clock.Now(), "peer", []poison.Report{{Fingerprint: fingerprint, ServerID: "a", BarredFor: time.Minute}})
 	}
 	listed, err := nodes[1].snapshots.Bars(context.Background(), &peerpb.BarsRequest{})
 	if err != nil || len(listed.Bars) != 1 || listed.Bars[0].LeftMs == 0 || len(listed.Bars[0].Servers) != 1 {
@@ -129,15 +129,15 @@
 
 // TestAnswersThatComeLate or twice reach nobody.
 func TestAnswersThatComeLate(t *testing.T) {
-	asked := newQuestions[bool]()
+	asked := newPendingCalls[bool]()
 	var number uint64
-	if _, ok := asked.ask(context.Background(), time.Millisecond, func(id uint64) { number = id }); ok {
+	if _, ok := asked.call(context.Background(), time.Millisecond, func(id uint64) { number = id }); ok {
 		t.Error("an answer that nobody gave")
 	}
-	asked.answered(number, true)
-	answer, ok := asked.ask(context.Background(), time.Minute, func(id uint64) {
-		asked.answered(id, true)
-		asked.answered(id, false)
+	asked.resolve(number, true)
+	answer, ok := asked.call(context.Background(), time.Minute, func(id uint64) {
+		asked.resolve(id, true)
+		asked.resolve(id, false)
 	})
 	if !ok || !answer {
 		t.Errorf("answer %v, %v; the first one counts", answer, ok)
--- a/internal/edge/views.go
+++ b/internal/edge/views.go
@@ -12,123 +12,123 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// tellViews sends all nodes what changed of the leader's views, and a digest of
+// publishViews sends all nodes what changed of the leader's views, and a digest of
 // all told by which they see whether they have missed some. It reports whether there are
 // more to tell soon.
-func (p *peers) tellViews(term int64, lapsed time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) (rest bool) {
+func (p *peers) publishViews(term int64, expiredFor time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) (more bool) {
 	now := clock.Now()
-	plan := p.spreadPlan(now)
-	changed, rest := p.changedViews(views)
-	p.sendViews(trafficViews, plan, term, lapsed, changed, loads)
-	return rest
+	plan := p.planBroadcast(now)
+	changed, more := p.changedViews(views)
+	p.sendViews(trafficViews, plan, term, expiredFor, changed, loads)
+	return more
 }
 
-// burstBytes bounds the views sent to one node at once. A receiver's socket holds 200 KB
+// maxBurstBytes bounds the views sent to one node at once. A receiver's socket holds 200 KB
 // of what its node has not read, and counts twice what a datagram takes: of a thousand
 // views at once, as at the start of a term, a third was lost, and asked for again whole.
-const burstBytes = 48 << 10
+const maxBurstBytes = 48 << 10
 
 // changedViews are the views to tell now of those that changed; rest is set where there
 // are more than go out at once.
-func (p *peers) changedViews(views []dispatch.View) (changed []dispatch.View, rest bool) {
+func (p *peers) changedViews(views []dispatch.View) (changed []dispatch.View, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	room := burstBytes
+	remaining := maxBurstBytes
 	for _, view := range views {
-		if p.told.has(view.ServerID, view.Digest) {
+		if p.published.has(view.ServerID, view.Digest) {
 			continue
 		}
-		if room -= proto.Size(encodeView(view)); room < 0 && len(changed) > 0 {
+		if remaining -= proto.Size(encodeView(view)); remaining < 0 && len(changed) > 0 {
 			return changed, true
 		}
-		p.told.tell(view.ServerID, view.Digest)
+		p.published.record(view.ServerID, view.Digest)
 		changed = append(changed, view)
 	}
 	return changed, false
 }
 
-// forgetViews drops what was told of servers that are gone, or of all.
-func (p *peers) forgetViews(keep func(serverID string) bool) {
+// pruneViews drops what was told of servers that are gone, or of all.
+func (p *peers) pruneViews(keep func(serverID string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.forget(keep)
+	p.published.prune(keep)
 }
 
 // sendViews sends views in as many datagrams as they need, one at the least.
-func (p *peers) sendViews(what traffic, plan gossip.BroadcastPlan, term int64, lapsed time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) {
+func (p *peers) sendViews(kind trafficKind, plan gossip.BroadcastPlan, term int64, expiredFor time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) {
 	encoded := make([]*peerpb.ServerView, 0, len(views))
 	for _, view := range views {
 		encoded = append(encoded, encodeView(view))
 	}
-	all := p.toldDigest()
+	digest := p.publishedDigest()
 	for first := true; first || len(encoded) > 0; first = false {
 		state := p.state(clock.Now())
-		leaseAt := p.node.leader.leaseAt()
+		leasePosition := p.node.leader.leasePosition()
 		state.Leader = &peerpb.LeaderState{
-			Term: term, LapsedMs: uint32(lapsed.Milliseconds()), LeaseEra: leaseAt.Era, LeaseRevision: leaseAt.Revision,
-			OrderInMs: uint32(p.node.leader.orderIn().Milliseconds()),
+			Term: term, LapsedMs: uint32(expiredFor.Milliseconds()), LeaseEra: leasePosition.Era, LeaseRevision: leasePosition.Revision,
+			OrderInMs: uint32(p.node.leader.untilFirstOrder().Milliseconds()),
 		}
 		if first {
 			state.Leader.Loads = encodeLoads(loads)
 		}
 		encoded = fillViews(state.Leader, encoded)
 		if len(encoded) == 0 {
-			state.Leader.ViewsDigest = all
+			state.Leader.ViewsDigest = digest
 		}
-		p.sendSpread(what, plan, state)
+		p.broadcast(kind, plan, state)
 	}
 }
 
-// toldDigest is a digest of all views told.
-func (p *peers) toldDigest() uint64 {
+// publishedDigest is a digest of all views told.
+func (p *peers) publishedDigest() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told.all
+	return p.published.digest
 }
 
-// answerViews sends the views that differ to a node that asked for them; one that has
+// replyViews sends the views that differ to a node that asked for them; one that has
 // all, and only did not hear so, is told that they still hold. Views are made of those servers
 // alone: all 3,000 for each of 300 nodes that asked took 56 MB a second of a leader.
-func (p *peers) answerViews(asker *peerpb.NodeState, term int64, lapsed time.Duration, views func(wanted func(serverID string) bool) []dispatch.View) {
+func (p *peers) replyViews(asker *peerpb.NodeState, term int64, expiredFor time.Duration, views func(wanted func(serverID string) bool) []dispatch.View) {
 	now := clock.Now()
-	told := p.toldDigests()
-	differs, count := told.Differs(asker.ViewsDigests)
+	published := p.publishedDigests()
+	differs, count := published.Differs(asker.ViewsDigests)
 	if count == 0 {
-		p.sendViews(trafficAnswers, gossip.BroadcastPlan{Direct: []string{asker.Address}}, term, lapsed, nil, nil)
+		p.sendViews(trafficViewReplies, gossip.BroadcastPlan{Direct: []string{asker.Address}}, term, expiredFor, nil, nil)
 		return
 	}
 	p.mu.Lock()
-	plan, ok := p.answerPlan(now, asker.Address)
+	plan, ok := p.planReply(now, asker.Address)
 	p.mu.Unlock()
 	if !ok {
 		return
 	}
-	wanted := atOnce(views(func(serverID string) bool { return differs[dispatch.ViewBucket(serverID)] }))
-	p.node.options.Logger.Info().Str("peer", asker.Address).Int("buckets", count).Int("views", len(wanted)).
+	reply := firstBurst(views(func(serverID string) bool { return differs[dispatch.ViewBucket(serverID)] }))
+	p.node.options.Logger.Info().Str("peer", asker.Address).Int("buckets", count).Int("views", len(reply)).
 		Bool("region", len(plan.Spreaders) > 0).Msg("views_answered")
-	p.sendViews(trafficAnswers, plan, term, lapsed, wanted, nil)
+	p.sendViews(trafficViewReplies, plan, term, expiredFor, reply, nil)
 }
 
-// atOnce are as many views as go out at once, whole buckets first: who lacks more asks
+// firstBurst are as many views as go out at once, whole buckets first: who lacks more asks
 // again, and no more for these.
-func atOnce(views []dispatch.View) []dispatch.View {
+func firstBurst(views []dispatch.View) []dispatch.View {
 	slices.SortStableFunc(views, func(a, b dispatch.View) int {
 		return dispatch.ViewBucket(a.ServerID) - dispatch.ViewBucket(b.ServerID)
 	})
-	room := burstBytes
+	remaining := maxBurstBytes
 	for i, view := range views {
-		if room -= proto.Size(encodeView(view)); room < 0 && i > 0 {
+		if remaining -= proto.Size(encodeView(view)); remaining < 0 && i > 0 {
 			return views[:i]
 		}
 	}
 	return views
 }
 
-// toldDigests are digests of the views told.
-func (p *peers) toldDigests() dispatch.ViewDigests {
+// publishedDigests are digests of the views told.
+func (p *peers) publishedDigests() dispatch.ViewDigests {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told.buckets
+	return p.published.buckets
 }
 
 // confirmViews compares the views of this node with the leader's digest.
@@ -148,12 +148,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.viewsHeard = now
+	p.viewsDigestAt = now
 	switch {
 	case same:
-		p.staleSince = time.Time{}
-	case p.staleSince.IsZero():
-		p.staleSince = now
+		p.viewsDifferSince = time.Time{}
+	case p.viewsDifferSince.IsZero():
+		p.viewsDifferSince = now
 	}
 }
 
@@ -162,7 +162,7 @@
 	size := 0
 	for len(views) > 0 {
 		size += proto.Size(views[0])
-		if size > datagramBytes && len(leader.Views) > 0 {
+		if size > maxViewsBytes && len(leader.Views) > 0 {
 			break
 		}
 		leader.Views = append(leader.Views, views[0])
@@ -171,9 +171,9 @@
 	return views
 }
 
-// wantsViews reports whether this node asks the leader for all views.
-func (p *peers) wantsViews(now time.Time) bool {
+// shouldRequestViews reports whether this node asks the leader for all views.
+func (p *peers) shouldRequestViews(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hasSilentViews(now) || !p.staleSince.IsZero() && now.Sub(p.staleSince) > viewsLag
+	return p.areViewsOverdue(now) || !p.viewsDifferSince.IsZero() && now.Sub(p.viewsDifferSince) > viewsRequestDelay
 }
--- a/internal/edge/wire.go
+++ b/internal/edge/wire.go
@@ -13,7 +13,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-func peerLoads(wire []*peerpb.ServerLoad) []dispatch.PeerLoad {
+func decodeLoads(wire []*peerpb.ServerLoad) []dispatch.PeerLoad {
 	loads := make([]dispatch.PeerLoad, 0, len(wire))
 	for _, load := range wire {
 		loads = append(loads, dispatch.PeerLoad{
@@ -33,7 +33,7 @@
 	return encoded
 }
 
-func viewsOf(wire []*peerpb.ServerView) []dispatch.View {
+func decodeViews(wire []*peerpb.ServerView) []dispatch.View {
 	views := make([]dispatch.View, 0, len(wire))
 	for _, encoded := range wire {
 		view := dispatch.View{
@@ -55,7 +55,7 @@
 			}
 			view.Loading[name] = time.Duration(loading.LeftMs) * time.Millisecond
 		}
-		view.Digest = digest(view.ServerID, signature(view))
+		view.Digest = viewDigest(view.ServerID, viewSignature(view))
 		views = append(views, view)
 	}
 	return views
@@ -77,12 +77,12 @@
 	return encoded
 }
 
-// countsOf are the counts of a node that stands in the region.
-func countsOf(wire []*peerpb.WantedCount, region string) []placer.RequestCount {
+// decodeCounts are the counts of a node that stands in the region.
+func decodeCounts(wire []*peerpb.WantedCount, region string) []placer.RequestCount {
 	counts := make([]placer.RequestCount, 0, len(wire))
 	for _, count := range wire {
 		counts = append(counts, placer.RequestCount{
-			Requirements: dispatch.Requirements{Service: count.Service, Model: count.Model, Adapter: count.Adapter, Regions: regionsOf(count.Regions)},
+			Requirements: dispatch.Requirements{Service: count.Service, Model: count.Model, Adapter: count.Adapter, Regions: decodeRegions(count.Regions)},
 			Requests:     count.Asked,
 			Waiting:      int(count.Waiting),
 			PromptTokens: count.PromptTokens,
@@ -93,29 +93,29 @@
 	return counts
 }
 
-// regionsOf is a set of regions as it is told: no name is without a bound.
-func regionsOf(names []string) locality.Regions {
+// decodeRegions is a set of regions as it is told: no name is without a bound.
+func decodeRegions(names []string) locality.Regions {
 	if len(names) == 0 {
 		return locality.Regions{}
 	}
 	return locality.Only(names...)
 }
 
-func newsOf(wire []*peerpb.ServerNews) []gossip.ServerChange {
+func decodeChanges(wire []*peerpb.ServerNews) []gossip.ServerChange {
 	items := make([]gossip.ServerChange, 0, len(wire))
-	for _, told := range wire {
+	for _, encoded := range wire {
 		item := gossip.ServerChange{
 			Server: inventory.Server{
-				ID: told.Server, StartedAtMs: told.Born, Service: told.Service, Address: told.Address, Zone: told.Zone, Slots: int(told.Slots),
-				Draining: told.Going, Position: storepos.At(told.Era, told.Revision), Announced: true,
+				ID: encoded.Server, StartedAtMs: encoded.Born, Service: encoded.Service, Address: encoded.Address, Zone: encoded.Zone, Slots: int(encoded.Slots),
+				Draining: encoded.Going, Position: storepos.At(encoded.Era, encoded.Revision), Announced: true,
 			},
-			Age: time.Duration(told.AgeMs) * time.Millisecond,
+			Age: time.Duration(encoded.AgeMs) * time.Millisecond,
 		}
 		if !isUsable(item.Server) {
 			continue
 		}
 		// What is kept is what the store said, and when.
-		item.Server.ColdRemaining, item.Server.ReportsCold = coldLeftOf(told.ColdLeftMs)
+		item.Server.ColdRemaining, item.Server.ReportsCold = decodeColdRemaining(encoded.ColdLeftMs)
 		if item.Server.ColdRemaining > 0 {
 			item.Server.ColdRemaining += item.Age
 		}
@@ -124,20 +124,20 @@
 	return items
 }
 
-func encodeNews(items []gossip.ServerChange) []*peerpb.ServerNews {
+func encodeChanges(items []gossip.ServerChange) []*peerpb.ServerNews {
 	encoded := make([]*peerpb.ServerNews, 0, len(items))
 	for _, item := range items {
-		told := &peerpb.ServerNews{
+		change := &peerpb.ServerNews{
 			Server: item.Server.ID, Born: item.Server.StartedAtMs, Going: item.Server.Draining,
 			Revision: item.Server.Position.Revision, Era: item.Server.Position.Era,
 			AgeMs: uint32(item.Age.Milliseconds()),
 		}
-		if !told.Going {
-			told.Service, told.Address, told.Zone = item.Server.Service, item.Server.Address, item.Server.Zone
-			told.Slots = uint32(item.Server.Slots)
-			told.ColdLeftMs = encodeColdLeft(item.Server.ColdRemaining-item.Age, item.Server.ReportsCold)
+		if !change.Going {
+			change.Service, change.Address, change.Zone = item.Server.Service, item.Server.Address, item.Server.Zone
+			change.Slots = uint32(item.Server.Slots)
+			change.ColdLeftMs = encodeColdRemaining(item.Server.ColdRemaining-item.Age, item.Server.ReportsCold)
 		}
-		encoded = append(encoded, told)
+		encoded = append(encoded, change)
 	}
 	return encoded
 }
