--- a/internal/edge/admissions.go
+++ b/internal/edge/admissions.go
@@ -17,21 +17,22 @@
 	"github.com/spanlanding/spanlanding/internal/relay"
 )
 
-// fallbackDelay is how long after its start a node may send to bounded servers without a
-// coordinator: by then it has heard how large the fleet is, or that it cannot.
+// fallbackDelay is how long after its start a node may send to limited servers without a
+// coordinator. By then it has received the fleet size, or cannot get it.
 const fallbackDelay = 3 * time.Second
 
-// admissions keeps what is sent to cold servers, and to those that name a rate limit, below what
-// they bear, over all nodes: the coordinator of quotas grants it. It is safe for concurrent use.
+// admissions keeps the requests sent by all nodes to cold and to rate-limited servers within
+// those servers' capacity. The quota coordinator grants them. It is safe for concurrent use.
 type admissions struct {
 	node *Node
 	mu   sync.Mutex
-	// warmUps and limits are what this node granted as the coordinator, of cold servers and of those
-	// that name a rate limit, and warmUpLots and limitLots its own part without one.
+	// warmUps and limits hold what this node granted as the coordinator, for cold servers and
+	// for rate-limited ones. warmUpFallback and limitFallback are its own allowances without a
+	// coordinator.
 	warmUps, limits               *quota.Coordinator
 	warmUpFallback, limitFallback *admission.FallbackAllowance
-	// fleetSizeReceived is set once this node was told how large the fleet is, by the store or by one
-	// that knows.
+	// fleetSizeReceived is true once the store, or a node that knows it, reported the fleet
+	// size.
 	fleetSizeReceived atomic.Bool
 	// Counters for metrics.
 	admitted, uncoordinated, limitedAdmitted, returnedGrants atomic.Int64
@@ -49,20 +50,20 @@
 
 var _ relay.Admission = (*admissions)(nil)
 
-// serverLimits are what serverLimits the sends to one start of a server, as a node knows it.
+// serverLimits holds the limits on requests to one start of a server, as this node knows them.
 type serverLimits struct {
 	phase   admission.Phase
 	service string
 	limit   admission.RateLimit
-	// perSecond is the rate limit where isLimited is set.
+	// perSecond is the rate limit if isLimited is set.
 	perSecond float64
 	isLimited bool
 }
 
-// needsGrant reports whether a grant is needed.
+// needsGrant reports whether a request needs a grant.
 func (b serverLimits) needsGrant() bool { return b.phase != admission.Warm || b.isLimited }
 
-// limitsOf is what this node knows of the start.
+// limitsOf returns what this node knows of the start.
 func (c *admissions) limitsOf(now time.Time, start inventory.Start) (current serverLimits) {
 	c.node.dispatch.Do(func(core *dispatch.Core) {
 		current.phase, current.service = core.ColdPhase(now, start.ID)
@@ -78,8 +79,8 @@
 	return c.admit(ctx, now, start, c.limitsOf(now, start), priority)
 }
 
-// AdmitInternalCall asks whether a call of the system itself, an order or the question for a report, may go to
-// the start. Cold servers take them.
+// AdmitInternalCall asks whether a call of the system itself (an order or a report request) may
+// be sent to the start. Cold servers accept such calls.
 func (c *admissions) AdmitInternalCall(ctx context.Context, start inventory.Start) relay.AdmissionDecision {
 	now := clock.Now()
 	current := c.limitsOf(now, start)
@@ -87,7 +88,7 @@
 	return c.admit(ctx, now, start, current, internalCallPriority)
 }
 
-// internalCallPriority is that of the system's own calls: behind all urgent requests.
+// internalCallPriority is the priority of the system's own calls: behind all urgent requests.
 const internalCallPriority = maxLimitPriority
 
 func (c *admissions) admit(ctx context.Context, now time.Time, start inventory.Start, current serverLimits, priority int) relay.AdmissionDecision {
@@ -102,8 +103,8 @@
 		current.phase = admission.Warm
 	}
 	for _, coordinator := range c.node.peers.coordinators(now) {
-		// A grant counts from its question: those to silent coordinators may take longer
-		// than it holds.
+		// A grant's lifetime counts from its request: preceding calls to unresponsive
+		// coordinators may take longer than the grant lasts.
 		requestedAt := clock.Now()
 		answer := c.node.quotas.ask(ctx, coordinator.Address, grantRequest(requestedAt, start, current, priority))
 		if answer == nil {
@@ -118,7 +119,7 @@
 	return c.countGranted(current, c.admitUncoordinated(start, current))
 }
 
-// grantRequest asks a coordinator for a request to the start.
+// grantRequest builds the call that asks a coordinator for one request to the start.
 func grantRequest(now time.Time, start inventory.Start, current serverLimits, priority int) *peerpb.QuotaCall {
 	return &peerpb.QuotaCall{
 		Kind: peerpb.QuotaCall_ASK, Server: start.ID, Born: start.StartedAtMs, Service: current.service, Cost: 1,
@@ -127,15 +128,14 @@
 	}
 }
 
-// receiveLimit takes what a coordinator knows of a server's rate limit.
+// receiveLimit applies what a coordinator knows of a server's rate limit.
 func (c *admissions) receiveLimit(start inventory.Start, answer *peerpb.QuotaCall) {
 	if limit, ok := decodeLimit(clock.Now(), answer.Limit); ok {
 		c.node.hints.receivePeerLimit(clock.Now(), start, limit)
 	}
 }
 
-// admitWhenWarm decides on a server that takes nothing while it is cold: nobody has to be
-// asked.
+// admitWhenWarm decides for a server that accepts nothing while cold; no coordinator is needed.
 func (c *admissions) admitWhenWarm(now time.Time, serverID string, phase admission.Phase) relay.AdmissionDecision {
 	var remaining time.Duration
 	c.node.dispatch.Do(func(core *dispatch.Core) { remaining, _ = core.ColdRemaining(now, serverID) })
@@ -153,8 +153,8 @@
 	return decision
 }
 
-// ReturnGrant implements relay.Admission: others may use the grant of a limited server. The time of a
-// cold one is over before.
+// ReturnGrant implements relay.Admission: it returns an unused grant of a rate-limited server so
+// that others may use it. A grant of a cold server expires before that.
 func (c *admissions) ReturnGrant(start inventory.Start, decision relay.AdmissionDecision) {
 	current := c.limitsOf(clock.Now(), start)
 	if !current.isLimited || !decision.Granted || decision.GrantedBy == "" {
@@ -170,8 +170,8 @@
 	c.node.peers.sendQuota(decision.GrantedBy, call)
 }
 
-// admitUncoordinated decides where no coordinator answers. Servers in their ramp are warm: only the
-// burst is to be kept small.
+// admitUncoordinated decides when no coordinator responds. Servers in their ramp phase are warm;
+// only the burst has to be limited.
 func (c *admissions) admitUncoordinated(start inventory.Start, current serverLimits) relay.AdmissionDecision {
 	c.uncoordinated.Add(1)
 	now := clock.Now()
@@ -190,7 +190,7 @@
 	return decision
 }
 
-// takeFallback uses the lots of all that bounds the server. The lock is held.
+// takeFallback draws on the fallback allowance of every limit of the server. c.mu must be held.
 func (c *admissions) takeFallback(now time.Time, start inventory.Start, current serverLimits, nodes int) bool {
 	limit := admission.RateLimitBound{PerSecond: current.perSecond}
 	if current.isLimited && !c.limitFallback.Take(now, accountName(start), limit.MaxRequests(), nodes) {
@@ -199,40 +199,40 @@
 	return current.phase != admission.Cold || c.warmUpFallback.Take(now, start.ID, c.warmUpBound(current.service).MaxRequests(), nodes)
 }
 
-// mayUseFallback reports whether this node has listened long enough, and knows the fleet.
+// mayUseFallback reports whether this node has listened long enough and knows the fleet size.
 func (c *admissions) mayUseFallback(now time.Time) bool {
 	return c.isSingleNode() || (c.knowsFleetSize(now) && now.Sub(c.node.started) >= fallbackDelay)
 }
 
-// isSingleNode reports whether this node is to have no peers.
+// isSingleNode reports whether this node is configured without peers.
 func (c *admissions) isSingleNode() bool { return len(c.node.options.Tunables.PeerSeeds) == 0 }
 
-// knowsFleetSize reports whether this node knows how large the fleet is. Where all nodes of a
-// fleet in three parts are killed, each part would take itself for all of it, and grant three
-// times what may be.
+// knowsFleetSize reports whether this node knows the fleet size. If a fleet that is split into
+// three parts restarts entirely, each part would consider itself the whole fleet, and together
+// they would grant three times the allowed rate.
 func (c *admissions) knowsFleetSize(now time.Time) bool {
 	return c.fleetSizeReceived.Load() || now.Sub(c.node.started) >= fleetSizeLearningPeriod
 }
 
-// learnFleetSize takes that the store, or a node that knows, told how large the fleet is; at
-// nought it did not.
+// learnFleetSize records that the store, or a node that knows it, reported the fleet size; 0
+// means it did not.
 func (c *admissions) learnFleetSize(nodes int) {
 	if nodes > 0 {
 		c.fleetSizeReceived.Store(true)
 	}
 }
 
-// maxLimitPriority bounds the rank of questions for limited servers: what is kept back for more
-// urgent ones must leave room for a request in a small burst.
+// maxLimitPriority bounds the priority in calls for rate-limited servers: what is reserved for
+// more urgent requests must leave room for one request in a small burst.
 const maxLimitPriority = 2
 
-// accountName names the account of a start.
+// accountName returns the account name of a start.
 func accountName(start inventory.Start) string {
 	return start.ID + "/" + strconv.FormatInt(start.StartedAtMs, 10)
 }
 
-// decide answers as the coordinator, or takes back what was granted and not used. Of what the asker
-// and this node know of the rate limit the newer counts.
+// decide answers a call as the coordinator, or takes back an unused grant. The newer of the rate
+// limits known to the caller and to this node applies.
 func (c *admissions) decide(now time.Time, call *peerpb.QuotaCall) *peerpb.QuotaCall {
 	answer := &peerpb.QuotaCall{Kind: peerpb.QuotaCall_UNKNOWN, Id: call.Id, Server: call.Server}
 	if !c.mayCoordinate(now) || c.node.quotas.preferredCoordinator(now) != "" {
@@ -260,7 +260,7 @@
 	return answer
 }
 
-// decideLimits asks all that bounds the server: a request needs each of them.
+// decideLimits checks every limit of the server; a request needs a grant from each.
 func (c *admissions) decideLimits(now time.Time, call *peerpb.QuotaCall, start inventory.Start, current serverLimits, reach float64) quota.Decision {
 	limit := admission.RateLimitBound{PerSecond: current.perSecond}.Quota()
 	c.mu.Lock()
@@ -285,7 +285,7 @@
 	return decision
 }
 
-// refund returns a grant that was not used.
+// refund takes back a grant that was not used.
 func (c *admissions) refund(now time.Time, start inventory.Start, current serverLimits, reach float64) {
 	if !current.isLimited {
 		return
@@ -295,13 +295,14 @@
 	c.limits.Refund(now, accountName(start), admission.RateLimitBound{PerSecond: current.perSecond}.Quota(), reach)
 }
 
-// mayCoordinate reports whether this node has listened long enough to know who is before it,
-// and knows the fleet.
+// mayCoordinate reports whether this node has listened long enough to know which nodes precede
+// it, and knows the fleet size.
 func (c *admissions) mayCoordinate(now time.Time) bool {
 	return c.isSingleNode() || (c.knowsFleetSize(now) && now.Sub(c.node.started) >= coordinatorDelay)
 }
 
-// warmUpBound is that of a cold server of the service; one that is not known bears nothing.
+// warmUpBound returns the bound for cold servers of the service. An unknown service has no
+// capacity.
 func (c *admissions) warmUpBound(service string) admission.WarmUpBound {
 	bound := admission.WarmUpBound{Overage: c.node.options.ColdOverage, Slack: c.node.options.ColdSlack}
 	if table := c.node.handler.Table(); table != nil {
@@ -310,7 +311,7 @@
 	return bound
 }
 
-// withColdState returns the servers with what is known now of how long each is cold yet.
+// withColdState fills in the remaining cold time of each server as known now.
 func (c *admissions) withColdState(now time.Time, servers []inventory.Server) []inventory.Server {
 	c.node.dispatch.Do(func(core *dispatch.Core) {
 		for i := range servers {
@@ -320,7 +321,8 @@
 	return servers
 }
 
-// decodeColdRemaining is for how long a server is cold yet, by a peer; false where it does not say.
+// decodeColdRemaining decodes a server's remaining cold time as sent by a peer; false means that
+// the peer does not know it.
 func decodeColdRemaining(encoded uint32) (remaining time.Duration, reported bool) {
 	if encoded == 0 {
 		return 0, false
@@ -335,8 +337,8 @@
 	return 1 + uint32(min(max(0, remaining), admission.MaxColdTime).Milliseconds())
 }
 
-// observe is called in each period: a coordinator that stood still has to notice, and
-// what turned cold or warm is logged.
+// observe is called in each period. It lets the coordinator notice when it was suspended, and
+// logs servers that turned cold or warm.
 func (c *admissions) observe(now time.Time) {
 	c.mu.Lock()
 	c.warmUps.Observe(now)
@@ -354,8 +356,8 @@
 	}
 }
 
-// sweep drops what is not needed: the accounts of servers that are gone and, where
-// another node grants, what this one granted before.
+// sweep drops obsolete state: the accounts of removed servers and, if another node coordinates,
+// what this one granted before.
 func (c *admissions) sweep(now time.Time) {
 	isCoordinator := c.node.quotas.preferredCoordinator(now) == ""
 	c.node.dispatch.Do(func(core *dispatch.Core) {
--- a/internal/edge/bars.go
+++ b/internal/edge/bars.go
@@ -10,13 +10,13 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// Bars lists the requests that are barred, for operators.
+// Bars lists the barred requests, for operators.
 func (s *snapshots) Bars(context.Context, *peerpb.BarsRequest) (*peerpb.BarsResponse, error) {
 	return &peerpb.BarsResponse{Bars: s.node.suspects.listBars()}, nil
 }
 
-// LiftBar ends the bar of a request here and tells all nodes; the next renewal of the lease
-// leaves it out.
+// LiftBar lifts the bar on a request here and notifies all nodes. The next renewal of the lease
+// no longer contains it.
 func (s *snapshots) LiftBar(_ context.Context, request *peerpb.LiftBarRequest) (*peerpb.LiftBarResponse, error) {
 	fingerprint, ok := poison.DecodeFingerprint(request.Fingerprint)
 	if !ok {
@@ -25,7 +25,7 @@
 	return &peerpb.LiftBarResponse{WasBarred: s.node.suspects.liftBar(fingerprint)}, nil
 }
 
-// listBars are the barred requests, in order.
+// listBars returns the barred requests in order.
 func (s *suspects) listBars() []*peerpb.Bar {
 	now := clock.Now()
 	s.mu.Lock()
@@ -41,7 +41,8 @@
 	return bars
 }
 
-// liftBar ends the bar of a request at all nodes; it reports whether it was barred here.
+// liftBar lifts the bar on a request at all nodes. It reports whether the request was barred
+// here.
 func (s *suspects) liftBar(fingerprint poison.Fingerprint) bool {
 	now := clock.Now()
 	wasBarred := s.Status(fingerprint) == poison.StatusBarred
@@ -51,5 +52,5 @@
 	return wasBarred
 }
 
-// operatorReporter is who reports what an operator decided.
+// operatorReporter is the reporter name recorded for an operator's decisions.
 const operatorReporter = "operator"
--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -10,26 +10,26 @@
 	"github.com/spanlanding/spanlanding/internal/clock"
 )
 
-// callerConns are the connections of callerConns. They close those that rest: for longer
-// than the configuration allows, as the library's own bound cannot change while a
-// server runs, and at a planned stop. The library tells that a connection is busy
-// only once the head of a request was read, so a close may meet a request: who is
-// first decides under one lock. A request that lost goes to no server.
+// callerConns tracks the connections of callers and closes idle ones: those idle for longer than
+// the configuration allows, since http.Server's own limit cannot change while it runs, and all
+// of them at a planned stop. http.Server marks a connection active only after the request header
+// was read, so a close can race with a request. A lock decides which comes first; a request that
+// loses is not sent to any server.
 type callerConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]*callerConn
 }
 
 type callerConn struct {
-	// idleSince is zero while a request is under way.
+	// idleSince is zero while a request is in progress.
 	idleSince time.Time
-	// isNew is set until the first request.
+	// isNew is true until the first request.
 	isNew  bool
 	closed bool
 }
 
-// newConnGrace is how long a new connection is left to bring its first request at
-// a planned stop.
+// newConnGrace is how long a new connection may wait for its first request during a planned
+// stop.
 const newConnGrace = 500 * time.Millisecond
 
 func newCallerConns() *callerConns {
@@ -56,8 +56,8 @@
 	}
 }
 
-// beginRequest notes a request on the connection; it returns false where the connection
-// was closed as resting before.
+// beginRequest marks the connection as busy. It returns false if the connection was closed as
+// idle before.
 func (c *callerConns) beginRequest(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	return !tracked.closed
 }
 
-// closeIdle closes what has rested for longer than the bound; 0 is none.
+// closeIdle closes connections that have been idle for longer than the bound; 0 means no bound.
 func (c *callerConns) closeIdle(now time.Time, bound time.Duration) int {
 	if bound <= 0 {
 		return 0
@@ -77,8 +77,7 @@
 	return c.close(func(conn *callerConn) bool { return now.Sub(conn.idleSince) > bound })
 }
 
-// closeAllIdle closes all that rests, and returns how many connections are
-// busy.
+// closeAllIdle closes all idle connections and returns the number of busy ones.
 func (c *callerConns) closeAllIdle() (busy int) {
 	now := clock.Now()
 	c.close(func(conn *callerConn) bool { return !conn.isNew || now.Sub(conn.idleSince) > newConnGrace })
@@ -107,7 +106,7 @@
 	return count
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key for a request's connection.
 type connKey struct{}
 
 // withConn is the http.Server's ConnContext hook.
@@ -115,7 +114,7 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// rejectClosed passes on the requests whose connections are open.
+// rejectClosed passes on only requests whose connections are open.
 func (c *callerConns) rejectClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		conn, ok := request.Context().Value(connKey{}).(net.Conn)
--- a/internal/edge/confirmation.go
+++ b/internal/edge/confirmation.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// confirmation is when some node's call to the store last confirmed what this
-// node knows of one kind. Nodes tell each other its age, so that what two or three
-// of them ask of the store does for all. It is safe for concurrent use.
+// confirmation records when some node's call to the store last confirmed one kind of data known
+// here. Nodes exchange its age, so that a few nodes query the store on behalf of all. It is safe
+// for concurrent use.
 type confirmation struct {
-	// applyWithin is the time applyWithin which a change must be in force at every node; 0 is
-	// the node's Options.ApplyWithin.
+	// applyWithin is the time within which a change must be in force at every node; 0 means the
+	// node's Options.ApplyWithin.
 	applyWithin time.Duration
 	mu          sync.Mutex
 	confirmedAt time.Time
 }
 
-// confirm takes that what this node knows was the store's newest at that time.
+// confirm records that the known data was the store's newest at the given time.
 func (c *confirmation) confirm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,15 +25,14 @@
 	}
 }
 
-// age is the time since; known is false where nothing was ever confirmed.
+// age returns the time since the last confirmation. known is false if there was none.
 func (c *confirmation) age(now time.Time) (age time.Duration, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(0, now.Sub(c.confirmedAt)), !c.confirmedAt.IsZero()
 }
 
-// encodedAge is the age as datagrams tell it: milliseconds and one more, 0 where it is
-// not known.
+// encodedAge returns the age as sent in datagrams: milliseconds plus one, or 0 if unknown.
 func (c *confirmation) encodedAge(now time.Time) uint32 {
 	age, known := c.age(now)
 	if !known {
@@ -42,30 +41,31 @@
 	return encodeAge(age)
 }
 
-// encodeAge is a known age as messages tell it: milliseconds and one more.
+// encodeAge encodes a known age as milliseconds plus one.
 func encodeAge(age time.Duration) uint32 { return uint32(min(age, maxWireAge).Milliseconds()) + 1 }
 
-// maxWireAge bounds the age that is told; nobody goes by one so old.
+// maxWireAge bounds the encoded age; nodes do not rely on data that old.
 const maxWireAge = time.Hour
 
-// receiveAge takes the age that a peer tells, which knows the same as this node.
+// receiveAge applies the age sent by a peer that has the same data as this node.
 func (c *confirmation) receiveAge(now time.Time, encoded uint32) {
 	if encoded > 0 {
 		c.confirm(now.Add(-time.Duration(encoded-1) * time.Millisecond))
 	}
 }
 
-// Shares of the time within which a change must be in force at every node
-// (confirmation.within). A node acts on its own knowledge while it was confirmed
-// within confirmedFraction; then it asks the store itself, at once if it is among the
-// first and up to takeoverFraction later if not: the first one's answer does for all.
+// Fractions of the time within which a change must be in force at every node
+// (confirmation.applyWithin). A node relies on its data while it was confirmed within
+// confirmedFraction. After that it queries the store itself: immediately if it is among the
+// first in rank, otherwise up to takeoverFraction later, so that the first node's answer serves
+// all.
 const (
 	confirmedFraction = 0.55
 	takeoverFraction  = 0.2
-	// watchFraction is how long a watch waits: its end confirms that nothing changed.
+	// watchFraction is how long a watch waits. When it times out, it confirms that nothing
+	// changed.
 	watchFraction = 0.35
-	// minTakeoverNodes is the number of nodes over which takeoverShare is spread at
-	// the least.
+	// minTakeoverNodes is the minimum number of nodes over which takeoverFraction is spread.
 	minTakeoverNodes = 16
 )
 
@@ -73,9 +73,9 @@
 	return time.Duration(fraction * float64(n.options.ApplyWithin))
 }
 
-// shouldQueryStore reports whether this node asks the store itself: the leader and
-// the sentinels do, any node to which nobody has confirmed for too long what it
-// knows, and one that has just started where a caller waits.
+// shouldQueryStore reports whether this node queries the store itself: the leader, the
+// sentinels, any node whose data has gone unconfirmed for too long, and a node that has just
+// started and has a caller waiting.
 func (n *Node) shouldQueryStore(now time.Time, confirmed *confirmation) bool {
 	if term, _ := n.leader.leadership(); term != 0 {
 		return true
@@ -94,12 +94,12 @@
 		age = now.Sub(n.started)
 		return age >= n.firstRead+n.takeoverDelay(now)
 	}
-	// What has more time is left alone in proportion.
+	// A longer apply bound extends the waiting time in proportion.
 	factor := float64(n.applyBound(confirmed)) / float64(n.options.ApplyWithin)
 	return age > time.Duration(factor*float64(n.fractionOfBound(confirmedFraction)+n.takeoverDelay(now)))
 }
 
-// applyBound is the time within which a change of the kind must be in force.
+// applyBound returns the time within which a change of this kind must be in force.
 func (n *Node) applyBound(confirmed *confirmation) time.Duration {
 	if confirmed.applyWithin > 0 {
 		return confirmed.applyWithin
@@ -107,20 +107,20 @@
 	return n.options.ApplyWithin
 }
 
-// takeoverDelay is how long after the first ones this node steps in.
+// takeoverDelay returns how much later than the first nodes this one takes over.
 func (n *Node) takeoverDelay(now time.Time) time.Duration {
 	rank, nodes := n.peers.rank(now)
 	return time.Duration(float64(rank) / float64(max(nodes, minTakeoverNodes)) * float64(n.fractionOfBound(takeoverFraction)))
 }
 
-// sentinelDelay is how long a node listens before it watches the store for others:
-// at its start it knows too few of them to tell that it is among the first, and
-// all nodes of a fleet that starts took themselves for that.
+// sentinelDelay is how long a starting node listens before it acts as a sentinel. At first it
+// knows too few nodes to determine its rank, and in a fleet that starts at once every node would
+// consider itself one of the first.
 const sentinelDelay = 2500 * time.Millisecond
 
-// bootstrapReadSpread is the time over which nodes that start together for the first
-// time read the store: who reads first tells the others. A node that starts later
-// finds peers that know all, and waits restartReadSpread at the most.
+// bootstrapReadSpread is the time over which nodes that start together for the first time spread
+// their first read of the store; the first to read informs the others. A node that starts later
+// finds peers that have all data, and waits restartReadSpread at most.
 const (
 	bootstrapReadSpread = 2 * time.Second
 	restartReadSpread   = 300 * time.Millisecond
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// sendMessage sends nodes a state that tells nothing of the sender.
+// sendMessage sends a datagram that carries no state of the sender.
 func (p *peers) sendMessage(kind trafficKind, targets []string, state *peerpb.NodeState) {
 	datagram, err := proto.Marshal(state)
 	if err != nil {
@@ -25,22 +25,22 @@
 	}
 }
 
-// sendQuota sends one call of quotas.
+// sendQuota sends a quota call to one node.
 func (p *peers) sendQuota(target string, call *peerpb.QuotaCall) {
 	p.sendMessage(trafficQuotas, []string{target}, &peerpb.NodeState{Quota: call})
 }
 
-// broadcastQuota sends one call of quotas to all living nodes.
+// broadcastQuota sends a quota call to all live nodes.
 func (p *peers) broadcastQuota(call *peerpb.QuotaCall) {
 	p.sendMessage(trafficQuotas, p.aliveAddresses(clock.Now()), &peerpb.NodeState{Quota: call})
 }
 
-// sendCrashes tells nodes of servers that ended under requests.
+// sendCrashes sends crash reports to the targets.
 func (p *peers) sendCrashes(targets []string, reports []*peerpb.CrashReport) {
 	p.sendMessage(trafficCrashes, targets, &peerpb.NodeState{Node: p.node.options.Name, Crashes: reports})
 }
 
-// sendTrial sends one call on the trial of a request.
+// sendTrial sends a trial call to one node.
 func (p *peers) sendTrial(target string, call *peerpb.TrialCall) {
 	p.sendMessage(trafficCrashes, []string{target}, &peerpb.NodeState{Trial: call})
 }
@@ -61,7 +61,7 @@
 	p.broadcast(kind, gossip.BroadcastPlan{Direct: targets}, state)
 }
 
-// broadcast sends this node's state to nodes, and to those that send it on.
+// broadcast sends this node's state to the plan's direct targets and to its forwarders.
 func (p *peers) broadcast(kind trafficKind, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.mu.Lock()
 	p.sequence++
@@ -77,7 +77,7 @@
 	state.Peers = explicit
 }
 
-// writePlan writes the state as it is.
+// writePlan sends the state unchanged to the plan's direct targets and to its forwarders.
 func (p *peers) writePlan(kind trafficKind, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.writeUnique(kind, plan.Direct, state)
 	for _, spreader := range plan.Spreaders {
@@ -87,7 +87,7 @@
 	state.Spread = nil
 }
 
-// writeUnique writes the state to each of the targets once.
+// writeUnique sends the state once to each distinct target.
 func (p *peers) writeUnique(kind trafficKind, targets []string, state *peerpb.NodeState) {
 	if len(targets) == 0 {
 		return
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -9,16 +9,16 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// directory is what a node knows of the servers: what the store last told it
-// and, ahead of that, the news that peers tell. It is safe for concurrent use.
+// directory holds what a node knows of the servers: the store's last answer and, ahead of it,
+// changes announced by peers. It is safe for concurrent use.
 type directory struct {
 	mu       sync.Mutex
 	table    *inventory.Table
 	outgoing *gossip.ServerChanges
-	// peerPosition is the latest position of what peers told.
+	// peerPosition is the latest position received from peers.
 	peerPosition storepos.Position
-	// differsSince is when a peer with a later position began to know other servers;
-	// zero while none does.
+	// differsSince is when a peer with a later position began to report a different set of
+	// servers; zero while none does.
 	differsSince time.Time
 }
 
@@ -26,8 +26,8 @@
 	return &directory{table: inventory.NewTable(), outgoing: gossip.NewServerChanges()}
 }
 
-// listAvailable are the servers that take work, the position that they are known up to, and
-// their digest. Those that go are left out: nobody needs them.
+// listAvailable returns the servers that accept work, the position up to which they are known,
+// and their digest. Draining servers are omitted because nobody needs them.
 func (d *directory) listAvailable() (servers []inventory.Server, at storepos.Position, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,14 +39,16 @@
 	return servers, d.table.Position(), d.table.Digest()
 }
 
-// replaceByPeer takes a peer's whole list, which is no news: the peer had told it.
+// replaceByPeer applies a peer's whole list. The changes are not queued for other peers, since
+// the sender has announced them already.
 func (d *directory) replaceByPeer(now time.Time, servers []inventory.Server, at storepos.Position) []inventory.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.ReplaceByPeer(now, servers, at)
 }
 
-// replace takes a whole list, asked for at asked. What it changed is news unless it is the first.
+// replace applies a whole list of the store, requested at requestedAt. Its changes are queued
+// for peers unless it is the first list.
 func (d *directory) replace(now, requestedAt time.Time, servers []inventory.Server, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,8 +67,8 @@
 	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// notableChanges are the changes by which a server came, started again, turned cold or takes no more
-// work: all that others need to hear at once.
+// notableChanges returns the changes that others need to learn of at once: a server appeared,
+// restarted, turned cold or stopped accepting work.
 func notableChanges(changes []inventory.Change, wasAvailable, wasCold map[inventory.Start]bool) []inventory.Change {
 	var notable []inventory.Change
 	for _, change := range changes {
@@ -79,7 +81,7 @@
 	return notable
 }
 
-// apply takes the store's events.
+// apply applies the store's events.
 func (d *directory) apply(now time.Time, events []inventory.Change, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +95,7 @@
 	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// queueChanges makes news of changes that the store told.
+// queueChanges queues changes reported by the store for peers.
 func (d *directory) queueChanges(now time.Time, changes []inventory.Change, at storepos.Position) bool {
 	queued := false
 	for _, change := range changes {
@@ -108,9 +110,9 @@
 	return queued
 }
 
-// applyPeerChanges takes what a peer tells, and returns what of it is new here. A word that a server
-// goes counts also where the entry is held back here as lapsed, and whether or not it is
-// told on.
+// applyPeerChanges applies changes announced by a peer and returns those that are new here. A
+// server's removal also applies to an entry retained during the expiry grace period, whether or
+// not the removal is forwarded.
 func (d *directory) applyPeerChanges(now time.Time, items []gossip.ServerChange) []inventory.Change {
 	if len(items) == 0 {
 		return nil
@@ -123,7 +125,7 @@
 		era := d.table.Position().Era
 		server.Position = server.Position.WithDefaultEra(era)
 		if server.Position.Era > era && era > 0 {
-			// The whole list of that era is asked for.
+			// The whole list of that era is requested instead.
 			continue
 		}
 		item.Server = server
@@ -133,7 +135,7 @@
 			continue
 		}
 		if !server.Draining && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) {
-			// Known already, and not told on.
+			// Already known, and not forwarded.
 			d.table.ConfirmAvailable(server.ID, server.Position)
 			continue
 		}
@@ -155,49 +157,51 @@
 	return changes
 }
 
-// takeDue returns the news that are told in this period.
+// takeDue returns the changes to send in this period.
 func (d *directory) takeDue(now time.Time) []gossip.ServerChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.outgoing.TakeDue(now)
 }
 
-// digestAndPosition is a digest of the servers known, and the position they are from.
+// digestAndPosition returns a digest of the known servers and their position.
 func (d *directory) digestAndPosition() (digest uint64, at storepos.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Digest(), d.latestPosition()
 }
 
-// position is the position up to which the servers are known.
+// position returns the position up to which the servers are known completely.
 func (d *directory) position() storepos.Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Position()
 }
 
-// isReloadDue reports whether the list is to be read anew, as entries of an earlier era were kept.
+// isReloadDue reports whether the list is to be reloaded because entries of an earlier era were
+// kept.
 func (d *directory) isReloadDue(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.ReloadDue(now)
 }
 
-// countEarlierEra counts the servers of which an entry of an earlier era is kept.
+// countEarlierEra counts the servers whose kept entry is of an earlier era.
 func (d *directory) countEarlierEra(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.EarlierEraCount(now)
 }
 
-// eraAge is how long the era of what is known has been known; ok is false where no other came before.
+// eraAge returns how long the current era has been known. ok is false if no other era came
+// before it.
 func (d *directory) eraAge(now time.Time) (age time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.EraAge(now)
 }
 
-// beginEra takes from a peer that the era began at that time.
+// beginEra applies a peer's report of when the era began.
 func (d *directory) beginEra(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,13 +210,14 @@
 	}
 }
 
-// latestPosition is the latest position of what is known. The lock is held.
+// latestPosition returns the latest known position. d.mu must be held.
 func (d *directory) latestPosition() storepos.Position {
 	return storepos.Later(d.table.Position(), d.peerPosition)
 }
 
-// isBehind reports whether a peer has known other servers from a later position, or
-// confirmed later, for longer than news take: somebody is to be asked.
+// isBehind reports whether a peer has had different servers from a later position, or from a
+// later confirmation, for longer than changes take to propagate. Then the list should be
+// requested.
 func (d *directory) isBehind(now time.Time, digest uint64, at storepos.Position, isFresher bool, tolerance time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -12,21 +12,21 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// evacuations is what a node knows of evacuated zones. A few nodes ask the store, as
-// for the configuration, and all tell each other the whole list with the revision that
-// it is from: who hears a newer one goes by it at once. It is safe for concurrent use.
+// evacuations holds the evacuated zones known to a node. As for the configuration, a few nodes
+// query the store, and all nodes exchange the whole list with its revision. A node applies a
+// newer list at once. It is safe for concurrent use.
 type evacuations struct {
 	node *Node
-	// confirmed is when some node's call to the store last confirmed the list.
+	// confirmed records when some node's call to the store last confirmed the list.
 	confirmed confirmation
-	// refresh ends a watch that seems to have missed something.
+	// refresh ends a watch that may have missed a change.
 	refresh chan struct{}
 
-	// mu is held while a change is put in force, so that an older one does not come
-	// after a newer.
+	// mu is held while a change is put into effect, so that an older change cannot follow a
+	// newer one.
 	mu    sync.Mutex
 	table *evacuation.Table
-	// reportedUnknown are the zones in force that were reported as unknown.
+	// reportedUnknown holds the zones in force that were reported as unknown.
 	reportedUnknown map[string]bool
 }
 
@@ -43,8 +43,8 @@
 // isEnabled reports whether the platform evacuates zones at all.
 func (e *evacuations) isEnabled() bool { return e.node.options.EvacuateWithin > 0 }
 
-// isInitialized reports whether requests may be sent: a node that has just started could
-// send them to an evacuated zone.
+// isInitialized reports whether requests may be sent. A node that has just started might
+// otherwise send them to an evacuated zone.
 func (e *evacuations) isInitialized() bool {
 	if !e.isEnabled() {
 		return true
@@ -54,14 +54,14 @@
 	return e.table.IsInitialized()
 }
 
-// zones are the evacuated zones by name.
+// zones returns the evacuated zones by name.
 func (e *evacuations) zones() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.table.Zones()
 }
 
-// isEvacuated reports whether nothing new may be sent to servers of the zone.
+// isEvacuated reports whether new work must not be sent to servers of the zone.
 func (e *evacuations) isEvacuated(zone string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,7 +86,7 @@
 	return snapshot.Position, nil
 }
 
-// watch waits for changes once; a nudge ends the wait.
+// watch waits once for changes; a refresh signal ends the wait.
 func (e *evacuations) watch(ctx context.Context, from storepos.Position) (at storepos.Position, err error) {
 	ctx, cancel := cancelOnSignal(ctx, e.refresh)
 	defer cancel()
@@ -106,21 +106,22 @@
 	return at, nil
 }
 
-// applyStoreList puts the store's whole applyStoreList in force, asked for at asked, unless it is older than the one known.
+// applyStoreList applies the store's whole list, requested at requestedAt, unless it is older
+// than the known one.
 func (e *evacuations) applyStoreList(requestedAt time.Time, snapshot evacuation.Snapshot) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.activate(e.table.ApplyStoreSnapshot(clock.Now(), requestedAt, snapshot), "read", 0)
 }
 
-// expireOverrides ends what was kept over a change of the store's era.
+// expireOverrides ends evacuations that were kept across a change of the store's era.
 func (e *evacuations) expireOverrides(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.activate(e.table.ExpireRollbackOverrides(now), "era_settled", 0)
 }
 
-// applyPeerList puts a peer's whole list in force, unless it is not newer than the one known.
+// applyPeerList applies a peer's whole list unless it is not newer than the known one.
 func (e *evacuations) applyPeerList(snapshot evacuation.Snapshot, from string, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,7 +134,7 @@
 	e.activate(e.table.ApplyEvents(clock.Now(), events, at), "watch", 0)
 }
 
-// activate puts changes in force. The lock is held.
+// activate puts changes into effect. e.mu must be held.
 func (e *evacuations) activate(changes []evacuation.Change, from string, age time.Duration) {
 	if len(changes) == 0 {
 		return
@@ -163,8 +164,8 @@
 		Str("position", change.Position.String()).Str("from", from).Int64("age_ms", age.Milliseconds()).Msg(event)
 }
 
-// reportUnknown writes once for each evacuation whose zone neither the settings nor any
-// server names: it stays in force, but may be misspelt.
+// reportUnknown logs, once for each evacuation, that neither the settings nor any server name
+// its zone. The evacuation stays in force, but the zone may be misspelled.
 func (e *evacuations) reportUnknown() {
 	if !e.node.hasServers.Load() {
 		return
@@ -181,7 +182,7 @@
 	}
 }
 
-// knowsZone reports whether the settings or a server names the zone.
+// knowsZone reports whether the settings or a server name the zone.
 func (n *Node) knowsZone(zone string) bool {
 	for _, named := range n.options.Zones {
 		if named == zone {
@@ -193,10 +194,10 @@
 	return known
 }
 
-// maxZoneNameBytes bounds the names of zones in a datagram: of more zones it has a digest.
+// maxZoneNameBytes bounds the zone names in a datagram; longer lists are replaced by a digest.
 const maxZoneNameBytes = 512
 
-// encode is what datagrams tell; nil where nothing is known.
+// encode returns the list for datagrams, or nil if nothing is known.
 func (e *evacuations) encode(now time.Time) *peerpb.Evacuations {
 	encoded := e.encodeFull(now)
 	if encoded == nil {
@@ -214,7 +215,7 @@
 	return encoded
 }
 
-// encodeFull is the encodeFull list; nil where nothing is known.
+// encodeFull returns the complete list, or nil if nothing is known.
 func (e *evacuations) encodeFull(now time.Time) *peerpb.Evacuations {
 	if !e.isEnabled() {
 		return nil
@@ -231,8 +232,9 @@
 	}
 }
 
-// receive takes a peer's list, which goes before an older one of the store; the same list
-// confirms the one known. Where the peer tells a digest of another it is asked for it.
+// receive applies a peer's list, which takes precedence over an older one of the store. An equal
+// list confirms the known one. If the peer sent only the digest of a different list, that list
+// is requested.
 func (e *evacuations) receive(now time.Time, address string, encoded *peerpb.Evacuations) {
 	if encoded == nil || !e.isEnabled() {
 		return
@@ -254,9 +256,10 @@
 	e.confirmed.receiveAge(now, encoded.AgeMs)
 }
 
-// compare tells whether a peer's list names the zones known, and whether it is from a
-// later position: then also the same one counts, since lists of positions between may be
-// under way. Where the peer told a digest alone of the zones known the word gets them.
+// compare reports whether a peer's list names the known zones, and whether it is from a later
+// position. A later position counts even for an equal list, since lists of positions in between
+// may still arrive. If the peer sent only the digest of the known zones, snapshot is filled with
+// them.
 func (e *evacuations) compare(snapshot *evacuation.Snapshot, abridged uint64) (isSame, isNewer bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// Pauses after a failed call to the store; they double up to the longest.
+	// Pauses after a failed call to the store; they double up to the maximum.
 	minStorePause = 60 * time.Millisecond
 	maxStorePause = 800 * time.Millisecond
-	// secondaryStorePause is the pause of a node that asks only because nobody confirmed
-	// to it what it knows: where the store is away for all, the first nodes find
-	// out that it is back.
+	// secondaryStorePause is the pause of a node that queries the store only because no other
+	// node confirmed its data. During an outage of the store for all nodes, the primary nodes
+	// detect the recovery.
 	secondaryStorePause = 3 * time.Second
-	// roleCheckPeriod is the time between looks whether this node is to ask the store.
+	// roleCheckPeriod is the interval between checks whether this node is to query the store.
 	roleCheckPeriod = 50 * time.Millisecond
 )
 
@@ -29,8 +29,7 @@
 
 func (b *backoff) reset() { b.pause = 0 }
 
-// wait sleeps for a time drawn from the pause, so that nodes do not call in
-// step after an outage.
+// wait sleeps for a random part of the pause, so that nodes do not call in step after an outage.
 func (b *backoff) wait(ctx context.Context, limit time.Duration) {
 	b.pause = min(max(2*b.pause, minStorePause), limit)
 	if limit > maxStorePause {
@@ -39,7 +38,7 @@
 	sleep(ctx, b.pause/2+rand.N(b.pause/2+1))
 }
 
-// storePauseLimit is the longest pause of this node after failed calls.
+// storePauseLimit returns the maximum pause of this node after failed calls.
 func (n *Node) storePauseLimit() time.Duration {
 	if rank, _ := n.peers.rank(clock.Now()); rank < primaryStoreNodes {
 		return maxStorePause
@@ -47,7 +46,7 @@
 	return secondaryStorePause
 }
 
-// primaryStoreNodes is the number of nodes that look for a store which is away.
+// primaryStoreNodes is the number of nodes that probe an unavailable store.
 const primaryStoreNodes = 4
 
 func sleep(ctx context.Context, pause time.Duration) {
@@ -59,19 +58,19 @@
 	}
 }
 
-// storeResource is one kind of what lies in the store.
+// storeResource is one kind of data in the store.
 type storeResource struct {
 	name      string
 	confirmed *confirmation
 	refresh   chan struct{}
-	// read puts all in force and returns the position that it is from, and watch what
-	// changes behind a position.
+	// read loads and applies all data and returns its position. watch applies the changes after
+	// a position.
 	read  func(ctx context.Context) (at storepos.Position, err error)
 	watch func(ctx context.Context, from storepos.Position) (at storepos.Position, err error)
 }
 
-// follow keeps what lies in the store in force here while this node is one of those
-// that ask the store.
+// follow keeps the store's data in force here while this node is one of those that query the
+// store.
 func (n *Node) follow(ctx context.Context, resource storeResource) {
 	var pause backoff
 	for ctx.Err() == nil {
@@ -119,7 +118,7 @@
 	return at, nil
 }
 
-// watchConfiguration waits for a change once; a nudge ends the wait.
+// watchConfiguration waits once for a change; a refresh signal ends the wait.
 func (n *Node) watchConfiguration(ctx context.Context, from storepos.Position) (at storepos.Position, err error) {
 	ctx, cancel := cancelOnSignal(ctx, n.configRefresh)
 	defer cancel()
@@ -139,8 +138,8 @@
 	return at, nil
 }
 
-// confirmedUntil is up to when a watch that told of no change says that there was
-// none: the end of its wait or, where it was cut short, its beginning.
+// confirmedUntil returns the time until which a watch without changes confirms the data: the end
+// of its wait or, if it was cut short, its start.
 func confirmedUntil(requestedAt time.Time, wait time.Duration, answered time.Time) time.Time {
 	if ended := requestedAt.Add(wait); !ended.After(answered) {
 		return ended
@@ -148,36 +147,35 @@
 	return requestedAt
 }
 
-// watchTimeout is how long a watch waits. A watch may turn deaf without a word, so
-// the turns are short.
+// watchTimeout is how long a watch waits. It is short because a watch may stop delivering
+// changes without an error.
 func (n *Node) watchTimeout() time.Duration { return n.fractionOfBound(watchFraction) }
 
-// watchTimeoutFor is the same for a kind whose changes have another time.
+// watchTimeoutFor is watchTimeout for data with its own apply bound.
 func (n *Node) watchTimeoutFor(confirmed *confirmation) time.Duration {
 	return time.Duration(watchFraction * float64(n.applyBound(confirmed)))
 }
 
-// nodeFactor is the number of nodeFactor, as a factor of times.
+// nodeFactor returns the number of nodes, as a factor for durations.
 func (n *Node) nodeFactor() time.Duration { return time.Duration(1 + n.peers.count()) }
 
-// configLag tells how long peers have had a newer configuration. It is not safe
-// for concurrent use.
+// configLag tracks how long peers have had a newer configuration. It is not safe for concurrent
+// use.
 type configLag struct {
 	version int64
 	since   time.Time
 }
 
 const (
-	// configLagPerNode, which counts for each node, and longestConfigLag bound how
-	// long a newer configuration may be under way to this node before it asks
-	// for it anew: a large one takes a while on a slow link, and what was
-	// received of it would be lost.
+	// configLagPerNode (for each node) and maxConfigLag bound how long a newer configuration may
+	// be in transit before this node requests it again. A large one takes a while on a slow
+	// link, and a new request would discard the part received.
 	configLagPerNode = 6 * time.Millisecond
 	maxConfigLag     = 400 * time.Millisecond
 )
 
-// exceeds takes the word of a peer that has a newer version, and reports whether
-// peers have had one for longer than tolerated; then the time begins anew.
+// exceeds records that a peer has a newer version, and reports whether peers have had one for
+// longer than tolerance. It then restarts the measurement.
 func (l *configLag) exceeds(now time.Time, version int64, tolerance time.Duration) bool {
 	if version > l.version {
 		l.version = version
@@ -190,7 +188,7 @@
 	return true
 }
 
-// configVersion is the version in force, 0 where there is none.
+// configVersion returns the version in force, or 0 if there is none.
 func (n *Node) configVersion() int64 {
 	if table := n.handler.Table(); table != nil {
 		return table.Version
@@ -198,9 +196,9 @@
 	return 0
 }
 
-// compareConfiguration takes which version a peer has. Where it is newer, the peer
-// is asked for it; a node that watches the store itself asks that anew, too, where
-// peers have had it for longer than it takes to come here.
+// compareConfiguration compares a peer's version with the one in force. A newer version is
+// requested from the peer; a node that watches the store also queries the store again if peers
+// have had the version for longer than the usual propagation time.
 func (n *Node) compareConfiguration(now time.Time, address string, version int64, age uint32) {
 	if version <= n.configVersion() {
 		n.configConfirmed.receiveAge(now, age)
@@ -214,7 +212,7 @@
 	}
 }
 
-// cancelOnSignal returns a context that a nudge ends, too.
+// cancelOnSignal returns a context that a signal cancels, too.
 func cancelOnSignal(ctx context.Context, signals <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -227,7 +225,7 @@
 	return ctx, cancel
 }
 
-// clearSignal drops a nudge that waits.
+// clearSignal drops a pending signal.
 func clearSignal(signals <-chan struct{}) {
 	select {
 	case <-signals:
@@ -235,7 +233,7 @@
 	}
 }
 
-// signal hands over a nudge; one that waits already is enough.
+// signal sends a signal unless one is pending.
 func signal(signals chan<- struct{}) {
 	select {
 	case signals <- struct{}{}:
@@ -243,7 +241,7 @@
 	}
 }
 
-// activateTable takes a table unless a newer one is in force.
+// activateTable applies a table unless a newer one is in force.
 func (n *Node) activateTable(table *routetable.Table, from string) {
 	known := n.handler.Table()
 	if known != nil && known.Version >= table.Version {
@@ -255,11 +253,11 @@
 		Str("from", from).Msg("config_in_force")
 }
 
-// minOutageForExpiry is how long the store must have been away for entries of servers
-// to have lapsed because of that; a server renews its own about as often.
+// minOutageForExpiry is how long the store must have been unavailable before entries of servers
+// may have expired because of it; servers renew their entries about as often.
 const minOutageForExpiry = time.Second
 
-// recordStoreSuccess notes that the store is there.
+// recordStoreSuccess records that the store is available.
 func (n *Node) recordStoreSuccess() {
 	if !n.storeFailing.Swap(false) {
 		return
@@ -271,11 +269,11 @@
 	n.options.Logger.Info().Int64("away_ms", outage.Milliseconds()).Msg("store_regained")
 }
 
-// storeRetryAfter is how long after a failed call a node to which others confirm
-// what it knows counts again as one that the store answers.
+// storeRetryAfter is how long after a failed call a node whose data is confirmed by others is
+// again considered able to reach the store.
 const storeRetryAfter = 5 * time.Second
 
-// clearOldStoreFailure lets a node be a sentinel again whose call failed a while ago.
+// clearOldStoreFailure lets a node act as a sentinel again when its failed call is old enough.
 func (n *Node) clearOldStoreFailure(now time.Time) {
 	age, known := n.configConfirmed.age(now)
 	failed := now.Sub(n.started) - time.Duration(n.failingSince.Load())
--- a/internal/edge/greet.go
+++ b/internal/edge/greet.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// discoveryPeriod is how long after its start a node goes to meet others as it hears of
-	// them; later the periodic datagrams do.
+	// discoveryPeriod is how long after its start a node contacts others as soon as it learns of
+	// them. Later the periodic datagrams suffice.
 	discoveryPeriod = 2 * time.Second
-	// maxGreetingsPerPeriod bounds the nodes that are greeted in one period: where all
-	// start at once, the others hear soon enough from those.
+	// maxGreetingsPerPeriod bounds the nodes that are greeted in one gossip period. When all
+	// nodes start at once, the remaining ones hear from the greeted nodes soon enough.
 	maxGreetingsPerPeriod = 24
 )
 
-// greet answers a node that has just started, and names the nodes that it needs to know
-// first; and goes to meet at once those that a peer named, where this one has started.
-// Without that nodes which start together know each other only after some seconds.
+// greet replies to a node that has just started and names the nodes that it needs to know first.
+// If this node has just started itself, it also contacts the nodes that the peer named. Without
+// greetings, nodes that start together take several seconds to discover each other.
 func (p *peers) greet(now time.Time, state *peerpb.NodeState, isNew bool) {
 	var targets []string
 	p.mu.Lock()
@@ -38,7 +38,7 @@
 	}
 	greeting := p.state(now)
 	greeting.Crashes = p.node.suspects.greetingReports(now)
-	// Only the leader answers to these, and hears them in the next period.
+	// Only the leader answers view digests, and it receives them in the next period.
 	greeting.ViewsDigests = nil
 	for _, coordinator := range p.coordinators(now) {
 		if len(greeting.Peers) < greetingCoordinators {
@@ -48,6 +48,6 @@
 	p.send(trafficGossip, targets, greeting)
 }
 
-// greetingCoordinators is the number of nodes that a greeting names before others: those that
-// give quotas, which are the strongest.
+// greetingCoordinators is the number of quota coordinators (the strongest nodes) that a greeting
+// names before other nodes.
 const greetingCoordinators = 3
--- a/internal/edge/hints.go
+++ b/internal/edge/hints.go
@@ -23,14 +23,14 @@
 	hintFromPeer   hintSource = "peer"
 )
 
-// serverHints passes on what servers tell of themselves with their answers. It is safe for
+// serverHints propagates the hints that servers send with their responses. It is safe for
 // concurrent use.
 type serverHints struct {
 	node     *Node
 	mu       sync.Mutex
 	outgoing *gossip.Hints
-	// unread are the names of fields that servers told and nodes do not read, and unreadCount counts
-	// the answers that had one.
+	// unread holds the names of hint fields that nodes do not understand, and unreadCount counts
+	// the responses that contained one.
 	unread      map[string]bool
 	unreadCount atomic.Int64
 }
@@ -42,7 +42,7 @@
 	return &serverHints{node: node, outgoing: gossip.NewHints(), unread: make(map[string]bool)}
 }
 
-// recordUnreadField logs the name of a field that nodes do not read, once.
+// recordUnreadField logs the name of an unknown field once.
 func (h *serverHints) recordUnreadField(serverID, field string) {
 	h.unreadCount.Add(1)
 	h.mu.Lock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// receiveFromCall takes what a server told with its answer to an order or the question for a report.
+// receiveFromCall applies a hint from the response to an order or a report request.
 func (h *serverHints) receiveFromCall(start inventory.Start, hint inventory.Hint, from hintSource) {
 	changed := false
 	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceiveHint(clock.Now(), start, hint) })
@@ -65,7 +65,7 @@
 	}
 }
 
-// receivePeerLimit takes what a peer knows of a start's rate limit.
+// receivePeerLimit applies what a peer knows of the rate limit of a server start.
 func (h *serverHints) receivePeerLimit(now time.Time, start inventory.Start, limit admission.Observation) {
 	changed := false
 	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceivePeerLimit(now, start, limit) })
@@ -74,7 +74,7 @@
 	}
 }
 
-// propagate logs what is news here, and lets peers hear of it.
+// propagate logs a new hint and queues it for peers.
 func (h *serverHints) propagate(start inventory.Start, hint inventory.Hint, from hintSource) {
 	var limit admission.RateLimit
 	h.node.dispatch.Do(func(core *dispatch.Core) { limit, _ = core.RateLimit(start) })
@@ -86,7 +86,7 @@
 	h.outgoing.Learn(clock.Now(), gossip.HintItem{Start: start, Hint: hint, Limit: limit.Latest()})
 }
 
-// receiveFromPeer takes what a peer tells.
+// receiveFromPeer applies the hints sent by a peer.
 func (h *serverHints) receiveFromPeer(now time.Time, encoded []*peerpb.ServerWord) {
 	for _, item := range decodeHints(now, encoded) {
 		changed := false
@@ -98,7 +98,7 @@
 	}
 }
 
-// takeDue are the hints that are told in this period.
+// takeDue returns the hints to send in this period.
 func (h *serverHints) takeDue(now time.Time) []*peerpb.ServerWord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +112,8 @@
 	return encoded
 }
 
-// decodeHints are the hints that a peer tells. A server without a name is none.
+// decodeHints decodes the hints of a peer. Entries without a server name or with an invalid
+// start are dropped.
 func decodeHints(now time.Time, encoded []*peerpb.ServerWord) []gossip.HintItem {
 	items := make([]gossip.HintItem, 0, len(encoded))
 	for _, hint := range encoded {
@@ -129,8 +130,8 @@
 	return items
 }
 
-// encodeLimit is a rate limit as peers are told it; nil where the server never named one. Ages are
-// rounded to the side on which the limit holds longer.
+// encodeLimit encodes a rate limit, or returns nil if the server never reported one. Ages are
+// rounded in the direction in which the limit holds longer.
 func encodeLimit(now time.Time, limit admission.Observation) *peerpb.RateLimit {
 	if limit.Limit.Kind == inventory.RateLimitUnknown {
 		return nil
@@ -141,13 +142,12 @@
 	}
 }
 
-// ageMillis is the age of a moment in milliseconds, up to longestAge.
+// ageMillis returns the age in milliseconds, up to maxWireAge.
 func ageMillis(now, at time.Time) uint32 {
 	return uint32(min(max(0, now.Sub(at)), maxWireAge).Milliseconds())
 }
 
-// decodeLimit is what a peer tells of a rate limit; ok is false where it tells none, or none that
-// can be.
+// decodeLimit decodes a peer's rate limit. ok is false if it has none or an invalid one.
 func decodeLimit(now time.Time, encoded *peerpb.RateLimit) (limit admission.Observation, ok bool) {
 	if encoded == nil || encoded.Named && !inventory.IsValidRate(encoded.PerSecond) {
 		return limit, false
--- a/internal/edge/lapses.go
+++ b/internal/edge/lapses.go
@@ -7,28 +7,28 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// expiryGracePeriod is how long after the store's return a server whose entry went
-// meanwhile is still taken to live: entries lapse while their servers cannot
-// renew them, and those of living servers are back within it.
+// expiryGracePeriod is how long after the store's recovery a server whose entry disappeared
+// during the outage is still considered alive. Entries expire while their servers cannot renew
+// them, and those of live servers are back within this time.
 const expiryGracePeriod = 2 * time.Second
 
-// expiryGrace holds back that servers are gone, as long as their entries may have
-// lapsed only because the store was away. It is safe for concurrent use.
+// expiryGrace suppresses the removal of servers whose entries may have expired only because the
+// store was unavailable. It is safe for concurrent use.
 type expiryGrace struct {
 	mu sync.Mutex
-	// until is when entries that are missing count as gone again.
+	// until is when missing entries count as removed again.
 	until   time.Time
 	missing map[string]inventory.Server
 }
 
-// begin begins the time in which entries come back.
+// begin starts the grace period.
 func (l *expiryGrace) begin(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.until = now.Add(expiryGracePeriod)
 }
 
-// filterRemovals leaves out of the store's events that servers are gone.
+// filterRemovals drops removals from the store's events during the grace period.
 func (l *expiryGrace) filterRemovals(now time.Time, events []inventory.Change) []inventory.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +44,7 @@
 	return kept
 }
 
-// addMissing adds to the store's list the known servers that it lacks.
+// addMissing adds the known servers that the store's list lacks during the grace period.
 func (l *expiryGrace) addMissing(now time.Time, listed, known []inventory.Server) []inventory.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	l.missing[server.ID] = server
 }
 
-// finish reports, once, that the time is over while entries are missing.
+// finish reports once that the grace period is over while entries are missing.
 func (l *expiryGrace) finish(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,9 +83,10 @@
 	return true
 }
 
-// finishExpiryGrace reads the servers anew once the time is over: whose entry did not come
-// back is gone. So it does with what was kept over a change of the store's era. A node that does not watch the store by then leaves that to those
-// that do, as it may have missed that an entry came back.
+// finishExpiryGrace requests a reload of the server list once the grace period is over: servers
+// whose entries did not come back are gone. It does the same for entries kept across a change of
+// the store's era. A node that does not watch the store at that time leaves the removal to those
+// that do, because it may have missed an entry's return.
 func (n *Node) finishExpiryGrace(now time.Time) {
 	isGraceOver, isReloadDue := n.expiryGrace.finish(now), n.directory.isReloadDue(now)
 	if isGraceOver || isReloadDue {
--- a/internal/edge/leader.go
+++ b/internal/edge/leader.go
@@ -18,22 +18,22 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// LeaseStore is where the leader's lease lies.
+// LeaseStore stores the leader's lease.
 type LeaseStore interface {
 	ReadLease(ctx context.Context) (record storelease.Record, found bool, err error)
 	// WriteLease writes the lease if it is still at the record's revision.
 	WriteLease(ctx context.Context, record storelease.Record) (at storepos.Position, won bool, err error)
 }
 
-// errCallNotAdmitted says that a report was not asked for.
-var errCallNotAdmitted = errors.New("the server rests, or takes no more for now")
+// errCallNotAdmitted marks a report that was not requested.
+var errCallNotAdmitted = errors.New("the call was not admitted: the server is backing off or limited")
 
-// EngineClient are the servers that take orders.
+// EngineClient sends calls to the inference engines of servers.
 type EngineClient interface {
 	FetchReport(ctx context.Context, call placer.ReportRequest) (placer.Report, error)
-	// Order gives an order that is given up once the time that permit leaves it, right
-	// before it leaves, is over; where none is left it doesn't leave. The server's word is
-	// empty where no answer came.
+	// Order sends an order. It calls permit right before sending: the order is abandoned
+	// after the returned time, and not sent if that is 0. The hint is empty if no response
+	// arrived.
 	Order(ctx context.Context, order placer.Order, holder string, token int64, permit func() time.Duration) (placer.Result, inventory.Hint)
 }
 
@@ -42,64 +42,64 @@
 	leaseDuration = 2 * time.Second
 	leaseRenewal  = 700 * time.Millisecond
 	leaseMargin   = 300 * time.Millisecond
-	// leaseRetryPause is the pause between calls of a candidate, or of a holder
-	// whose write failed.
+	// leaseRetryPause is the pause between calls of a candidate, or of a holder whose write
+	// failed.
 	leaseRetryPause = 500 * time.Millisecond
-	// leaseReadInterval is the pause between two looks of a candidate at a lease that
-	// another may hold.
+	// leaseReadInterval is the pause between a candidate's reads of a lease that another node
+	// may hold.
 	leaseReadInterval = time.Second
 	// candidacyDelay is how long a node listens before it may become leader.
 	candidacyDelay = 800 * time.Millisecond
 	// rankDelay keeps candidates from calling the store all at once.
 	rankDelay = 700 * time.Millisecond
-	// leaseExpiryTolerance is how long others leave a leader to renew a lapsed lease.
+	// leaseExpiryTolerance is how long others wait for a leader to renew an expired lease.
 	leaseExpiryTolerance = 1500 * time.Millisecond
 	leaderPeriod         = 50 * time.Millisecond
-	// minPublishInterval is the least time between the leader's datagrams.
+	// minPublishInterval is the minimum interval between the leader's datagrams.
 	minPublishInterval = 15 * time.Millisecond
 	inboxSize          = 256
 )
 
-// leader is the part of a node that holds the lease at times, and orders models
-// while it does. One goroutine owns it; others post to its inbox.
+// leader is the part of a node that competes for the lease and, while holding it, places models
+// on servers. One goroutine owns it; others post work to its inbox.
 type leader struct {
 	node  *Node
 	inbox chan func()
 	lease *storelease.Core
 	core  *placer.Core
-	// demand is kept by every node, for the term that it may begin.
+	// demand is maintained by every node, for a term that it may begin.
 	demand *placer.Demand
-	// loads are what all nodes have under way, while this node leads.
+	// loads holds the requests in progress at all nodes, while this node leads.
 	loads           *dispatch.FleetLoads
 	demandCountedAt time.Time
-	// loadsPublishedAt is when loads were last told.
+	// loadsPublishedAt is when loads were last published.
 	loadsPublishedAt time.Time
 
 	started         time.Time
 	leaderlessSince time.Time
-	// yieldCheckedAt is when this leader last looked for a much stronger node,
-	// yieldFrom since when it sees one (zero while none is), and yielded when it
-	// last left the lead to one.
+	// yieldCheckedAt is when this leader last checked for a much stronger node, strongerSince is
+	// since when it has seen one (zero while there is none), and yieldedAt is when it last
+	// yielded to one.
 	yieldCheckedAt time.Time
 	strongerSince  time.Time
 	yieldedAt      time.Time
-	// reserveNow asks for a write of the lease ahead of its time.
+	// reserveNow requests a write of the lease ahead of its renewal.
 	reserveNow  bool
 	callPending bool
-	// refusedWrites counts the writes refusedWrites in a row.
+	// refusedWrites counts the consecutive refused writes.
 	refusedWrites int
 	nextCall      time.Time
 	servers       *inventory.Table
 	publishedAt   time.Time
 	viewsChanged  bool
-	// leaseCheckedAt is when the lease was last looked at, and steppedAt when the core
-	// last made a step.
+	// leaseCheckedAt is when the lease was last checked, and steppedAt is when the core last
+	// made a step.
 	leaseCheckedAt time.Time
 	steppedAt      time.Time
 	// placementLoggedAt is when the placement was last logged.
 	placementLoggedAt time.Time
 
-	// What other goroutines may read.
+	// Fields that other goroutines may read.
 	term         atomic.Int64
 	validUntil   atomic.Int64
 	firstOrderAt atomic.Int64
@@ -125,8 +125,8 @@
 	}
 }
 
-// post hands work to the leader's goroutine; it is left out where the inbox is
-// full, since all that is posted comes again or is asked for again.
+// post queues work for the leader's goroutine. It drops the work if the inbox is full, since
+// everything posted recurs or is requested again.
 func (l *leader) post(work func()) {
 	select {
 	case l.inbox <- work:
@@ -134,7 +134,7 @@
 	}
 }
 
-// deliver hands over the result of a deliver, which must not be left out.
+// deliver queues the result of a call, which must not be dropped.
 func (l *leader) deliver(ctx context.Context, work func()) {
 	select {
 	case l.inbox <- work:
@@ -153,7 +153,7 @@
 			work()
 			l.drainInbox()
 			if l.core == nil && clock.Since(l.leaseCheckedAt) < leaderPeriod {
-				// Nothing to order: the lease is looked at with the ticker.
+				// There is nothing to place; the ticker triggers the next lease check.
 				continue
 			}
 		case <-ticker.C:
@@ -207,36 +207,37 @@
 }
 
 const (
-	// minStepPause and stepPauseShare, which counts for each server, bound how
-	// often orders are thought over: every datagram of every node asks for it.
+	// minStepPause and stepPausePerServer (for each server) bound how often the placement is
+	// recomputed: every datagram of every node triggers it.
 	minStepPause       = 5 * time.Millisecond
 	stepPausePerServer = 500 * time.Microsecond
 )
 
-// stepPause is the time between two steps of the core. With many servers it is
-// the ticker's period.
+// stepPause returns the interval between two steps of the core. With many servers it equals the
+// ticker's period.
 func (l *leader) stepPause() time.Duration {
 	return min(leaderPeriod, minStepPause+time.Duration(l.core.ServerCount())*stepPausePerServer)
 }
 
-// leasePosition is where this node last wrote the lease.
+// leasePosition returns the position of this node's last lease write.
 func (l *leader) leasePosition() storepos.Position {
 	return storepos.At(l.leaseEra.Load(), l.revision.Load())
 }
 
-// leadership is the term of this node, and how long ago its lease ended.
+// leadership returns this node's term, and how long ago its lease expired.
 func (l *leader) leadership() (term int64, expiredFor time.Duration) {
 	term = l.term.Load()
 	return term, max(0, clock.Since(l.started)-time.Duration(l.validUntil.Load()))
 }
 
-// untilFirstOrder is the time until the first order of the term may leave.
+// untilFirstOrder returns the time until the first order of the term may be sent.
 func (l *leader) untilFirstOrder() time.Duration {
 	return max(0, time.Duration(l.firstOrderAt.Load())-clock.Since(l.started))
 }
 
-// orderTimeout is how long an order of the term to a server of the zone that leaves now may be
-// under way: until the lease ends, 0 where none may leave. Any goroutine may ask, right before it sends.
+// orderTimeout returns how long an order of the term to a server of the zone may be in progress
+// if sent now: until the lease expires, or 0 if it must not be sent. Any goroutine may call it
+// right before sending.
 func (l *leader) orderTimeout(term int64, zone string) time.Duration {
 	now := clock.Since(l.started)
 	if l.term.Load() != term || now < time.Duration(l.firstOrderAt.Load()) || l.node.evacuations.isEvacuated(zone) {
@@ -245,8 +246,8 @@
 	return max(0, time.Duration(l.validUntil.Load())-now)
 }
 
-// storeLeasePosition keeps where the lease was written for others to read: nowhere, where the record is
-// not the newest.
+// storeLeasePosition publishes the position of the lease for other goroutines: the zero position
+// if the record is not the newest.
 func (l *leader) storeLeasePosition() {
 	at := l.lease.Record().Position
 	if l.lease.IsRestored() {
@@ -256,7 +257,7 @@
 	l.revision.Store(at.Revision)
 }
 
-// followTerm starts and ends terms as the lease goes.
+// followTerm starts and ends terms according to the lease.
 func (l *leader) followTerm(now time.Time) {
 	term := l.lease.Term()
 	l.validUntil.Store(int64(l.lease.ValidUntil().Sub(l.started)))
@@ -291,8 +292,8 @@
 	l.reserveNow = true
 }
 
-// applyServerList and changeServers keep the leader's table of servers, which goes
-// by the store alone.
+// applyServerList and applyServerEvents maintain the leader's table of servers, which relies on
+// the store alone.
 func (l *leader) applyServerList(now, requestedAt time.Time, servers []inventory.Server, at storepos.Position) {
 	l.applyServerChanges(l.servers.Replace(now, requestedAt, servers, at))
 }
@@ -307,7 +308,7 @@
 	}
 }
 
-// handleState takes what a node counted, and answers it where it asks for views.
+// handleState records a node's demand, and replies if it requests views.
 func (l *leader) handleState(state *peerpb.NodeState) {
 	now := clock.Now()
 	if state.TellsWanted {
@@ -320,7 +321,7 @@
 	}
 }
 
-// withDigests gives views their digests.
+// withDigests sets the digests of views.
 func withDigests(views []dispatch.View) []dispatch.View {
 	for i := range views {
 		views[i].Digest = viewDigest(views[i].ServerID, viewSignature(views[i]))
@@ -328,7 +329,7 @@
 	return views
 }
 
-// countOwnDemand takes this node's own counts as those of any other.
+// countOwnDemand records this node's own demand like that of any other node.
 func (l *leader) countOwnDemand(now time.Time) {
 	l.demand.SetCounts(now, l.node.options.PeerAddress, l.node.peers.incarnation, decodeCounts(l.node.peers.recentDemand(now, demandWindow), l.node.options.Topology.Region(l.node.options.Zone)))
 }
@@ -368,7 +369,7 @@
 	}()
 }
 
-// addLimit adds the rate limit that an answer names to a line.
+// addLimit adds the rate limit named in a response to a log entry.
 func addLimit(entry *log.Entry, hint inventory.Hint) *log.Entry {
 	if hint.Limit.IsSet() {
 		entry.Float64("server_limit", hint.Limit.PerSecond)
@@ -376,8 +377,9 @@
 	return entry
 }
 
-// mayCallServer reports whether a call of the system itself may leave for the server now, which was
-// admitted: the server does not rest, and named no rate limit meanwhile that the verdict lacks.
+// mayCallServer reports whether an admitted call of the system itself may be sent to the server
+// now: the server has not asked to back off, and has not reported a rate limit since that the
+// admission does not cover.
 func (l *leader) mayCallServer(start inventory.Start, admitted relay.AdmissionDecision) (may bool) {
 	now := clock.Now()
 	l.node.dispatch.Do(func(core *dispatch.Core) {
@@ -406,8 +408,8 @@
 	}()
 }
 
-// publish tells all nodes what the leader knows of the servers. The more nodes
-// there are, the more rarely, so that its cost a second stays the same.
+// publish sends the leader's views to all nodes. The interval grows with the number of nodes, so
+// that the cost per second stays constant.
 func (l *leader) publish(now time.Time) {
 	nodes := time.Duration(l.node.peers.count())
 	quiet, busy := max(gossipPeriod, nodes*publishCostPerNode), max(minPublishInterval, nodes*publishCostPerNode/4)
@@ -428,17 +430,17 @@
 	l.viewsChanged = l.node.peers.publishViews(term, expiredFor, views, l.publishedLoads(now))
 }
 
-// loadsPublishPeriod is the least time between two tellings of the busiest servers: their loads are
-// smoothed over a second, and took most of the bytes that the leader sent when they were in
-// each datagram.
+// loadsPublishPeriod is the minimum interval between two publications of the busiest servers.
+// Their loads are smoothed over a second, and took most of the bytes that the leader sent when
+// they were in every datagram.
 const loadsPublishPeriod = 400 * time.Millisecond
 
-// maxPublishedLoads is the number of servers whose loads the leader tells, as many as go
+// maxPublishedLoads is the number of servers whose loads the leader publishes, as many as fit
 // into a datagram.
 const maxPublishedLoads = 48
 
-// publishedLoads are the publishedLoads servers, where nodes hear of each other's requests too
-// rarely to know them; they are in force here, too.
+// publishedLoads returns the loads of the busiest servers if nodes hear of each other's requests
+// too rarely to know them. It also applies them here.
 func (l *leader) publishedLoads(now time.Time) []dispatch.PeerLoad {
 	if l.node.peers.count() <= maxLoadSharingNodes || now.Sub(l.loadsPublishedAt) < loadsPublishPeriod {
 		return nil
@@ -449,7 +451,7 @@
 	return loads
 }
 
-// placementLogPeriod is the time between two lines on where models stand.
+// placementLogPeriod is the interval between log lines on model placement.
 const placementLogPeriod = 2 * time.Second
 
 func (l *leader) logPlacement(now time.Time) {
@@ -466,6 +468,6 @@
 	}
 }
 
-// publishCostPerNode is the time between two datagrams of the leader's to one node for
-// each node that there is.
+// publishCostPerNode is the interval between two of the leader's datagrams to one node, for each
+// node of the fleet.
 const publishCostPerNode = 2 * time.Millisecond
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -8,7 +8,7 @@
 	"github.com/spanlanding/spanlanding/internal/clock"
 )
 
-// maintainLease reads or writes the lease where that is due.
+// maintainLease reads or writes the lease when that is due.
 func (l *leader) maintainLease(ctx context.Context, now time.Time) {
 	if l.callPending || now.Before(l.nextCall) {
 		return
@@ -32,28 +32,28 @@
 }
 
 const (
-	// yieldDelay is how long a much stronger node must be seen before a leader
-	// leaves the lead to it, and yieldTime how long it then is no candidate.
+	// yieldDelay is how long a much stronger node must be present before a leader yields to it.
+	// yieldStandDown is how long the old leader then refrains from candidacy.
 	yieldDelay     = 3 * time.Second
 	yieldStandDown = 5 * time.Second
-	// minYieldInterval is the least time between two times that a node yields: a
-	// stronger one that does not take the lead is not waited for again and again.
+	// minYieldInterval is the minimum time between two yields of a node, so that it does not
+	// keep waiting for a stronger node that does not take the lead.
 	minYieldInterval = time.Minute
-	// yieldCheckPeriod is the time between two looks for stronger nodes.
+	// yieldCheckPeriod is the interval between checks for stronger nodes.
 	yieldCheckPeriod = 500 * time.Millisecond
-	// firstReadDelayPerRank, for each node that comes before this one, and
-	// longestFirstLook are how long a node that started waits until it reads the
-	// lease of which no peer has told it: one of the first will have.
+	// firstReadDelayPerRank (for each node that precedes this one) and maxFirstReadDelay
+	// determine how long a starting node waits before it reads a lease that no peer has
+	// reported; usually one of the first nodes reads it earlier.
 	firstReadDelayPerRank = 150 * time.Millisecond
 	maxFirstReadDelay     = 8 * time.Second
-	// initialLeaseDelay is how long nodes listen to each other before the first of them
-	// ever takes the lease: there is nothing to order yet, and a weak machine
-	// that came first would lead all.
+	// initialLeaseDelay is how long nodes listen to each other before the first of them takes a
+	// lease that nobody ever held. There is nothing to place yet, and otherwise a weak machine
+	// that came first would lead the whole fleet.
 	initialLeaseDelay = 2500 * time.Millisecond
 )
 
-// shouldYield ends the term of a leader that sees a much stronger node: its work
-// grows with the fleet, and a weak machine cannot keep up with it.
+// shouldYield reports whether a leader should end its term because a much stronger node is
+// present: the leader's work grows with the fleet, and a weak machine cannot keep up.
 func (l *leader) shouldYield(now time.Time) bool {
 	if now.Sub(l.yieldCheckedAt) < yieldCheckPeriod || now.Sub(l.yieldedAt) < minYieldInterval {
 		return false
@@ -94,7 +94,7 @@
 	rank := l.node.peers.roster.Rank(now)
 	l.node.peers.mu.Unlock()
 	if l.lease.Record().Holder == l.node.options.Name {
-		// A process that starts anew where the lease lies goes on at once.
+		// The lease names this node: it restarted and continues at once.
 		return true
 	}
 	if hasLeader {
@@ -131,13 +131,13 @@
 				l.node.quotas.raiseFleetSize(now, record.Nodes)
 				l.node.admissions.learnFleetSize(record.Nodes)
 				l.node.suspects.receiveStoredBars(now, record.Barred)
-				// Where no seed is right, the holder leads to the others.
+				// The holder gives access to the other nodes if no seed address is valid.
 				l.node.peers.addSeeds([]string{record.Address})
 				if l.lease.CanAcquire(now) {
 					l.nextCall = now
 				}
 			default:
-				// Nobody has led yet: there are no others than those that can be heard.
+				// No node has led yet: the fleet is only what can be heard.
 				l.node.admissions.learnFleetSize(1)
 				l.lease.ObserveAbsent(requestedAt, now, record.Position.Era)
 				l.nextCall = now
@@ -188,8 +188,8 @@
 	}()
 }
 
-// refusedWritePause is the pause after a write that another was before: none after the first, as the
-// object is read back at once.
+// refusedWritePause returns the pause after a write that lost against another. There is none
+// after the first, because the lease is read back at once.
 func (l *leader) refusedWritePause() time.Duration {
 	l.refusedWrites++
 	if l.refusedWrites == 1 {
@@ -198,7 +198,7 @@
 	return leaseRetryPause/4 + rand.N(leaseRetryPause/2)
 }
 
-// readBack learns what became of a write that has no answer, or did not win.
+// readBack determines the outcome of a write that was not answered or did not win.
 func (l *leader) readBack(ctx context.Context) {
 	l.callPending = true
 	requestedAt := clock.Now()
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -15,8 +15,8 @@
 	"github.com/spanlanding/spanlanding/internal/storecall"
 )
 
-// metrics are the figures of a node, in the Prometheus text form. Counters that
-// others keep are read when they are asked for.
+// metrics holds the Prometheus metrics of a node. Counters kept elsewhere are read on each
+// scrape.
 type metrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.HistogramVec
@@ -25,8 +25,8 @@
 	storeCalls        *prometheus.CounterVec
 	storeWriteLatency prometheus.Histogram
 	staleAnswers      *prometheus.CounterVec
-	// eraChanges counts that the store came back from a copy, invalidEras answers whose era is
-	// not believed.
+	// eraChanges counts how often the store was restored from a copy, and invalidEras counts
+	// responses whose era was rejected.
 	eraChanges, invalidEras prometheus.Counter
 }
 
@@ -190,7 +190,7 @@
 	}
 }
 
-// trackEra logs and counts the eras that the store names.
+// trackEra logs and counts changes of the era reported by the store.
 func (n *Node) trackEra(call storecall.Call) {
 	if call.Status == 0 {
 		return
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -26,88 +26,86 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// Store is what a node reads of the platform's store.
+// Store gives a node read access to the platform's store.
 type Store interface {
-	// Configuration gives no table where none was written yet.
+	// Configuration returns a nil table if none has been written yet.
 	Configuration(ctx context.Context) (table *routetable.Table, at storepos.Position, err error)
-	// DecodeConfiguration reads a table's source as another node hands it on.
+	// DecodeConfiguration decodes a table's source as passed on by another node.
 	DecodeConfiguration(source []byte) (*routetable.Table, error)
 	WatchConfiguration(ctx context.Context, from storepos.Position, wait time.Duration) (table *routetable.Table, at storepos.Position, err error)
 	Servers(ctx context.Context) (servers []inventory.Server, at storepos.Position, err error)
 	WatchServers(ctx context.Context, from storepos.Position, wait time.Duration) (changes []inventory.Change, at storepos.Position, err error)
-	// Evacuations and WatchEvacuations are called only where Options.EvacuateWithin
-	// is set.
+	// Evacuations and WatchEvacuations are called only if Options.EvacuateWithin is set.
 	Evacuations(ctx context.Context) (evacuation.Snapshot, error)
 	WatchEvacuations(ctx context.Context, from storepos.Position, wait time.Duration) (events []evacuation.Event, at storepos.Position, err error)
 }
 
-// Options set up a Node.
+// Options configures a Node.
 type Options struct {
 	Name string
 	// Build names the build of the program, for logs and metrics.
 	Build string
 	Zone  string
-	// Topology are the zones and regions of the deployment.
+	// Topology describes the zones and regions of the deployment.
 	Topology locality.Map
-	// FrontendAddress and Ready are the addresses for callers and for the question
-	// whether the node is ready, which is asked at ReadyPath.
+	// FrontendAddress is the listen address for callers, and ReadyAddress that of the readiness
+	// probe, which is served at ReadyPath.
 	FrontendAddress string
 	ReadyAddress    string
 	ReadyPath       string
-	// PeerAddress is the address, by UDP and TCP, that peers are told to speak to.
+	// PeerAddress is the advertised address for peers, used for UDP and TCP.
 	PeerAddress string
-	// PeerListenAddress is where the node hears them, where that is another address;
-	// empty is PeerAddress.
+	// PeerListenAddress is the listen address for peers if it differs; empty means PeerAddress.
 	PeerListenAddress string
-	// Strength tells strong machines from weak ones: the strongest do what is to
-	// be done for all.
+	// Strength ranks machines by capacity: the strongest nodes take on tasks for the whole
+	// fleet.
 	Strength uint32
 	Tunables Tunables
-	// ApplyWithin is the time within which a change in the store must be in force
-	// here; 0 is usualApplyWithin.
+	// ApplyWithin is the time within which a change in the store must be in force here; 0 means
+	// defaultApplyWithin.
 	ApplyWithin time.Duration
-	// EvacuateWithin is the time within which the evacuation of a zone must be in
-	// force here; 0 where the platform evacuates none.
+	// EvacuateWithin is the time within which the evacuation of a zone must be in force here; 0
+	// if the platform does not evacuate zones.
 	EvacuateWithin time.Duration
-	// Zones are those that the settings name.
+	// Zones are the zones named in the settings.
 	Zones []string
-	// IsBootstrap is set where all nodes start together for the first time.
+	// IsBootstrap is set if all nodes start together for the first time.
 	IsBootstrap bool
-	// LeaseQuietPeriod is the least time between orders of different holders.
+	// LeaseQuietPeriod is the minimum time between orders of different lease holders.
 	LeaseQuietPeriod time.Duration
-	// ModelLoadWindow and LoadOverage bound the loads from the weight store.
+	// ModelLoadWindow and ModelLoadOverage bound the model loads from the weight store.
 	ModelLoadWindow  time.Duration
 	ModelLoadOverage float64
 	Store            Store
 	Lease            LeaseStore
 	Engines          EngineClient
-	// QuotaTolerance is by how much the tenants' quotas may be passed.
+	// QuotaTolerance is by how much tenants may exceed their quotas.
 	QuotaTolerance quota.Tolerance
-	// ColdOverage and ColdSlack are by how much a cold server may receive more than it
-	// bears: a factor, and requests of one second.
+	// ColdOverage and ColdSlack are by how much the requests sent to a cold server may exceed
+	// its capacity: a factor, and a number of requests per second.
 	ColdOverage float64
 	ColdSlack   float64
 	Pool        *backendconn.Pool
 	Dialect     relay.Dialect
 	Logger      *log.Logger
-	// MetricsEndpoint is where figures are served, as ADDRESS/PATH; empty is nowhere.
+	// MetricsEndpoint is where metrics are served, as ADDRESS/PATH; empty disables them.
 	MetricsEndpoint string
-	// DroppedLogLines counts the log lines left out, and Unreadable the entries of the store that
-	// could not be read; nil where none are.
+	// DroppedLogLines counts the dropped log lines, and UnreadableEntries the store entries that
+	// could not be decoded. Either may be nil.
 	DroppedLogLines   func() int64
 	UnreadableEntries func() int64
 }
 
 // Tunables are the options that may change while a node runs.
 type Tunables struct {
-	// GracePeriod is the time from the signal to stop until the process is killed.
+	// GracePeriod is the time from the stop signal until the process is killed.
 	GracePeriod time.Duration
 	// PeerSeeds are the UDP addresses of some other nodes.
 	PeerSeeds   []string
 	RetryBudget retrybudget.Options
 }
 
-// Node is one process.
+// Node is one gateway process.
 type Node struct {
 	options     Options
 	dispatch    *dispatch.Shared
@@ -120,21 +118,21 @@
 	quotas      *quotas
 	suspects    *suspects
 	hints       *serverHints
-	// admissions keeps what is sent to servers below what they bear.
+	// admissions keeps the requests to servers within their capacity.
 	admissions *admissions
-	// evacuations are the zones to whose servers nothing new is sent.
+	// evacuations holds the zones whose servers receive no new work.
 	evacuations *evacuations
 
 	started time.Time
-	// firstRead is how long after its start this node may first ask the store,
-	// unless its peers have told it what it needs by then.
+	// firstRead is how long after its start this node may first query the store, unless its
+	// peers have sent it the required data by then.
 	firstRead time.Duration
 	snapshots *snapshots
-	// What peers confirmed of what this node knows.
+	// When the data known here was last confirmed, by this node or by peers.
 	configConfirmed  confirmation
 	serversConfirmed confirmation
 
-	// Nudges end a watch that seems to have missed something.
+	// Signals that end a watch which may have missed a change.
 	configRefresh  chan struct{}
 	serversRefresh chan struct{}
 	directory      *directory
@@ -143,23 +141,24 @@
 
 	gracePeriodNanos atomic.Int64
 	storeFailing     atomic.Bool
-	// failingSince is when, from the start on, storeFailing was set last.
+	// failingSince is when storeFailing was last set, relative to the start.
 	failingSince atomic.Int64
 	hasServers   atomic.Bool
-	// reloadServers is set where the list of servers is to be read whole: a nudge alone may
-	// fall into a rest between two calls for changes, which it only ends.
+	// reloadServers is set when the list of servers must be reloaded completely. A refresh
+	// signal alone is not enough: during the pause between two calls for changes it only ends
+	// the pause.
 	reloadServers atomic.Bool
-	// callerWaiting is set once a caller came that the node knew too little to answer.
+	// callerWaiting is set once a request arrived that the node lacked the state to serve.
 	callerWaiting atomic.Bool
 	stopping      atomic.Bool
-	// seedsQueried is set once this node has asked the seeds for what they know: the store may have
-	// come back from a copy that is behind them.
+	// seedsQueried is set once this node has asked the seeds for their data. The store may have
+	// been restored from a copy that is older than theirs.
 	seedsQueried atomic.Bool
-	// storeEra is what the store last named.
+	// storeEra is the era last reported by the store.
 	storeEra atomic.Pointer[string]
 }
 
-// defaultApplyWithin is taken where no bound is told.
+// defaultApplyWithin is used if Options.ApplyWithin is not set.
 const defaultApplyWithin = 2 * time.Second
 
 // New returns a node; Run starts it.
@@ -222,7 +221,7 @@
 	return node
 }
 
-// UpdateTunables puts other tunables in force.
+// UpdateTunables applies new tunables.
 func (n *Node) UpdateTunables(tunables Tunables) {
 	n.gracePeriodNanos.Store(int64(tunables.GracePeriod))
 	n.handler.SetBudget(tunables.RetryBudget)
@@ -233,7 +232,7 @@
 
 func (n *Node) gracePeriod() time.Duration { return time.Duration(n.gracePeriodNanos.Load()) }
 
-// Run serves until stop ends, and then until what is under way has ended.
+// Run serves until stop is done, and then until the requests in progress have ended.
 func (n *Node) Run(stop context.Context) error {
 	frontend, err := net.Listen("tcp", n.options.FrontendAddress)
 	if err != nil {
@@ -286,13 +285,13 @@
 	return err
 }
 
-// Bounds on callers until a configuration tells others.
+// Limits on callers until a configuration sets others.
 const (
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = 10 * time.Second
-	// defaultIdleTimeout bounds rest until a configuration tells less.
+	// defaultIdleTimeout bounds idle connections until a configuration sets a lower value.
 	defaultIdleTimeout = 2 * time.Minute
-	// idleSlack is added to the bound: callers take connections up within it.
+	// idleSlack is added to the configured bound, within which callers reuse connections.
 	idleSlack = time.Second
 )
 
@@ -307,7 +306,7 @@
 	}
 }
 
-// serveMetrics serves the figures where the options say so.
+// serveMetrics serves the metrics if the options enable them.
 func (n *Node) serveMetrics(group *errgroup.Group) error {
 	address, path, _ := strings.Cut(n.options.MetricsEndpoint, "/")
 	if address == "" {
@@ -340,19 +339,19 @@
 	return n.hasRequiredState() && seedsQueried && !n.stopping.Load()
 }
 
-// maxSeedsWait is how long a node that started waits for the answers of its seeds.
+// maxSeedsWait is how long a starting node waits for the responses of its seeds.
 const maxSeedsWait = time.Second
 
-// hasRequiredState reports whether callers can be answered.
+// hasRequiredState reports whether requests can be served.
 func (n *Node) hasRequiredState() bool {
 	return n.handler.Table() != nil && n.hasServers.Load() && n.evacuations.isInitialized()
 }
 
-// stateCheckPeriod is the time between looks whether the node knows enough.
+// stateCheckPeriod is the interval between checks for the required state.
 const stateCheckPeriod = 5 * time.Millisecond
 
-// awaitRequiredState waits until the node knows enough to answer a caller, the store fails
-// or ctx ends. A node that a caller waits for asks the store at once.
+// awaitRequiredState waits until the node can serve a request, the store fails or ctx ends. A
+// waiting request makes the node query the store at once.
 func (n *Node) awaitRequiredState(ctx context.Context) {
 	n.callerWaiting.Store(true)
 	for !n.hasRequiredState() && !n.storeFailing.Load() && ctx.Err() == nil {
@@ -361,22 +360,21 @@
 }
 
 const (
-	// entryDrainDelay is how long new connections still come after the node says
-	// that it is not ready. A request on a kept connection that comes later
-	// might not end within the grace.
+	// entryDrainDelay is how long new connections still arrive after the node reports that it is
+	// not ready. A later request on a kept connection might not finish within the grace period.
 	entryDrainDelay = 2600 * time.Millisecond
 	// stopMargin is left before the process is killed.
 	stopMargin = 300 * time.Millisecond
-	// refusalMargin is left for what has no server yet, so that it is refused and
-	// not cut.
+	// refusalMargin is left for requests without a server, so that they are refused rather than
+	// cut off.
 	refusalMargin = 1200 * time.Millisecond
 	sweepPeriod   = time.Second
-	// drainCheckPeriod is the time between looks at what is still under way.
+	// drainCheckPeriod is the interval between checks for requests in progress.
 	drainCheckPeriod = 25 * time.Millisecond
 )
 
-// drain serves on while callers may still come, closes the connections that
-// rest then, and waits for what is under way, at the most for the grace.
+// drain keeps serving while new requests may still arrive, then closes idle connections and
+// waits for the requests in progress, at most for the grace period.
 func (n *Node) drain(server *http.Server, frontend net.Listener) {
 	deadline := clock.Now().Add(n.gracePeriod() - stopMargin)
 	n.stopping.Store(true)
@@ -384,8 +382,8 @@
 	n.options.Logger.Info().Int64("active", n.handler.Active()).Msg("node_draining")
 	time.Sleep(entryDrainDelay)
 	_ = frontend.Close()
-	// The library's Shutdown would close connections with a request that it has
-	// read and not yet counted.
+	// http.Server.Shutdown would close connections whose request it has read but not yet
+	// counted.
 	busy := n.callerConns.closeAllIdle()
 	for busy > 0 && clock.Now().Before(deadline) {
 		time.Sleep(drainCheckPeriod)
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -19,39 +19,39 @@
 )
 
 const (
-	// gossipPeriod is the time between a node's datagrams.
+	// gossipPeriod is the interval between a node's datagrams.
 	gossipPeriod = 200 * time.Millisecond
-	// gossipFanout is the number of nodes that get each of them, beside those that
-	// decide; a node's cost does not grow with the fleet beyond it. Beyond manyNodes
-	// it is manyFanout: news reach all a period later, and nodes of unlike zones
-	// tell each other less, which is priced.
+	// gossipFanout is the number of nodes that receive each datagram, in addition to the leader
+	// and potential leaders. It bounds a node's cost in large fleets. Above largeFleetNodes it
+	// is largeFleetFanout: changes reach all nodes one period later, and nodes of different
+	// zones exchange less traffic, which is billed.
 	gossipFanout     = 8
 	largeFleetNodes  = 64
 	largeFleetFanout = 6
-	// maxLoadSharingNodes is the number of nodes up to which each hears from all others
-	// within the time that a peer's load is believed.
+	// maxLoadSharingNodes is the number of nodes up to which each hears from all others within
+	// the time that a peer's load is considered valid.
 	maxLoadSharingNodes = gossipFanout * int(time.Second/gossipPeriod)
 	// sampledPeers is the number of other nodes that a datagram names, and
-	// manyToldPeers that beyond manyNodes.
+	// largeFleetSampledPeers the number above largeFleetNodes.
 	sampledPeers           = 6
 	largeFleetSampledPeers = 2
-	// demandWindow is how long a count is told after its last change. The nodes that
-	// go by it hear it in each period, so several datagrams may be lost.
+	// demandWindow is how long a count is sent after its last change. The nodes that use it
+	// receive it in each period, so several datagrams may be lost.
 	demandWindow = 2 * time.Second
-	// aliveLogPeriod is the time between log lines on who lives.
+	// aliveLogPeriod is the interval between log lines on live peers.
 	aliveLogPeriod = time.Second
-	// minDemandInterval is the least time between datagrams to the leader that tell
-	// of requests without a server.
+	// minDemandInterval is the minimum interval between datagrams to the leader that report
+	// requests without a server.
 	minDemandInterval = 10 * time.Millisecond
-	// viewsRequestDelay is how long a node has other views than the leader told until it
-	// asks for all, and the least time between two answers.
+	// viewsRequestDelay is how long a node's views may differ from the leader's before it
+	// requests them all, and the minimum interval between two replies.
 	viewsRequestDelay = 400 * time.Millisecond
 	// maxViewsBytes bounds the views of one datagram.
 	maxViewsBytes = 1200
 	maxDatagram   = 64 << 10
 )
 
-// peers is the node's socket to the others.
+// peers is the node's UDP socket to the other nodes, with what it knows of them.
 type peers struct {
 	node           *Node
 	conn           *net.UDPConn
@@ -63,29 +63,28 @@
 	lastDemandSent time.Time
 	published      *publishedViews
 	viewsSentAt    map[string]time.Time
-	// viewsDifferSince is when the views of this node began to differ from the
-	// leader's; zero while they do not.
+	// viewsDifferSince is when this node's views began to differ from the leader's; zero while
+	// they match.
 	viewsDifferSince time.Time
-	// viewsDigestAt is when a leader's digest of its views came last.
+	// viewsDigestAt is when a leader's digest of its views last arrived.
 	viewsDigestAt time.Time
-	// standbysSentAt is when nodes that may lead next were told last what is wanted;
-	// toldLeader is the leader that is told, and since when.
+	// standbysSentAt is when demand was last sent to potential next leaders. demandLeader is the
+	// leader that demand is sent to, since demandLeaderSince.
 	standbysSentAt    time.Time
 	demandLeader      string
 	demandLeaderSince time.Time
-	// spreaders are who sent on last, and asked when all views were asked for last, by
-	// region, while this node leads.
+	// spreaders holds the last forwarder and viewsRequests the last request for views per region
+	// or zone, while this node leads.
 	spreaders     map[string]string
 	viewsRequests map[string]viewsRequest
 	alive         map[string]bool
-	// aliveCheckedAt is when alive was last brought up to date.
+	// aliveCheckedAt is when alive was last updated.
 	aliveCheckedAt  time.Time
 	trafficLoggedAt time.Time
 	sentBytes       sentBytes
-	// unreadable counts datagrams that were dropped as they could not be read.
+	// unreadable counts datagrams dropped because they could not be decoded.
 	unreadable atomic.Int64
-	// wasSentinel is whether this node watched the store for the others at its
-	// last datagram.
+	// wasSentinel records whether this node was a sentinel at its last datagram.
 	wasSentinel bool
 	// greetings counts the nodes greeted in this period.
 	greetings int
@@ -117,12 +116,12 @@
 		viewsDigestAt: clock.Now(),
 		spreaders:     make(map[string]string),
 		viewsRequests: make(map[string]viewsRequest),
-		// Alone at first, the node watches for itself; its watches are new.
+		// A new node is alone at first and watches for itself; its watches are fresh.
 		wasSentinel: true,
 	}, nil
 }
 
-// receive takes datagrams until ctx ends.
+// receive handles datagrams until ctx ends.
 func (p *peers) receive(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
@@ -137,7 +136,7 @@
 	}
 }
 
-// handleDatagram takes what came; what cannot be read is counted and dropped.
+// handleDatagram handles one datagram. An undecodable one is counted and dropped.
 func (p *peers) handleDatagram(datagram []byte) {
 	state := &peerpb.NodeState{}
 	if err := proto.Unmarshal(datagram, state); err != nil {
@@ -241,7 +240,7 @@
 	targets := p.roster.Targets(now, fanout)
 	leader, standbys := p.demandTargets(now, nodes)
 	if p.node.needsCoordinator() {
-		// A coordinator has to know how many nodes it gives for.
+		// A coordinator has to know how many nodes it grants for.
 		targets = addCoordinators(targets, p.roster.Coordinators(now, true))
 	}
 	p.logAliveChanges(now)
@@ -260,7 +259,7 @@
 	p.send(trafficGossip, sameRegion, state)
 	state.News = encodeChanges(p.crossRegionChanges(changes))
 	p.send(trafficGossip, otherRegion, state)
-	// Those that decide watch the store for servers that come.
+	// The leader and potential leaders learn of new servers from the store.
 	state.News = encodeChanges(slices.DeleteFunc(changes, func(item gossip.ServerChange) bool { return !item.Server.Draining }))
 	state.Loads, state.ViewsDigests, state.TellsWanted = loads, digests, true
 	state.Wanted = p.recentDemand(now, p.demandWindowFor(now, leader))
@@ -271,7 +270,7 @@
 	}
 }
 
-// crossRegionChanges are the news that this node tells in other regions.
+// crossRegionChanges returns the changes that this node sends to other regions.
 func (p *peers) crossRegionChanges(changes []gossip.ServerChange) []gossip.ServerChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,8 +311,8 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return slices.Contains(others, address) })
 }
 
-// refreshOnSentinel begins the watches anew where this node becomes a sentinel: those
-// that it has may be deaf for seconds more.
+// refreshOnSentinel restarts the watches when this node becomes a sentinel: the existing ones
+// may have stalled and would remain so for seconds.
 func (p *peers) refreshOnSentinel() {
 	isSentinel := p.isSentinel()
 	p.mu.Lock()
--- a/internal/edge/peers_roster.go
+++ b/internal/edge/peers_roster.go
@@ -7,51 +7,51 @@
 	"github.com/spanlanding/spanlanding/internal/locality"
 )
 
-// count is the number of other nodes heard from lately.
+// count returns the number of other nodes heard from recently.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.alive)
 }
 
-// addCandidates tries addresses that a peer named, for a while.
+// addCandidates tries addresses that a peer named, for a limited time.
 func (p *peers) addCandidates(now time.Time, addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.AddCandidates(now, addresses)
 }
 
-// addSeeds tries further addresses until a node is known there.
+// addSeeds tries further addresses until a node is known at each.
 func (p *peers) addSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.AddSeeds(seeds)
 }
 
-// rank is the number of nodes that come before this one where one has to do
-// something for all, and the number of all.
+// rank returns the number of nodes that precede this one when a single node acts for all, and
+// the total number of nodes.
 func (p *peers) rank(now time.Time) (rank, nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Rank(now), 1 + len(p.roster.Alive(now))
 }
 
-// sampleAddresses are addresses of living nodes.
+// sampleAddresses returns addresses of up to limit live nodes.
 func (p *peers) sampleAddresses(now time.Time, limit int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.SampleAddresses(now, limit)
 }
 
-// randomNearby is the address of some living node, of this region if there is one; empty where
-// none lives.
+// randomNearby returns the address of a live node, preferably of this region, or "" if there is
+// none.
 func (p *peers) randomNearby(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.RandomNearby(now)
 }
 
-// regionRank is the number of living nodes of this region that come before this one.
+// regionRank returns the number of live nodes of this region that precede this one.
 func (p *peers) regionRank(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	return p.roster.DistanceTo(address) == locality.OtherRegion
 }
 
-// isSentinel reports whether this node watches the store for the others.
+// isSentinel reports whether this node watches the store on behalf of others.
 func (p *peers) isSentinel() bool {
 	term, _ := p.node.leader.leadership()
 	p.mu.Lock()
@@ -73,7 +73,7 @@
 	return p.roster.IsSentinel(clock.Now(), term != 0, p.node.storeFailing.Load())
 }
 
-// logAliveChanges logs the peers that came and went. The lock is held.
+// logAliveChanges logs peers that appeared or went silent. p.mu must be held.
 func (p *peers) logAliveChanges(now time.Time) {
 	if now.Sub(p.aliveCheckedAt) < aliveLogPeriod {
 		return
@@ -94,14 +94,14 @@
 	p.alive = alive
 }
 
-// aliveAddresses are the addresses of aliveAddresses living nodes but this one.
+// aliveAddresses returns the addresses of all live nodes but this one.
 func (p *peers) aliveAddresses(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.aliveAddressesLocked(now)
 }
 
-// aliveAddressesLocked are those of all living nodes but this one. The lock is held.
+// aliveAddressesLocked is aliveAddresses with p.mu held.
 func (p *peers) aliveAddressesLocked(now time.Time) []string {
 	alive := p.roster.Alive(now)
 	addresses := make([]string, 0, len(alive))
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// pendingCalls are what this node asked others by datagrams and that was not answered yet. It is
-// safe for concurrent use.
+// pendingCalls tracks the calls to peers by datagram that are not answered yet. It is safe for
+// concurrent use.
 type pendingCalls[Answer any] struct {
 	mu      sync.Mutex
 	pending map[uint64]chan Answer
@@ -18,8 +18,8 @@
 	return &pendingCalls[Answer]{pending: make(map[uint64]chan Answer)}
 }
 
-// call sends a question under a number of its own, and waits for the answer; ok is false where
-// none came in time.
+// call sends a request under a fresh ID and waits for the response. ok is false if none arrives
+// in time.
 func (q *pendingCalls[Answer]) call(ctx context.Context, timeout time.Duration, send func(id uint64)) (answer Answer, ok bool) {
 	id, answers := rand.Uint64(), make(chan Answer, 1)
 	q.mu.Lock()
@@ -42,7 +42,7 @@
 	return answer, false
 }
 
-// resolve hands an answer to who waits for it; the first one counts.
+// resolve passes a response to the waiting caller. Only the first response counts.
 func (q *pendingCalls[Answer]) resolve(id uint64, answer Answer) {
 	q.mu.Lock()
 	result := q.pending[id]
@@ -53,6 +53,6 @@
 	select {
 	case result <- answer:
 	default:
-		// The first answer counts.
+		// A response has arrived already.
 	}
 }
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	// askTimeout is how long a coordinator's answer is waited for: twenty times the way there
-	// and back. Nodes whose processor is used up take tens of milliseconds each.
+	// askTimeout is how long a coordinator's response is awaited: twenty times the usual round
+	// trip. A node without spare CPU adds tens of milliseconds.
 	askTimeout = 100 * time.Millisecond
-	// coordinatorSilence is after how long without a word the next node gives in a coordinator's
-	// place; coordinators hear each other in each period.
+	// coordinatorSilence is the time without a message after which the next node takes over as
+	// coordinator. Coordinators hear from each other in each gossip period.
 	coordinatorSilence = 7 * gossipPeriod / 2
-	// A coordinator that left maxUnanswered questions in a row without an answer is not asked
-	// for unansweredTime: one late answer says little of it.
+	// A coordinator that missed maxUnanswered calls in a row is not asked for unansweredPause. A
+	// single late response is no reason to skip it.
 	maxUnanswered   = 3
 	unansweredPause = time.Second
-	// coordinatorDelay is how long a node that has just started listens before it gives: by
-	// then it knows who is before it, or that there is nobody. Where all nodes start at
-	// once, each would give. One that was told how large the fleet is listens for
-	// givesToldAfter.
+	// coordinatorDelay is how long a starting node listens before it grants quotas. By then it
+	// knows which nodes precede it, if any; otherwise, in a fleet that starts at once, every
+	// node would grant. A node that was sent the fleet size listens for
+	// knownSizeCoordinatorDelay.
 	coordinatorDelay          = time.Second
 	knownSizeCoordinatorDelay = 300 * time.Millisecond
-	// maxAdmitWait is how long a request waits for its quota, or for a node that gives
-	// where this one has just started; at the most half of the time that it has left.
+	// maxAdmitWait is how long a request waits for its quota, or for a coordinator if this node
+	// has just started. It is limited to half of the request's remaining time.
 	maxAdmitWait = 700 * time.Millisecond
 )
 
-// quotas keeps the tenants of this node's callers below their quotas. It is safe for
-// concurrent use.
+// quotas keeps the tenants of this node's callers within their quotas. It is safe for concurrent
+// use.
 type quotas struct {
 	node *Node
 	mu   sync.Mutex
-	// coordinator is what this node gave as the coordinator, and share its own part.
+	// coordinator is what this node granted as the coordinator, and share is its own part of the
+	// quotas.
 	coordinator *quota.Coordinator
 	share       *quota.Share
 	advisories  *quota.Advisories
 	fleet       quota.FleetSize
-	// sizeReceived is set once this node was told how large the fleet is.
+	// sizeReceived is true once this node received the fleet size.
 	sizeReceived bool
 	pending      *pendingCalls[*peerpb.QuotaCall]
-	// unresponsive are coordinators that did not answer.
+	// unresponsive holds the coordinators that missed calls.
 	unresponsive map[string]missedAnswers
-	// publishedClosed are the closed tenants that this node last publishedClosed as the coordinator, and toldAt when.
+	// publishedClosed lists the tenants near their quota in the last advisory, and publishedAt
+	// is when that was sent.
 	publishedClosed string
 	publishedAt     time.Time
 	// Counters for metrics.
@@ -70,8 +72,8 @@
 
 var _ relay.Quotas = (*quotas)(nil)
 
-// Admit implements relay.Quotas. A request that is to be granted within admitPatience is
-// kept until then: its caller would come back for it no sooner.
+// Admit implements relay.Quotas. A request that can be granted within maxAdmitWait is held until
+// then; its caller could not succeed sooner by retrying.
 func (q *quotas) Admit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
 	requestedAt := clock.Now()
 	maxWait := maxAdmitWait
@@ -98,7 +100,7 @@
 	}
 }
 
-// tryAdmit asks once.
+// tryAdmit makes a single attempt.
 func (q *quotas) tryAdmit(ctx context.Context, tenant *routetable.Tenant, cost float64, priority int) relay.QuotaDecision {
 	now := clock.Now()
 	nodes, _ := q.fleetSize(now)
@@ -118,8 +120,8 @@
 	return q.admitUncoordinated(tenant, cost, nodes)
 }
 
-// admitLocally grants a request of a tenant that is far below its quota, or within the
-// share of this node; it returns by what, or nothing.
+// admitLocally grants a request of a tenant that is far below its quota, or within this node's
+// share. It returns the basis of the grant, or "".
 func (q *quotas) admitLocally(now time.Time, tenant *routetable.Tenant, nodes int, cost float64) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -133,10 +135,10 @@
 	return ""
 }
 
-// isDiscovering reports whether this node has just started, and will soon know who gives.
+// isDiscovering reports whether this node has just started and will soon know the coordinators.
 func (q *quotas) isDiscovering() bool { return clock.Since(q.node.started) < discoveryPeriod }
 
-// mayCoordinate reports whether this node knows enough of the others to give.
+// mayCoordinate reports whether this node knows enough of the fleet to grant quotas.
 func (q *quotas) mayCoordinate(now time.Time) bool {
 	q.mu.Lock()
 	sizeReceived := q.sizeReceived
@@ -145,7 +147,7 @@
 	return age >= coordinatorDelay || (sizeReceived && age >= knownSizeCoordinatorDelay) || len(q.node.options.Tunables.PeerSeeds) == 0
 }
 
-// decodeDecision takes a coordinator's advisory.
+// decodeDecision converts a coordinator's response, and records a grant.
 func (q *quotas) decodeDecision(tenant *routetable.Tenant, cost float64, nodes int, coordinator string, answer *peerpb.QuotaCall) relay.QuotaDecision {
 	decision := relay.QuotaDecision{
 		Granted: answer.Kind == peerpb.QuotaCall_GRANTED, DecidedBy: coordinator, Remaining: float64(answer.Left),
@@ -160,7 +162,7 @@
 	return decision
 }
 
-// admitUncoordinated decides where no coordinator answers.
+// admitUncoordinated decides when no coordinator responds.
 func (q *quotas) admitUncoordinated(tenant *routetable.Tenant, cost float64, nodes int) relay.QuotaDecision {
 	now := clock.Now()
 	q.uncoordinated.Add(1)
@@ -181,7 +183,7 @@
 	q.reportUse(now, tenant, -cost)
 }
 
-// reportUse tells the coordinator what was used without asking.
+// reportUse reports to the coordinator what was used without asking.
 func (q *quotas) reportUse(now time.Time, tenant *routetable.Tenant, cost float64) {
 	call := &peerpb.QuotaCall{Kind: peerpb.QuotaCall_USED, Asker: q.node.options.PeerAddress, Tenant: tenant.Name, Cost: int64(cost)}
 	for _, coordinator := range q.node.peers.coordinators(now) {
@@ -197,7 +199,7 @@
 	}
 }
 
-// ask puts a question to one coordinator; nil is no answer.
+// ask sends a call to one coordinator; nil means no response.
 func (q *quotas) ask(ctx context.Context, address string, call *peerpb.QuotaCall) *peerpb.QuotaCall {
 	now := clock.Now()
 	call.Asker = q.node.options.PeerAddress
@@ -223,7 +225,7 @@
 	return nil
 }
 
-// decided is the answer, or nil for one that cannot say.
+// decided returns the response, or nil if it contains no decision.
 func decided(answer *peerpb.QuotaCall) *peerpb.QuotaCall {
 	if answer.Kind == peerpb.QuotaCall_UNKNOWN {
 		return nil
@@ -231,7 +233,8 @@
 	return answer
 }
 
-// missedAnswers is the questions in a row that a coordinator did not answer, and the last of them.
+// missedAnswers counts the consecutive calls that a coordinator did not answer, with the time of
+// the last.
 type missedAnswers struct {
 	count int
 	at    time.Time
--- a/internal/edge/quotas_coordinator.go
+++ b/internal/edge/quotas_coordinator.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// handleCall takes a call of another node.
+// handleCall handles a quota call from another node.
 func (q *quotas) handleCall(call *peerpb.QuotaCall) {
 	now := clock.Now()
 	switch call.Kind {
@@ -34,7 +34,7 @@
 	}
 }
 
-// decide answers as the coordinator.
+// decide answers a call as the coordinator.
 func (q *quotas) decide(now time.Time, call *peerpb.QuotaCall) *peerpb.QuotaCall {
 	if call.Server != "" {
 		return q.node.admissions.decide(now, call)
@@ -64,17 +64,17 @@
 	return answer
 }
 
-// advisoryPeriod is the time between two advisories of a coordinator to all, advisoryPeriodPerNode, which counts
-// for each node, bounds what that costs in large fleets to a thousand datagrams a
-// second; beyond some four hundred nodes advisories are older than they are believed, and
-// the tenants' requests are asked for.
+// advisoryPeriod is the interval between a coordinator's advisories to all nodes.
+// advisoryPeriodPerNode limits the cost in large fleets to a thousand datagrams a second. Beyond
+// about four hundred nodes advisories are older than their validity, and nodes ask for each
+// request of a tenant.
 const (
 	advisoryPeriod        = gossipPeriod
 	advisoryPeriodPerNode = time.Millisecond
 )
 
-// publishAdvisory lets all nodes know which tenants are near their quota: in each period, and at
-// once where that changed.
+// publishAdvisory announces to all nodes which tenants are near their quota: in each period, and
+// immediately when the set changes.
 func (q *quotas) publishAdvisory(now time.Time) {
 	if !q.node.hasQuotas() || !q.mayCoordinate(now) || q.preferredCoordinator(now) != "" {
 		return
@@ -106,8 +106,8 @@
 	return table.Tenant(name)
 }
 
-// preferredCoordinator is the node that gives before this one and was heard from lately; empty where
-// this node is the coordinator.
+// preferredCoordinator returns the node that precedes this one as coordinator and was heard from
+// recently, or "" if this node is the coordinator.
 func (q *quotas) preferredCoordinator(now time.Time) string {
 	for _, coordinator := range q.node.peers.coordinators(now) {
 		if coordinator.Address == q.node.options.PeerAddress {
@@ -120,7 +120,7 @@
 	return ""
 }
 
-// observe is called in each period: a coordinator that stood still has to notice.
+// observe is called in each period, so that a coordinator notices when it was suspended.
 func (q *quotas) observe(now time.Time) {
 	isCoordinator := q.preferredCoordinator(now) == ""
 	q.mu.Lock()
@@ -130,8 +130,8 @@
 	q.publishAdvisory(now)
 }
 
-// openAccounts opens the accounts of all tenants, so that they are full when callers come. The
-// lock is held.
+// openAccounts opens the accounts of all tenants, so that they are full when requests arrive.
+// q.mu must be held.
 func (q *quotas) openAccounts(now time.Time, isCoordinator bool) {
 	table := q.node.handler.Table()
 	if table == nil || !table.HasQuotas() {
@@ -150,8 +150,8 @@
 	}
 }
 
-// sweep drops what is not needed: the buckets of tenants that are gone and, where
-// another node gives, what this one gave before.
+// sweep drops obsolete state: the accounts of removed tenants and, if another node coordinates,
+// what this one granted before.
 func (q *quotas) sweep(now time.Time) {
 	isCoordinator := q.preferredCoordinator(now) == ""
 	q.mu.Lock()
--- a/internal/edge/quotas_fleet.go
+++ b/internal/edge/quotas_fleet.go
@@ -7,14 +7,14 @@
 	"github.com/spanlanding/spanlanding/internal/gossip"
 )
 
-// hasQuotas reports whether a tenant of the configuration is limited.
+// hasQuotas reports whether the configuration limits any tenant.
 func (n *Node) hasQuotas() bool {
 	table := n.handler.Table()
 	return table != nil && table.HasQuotas()
 }
 
-// needsCoordinator reports whether there is anything that a coordinator grants: quotas of
-// tenants, or requests to cold servers and to those that name a rate limit.
+// needsCoordinator reports whether anything requires grants from a coordinator: tenant quotas,
+// cold servers, or servers with a rate limit.
 func (n *Node) needsCoordinator() bool {
 	table := n.handler.Table()
 	if table != nil && (table.HasQuotas() || table.HasColdStarts()) {
@@ -25,21 +25,21 @@
 	return hasLimits
 }
 
-// coordinators are the nodes that may give quotas, in order.
+// coordinators returns the nodes that may grant quotas, in order of preference.
 func (p *peers) coordinators(now time.Time) []gossip.Coordinator {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Coordinators(now, p.node.stopping.Load())
 }
 
-// countNodes is how many nodes this one knew of lately, and how many it hears from.
+// countNodes returns the number of nodes known recently and how many of them are heard from now.
 func (p *peers) countNodes(now time.Time) (known, reachable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.CountNodes(now)
 }
 
-// fleetSize is the number of nodes that share the quotas, and the part of them that
+// fleetSize returns the number of nodes that share the quotas, and the fraction of them that
 // this node hears from.
 func (q *quotas) fleetSize(now time.Time) (nodes int, reach float64) {
 	known, reachable := q.node.peers.countNodes(now)
@@ -48,7 +48,7 @@
 	return q.fleet.Observe(now, known, reachable)
 }
 
-// raiseFleetSize takes the size that the store keeps with the lease.
+// raiseFleetSize applies the fleet size that is stored with the lease.
 func (q *quotas) raiseFleetSize(now time.Time, size int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -56,8 +56,8 @@
 	q.sizeReceived = q.sizeReceived || size > 0
 }
 
-// fleetSizeLearningPeriod is how long after its start a node takes the size of the fleet from
-// others: later it knows itself, and would never see the fleet shrink.
+// fleetSizeLearningPeriod is how long after its start a node accepts the fleet size from others.
+// Later it relies on its own count; otherwise it would never see the fleet shrink.
 const fleetSizeLearningPeriod = 30 * time.Second
 
 func (q *quotas) receiveFleetSize(now time.Time, size int) {
--- a/internal/edge/regions.go
+++ b/internal/edge/regions.go
@@ -5,18 +5,19 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// maxReportedRoutes bounds the routes that one look names as without servers.
+// maxReportedRoutes bounds the routes that are logged as having no server, per version of the
+// configuration.
 const maxReportedRoutes = 8
 
-// regionCheck names the routes whose regions have no server, once for each version of the
-// configuration. One goroutine uses it.
+// regionCheck records the routes that were logged as having no server in their regions, so that
+// each is logged once per version of the configuration. It is used by one goroutine.
 type regionCheck struct {
 	version  int64
 	reported map[string]bool
 }
 
-// checkRegions logs the services of routes that have no server in the route's regions:
-// their requests are refused until one comes.
+// checkRegions logs the services of routes that have no server in the route's regions. Requests
+// to them are refused until one appears.
 func (n *Node) checkRegions(check *regionCheck) {
 	table := n.handler.Table()
 	if table == nil || !n.hasServers.Load() {
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// serversPause is the pause between two calls for changes of the servers, whose
-	// entries change many times a second in a large fleet. It is a part of the time
-	// within which changes must be known (serversPauseFraction), at the most
-	// longestServersPause.
+	// The pause between two calls for changes of the servers, whose entries change many times a
+	// second in a large fleet, is a fraction of the time within which changes must be in force
+	// (serversPauseFraction), and at most maxServersPause.
 	serversPauseFraction = 0.3
 	maxServersPause      = 1200 * time.Millisecond
-	// serversLagTolerance, lagShare for each node and longestLag bound how long a peer
-	// may know other servers before this node asks it: news take longer in a
+	// serversLagTolerance, serversLagPerNode and maxServersLag bound how long a peer may report
+	// different servers before this node asks for them: changes take longer to propagate in a
 	// larger fleet.
 	serversLagTolerance = 400 * time.Millisecond
 	serversLagPerNode   = 8 * time.Millisecond
 	maxServersLag       = time.Second
 )
 
-// followServers keeps the directory of servers.
+// followServers keeps the directory of servers up to date.
 func (n *Node) followServers(ctx context.Context) {
 	var pause backoff
 	for ctx.Err() == nil {
@@ -62,13 +61,13 @@
 func (n *Node) handleServersError(ctx context.Context, err error, pause *backoff) {
 	n.recordStoreFailure("servers", err)
 	if !errors.Is(err, context.Canceled) {
-		// What ended this watch may have made the other one deaf.
+		// The failure may have stalled the other watch, too.
 		signal(n.configRefresh)
 	}
 	pause.wait(ctx, n.storePauseLimit())
 }
 
-// watchServers waits for changes once; a nudge ends the wait.
+// watchServers waits once for changes; a signal on serversRefresh ends the wait.
 func (n *Node) watchServers(ctx context.Context, from storepos.Position) (at storepos.Position, err error) {
 	watch, cancel := cancelOnSignal(ctx, n.serversRefresh)
 	defer cancel()
@@ -88,7 +87,8 @@
 	return at, nil
 }
 
-// pauseServersWatch gathers changes into one call; a nudge ends the rest.
+// pauseServersWatch lets changes accumulate so that one call returns them; a refresh signal ends
+// the pause.
 func (n *Node) pauseServersWatch(ctx context.Context) {
 	timer := time.NewTimer(min(maxServersPause, n.fractionOfBound(serversPauseFraction)))
 	defer timer.Stop()
@@ -99,8 +99,8 @@
 	}
 }
 
-// applyServerList takes the store's whole list, which was asked for at asked. It reports whether that is
-// not older than what is known.
+// applyServerList applies the store's whole list, requested at requestedAt. It reports whether
+// the list is not older than what is known.
 func (n *Node) applyServerList(requestedAt time.Time, servers []inventory.Server, at storepos.Position) bool {
 	now := clock.Now()
 	known, knownAt, _ := n.directory.listAvailable()
@@ -118,13 +118,13 @@
 	return !at.IsBefore(n.directory.position())
 }
 
-// applyPeerServerList takes the whole list of a peer.
+// applyPeerServerList applies the whole list of a peer.
 func (n *Node) applyPeerServerList(servers []inventory.Server, at storepos.Position) {
 	n.applyServerChanges(n.directory.replaceByPeer(clock.Now(), servers, at), "peer_list")
 	n.hasServers.Store(true)
 }
 
-// applyServerEvents takes the store's events.
+// applyServerEvents applies the store's events.
 func (n *Node) applyServerEvents(events []inventory.Change, at storepos.Position) {
 	now := clock.Now()
 	n.logStaleAnswer("watch", len(events), at, n.directory.position())
@@ -137,7 +137,7 @@
 	n.announceChanges(hasOutgoing)
 }
 
-// logStaleAnswer writes that an answer of the store is older than what is known, and changes nothing.
+// logStaleAnswer logs that a response of the store is older than what is known and was ignored.
 func (n *Node) logStaleAnswer(from string, entries int, at, known storepos.Position) {
 	if entries == 0 || !at.IsBefore(known) {
 		return
@@ -146,15 +146,15 @@
 	n.options.Logger.Warn().Str("from", from).Int("entries", entries).Str("at", at.String()).Str("known", known.String()).Msg("servers_left_out")
 }
 
-// announceChanges lets peers hear at once of what the store told.
+// announceChanges sends changes from the store to peers immediately.
 func (n *Node) announceChanges(hasOutgoing bool) {
 	if hasOutgoing {
 		n.peers.tick()
 	}
 }
 
-// receivePeerChanges takes the news of a peer. Entries from before a word that a server goes
-// may be under way to the choice of servers still: they do not bring the server back.
+// receivePeerChanges applies changes announced by a peer. Entries older than a server's removal
+// may still be on their way to the dispatcher; they do not bring the server back.
 func (n *Node) receivePeerChanges(now time.Time, items []gossip.ServerChange) {
 	changes := n.directory.applyPeerChanges(now, items)
 	if len(changes) == 0 {
@@ -170,7 +170,7 @@
 	})
 }
 
-// applyServerChanges puts changes in force.
+// applyServerChanges puts changes into effect.
 func (n *Node) applyServerChanges(changes []inventory.Change, from string) {
 	if len(changes) == 0 {
 		return
@@ -197,9 +197,9 @@
 	}
 }
 
-// logServerChange writes what became known of a server. Whether it takes work is an event
-// of its own, of which every line is kept: entries that say what engines hold change
-// hundreds of times a second in a large fleet.
+// logServerChange logs a change of a server. A change of whether it accepts work has its own
+// event, all of whose lines are kept: entries that only report what engines hold change hundreds
+// of times a second in a large fleet.
 func (n *Node) logServerChange(change inventory.Change, wasAvailable bool, from string) {
 	event := "server_changed"
 	if wasAvailable && !change.Gone && !change.Server.Draining {
@@ -211,9 +211,9 @@
 		Str("from", from).Msg(event)
 }
 
-// compareServers takes which servers a peer knows. Where they are others, from a
-// newer revision or confirmed later, for longer than news take, the peer is asked
-// for them; a node that watches the store itself asks that anew.
+// compareServers compares a peer's servers with those known here. If they differ for longer than
+// changes take to propagate, and the peer's come from a newer revision or were confirmed later,
+// the peer is asked for them; a node that watches the store itself reloads them from there.
 func (n *Node) compareServers(now time.Time, state *peerpb.NodeState) {
 	n.confirmServers(now, state.ServersDigest, state.ServersAgeMs)
 	age, known := n.serversConfirmed.age(now)
@@ -234,8 +234,8 @@
 	}
 }
 
-// confirmServers takes how old a peer's knowledge is, where it is the same; that of a
-// node which has no list yet is not.
+// confirmServers applies the age of a peer's data if both nodes know the same servers. It does
+// nothing before this node has its first list.
 func (n *Node) confirmServers(now time.Time, digest uint64, age uint32) {
 	if !n.hasServers.Load() {
 		return
--- a/internal/edge/signature.go
+++ b/internal/edge/signature.go
@@ -11,13 +11,13 @@
 	"github.com/spanlanding/spanlanding/internal/dispatch"
 )
 
-// viewDigest is a number for a signature of a server's view.
+// viewDigest hashes a view's signature together with its server ID.
 func viewDigest(serverID, signature string) uint64 {
 	return xxhash.Sum64String(serverID + " " + signature)
 }
 
-// viewSignature is a text that is the same for two views that say the same, but for
-// the times left.
+// viewSignature returns a text that is equal for two views with the same content. The remaining
+// load times are ignored.
 func viewSignature(view dispatch.View) string {
 	var text strings.Builder
 	text.WriteString(strconv.FormatInt(view.Sequence, 10))
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// snapshotDialTimeout and snapshotTimeout bound one question to a peer; the
-	// larger covers a configuration of 100 KB over a busy link of 10 Mbit/s.
+	// snapshotDialTimeout and snapshotTimeout bound one request to a peer. The latter covers a
+	// configuration of 100 KB over a busy 10 Mbit/s link.
 	snapshotDialTimeout = 300 * time.Millisecond
 	snapshotTimeout     = 1500 * time.Millisecond
-	// snapshotHeaderTimeout bounds how long a peer may take to ask.
+	// snapshotHeaderTimeout bounds how long a peer may take to send its request.
 	snapshotHeaderTimeout = 2 * time.Second
-	// refreshPeriod is the time between two whole lists of servers from peers:
-	// they drop what news left behind. It is drawn between one and two of it.
+	// refreshPeriod is the minimum interval between full server lists from peers, which remove
+	// entries whose removal was missed. The actual interval is random between one and two
+	// periods.
 	refreshPeriod = 30 * time.Second
-	// snapshotPeers is the number of addresses that an answer names.
+	// snapshotPeers is the number of addresses that a snapshot names.
 	snapshotPeers = 12
 )
 
-// snapshots asks peers for what they know from the store, and answers them.
+// snapshots requests and serves snapshots of the data that nodes have from the store.
 type snapshots struct {
 	node   *Node
 	client *http.Client
-	// pending are peers that know more; one that waits is enough.
+	// pending holds a peer with newer data to ask; one entry is enough.
 	pending chan wantedSnapshot
-	// otherRegionSince is when a peer of another region began to know more, since when this node
-	// leaves it to others of its own region to ask there. The goroutine that takes
-	// datagrams alone uses it.
+	// otherRegionSince is when a peer of another region was first seen with newer data, since
+	// when this node leaves the request to other nodes of its own region. It is used only by the
+	// goroutine that receives datagrams.
 	otherRegionSince time.Time
 }
 
-// wantedSnapshot is a peer to ask.
+// wantedSnapshot names a peer to ask.
 type wantedSnapshot struct {
 	address string
-	// version is that of the configuration to ask for; 0 where the servers are
-	// wanted.
+	// version is the configuration version wanted, or 0 if the servers are wanted.
 	version int64
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// serve answers peers on the TCP port with the number of the node's UDP port.
+// serve serves peers on the TCP port with the same number as the node's UDP port.
 func (s *snapshots) serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: peerpb.NewNodesServer(s), ReadHeaderTimeout: snapshotHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -68,7 +68,7 @@
 	return serve(server, listener)
 }
 
-// enqueue asks the peer for what it knows, unless another waits to be asked.
+// enqueue requests a snapshot from the peer unless another request is pending.
 func (s *snapshots) enqueue(wanted wantedSnapshot) {
 	select {
 	case s.pending <- wanted:
@@ -77,14 +77,14 @@
 }
 
 const (
-	// otherRegionRequesters is the number of nodes of a region that ask peers of other regions at
-	// once; the others hear from them, or ask after farPatience themselves. A list of a
-	// thousand servers has 100 KB.
+	// otherRegionRequesters is the number of nodes of a region that request snapshots from other
+	// regions at the same time. The others hear from these, or ask themselves after
+	// otherRegionDelay. A list of a thousand servers takes 100 KB.
 	otherRegionRequesters = 2
 	otherRegionDelay      = 600 * time.Millisecond
 )
 
-// mayRequest reports whether a peer that knows more is to be asked now.
+// mayRequest reports whether a peer with newer data may be asked now.
 func (s *snapshots) mayRequest(now time.Time, address string) bool {
 	peers := s.node.peers
 	if !peers.isInOtherRegion(address) || peers.regionRank(now) < otherRegionRequesters {
@@ -97,13 +97,13 @@
 	return waited > otherRegionDelay
 }
 
-// isNeeded reports whether what is wanted did not come meanwhile, from another peer
-// or the store.
+// isNeeded reports whether the wanted data has not arrived meanwhile from another peer or the
+// store.
 func (s *snapshots) isNeeded(wanted wantedSnapshot) bool {
 	return wanted.version == 0 || wanted.version > s.node.configVersion()
 }
 
-// run asks the seeds once, as the node starts, and then whom others name.
+// run asks the seeds once at startup, and then the peers that are enqueued.
 func (s *snapshots) run(ctx context.Context) {
 	for _, seed := range s.node.options.Tunables.PeerSeeds {
 		if seed != s.node.options.PeerAddress && s.fetch(ctx, seed, s.node.knownState()) {
@@ -124,15 +124,16 @@
 		case <-refresh.C:
 			refresh.Reset(refreshPeriod + rand.N(refreshPeriod))
 			if address := s.node.peers.randomNearby(clock.Now()); address != "" && !s.node.shouldQueryStore(clock.Now(), &s.node.serversConfirmed) {
-				// All servers, whatever is known: the list drops what is gone.
+				// The request omits the digest to get the full list, which removes stale
+				// servers.
 				s.fetch(ctx, address, &peerpb.SnapshotRequest{ConfigVersion: s.node.configVersion()})
 			}
 		}
 	}
 }
 
-// knownState is what the node has and need not be told. Servers that it heard of as news
-// alone are no list: news do not say that they are all.
+// knownState describes the data that this node has and need not be sent. Servers known only from
+// announced changes are not included, because announcements do not amount to a complete list.
 func (n *Node) knownState() *peerpb.SnapshotRequest {
 	request := &peerpb.SnapshotRequest{ConfigVersion: n.configVersion()}
 	if n.hasServers.Load() {
@@ -141,8 +142,8 @@
 	return request
 }
 
-// fetch asks one peer and uses its answer. It reports whether the node then knows
-// enough to answer callers.
+// fetch requests a snapshot from a peer and applies it. It reports whether the node then has the
+// state required to serve callers.
 func (s *snapshots) fetch(ctx context.Context, address string, request *peerpb.SnapshotRequest) bool {
 	node := s.node
 	requestedAt := clock.Now()
@@ -180,7 +181,7 @@
 	return node.hasRequiredState()
 }
 
-// Snapshot answers a peer with what this node knows.
+// Snapshot serves a peer the data that this node has.
 func (s *snapshots) Snapshot(_ context.Context, request *peerpb.SnapshotRequest) (*peerpb.SnapshotResponse, error) {
 	now := clock.Now()
 	node := s.node
@@ -196,8 +197,8 @@
 		response.ServersDigest, _ = node.directory.digestAndPosition()
 		response.ServersAgeMs = node.serversConfirmed.encodedAge(now)
 		if response.ServersDigest != request.ServersDigest {
-			// Most who ask know them: a list for each took half of the memory that a leader of 300
-			// nodes and 3,000 servers used, 120 MB a second.
+			// Most peers have the list already. Building it for each request caused half of the
+			// allocations of a leader with 300 nodes and 3,000 servers, 120 MB a second.
 			servers, at, digest := node.directory.listAvailable()
 			response.Servers, response.ServersDigest = encodeEntries(node.admissions.withColdState(now, servers)), digest
 			response.ServersEra, response.ServersRevision = at.Era, at.Revision
@@ -209,7 +210,7 @@
 	return response, nil
 }
 
-// decodeEntries are the servers that a peer lists, in the era where it does not tell theirs.
+// decodeEntries decodes the servers of a peer's list. Entries without an era get the given one.
 func decodeEntries(wire []*peerpb.ServerEntry, era int64) []inventory.Server {
 	servers := make([]inventory.Server, 0, len(wire))
 	for _, entry := range wire {
@@ -229,8 +230,8 @@
 	return servers
 }
 
-// isUsable reports whether what a peer tells of a server names one: a peer of another build may
-// have taken what this one cannot read.
+// isUsable reports whether a server received from a peer is complete and valid. A peer running
+// another build may have accepted an entry that this one cannot use.
 func isUsable(server inventory.Server) bool {
 	if server.ID == "" || server.StartedAtMs < 0 || server.Position.IsBefore(storepos.Position{}) || server.Position.Revision < 0 {
 		return false
--- a/internal/edge/spread.go
+++ b/internal/edge/spread.go
@@ -8,12 +8,12 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// maxViewsSilence is how long a node hears no views of a leader that lives until it asks for
-// them: who sends them on in its zone may not reach it.
+// maxViewsSilence is how long a node waits for views from a live leader before it requests them;
+// the node that forwards them in its zone may be unable to reach it.
 const maxViewsSilence = 1500 * time.Millisecond
 
-// planBroadcast is how what all nodes need to hear goes out from this node, with a line in
-// the log where another node sends on in some region.
+// planBroadcast plans a broadcast from this node to all nodes. It logs each forwarder that
+// changed.
 func (p *peers) planBroadcast(now time.Time) gossip.BroadcastPlan {
 	p.mu.Lock()
 	plan := p.roster.PlanBroadcast(now)
@@ -26,7 +26,7 @@
 	return plan
 }
 
-// updateSpreaders returns the spreaders that another one was before. The lock is held.
+// updateSpreaders records the forwarders and returns those that changed. p.mu must be held.
 func (p *peers) updateSpreaders(plan gossip.BroadcastPlan) []gossip.Spreader {
 	var changed []gossip.Spreader
 	for _, spreader := range plan.Spreaders {
@@ -39,7 +39,8 @@
 	return changed
 }
 
-// spreaderScope names what a spreader sends on in: a region, or a zone of this node's.
+// spreaderScope names the area that a forwarder serves: a region, or a zone of this node's
+// region.
 func spreaderScope(spreader gossip.Spreader) string {
 	if spreader.Region != "" {
 		return spreader.Region
@@ -47,7 +48,7 @@
 	return "zone " + spreader.Zone
 }
 
-// forward sends another node's datagram on. Who gets it takes it as that node's own.
+// forward forwards another node's datagram. Receivers treat it as sent by that node.
 func (p *peers) forward(now time.Time, state *peerpb.NodeState) {
 	spread := state.Spread
 	state.Spread = nil
@@ -61,8 +62,8 @@
 	p.writePlan(trafficForwarded, plan, state)
 }
 
-// applyLateViews takes the views of a datagram that a later one of its sender overtook:
-// that one may have come straight, and this one over another node.
+// applyLateViews applies the views of a datagram that a later one from the same sender overtook:
+// the later one may have come directly, and this one through a forwarder.
 func (p *peers) applyLateViews(now time.Time, leader *peerpb.LeaderState) {
 	if leader == nil || len(leader.Views) == 0 {
 		return
@@ -70,8 +71,8 @@
 	p.node.dispatch.Do(func(core *dispatch.Core) { core.SetViews(now, leader.Term, decodeViews(leader.Views)) })
 }
 
-// areViewsOverdue reports whether a leader lives, and its views did not come for a while.
-// The lock is held.
+// areViewsOverdue reports whether there is a live leader whose views have not arrived for too
+// long. p.mu must be held.
 func (p *peers) areViewsOverdue(now time.Time) bool {
 	leader := p.roster.Leader(now)
 	term, _ := p.node.leader.leadership()
@@ -79,14 +80,14 @@
 		p.viewsDigestAt = now
 		return false
 	}
-	// A leader of many nodes tells them the more rarely.
+	// With more nodes the leader publishes less often.
 	period := time.Duration(len(p.roster.Alive(now))) * publishCostPerNode
 	return now.Sub(p.viewsDigestAt) > max(maxViewsSilence, 3*period)
 }
 
-// planReply is to whom the answer to a node goes that asked for all views: to that node
-// or, where a second one of its region or zone asks soon after, to all of that at once.
-// ok is false where they were told just now. The lock is held.
+// planReply plans the reply to a node that requested all views: to that node alone or, if
+// another node of its region or zone asks shortly afterwards, to all nodes there at once. ok is
+// false if they were sent just now. p.mu must be held.
 func (p *peers) planReply(now time.Time, address string) (plan gossip.BroadcastPlan, ok bool) {
 	if now.Sub(p.viewsSentAt[address]) < viewsRequestDelay {
 		return plan, false
@@ -110,15 +111,15 @@
 	return gossip.BroadcastPlan{Spreaders: []gossip.Spreader{*spreader}}, true
 }
 
-// viewsRequest is when a node of a place asked for views, and whether all nodes there were
-// told since.
+// viewsRequest records when a node of a region or zone requested views, and whether all nodes
+// there were sent them since.
 type viewsRequest struct {
 	at         time.Time
 	isAnswered bool
 }
 
-// spreaderFor is who sends on to the nodes of a zone: in its region, or in the zone where
-// that lies in this node's region; nil where this node sends itself. The lock is held.
+// spreaderFor returns the forwarder for the nodes of a zone: that of its region, or of the zone
+// itself if it is in this node's region; nil if this node sends directly. p.mu must be held.
 func (p *peers) spreaderFor(now time.Time, zone string) *gossip.Spreader {
 	region := p.node.options.Topology.Region(zone)
 	for _, spreader := range p.roster.PlanBroadcast(now).Spreaders {
@@ -137,7 +138,7 @@
 	return spread
 }
 
-// ownViewDigests are digests of the leader's views as this node has them.
+// ownViewDigests returns the digests of the leader's views as this node has them.
 func (p *peers) ownViewDigests() []uint32 {
 	var digests dispatch.ViewDigests
 	p.node.dispatch.Do(func(core *dispatch.Core) { digests = core.ViewDigests() })
--- a/internal/edge/suspects.go
+++ b/internal/edge/suspects.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// reportTransmissions is in how many periods a report is told, the first time at once: two
-	// datagrams of it may be lost.
+	// reportTransmissions is the number of periods in which a report is sent, the first time
+	// immediately. Two datagrams of it may be lost.
 	reportTransmissions = 3
 	// reportsPerDatagram bounds the reports of one datagram to about 1,000 bytes.
 	reportsPerDatagram = 16
-	// maxGreetingReports bounds the reports for a node that has just started, to about 3 KB.
+	// maxGreetingReports bounds the reports sent to a node that has just started, to about 3 KB.
 	maxGreetingReports = 64
-	// maxPendingRepeats bounds the reports that are still to be told.
+	// maxPendingRepeats bounds the reports that wait to be repeated.
 	maxPendingRepeats = 256
-	// barsBroadcastPeriod is the time between two times that a node tells of what is barred: for
-	// those that have just started, were frozen or cut off.
+	// barsBroadcastPeriod is the interval at which a node sends the barred requests, for nodes
+	// that have just started, were suspended or were partitioned.
 	barsBroadcastPeriod = time.Second
-	// broadcastCrashCount is the number of servers that ended under a request from which on, in
-	// fleets of more than loadedNodes, all nodes are told of it. With fewer, only the
-	// coordinators add up what nodes report.
+	// broadcastCrashCount is the number of servers that must have crashed under a request before
+	// all nodes are notified of it, in fleets of more than maxLoadSharingNodes. Below it, only
+	// the coordinators aggregate the nodes' reports.
 	broadcastCrashCount = 2
 )
 
-// suspects are the requests under which servers ended, as all nodes report them. It is
-// safe for concurrent use.
+// suspects tracks the requests under which servers crashed, as reported by all nodes. It is safe
+// for concurrent use.
 type suspects struct {
 	node *Node
-	// nonEmpty is set while something is remembered: without, no request is looked up.
+	// nonEmpty is true while any request is tracked; otherwise lookups are skipped.
 	nonEmpty atomic.Bool
 	// Counters for metrics.
 	reportedCrashes, barred atomic.Int64
@@ -46,15 +46,15 @@
 	tally     *poison.Tracker
 	successes poison.RecentSuccesses
 	repeats   []repeatedReport
-	// barsSentAt is when what is barred was told last, and nextBar the one to be told next;
-	// the node's ticks alone use them.
+	// barsSentAt is when the barred requests were last sent, and nextBar is the next one to
+	// send. Only the node's ticks use them.
 	barsSentAt time.Time
 	nextBar    int
-	// pendingTrials are those that this node asked coordinators for.
+	// pendingTrials holds this node's trial requests to coordinators.
 	pendingTrials *pendingCalls[bool]
 }
 
-// repeatedReport is a report that is still to be told.
+// repeatedReport is a report that is to be sent again.
 type repeatedReport struct {
 	report poison.Report
 	at     time.Time
@@ -77,7 +77,8 @@
 	return s.tally.Status(clock.Now(), fingerprint)
 }
 
-// ReportCrash implements relay.Suspects: it takes that a server ended under the request.
+// ReportCrash implements relay.Suspects. It records that a server crashed while running the
+// request.
 func (s *suspects) ReportCrash(fingerprint poison.Fingerprint, serverID string, ran time.Duration) {
 	s.reportedCrashes.Add(1)
 	now := clock.Now()
@@ -88,8 +89,8 @@
 	s.send(now, s.recordReports(now, "", reports))
 }
 
-// ReportSuccess implements relay.Suspects: it acquits a suspect, and remembers that such a
-// request ended well.
+// ReportSuccess implements relay.Suspects. It clears a suspect request, and remembers that such
+// a request succeeded.
 func (s *suspects) ReportSuccess(fingerprint poison.Fingerprint) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -108,15 +109,15 @@
 	s.tally.RecordRefusal(fingerprint)
 }
 
-// acquit returns a word for each of the requests that others report and that ended well here
-// lately, where nobody has said so.
+// acquit returns an acquittal for each reported request that recently succeeded here and that
+// nobody has acquitted yet.
 func (s *suspects) acquit(now time.Time, reports []poison.Report) []poison.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.successes.Acquittals(now, s.tally, reports)
 }
 
-// receive takes what another node reports.
+// receive applies the reports of another node.
 func (s *suspects) receive(from string, reports []*peerpb.CrashReport) {
 	if len(reports) == 0 {
 		return
@@ -127,7 +128,7 @@
 	s.send(now, s.recordReports(now, "", s.acquit(now, decoded)))
 }
 
-// recordReports takes reports, and returns those that this node is to tell at once.
+// recordReports records reports, and returns those that this node must send immediately.
 func (s *suspects) recordReports(now time.Time, from string, reports []poison.Report) []poison.Report {
 	isOwn := from == ""
 	broadcasts := !isOwn && s.isCoordinator(now)
@@ -146,7 +147,8 @@
 		}
 		switch {
 		case isOwn:
-			// Who did not grant the trial that ended the server goes by the bar.
+			// Nodes that did not grant the trial during which the server crashed rely on this
+			// bar.
 			report.BarredFor = s.tally.BarRemaining(now, report.Fingerprint)
 			toSend = append(toSend, report)
 		case broadcasts && report.Acquitted:
@@ -162,15 +164,15 @@
 	return toSend
 }
 
-// scheduleRepeat keeps a report that was told for the next periods. The lock is held.
+// scheduleRepeat schedules a sent report for the next periods. s.mu must be held.
 func (s *suspects) scheduleRepeat(now time.Time, report poison.Report) {
 	if len(s.repeats) < maxPendingRepeats {
 		s.repeats = append(s.repeats, repeatedReport{report: report, at: now.Add(-report.Age), sends: 1})
 	}
 }
 
-// isCoordinator reports whether this node adds up for the others what they report: in a
-// fleet where not all tell all.
+// isCoordinator reports whether this node aggregates reports for the others, which is needed in
+// fleets where nodes do not report to all.
 func (s *suspects) isCoordinator(now time.Time) bool {
 	if !s.isLargeFleet(now) {
 		return false
@@ -178,13 +180,13 @@
 	return slices.ContainsFunc(s.node.peers.coordinators(now), func(c gossip.Coordinator) bool { return c.Address == s.node.peers.address })
 }
 
-// isLargeFleet reports whether nodes report to coordinators only.
+// isLargeFleet reports whether nodes report only to coordinators.
 func (s *suspects) isLargeFleet(now time.Time) bool {
 	_, nodes := s.node.peers.rank(now)
 	return nodes > maxLoadSharingNodes
 }
 
-// targets are the nodes that this one reports to.
+// targets returns the nodes that this one reports to.
 func (s *suspects) targets(now time.Time) []string {
 	if s.isLargeFleet(now) && !s.isCoordinator(now) {
 		return addCoordinators(nil, s.node.peers.coordinators(now))
@@ -206,7 +208,7 @@
 		Str("from", from).Int64("age_ms", report.Age.Milliseconds()).Int("servers_ended", s.tally.CrashCount(report.Fingerprint)).Msg(name)
 }
 
-// send sends reports to those who are to know them.
+// send sends reports to their targets.
 func (s *suspects) send(now time.Time, reports []poison.Report) {
 	if len(reports) == 0 {
 		return
@@ -217,7 +219,7 @@
 	}
 }
 
-// tick tells again what is due.
+// tick repeats the reports that are due.
 func (s *suspects) tick(now time.Time) {
 	s.mu.Lock()
 	var toSend []poison.Report
@@ -235,8 +237,8 @@
 	s.send(now, toSend)
 }
 
-// encodeDueBars are one report of each request that is barred, which is enough to bar it, as many
-// as go into a datagram; none where they were told lately.
+// encodeDueBars returns one report per barred request, which suffices to bar it, up to the size
+// of a datagram; nil if they were sent recently.
 func (s *suspects) encodeDueBars(now time.Time) []*peerpb.CrashReport {
 	if !s.nonEmpty.Load() || now.Sub(s.barsSentAt) < barsBroadcastPeriod {
 		return nil
@@ -254,7 +256,7 @@
 	return peer.EncodeCrashReports(reports)
 }
 
-// greetingReports are the reports of what is barred for a node that has just started.
+// greetingReports returns the reports on barred requests for a node that has just started.
 func (s *suspects) greetingReports(now time.Time) []*peerpb.CrashReport {
 	if !s.nonEmpty.Load() {
 		return nil
@@ -270,14 +272,14 @@
 	return peer.EncodeCrashReports(reports)
 }
 
-// maxStoredBars bounds what of the barred requests lies in the lease, to about 2 KB.
+// maxStoredBars bounds the barred requests kept in the lease, to about 2 KB.
 const maxStoredBars = 32
 
-// leaseReporter is who reports what lies in the lease.
+// leaseReporter is the reporter name recorded for bars read from the lease.
 const leaseReporter = "lease"
 
-// storedBars are the barred requests and for how long they are barred yet, for the lease:
-// where all nodes lose their power together nobody else knows of them.
+// storedBars returns the barred requests with their remaining times, for the lease. After a
+// power failure of all nodes no other copy exists.
 func (s *suspects) storedBars(now time.Time) map[string]time.Duration {
 	if !s.nonEmpty.Load() {
 		return nil
@@ -293,8 +295,8 @@
 	return bars
 }
 
-// receiveStoredBars takes the barred requests of the lease, and tells the others of those that
-// this node did not know.
+// receiveStoredBars applies the barred requests of the lease, and notifies the others of those
+// that were unknown here.
 func (s *suspects) receiveStoredBars(now time.Time, bars map[string]time.Duration) {
 	var reports []poison.Report
 	for name, remaining := range bars {
@@ -308,7 +310,7 @@
 	}
 }
 
-// sweep forgets what is over.
+// sweep drops expired records.
 func (s *suspects) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -316,7 +318,7 @@
 	s.nonEmpty.Store(s.tally.Size() > 0)
 }
 
-// count is the number of requests that are barred now.
+// count returns the number of currently barred requests.
 func (s *suspects) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -10,39 +10,39 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// trafficKind is what a datagram to a peer is for.
+// trafficKind classifies a datagram to a peer by its purpose.
 type trafficKind int
 
 const (
-	// trafficGossip goes to some nodes each period.
+	// trafficGossip is the periodic state sent to some nodes.
 	trafficGossip trafficKind = iota
-	// trafficDemand tells those that decide what callers want.
+	// trafficDemand reports caller demand to the leader and potential leaders.
 	trafficDemand
-	// trafficViews tells all nodes what the leader changed or confirms.
+	// trafficViews publishes the leader's changed or confirmed views to all nodes.
 	trafficViews
-	// trafficViewReplies tells one node all views that it asked for.
+	// trafficViewReplies answers one node's request for views.
 	trafficViewReplies
-	// trafficQuotas asks for the tenants' quotas and answers that.
+	// trafficQuotas carries quota requests and responses.
 	trafficQuotas
-	// trafficCrashes tells of servers that ended under requests.
+	// trafficCrashes reports servers that crashed while running a request.
 	trafficCrashes
-	// trafficForwarded is what this node sends on for another.
+	// trafficForwarded is forwarded on behalf of another node.
 	trafficForwarded
-	// trafficSnapshots is what peers answered to this node's questions for all they know.
+	// trafficSnapshots counts the snapshots that peers returned to this node.
 	trafficSnapshots
 
 	trafficKindCount
 )
 
-// String names the traffic in logs and metrics.
+// String returns the name used in logs and metrics.
 func (t trafficKind) String() string {
 	return [...]string{"gossip", "wanted", "views", "answers", "quotas", "crashes", "spread", "snapshots"}[t]
 }
 
-// trafficLogPeriod is the time between two log lines on what was sent to peers.
+// trafficLogPeriod is the interval between log lines on peer traffic.
 const trafficLogPeriod = 10 * time.Second
 
-// logTraffic logs what was sent to peers since the start.
+// logTraffic logs the bytes sent to peers since the start.
 func (p *peers) logTraffic(now time.Time) {
 	if now.Sub(p.trafficLoggedAt) < trafficLogPeriod {
 		return
@@ -60,10 +60,10 @@
 	entry.Msg("peer_traffic")
 }
 
-// sentBytes count what was sent to peers, by what it was and how far it went.
+// sentBytes counts the bytes sent to peers, by kind and distance.
 type sentBytes [trafficKindCount][locality.DistanceCount]atomic.Int64
 
-// byKind is what was sent byKind one kind.
+// byKind returns the bytes sent of one kind.
 func (s *sentBytes) byKind(kind trafficKind) int64 {
 	sum := int64(0)
 	for distance := range locality.DistanceCount {
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// byDistance is what was sent so far away, of all kinds.
+// byDistance returns the bytes sent over the given distance, of all kinds.
 func (s *sentBytes) byDistance(distance locality.Distance) int64 {
 	sum := int64(0)
 	for kind := range trafficKindCount {
@@ -81,7 +81,7 @@
 	return sum
 }
 
-// countSnapshot counts what a peer answered.
+// countSnapshot counts the bytes of a peer's snapshot response.
 func (p *peers) countSnapshot(address string, response *peerpb.SnapshotResponse) {
 	p.mu.Lock()
 	distance := p.roster.DistanceTo(address)
--- a/internal/edge/trials.go
+++ b/internal/edge/trials.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// ClaimTrial implements relay.Suspects. The first of the coordinators that answers decides for
-// all nodes; where none does the request stays barred.
+// ClaimTrial implements relay.Suspects. The first coordinator that answers decides for all
+// nodes. If none answers, the request stays barred.
 func (s *suspects) ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool {
 	granted, by := false, ""
 	for _, coordinator := range s.node.peers.coordinators(clock.Now()) {
@@ -22,14 +22,14 @@
 		}
 	}
 	if granted && by != s.node.peers.address {
-		// What becomes of the trial is judged here, too.
+		// This node also tracks the outcome of the trial.
 		s.grantTrial(clock.Now(), fingerprint)
 	}
 	s.node.options.Logger.Info().Str("fingerprint", fingerprint.String()).Str("by", by).Bool("granted", granted).Msg("trial_claimed")
 	return granted
 }
 
-// requestTrial asks one coordinator.
+// requestTrial asks one coordinator for a trial.
 func (s *suspects) requestTrial(ctx context.Context, address string, fingerprint poison.Fingerprint) (granted, answered bool) {
 	if address == s.node.peers.address {
 		return s.decideTrial(fingerprint), true
@@ -41,7 +41,7 @@
 	})
 }
 
-// handleTrial takes a question or an answer of another node.
+// handleTrial handles a trial request or response from another node.
 func (s *suspects) handleTrial(call *peerpb.TrialCall) {
 	if call.Kind != peerpb.TrialCall_ASK {
 		s.pendingTrials.resolve(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
@@ -58,7 +58,8 @@
 	s.node.peers.sendTrial(call.Asker, answer)
 }
 
-// decideTrial grants one trial, and tells all nodes that the request is barred beside it.
+// decideTrial grants at most one trial, and notifies all nodes that other copies of the request
+// stay barred meanwhile.
 func (s *suspects) decideTrial(fingerprint poison.Fingerprint) bool {
 	now := clock.Now()
 	if !s.grantTrial(now, fingerprint) {
@@ -81,7 +82,7 @@
 	return granted
 }
 
-// broadcastReport sends a report to all living nodes, at once and again in the next periods.
+// broadcastReport sends a report to all live nodes immediately and again in the next periods.
 func (s *suspects) broadcastReport(now time.Time, report poison.Report) {
 	s.mu.Lock()
 	s.scheduleRepeat(now, report)
--- a/internal/edge/views.go
+++ b/internal/edge/views.go
@@ -12,9 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// publishViews sends all nodes what changed of the leader's views, and a digest of
-// all told by which they see whether they have missed some. It reports whether there are
-// more to tell soon.
+// publishViews sends all nodes the leader's changed views, and a digest of everything published
+// by which they detect missing views. It reports whether more views are to be sent soon.
 func (p *peers) publishViews(term int64, expiredFor time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) (more bool) {
 	now := clock.Now()
 	plan := p.planBroadcast(now)
@@ -23,13 +22,13 @@
 	return more
 }
 
-// maxBurstBytes bounds the views sent to one node at once. A receiver's socket holds 200 KB
-// of what its node has not read, and counts twice what a datagram takes: of a thousand
-// views at once, as at the start of a term, a third was lost, and asked for again whole.
+// maxBurstBytes bounds the views sent to one node at once. A receiver's socket buffer holds 200
+// KB of unread datagrams and counts each at twice its size: of a thousand views at once, as at
+// the start of a term, a third was lost and requested again in full.
 const maxBurstBytes = 48 << 10
 
-// changedViews are the views to tell now of those that changed; rest is set where there
-// are more than go out at once.
+// changedViews returns the changed views to send now. more is set if further ones exceed the
+// burst limit.
 func (p *peers) changedViews(views []dispatch.View) (changed []dispatch.View, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,14 +46,14 @@
 	return changed, false
 }
 
-// pruneViews drops what was told of servers that are gone, or of all.
+// pruneViews drops the publication state of the servers for which keep returns false.
 func (p *peers) pruneViews(keep func(serverID string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.published.prune(keep)
 }
 
-// sendViews sends views in as many datagrams as they need, one at the least.
+// sendViews sends views in as many datagrams as they need, at least one.
 func (p *peers) sendViews(kind trafficKind, plan gossip.BroadcastPlan, term int64, expiredFor time.Duration, views []dispatch.View, loads []dispatch.PeerLoad) {
 	encoded := make([]*peerpb.ServerView, 0, len(views))
 	for _, view := range views {
@@ -79,16 +78,16 @@
 	}
 }
 
-// publishedDigest is a digest of all views told.
+// publishedDigest returns the digest of all published views.
 func (p *peers) publishedDigest() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.published.digest
 }
 
-// replyViews sends the views that differ to a node that asked for them; one that has
-// all, and only did not hear so, is told that they still hold. Views are made of those servers
-// alone: all 3,000 for each of 300 nodes that asked took 56 MB a second of a leader.
+// replyViews sends a requesting node the views that differ. A node that has all of them is sent
+// the digest only. Views are built only for the differing servers: building all 3,000 for each
+// of 300 requesting nodes allocated 56 MB a second on the leader.
 func (p *peers) replyViews(asker *peerpb.NodeState, term int64, expiredFor time.Duration, views func(wanted func(serverID string) bool) []dispatch.View) {
 	now := clock.Now()
 	published := p.publishedDigests()
@@ -109,8 +108,8 @@
 	p.sendViews(trafficViewReplies, plan, term, expiredFor, reply, nil)
 }
 
-// firstBurst are as many views as go out at once, whole buckets first: who lacks more asks
-// again, and no more for these.
+// firstBurst returns as many views as fit into one burst, by whole buckets first. A node that
+// lacks more asks again, and then no longer for these.
 func firstBurst(views []dispatch.View) []dispatch.View {
 	slices.SortStableFunc(views, func(a, b dispatch.View) int {
 		return dispatch.ViewBucket(a.ServerID) - dispatch.ViewBucket(b.ServerID)
@@ -124,7 +123,7 @@
 	return views
 }
 
-// publishedDigests are digests of the views told.
+// publishedDigests returns the bucket digests of the published views.
 func (p *peers) publishedDigests() dispatch.ViewDigests {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,8 +141,7 @@
 		same = core.ConfirmViews(now, leader.Term, leader.ViewsDigest)
 	})
 	if isOld {
-		// A leader that was replaced and does not know it says nothing of the views of
-		// the new one.
+		// A replaced leader that has not noticed it says nothing about the new leader's views.
 		return
 	}
 	p.mu.Lock()
@@ -157,7 +155,7 @@
 	}
 }
 
-// fillViews moves as many views into a datagram as it may hold.
+// fillViews moves as many views into a datagram as fit and returns the rest.
 func fillViews(leader *peerpb.LeaderState, views []*peerpb.ServerView) []*peerpb.ServerView {
 	size := 0
 	for len(views) > 0 {
@@ -171,7 +169,7 @@
 	return views
 }
 
-// shouldRequestViews reports whether this node asks the leader for all views.
+// shouldRequestViews reports whether this node requests the leader's views.
 func (p *peers) shouldRequestViews(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/edge/wanted.go
+++ b/internal/edge/wanted.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// standbyDemandPeriod is the time between two tellings of what is wanted to nodes that may
-	// lead next, in fleets where bytes between regions, or many nodes, make it dear.
+	// standbyDemandPeriod is the interval at which demand is sent to potential next leaders in
+	// fleets with several regions or many nodes, where the traffic is expensive.
 	standbyDemandPeriod = time.Second
-	// leaderDemandWindow is how long a count is told the leader after its last change there:
-	// in three datagrams. A leader that is new here is told all of wantedAge for as long.
+	// leaderDemandWindow is how long after its last change a count is sent to the leader, which
+	// covers three datagrams. A leader that is new to this node is sent all counts of
+	// demandWindow for as long.
 	leaderDemandWindow = 3*gossipPeriod + gossipPeriod/2
 )
 
-// demandTargets are the leader and the nodes that may lead next, as far as they are to be told
-// now what is wanted. The lock is held.
+// demandTargets returns the leader and the potential next leaders that demand is to be sent to
+// now. p.mu must be held.
 func (p *peers) demandTargets(now time.Time, nodes int) (leader, standbys []string) {
 	standbys = p.roster.LeaderCandidates(now)
 	if current := p.roster.Leader(now); current != nil {
@@ -34,7 +35,7 @@
 	return leader, standbys
 }
 
-// demandWindowFor is how long after its last change a count is told the leader.
+// demandWindowFor returns how long after its last change a count is sent to the leader.
 func (p *peers) demandWindowFor(now time.Time, leader []string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,8 +48,9 @@
 	return leaderDemandWindow
 }
 
-// recentDemand is what callers of this node ask for, as far as that changed lately. Only nodes that lead, or may next,
-// are told: with hundreds of nodes it is most of a datagram.
+// recentDemand returns the demand of this node's callers that changed within the window. It is
+// sent only to the leader and potential next leaders: with hundreds of nodes it makes up most of
+// a datagram.
 func (p *peers) recentDemand(now time.Time, window time.Duration) []*peerpb.WantedCount {
 	var demand []*peerpb.WantedCount
 	p.node.dispatch.Do(func(core *dispatch.Core) {
@@ -63,7 +65,7 @@
 	return demand
 }
 
-// sendWaitingDemand sends the leader at once what waits here.
+// sendWaitingDemand immediately notifies the leader of requests that wait here.
 func (p *peers) sendWaitingDemand() {
 	now := clock.Now()
 	p.mu.Lock()
--- a/internal/edge/wire.go
+++ b/internal/edge/wire.go
@@ -77,7 +77,7 @@
 	return encoded
 }
 
-// decodeCounts are the counts of a node that stands in the region.
+// decodeCounts decodes the demand of a node in the given region.
 func decodeCounts(wire []*peerpb.WantedCount, region string) []placer.RequestCount {
 	counts := make([]placer.RequestCount, 0, len(wire))
 	for _, count := range wire {
@@ -93,7 +93,7 @@
 	return counts
 }
 
-// decodeRegions is a set of regions as it is told: no name is without a bound.
+// decodeRegions decodes a set of regions; no names means no restriction.
 func decodeRegions(names []string) locality.Regions {
 	if len(names) == 0 {
 		return locality.Regions{}
@@ -114,7 +114,7 @@
 		if !isUsable(item.Server) {
 			continue
 		}
-		// What is kept is what the store said, and when.
+		// The stored value is relative to the store's report, not to the time of receipt.
 		item.Server.ColdRemaining, item.Server.ReportsCold = decodeColdRemaining(encoded.ColdLeftMs)
 		if item.Server.ColdRemaining > 0 {
 			item.Server.ColdRemaining += item.Age
