--- a/internal/edge/admissions_test.go
+++ b/internal/edge/admissions_test.go
@@ -18,8 +18,8 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// newColdNode returns a node of a service whose cold servers bear 12 a second, which
-// hears its peers and has run for a while.
+// newColdNode returns a node that receives datagrams and has run for a while, with a service
+// whose cold servers accept 12 requests a second.
 func newColdNode(t *testing.T, strength uint32) *Node {
 	t.Helper()
 	node := newQuotaNode(t, strength)
@@ -43,7 +43,7 @@
 	node.receivePeerChanges(clock.Now(), decodeChanges(encodeChanges([]gossip.ServerChange{{Server: server}})))
 }
 
-// countAdmitted is how many of some requests one node may send to a server now.
+// countAdmitted returns how many of the requests the node admits to a server now.
 func countAdmitted(node *Node, serverID string, requests int) int {
 	count := 0
 	for range requests {
@@ -54,12 +54,13 @@
 	return count
 }
 
-// phaseOf is how the node takes a server of which no start is told.
+// phaseOf returns the phase that the node assumes for a server without a known start.
 func phaseOf(node *Node, serverID string) admission.Phase {
 	return node.admissions.limitsOf(clock.Now(), inventory.Start{ID: serverID}).phase
 }
 
-// TestServerHeardOfAsNewsIsCold unless the news say otherwise.
+// TestServerHeardOfAsNewsIsCold checks that a server announced by a peer counts as cold unless
+// the announcement says otherwise.
 func TestServerHeardOfAsNewsIsCold(t *testing.T) {
 	node := newColdNode(t, 1)
 	receiveServer(node, inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 4)})
@@ -73,11 +74,12 @@
 	}
 	node.applyServerChanges([]inventory.Change{{Server: inventory.Server{ID: "silent", Service: "s", Position: storepos.At(0, 8), ReportsCold: true}}}, "watch")
 	if got := phaseOf(node, "silent"); got == admission.Cold {
-		t.Error("cold though its entry says otherwise")
+		t.Error("server is cold although its entry says otherwise")
 	}
 }
 
-// TestKnownServerThatTurnsColdIsNews: entries are read only once in a second.
+// TestKnownServerThatTurnsColdIsNews checks that a known server which turns cold is announced to
+// peers, because the store's entries are read only once a second.
 func TestKnownServerThatTurnsColdIsNews(t *testing.T) {
 	reader, node := newColdNode(t, 2), newColdNode(t, 1)
 	known := inventory.Server{ID: "a", Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 4), ReportsCold: true}
@@ -87,17 +89,18 @@
 	known.Position, known.ColdRemaining = storepos.At(0, 6), 2*time.Second
 	reader.applyServerEvents([]inventory.Change{{Server: known}}, storepos.At(0, 6))
 	node.receivePeerChanges(clock.Now(), decodeChanges(encodeChanges(reader.directory.takeDue(clock.Now()))))
-	for name, each := range map[string]*Node{"the reader": reader, "who heard of it": node} {
+	for name, each := range map[string]*Node{"reader": reader, "receiver": node} {
 		if got := phaseOf(each, "a"); got != admission.Cold {
 			t.Errorf("%s: phase %d, want cold", name, got)
 		}
 	}
-	if told := node.directory.takeDue(clock.Now()); len(told) != 1 || told[0].Server.ColdRemaining == 0 {
-		t.Errorf("told on: %+v", told)
+	if changes := node.directory.takeDue(clock.Now()); len(changes) != 1 || changes[0].Server.ColdRemaining == 0 {
+		t.Errorf("forwarded %+v, want the cold server", changes)
 	}
 }
 
-// TestSnapshotTellsWhatIsCold as of now, and that nothing is known where that is so.
+// TestSnapshotTellsWhatIsCold checks that a snapshot contains the remaining cold time as of now,
+// and leaves it unset where it is unknown.
 func TestSnapshotTellsWhatIsCold(t *testing.T) {
 	peer := newColdNode(t, 1)
 	peer.applyServerList(clock.Now(), []inventory.Server{
@@ -125,7 +128,8 @@
 	}
 }
 
-// TestColdServerReceivesWhatTheCoordinatorGrants over two nodes, and no more than that.
+// TestColdServerReceivesWhatTheCoordinatorGrants checks that two nodes together send a cold
+// server no more than the coordinator grants.
 func TestColdServerReceivesWhatTheCoordinatorGrants(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	introduce(coordinator, asker)
@@ -139,7 +143,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if granted < 3 || granted > 12 {
-		t.Errorf("%d granted in a second", granted)
+		t.Errorf("%d granted in a second, want 3 to 12", granted)
 	}
 	if got := countAdmitted(asker, "warm", 100); got != 100 {
 		t.Errorf("%d of 100 granted at a warm server", got)
@@ -147,12 +151,12 @@
 	coordinator.started = clock.Now()
 	coordinator.admissions.warmUps.Forget()
 	if got := countAdmitted(asker, "a", 20); got != 0 {
-		t.Errorf("%d granted by a node that has just started", got)
+		t.Errorf("%d granted by a node that has just started, want 0", got)
 	}
 }
 
-// TestNodeWithoutACoordinatorUsesLots: few of many nodes send one request each, and one
-// that was never told the fleet's size none.
+// TestNodeWithoutACoordinatorUsesLots checks that without a coordinator few of many nodes send
+// one request each, and that a node which never received the fleet size sends none.
 func TestNodeWithoutACoordinatorUsesLots(t *testing.T) {
 	node := newColdNode(t, 1)
 	dead, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -175,18 +179,18 @@
 		return count
 	}
 	if got := sent(); got != 0 {
-		t.Errorf("%d sent by a node that does not know how large the fleet is", got)
+		t.Errorf("%d sent by a node that does not know the fleet size, want 0", got)
 	}
 	node.quotas.raiseFleetSize(clock.Now(), 68)
 	node.admissions.learnFleetSize(68)
-	// The draw goes by the node's address: this one has lots for two of the servers.
+	// The allowance is derived from the node's address: this one may send to two of the servers.
 	node.admissions.warmUpFallback = admission.NewWarmUpFallback("10.0.0.4:1")
 	if got := sent(); got != 2 {
-		t.Errorf("%d of 400 sent by one of 68 nodes, want one for each of its lots", got)
+		t.Errorf("%d of 400 sent by one of 68 nodes, want one for each server in its allowance", got)
 	}
 }
 
-// TestRateOfNoughtSendsNothing to a cold server.
+// TestRateOfNoughtSendsNothing checks that a rate of 0 admits nothing to a cold server.
 func TestRateOfNoughtSendsNothing(t *testing.T) {
 	node := newColdNode(t, 1)
 	node.options.Tunables.PeerSeeds = nil
@@ -196,30 +200,31 @@
 	receiveServer(node, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
 	time.Sleep(300 * time.Millisecond)
 	if got := countAdmitted(node, "a", 20); got != 0 {
-		t.Errorf("%d sent", got)
+		t.Errorf("%d sent, want 0", got)
 	}
 	if verdict := node.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0); verdict.RetryAfter < 2*time.Second {
-		t.Errorf("it is to come back in %v, while the server is cold", verdict.RetryAfter)
+		t.Errorf("retry after %v, although the server is cold for longer", verdict.RetryAfter)
 	}
 }
 
-// TestColdTimeOnTheWire: what cannot be is bounded.
+// TestColdTimeOnTheWire checks that out-of-range cold times are clamped.
 func TestColdTimeOnTheWire(t *testing.T) {
-	if _, told := decodeColdRemaining(encodeColdRemaining(time.Second, false)); told {
-		t.Error("told what is not known")
+	if _, reported := decodeColdRemaining(encodeColdRemaining(time.Second, false)); reported {
+		t.Error("an unknown cold time was reported")
 	}
-	for left, want := range map[time.Duration]time.Duration{-time.Hour: 0, 0: 0, time.Second: time.Second, time.Hour: admission.MaxColdTime} {
-		if got, told := decodeColdRemaining(encodeColdRemaining(left, true)); !told || got != want {
-			t.Errorf("%v: %v, %v", left, got, told)
+	for remaining, want := range map[time.Duration]time.Duration{-time.Hour: 0, 0: 0, time.Second: time.Second, time.Hour: admission.MaxColdTime} {
+		if got, reported := decodeColdRemaining(encodeColdRemaining(remaining, true)); !reported || got != want {
+			t.Errorf("%v: %v, %v", remaining, got, reported)
 		}
 	}
 	if got, _ := decodeColdRemaining(1<<32 - 1); got != admission.MaxColdTime {
-		t.Errorf("endless: %v", got)
+		t.Errorf("maximum encoded value: got %v", got)
 	}
 }
 
-// TestEndOfAnEvacuationMakesItsServersCold until entries that are newer than its end say
-// otherwise; a peer is told that nothing is known.
+// TestEndOfAnEvacuationMakesItsServersCold checks that servers count as possibly cold after an
+// evacuation ends, until an entry newer than its end says otherwise, and that peers are
+// meanwhile sent no cold time.
 func TestEndOfAnEvacuationMakesItsServersCold(t *testing.T) {
 	node := newColdNode(t, 1)
 	inZone := inventory.Server{ID: "a", Service: "s", Zone: "y", Position: storepos.At(0, 4), ReportsCold: true}
@@ -237,20 +242,21 @@
 	inZone.Position = storepos.At(0, 8)
 	node.applyServerEvents([]inventory.Change{{Server: inZone}}, storepos.At(0, 9))
 	if phaseOf("a") != admission.Cold {
-		t.Error("warm by an entry from before the end")
+		t.Error("an entry older than the evacuation's end made the server warm")
 	}
-	if told := node.admissions.withColdState(clock.Now(), []inventory.Server{inZone}); told[0].ReportsCold {
-		t.Error("a peer is told what is not known")
+	if servers := node.admissions.withColdState(clock.Now(), []inventory.Server{inZone}); servers[0].ReportsCold {
+		t.Error("a peer was sent an unknown cold time")
 	}
 	inZone.Position = storepos.At(0, 10)
 	node.applyServerEvents([]inventory.Change{{Server: inZone}}, storepos.At(0, 10))
 	if phaseOf("a") == admission.Cold {
-		t.Error("cold though a newer entry says otherwise")
+		t.Error("server is cold although a newer entry says otherwise")
 	}
 }
 
-// TestPartOfAFleetGrantsNothing: nodes that have all just started, and hear each other only,
-// may be a part; each part would grant all of it. One that knows is enough.
+// TestPartOfAFleetGrantsNothing guards against over-granting after a restart during a partition:
+// nodes that have all just started and hear only each other may be one part of a fleet, and each
+// part would grant the full rate. One node that knows the fleet size is enough to grant.
 func TestPartOfAFleetGrantsNothing(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	for _, each := range []*Node{coordinator, asker} {
@@ -258,25 +264,26 @@
 		receiveServer(each, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
 	}
 	introduce(coordinator, asker)
-	countAdmitted(asker, "a", 1) // opens the account, where there is one
+	countAdmitted(asker, "a", 1) // opens the account if there is one
 	time.Sleep(300 * time.Millisecond)
 	if got := countAdmitted(asker, "a", 5); got != 0 {
-		t.Errorf("%d granted where nobody knows how large the fleet is", got)
+		t.Errorf("%d granted although no node knows the fleet size", got)
 	}
 	asker.admissions.learnFleetSize(68)
-	told := asker.peers.state(clock.Now())
-	told.Sequence = 2
-	coordinator.peers.handleState(told)
+	state := asker.peers.state(clock.Now())
+	state.Sequence = 2
+	coordinator.peers.handleState(state)
 	coordinator.admissions.observe(clock.Now())
 	countAdmitted(asker, "a", 1) // opens the account
 	time.Sleep(300 * time.Millisecond)
 	if got := countAdmitted(asker, "a", 5); got == 0 {
-		t.Error("nothing granted though a node knows how large the fleet is")
+		t.Error("nothing granted although a node knows the fleet size")
 	}
 }
 
-// TestGrantCountsFromItsQuestion: those that a silent coordinator left without an answer before
-// it had used up the grant, which was then asked for anew.
+// TestGrantCountsFromItsQuestion checks that a grant's lifetime starts with its own request.
+// When it started before the calls to an unresponsive coordinator, the grant had expired on
+// arrival and was requested again.
 func TestGrantCountsFromItsQuestion(t *testing.T) {
 	silent, coordinator, asker := newColdNode(t, 900), newColdNode(t, 500), newColdNode(t, 100)
 	receiveServer(asker, inventory.Server{ID: "a", Service: "s", Position: storepos.At(0, 4)})
@@ -288,18 +295,19 @@
 	time.Sleep(300 * time.Millisecond)
 	verdict := asker.admissions.Admit(context.Background(), inventory.Start{ID: "a"}, 0)
 	if left := clock.Until(verdict.ValidUntil); !verdict.Granted || left < admission.GrantLifetime-askTimeout/2 {
-		t.Errorf("%+v, usable for %v", verdict, left)
+		t.Errorf("%+v, usable for only %v", verdict, left)
 	}
 }
 
-// receiveRateLimit lets the node hear from a server itself that it names a limit.
+// receiveRateLimit lets the node receive a rate limit from a server itself.
 func receiveRateLimit(node *Node, start inventory.Start, perSecond float64) {
 	now := clock.Now()
 	node.hints.receiveFromCall(start, inventory.Hint{Limit: inventory.NewRateLimit(perSecond), SentAt: now}, hintFromAnswer)
 }
 
-// TestLimitedServersAreGrantedByTheCoordinator: one that has not heard of the limit goes by who asks, a
-// grant that is not used is given back, and who asks hears that the limit has ended.
+// TestLimitedServersAreGrantedByTheCoordinator checks that a coordinator which does not know the
+// limit uses the requester's, that an unused grant can be returned, and that the requester
+// learns when the limit has ended.
 func TestLimitedServersAreGrantedByTheCoordinator(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
@@ -309,28 +317,29 @@
 	introduce(coordinator, asker)
 	ask := func() relay.AdmissionDecision { return asker.admissions.Admit(context.Background(), start, 0) }
 	if !ask().Granted || coordinator.admissions.limitedAdmitted.Load() > 0 {
-		t.Fatal("a server without a limit takes a grant")
+		t.Fatal("a server without a limit required a grant")
 	}
 	receiveRateLimit(asker, start, 10)
 	ask() // opens the account
 	time.Sleep(150 * time.Millisecond)
 	first, second := ask(), ask()
 	if !first.Granted || first.GrantedBy == "" || second.Granted || second.RetryAfter <= 0 {
-		t.Fatalf("1.5 requests may go: %+v, then %+v", first, second)
+		t.Fatalf("the limit allows 1.5 requests: got %+v, then %+v", first, second)
 	}
 	asker.admissions.ReturnGrant(start, first)
 	time.Sleep(20 * time.Millisecond)
 	if !ask().Granted {
-		t.Error("what was given back is not granted")
+		t.Error("a returned grant was not granted again")
 	}
 	now := clock.Now()
 	coordinator.hints.receiveFromCall(start, inventory.Hint{Limit: inventory.RateLimit{Kind: inventory.RateLimitNone}, SentAt: now}, hintFromAnswer)
 	if !ask().Granted || asker.admissions.limitsOf(clock.Now(), start).isLimited {
-		t.Error("the asker does not hear that the limit has ended")
+		t.Error("the requester did not learn that the limit has ended")
 	}
 }
 
-// A refusal that is given back lets one request more reach a limited server.
+// TestRefusalIsNotGivenBack checks that only grants are returned: returning a refusal would let
+// one extra request reach a rate-limited server.
 func TestRefusalIsNotGivenBack(t *testing.T) {
 	coordinator, asker := newColdNode(t, 900), newColdNode(t, 100)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
@@ -343,17 +352,17 @@
 	for range 5 {
 		verdict := asker.admissions.AdmitInternalCall(context.Background(), start)
 		if verdict.Granted || verdict.GrantedBy != coordinator.options.PeerAddress {
-			t.Fatalf("%+v, want a refusal of the coordinator", verdict)
+			t.Fatalf("%+v, want a refusal by the coordinator", verdict)
 		}
 		asker.admissions.ReturnGrant(start, verdict)
 	}
 	if given := asker.admissions.returnedGrants.Load(); given != 0 {
-		t.Errorf("%d refusals were given back", given)
+		t.Errorf("%d refusals were returned", given)
 	}
 }
 
-// TestColdAndLimitedServerTakesTheLeast of both bounds, and calls of the system itself count to the
-// limit alone.
+// TestColdAndLimitedServerTakesTheLeast checks that the lower of both bounds applies, and that
+// the system's own calls count against the rate limit alone.
 func TestColdAndLimitedServerTakesTheLeast(t *testing.T) {
 	node := newColdNode(t, 1)
 	start := inventory.Start{ID: "a", StartedAtMs: 7}
@@ -376,19 +385,20 @@
 	receiveServer(node, inventory.Server{ID: "nought", StartedAtMs: 7, Service: "s", Position: storepos.At(0, 5)})
 	node.activateTable(coldTable(0), "read")
 	if node.admissions.Admit(context.Background(), inventory.Start{ID: "nought", StartedAtMs: 7}, 0).Granted {
-		t.Error("a cold server that takes nothing is sent to")
+		t.Error("a request was admitted to a cold server with a rate of 0")
 	}
 }
 
-// TestBadLimitsOfPeersAreDropped: what another build or a damaged datagram tells is no limit.
+// TestBadLimitsOfPeersAreDropped checks that invalid limits, from another build or a damaged
+// datagram, are ignored.
 func TestBadLimitsOfPeersAreDropped(t *testing.T) {
 	node := newColdNode(t, 1)
 	for _, perSecond := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
-		told := &peerpb.RateLimit{Named: true, PerSecond: perSecond, SentAgeMs: 1}
-		node.hints.receiveFromPeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Limit: told}})
-		node.admissions.decide(clock.Now(), &peerpb.QuotaCall{Kind: peerpb.QuotaCall_ASK, Server: "a", Born: 7, Cost: 1, Warm: true, Limit: told})
+		limit := &peerpb.RateLimit{Named: true, PerSecond: perSecond, SentAgeMs: 1}
+		node.hints.receiveFromPeer(clock.Now(), []*peerpb.ServerWord{{Server: "a", Born: 7, Limit: limit}})
+		node.admissions.decide(clock.Now(), &peerpb.QuotaCall{Kind: peerpb.QuotaCall_ASK, Server: "a", Born: 7, Cost: 1, Warm: true, Limit: limit})
 		if node.admissions.limitsOf(clock.Now(), inventory.Start{ID: "a", StartedAtMs: 7}).isLimited {
-			t.Errorf("%v a second is a limit", perSecond)
+			t.Errorf("%v a second was accepted as a limit", perSecond)
 		}
 	}
 	for _, call := range []*peerpb.QuotaCall{
--- a/internal/edge/builds_test.go
+++ b/internal/edge/builds_test.go
@@ -16,7 +16,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// recordedMessage is a message of a build that landed, as it was recorded there.
+// recordedMessage returns a message recorded from an earlier build.
 func recordedMessage(t *testing.T, path, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -34,12 +34,13 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("..", "peer", "testdata", "builds", "*.json"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no builds are recorded: %v", err)
+		t.Fatalf("no recorded builds found: %v", err)
 	}
 	return paths
 }
 
-// TestNodeOfALandedBuildIsHeard: its datagrams, with all that it may say.
+// TestNodeOfALandedBuildIsHeard checks that complete datagrams of every recorded build are
+// accepted.
 func TestNodeOfALandedBuildIsHeard(t *testing.T) {
 	for _, path := range recordedBuilds(t) {
 		node := newTestNode(t)
@@ -47,16 +48,17 @@
 			node.peers.handleDatagram(recordedMessage(t, path, name))
 		}
 		if node.peers.unreadable.Load() > 0 {
-			t.Errorf("%s: %d datagrams cannot be read", path, node.peers.unreadable.Load())
+			t.Errorf("%s: %d datagrams could not be decoded", path, node.peers.unreadable.Load())
 		}
 		if got := node.peers.randomNearby(clock.Now()); got != "127.0.0.1:9" {
-			t.Errorf("%s: the node is not heard: %q", path, got)
+			t.Errorf("%s: the node is unknown, nearest peer is %q", path, got)
 		}
 	}
 }
 
-// TestOlderNodeForgetsNothingThatItDoesNotKnow: its list and its news do not say of which start a
-// server is. What the server told in the one that is known goes on to hold.
+// TestOlderNodeForgetsNothingThatItDoesNotKnow checks compatibility with builds whose lists and
+// announcements lack a server's start: what the server reported in its known start remains
+// valid.
 func TestOlderNodeForgetsNothingThatItDoesNotKnow(t *testing.T) {
 	server := inventory.Server{ID: "a", StartedAtMs: 7, Service: "s", Address: "127.0.0.1:1", Zone: "z", Position: storepos.At(0, 3)}
 	for name, tell := range map[string]func(node *Node){
@@ -77,13 +79,13 @@
 		node.hints.receiveFromCall(server.Start(), inventory.Hint{Draining: true}, hintFromAnswer)
 		tell(node)
 		if got := startOf(node); got != 0 {
-			t.Errorf("%s: start %d is sent to, which had said that it leaves", name, got)
+			t.Errorf("%s: start %d is used although it reported draining", name, got)
 		}
 	}
 }
 
-// TestDatagramsOfLaterBuilds: fields that this build does not know are passed over, and what is cut
-// short is counted.
+// TestDatagramsOfLaterBuilds checks that unknown fields are ignored, and that truncated
+// datagrams are counted.
 func TestDatagramsOfLaterBuilds(t *testing.T) {
 	node := newTestNode(t)
 	datagram, err := proto.Marshal(&peerpb.NodeState{Node: "later", Address: "127.0.0.1:9", Life: 1, Sequence: 1, Zone: "z"})
@@ -93,12 +95,12 @@
 	later := protowire.AppendString(protowire.AppendTag(datagram, 4000, protowire.BytesType), "news of a later build")
 	node.peers.handleDatagram(later)
 	if got := node.peers.randomNearby(clock.Now()); got != "127.0.0.1:9" || node.peers.unreadable.Load() != 0 {
-		t.Errorf("a node of a later build is not heard: %q, %d unreadable", got, node.peers.unreadable.Load())
+		t.Errorf("a node of a later build is unknown: nearest peer %q, %d unreadable", got, node.peers.unreadable.Load())
 	}
 	for end := 1; end < len(later); end++ {
 		node.peers.handleDatagram(later[:end])
 	}
 	if node.peers.unreadable.Load() == 0 {
-		t.Error("no datagram that was cut short is counted")
+		t.Error("no truncated datagram was counted")
 	}
 }
--- a/internal/edge/callers_test.go
+++ b/internal/edge/callers_test.go
@@ -11,29 +11,29 @@
 )
 
 func TestOnlyRestingConnectionsAreClosed(t *testing.T) {
-	callers := newCallerConns()
-	resting, busy := pipe(t), pipe(t)
-	for _, conn := range []net.Conn{resting, busy} {
-		callers.onConnState(conn, http.StateNew)
-		callers.onConnState(conn, http.StateActive)
-		callers.onConnState(conn, http.StateIdle)
+	conns := newCallerConns()
+	idle, busy := pipe(t), pipe(t)
+	for _, conn := range []net.Conn{idle, busy} {
+		conns.onConnState(conn, http.StateNew)
+		conns.onConnState(conn, http.StateActive)
+		conns.onConnState(conn, http.StateIdle)
 	}
-	callers.onConnState(busy, http.StateActive)
+	conns.onConnState(busy, http.StateActive)
 	now := clock.Now()
-	if got := callers.closeIdle(now.Add(time.Minute), 0); got != 0 {
-		t.Errorf("%d closed without a bound", got)
+	if got := conns.closeIdle(now.Add(time.Minute), 0); got != 0 {
+		t.Errorf("%d closed without a bound, want 0", got)
 	}
-	if got := callers.closeIdle(now.Add(5*time.Second), 15*time.Second); got != 0 {
-		t.Errorf("%d closed within the bound", got)
+	if got := conns.closeIdle(now.Add(5*time.Second), 15*time.Second); got != 0 {
+		t.Errorf("%d closed within the bound, want 0", got)
 	}
-	if got := callers.closeIdle(now.Add(20*time.Second), 15*time.Second); got != 1 {
-		t.Errorf("%d closed, want the one that rested", got)
+	if got := conns.closeIdle(now.Add(20*time.Second), 15*time.Second); got != 1 {
+		t.Errorf("%d closed, want the idle one", got)
 	}
-	if _, err := resting.Write([]byte("x")); err == nil {
-		t.Error("the connection that rested is open")
+	if _, err := idle.Write([]byte("x")); err == nil {
+		t.Error("the idle connection is still open")
 	}
-	if got := callers.closeIdle(now.Add(30*time.Second), 15*time.Second); got != 0 {
-		t.Errorf("%d closed again", got)
+	if got := conns.closeIdle(now.Add(30*time.Second), 15*time.Second); got != 0 {
+		t.Errorf("%d closed again, want 0", got)
 	}
 }
 
@@ -44,44 +44,44 @@
 	return one
 }
 
-// TestCloseAndRequestDoNotCross: the sweep closed connections outside its lock, and
-// the library calls a connection busy only once a request was read: on a day with
-// configurations that changed the bound a request was sent on to a server whose
-// caller's connection was closed a moment later.
+// TestCloseAndRequestDoNotCross guards against a request being sent to a server while its
+// caller's connection is closed. http.Server marks a connection active only after reading the
+// request, so closing idle connections must be synchronized with the start of requests.
 func TestCloseAndRequestDoNotCross(t *testing.T) {
-	callers := newCallerConns()
+	conns := newCallerConns()
 	first, second := pipe(t), pipe(t)
 	for _, conn := range []net.Conn{first, second} {
-		callers.onConnState(conn, http.StateNew)
-		callers.onConnState(conn, http.StateIdle)
+		conns.onConnState(conn, http.StateNew)
+		conns.onConnState(conn, http.StateIdle)
 	}
-	if !callers.beginRequest(first) {
-		t.Error("a request on an open connection is not passed on")
+	if !conns.beginRequest(first) {
+		t.Error("a request on an open connection was rejected")
 	}
-	if got := callers.closeIdle(clock.Now().Add(time.Minute), time.Second); got != 1 {
+	if got := conns.closeIdle(clock.Now().Add(time.Minute), time.Second); got != 1 {
 		t.Errorf("%d closed, want the one without a request", got)
 	}
-	if callers.beginRequest(second) {
-		t.Error("a request on a closed connection is passed on")
+	if conns.beginRequest(second) {
+		t.Error("a request on a closed connection was accepted")
 	}
-	if busy := callers.closeAllIdle(); busy != 1 {
+	if busy := conns.closeAllIdle(); busy != 1 {
 		t.Errorf("%d busy, want the one with a request", busy)
 	}
-	callers.onConnState(first, http.StateIdle)
-	if busy := callers.closeAllIdle(); busy != 0 {
-		t.Errorf("%d busy after the answer", busy)
+	conns.onConnState(first, http.StateIdle)
+	if busy := conns.closeAllIdle(); busy != 0 {
+		t.Errorf("%d busy after the response, want 0", busy)
 	}
 }
 
-// TestRequestOnAClosedConnectionGoesNowhere goes through the library's server.
+// TestRequestOnAClosedConnectionGoesNowhere checks the handler that rejects requests on closed
+// connections.
 func TestRequestOnAClosedConnectionGoesNowhere(t *testing.T) {
-	callers := newCallerConns()
+	conns := newCallerConns()
 	passed := 0
-	handler := callers.rejectClosed(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }))
+	handler := conns.rejectClosed(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }))
 	conn := pipe(t)
-	callers.onConnState(conn, http.StateNew)
-	callers.onConnState(conn, http.StateIdle)
-	callers.closeAllIdle()
+	conns.onConnState(conn, http.StateNew)
+	conns.onConnState(conn, http.StateIdle)
+	conns.closeAllIdle()
 	request := httptest.NewRequest(http.MethodGet, "/", nil)
 	request = request.WithContext(withConn(request.Context(), conn))
 	func() {
@@ -89,6 +89,6 @@
 		handler.ServeHTTP(httptest.NewRecorder(), request)
 	}()
 	if passed != 0 {
-		t.Error("a request went on from a connection that was closed")
+		t.Error("a request on a closed connection reached the handler")
 	}
 }
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -61,7 +61,8 @@
 	p.broadcast(kind, gossip.BroadcastPlan{Direct: targets}, state)
 }
 
-// broadcast sends this node's state to the plan's direct targets and to its forwarders.
+// broadcast sends this node's state to the plan's direct targets and to its forwarders
+// (gossip.Spreader).
 func (p *peers) broadcast(kind trafficKind, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.mu.Lock()
 	p.sequence++
--- a/internal/edge/directory_test.go
+++ b/internal/edge/directory_test.go
@@ -14,18 +14,18 @@
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
 func takeChanges(directory *directory, now time.Time) map[string]bool {
-	told := make(map[string]bool)
+	changes := make(map[string]bool)
 	for _, item := range directory.takeDue(now) {
-		told[item.Server.ID] = item.Server.Draining
+		changes[item.Server.ID] = item.Server.Draining
 	}
-	return told
+	return changes
 }
 
 func TestWhoComesOrGoesIsNews(t *testing.T) {
 	directory := newDirectory()
 	directory.replace(begin, begin, []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}, {ID: "b", Position: storepos.At(0, 2)}}, storepos.At(0, 3))
-	if news := takeChanges(directory, begin); len(news) != 0 {
-		t.Errorf("the first list is no news: %v", news)
+	if changes := takeChanges(directory, begin); len(changes) != 0 {
+		t.Errorf("the first list was announced: %v", changes)
 	}
 	directory.apply(begin, []inventory.Change{
 		{Server: inventory.Server{ID: "a", Position: storepos.At(0, 4), Models: []inventory.HeldModel{{Name: "m"}}}},
@@ -35,16 +35,16 @@
 	if diff := cmp.Diff(map[string]bool{"b": true, "c": false}, takeChanges(directory, begin)); diff != "" {
 		t.Error(diff)
 	}
-	// A list after a gap of the history tells as well who went meanwhile.
+	// A list after a gap in the history also reveals removed servers.
 	directory.replace(begin, begin, []inventory.Server{{ID: "c", Position: storepos.At(0, 6)}}, storepos.At(0, 9))
 	if _, ok := takeChanges(directory, begin)["a"]; !ok {
-		t.Error("a server that a later list lacks is no news")
+		t.Error("a server missing from a later list was not announced")
 	}
 }
 
-// TestListsAreNoNewsOfWhatIsKnown: each list that a node read made news of all
-// servers whose entries had changed since, which every node of 295 told on eight
-// times: a gigabyte in a minute.
+// TestListsAreNoNewsOfWhatIsKnown guards against a flood of announcements: each list that a node
+// read announced all servers whose entries had changed since, and each of 295 nodes forwarded
+// them eight times, a gigabyte in a minute.
 func TestListsAreNoNewsOfWhatIsKnown(t *testing.T) {
 	directory := newDirectory()
 	directory.replace(begin, begin, []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}, {ID: "b", Position: storepos.At(0, 2)}}, storepos.At(0, 3))
@@ -54,12 +54,12 @@
 	}
 	directory.applyPeerChanges(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "b", Position: storepos.At(0, 9)}}})
 	if _, ok := takeChanges(directory, begin)["b"]; ok {
-		t.Error("a peer's word of a server that is known is told on")
+		t.Error("a peer's announcement of a known server was forwarded")
 	}
 }
 
-// TestNewsSpareTheStore: who has the news does not ask the store where a peer
-// knows the same servers from it, and asks once news were missed.
+// TestNewsSpareTheStore checks that a node which received the announcements does not query the
+// store when a peer has the same servers from it, and does so once it missed some.
 func TestNewsSpareTheStore(t *testing.T) {
 	sentinel, other := newDirectory(), newDirectory()
 	list := []inventory.Server{{ID: "a", Position: storepos.At(0, 1)}, {ID: "b", Position: storepos.At(0, 2)}}
@@ -71,24 +71,25 @@
 		return other.isBehind(begin.Add(after), digest, revision, false, 400*time.Millisecond)
 	}
 	if compare(0) || compare(300*time.Millisecond) {
-		t.Error("the store is asked before news had time to come")
+		t.Error("the store is queried before announcements had time to arrive")
 	}
 	if !compare(500 * time.Millisecond) {
-		t.Error("the store is not asked though news were missed")
+		t.Error("the store is not queried although announcements were missed")
 	}
 	other.applyPeerChanges(begin, []gossip.ServerChange{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8), Draining: true, Announced: true}}})
 	for after := range 10 {
 		if compare(time.Duration(after) * time.Second) {
-			t.Errorf("the store is asked %d s after the news came", after)
+			t.Errorf("the store is queried %d s after the announcement arrived", after)
 		}
 	}
 	if changes, _ := other.apply(begin, []inventory.Change{{Server: inventory.Server{ID: "a", Position: storepos.At(0, 1)}}}, storepos.At(0, 4)); len(changes) != 0 {
-		t.Errorf("an answer from before the news brings the server back: %v", changes)
+		t.Errorf("a response older than the announcement restored the server: %v", changes)
 	}
 }
 
-// TestConfigurationUnderWayIsNotAskedForAnew: a large configuration takes a while
-// on a slow link, and each peer's word of it ended the call that brought it.
+// TestConfigurationUnderWayIsNotAskedForAnew guards against a configuration that never arrives:
+// a large one takes a while on a slow link, and every datagram that named its version aborted
+// the transfer in progress.
 func TestConfigurationUnderWayIsNotAskedForAnew(t *testing.T) {
 	var lag configLag
 	steps := []struct {
@@ -102,7 +103,7 @@
 	for _, step := range steps {
 		now := begin.Add(step.after * time.Millisecond)
 		if got := lag.exceeds(now, step.version, 400*time.Millisecond); got != step.want {
-			t.Errorf("after %d ms, version %d: asked anew %v", step.after, step.version, got)
+			t.Errorf("after %d ms, version %d: requested again: %v", step.after, step.version, got)
 		}
 	}
 }
--- a/internal/edge/eras_test.go
+++ b/internal/edge/eras_test.go
@@ -12,7 +12,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// newInEra is a node that listed a server which takes work, in the era.
+// newInEra returns a node that listed an available server in the era.
 func newInEra(t *testing.T, era int64) *Node {
 	t.Helper()
 	node := newTestNode(t)
@@ -20,8 +20,8 @@
 	return node
 }
 
-// News of an earlier era that come late take a server out of use; those of a later one are no order
-// of what is known, and its list is asked for.
+// TestNewsOfOtherEras checks that an announcement of an earlier era cannot disable a server, and
+// that one of a later era is not compared with known data but triggers a request for the list.
 func TestNewsOfOtherEras(t *testing.T) {
 	cases := map[string]struct {
 		at    storepos.Position
@@ -38,27 +38,28 @@
 			node := newInEra(t, 3)
 			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: c.at}}})
 			if got := isAvailable(node, "a"); got != c.takes {
-				t.Errorf("takes work %v, want %v", got, c.takes)
+				t.Errorf("available: %v, want %v", got, c.takes)
 			}
 			if got := node.directory.isBehind(clock.Now(), 1, c.at, false, time.Minute); got != c.lags {
-				t.Errorf("the list is asked for at once: %v, want %v", got, c.lags)
+				t.Errorf("list requested at once: %v, want %v", got, c.lags)
 			}
 		})
 	}
 }
 
-// A list that changed nothing counts as one that confirmed what is known.
+// TestListLeftOutConfirmsNothing guards against counting an ignored stale list as a confirmation
+// of the known data.
 func TestListLeftOutConfirmsNothing(t *testing.T) {
 	node := newInEra(t, 3)
 	asked := clock.Now().Add(-time.Minute)
 	if node.applyServerList(asked, nil, storepos.At(2, 50)) || node.applyServerList(asked, nil, storepos.At(3, 8)) {
-		t.Error("a list that is older than what is known is in force")
+		t.Error("a list older than the known data was accepted")
 	}
 	if !isAvailable(node, "a") {
-		t.Error("an older list takes a server out of use")
+		t.Error("an older list removed a server")
 	}
 	if !node.applyServerList(clock.Now(), []inventory.Server{{ID: "a", Service: "s", Position: storepos.At(4, 2)}}, storepos.At(4, 2)) {
-		t.Error("the first list of a later era is left out")
+		t.Error("the first list of a later era was ignored")
 	}
 }
 
@@ -66,18 +67,18 @@
 	node := newFollower(t, 0)
 	node.seedsQueried.Store(false)
 	if node.isReady() {
-		t.Error("ready by what the store says alone")
+		t.Error("ready before the seeds were queried")
 	}
 	node.options.Tunables.PeerSeeds = nil
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	node.snapshots.run(ctx)
 	if !node.isReady() {
-		t.Error("not ready though all seeds were asked")
+		t.Error("not ready although all seeds were queried")
 	}
 }
 
-// conflictStore refuses each write of the lease.
+// conflictStore refuses every write of the lease.
 type conflictStore struct {
 	LeaseStore
 	writes chan storelease.Record
@@ -92,7 +93,8 @@
 	return storepos.Position{}, false, nil
 }
 
-// A write of the lease that is refused each time is made as fast as the store answers.
+// TestRefusedLeaseWritesArePaused guards against a busy loop: without a pause, a lease write
+// that is always refused was retried as fast as the store responded.
 func TestRefusedLeaseWritesArePaused(t *testing.T) {
 	node := newFollower(t, 0)
 	store := &conflictStore{writes: make(chan storelease.Record, 100)}
@@ -108,6 +110,6 @@
 		}
 	}
 	if pause := leader.nextCall.Sub(clock.Now()); pause < leaseRetryPause/8 {
-		t.Errorf("the next write is %v after the second refusal", pause)
+		t.Errorf("the next write is due %v after the second refusal, too soon", pause)
 	}
 }
--- a/internal/edge/evacuations_test.go
+++ b/internal/edge/evacuations_test.go
@@ -21,8 +21,8 @@
 
 const evacuateWithin = 5 * time.Second
 
-// evacuationStore is a store that holds evacuations alone; while it turns nodes away all
-// calls fail.
+// evacuationStore is a store that holds only evacuations. While unavailable is set, all calls
+// fail.
 type evacuationStore struct {
 	sourceStore
 	mu          sync.Mutex
@@ -68,7 +68,7 @@
 	}
 }
 
-// change puts a list in place of the one before.
+// change replaces the list.
 func (s *evacuationStore) change(events []evacuation.Event, revision int64, zones ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,8 +77,8 @@
 	s.changed = make(chan struct{})
 }
 
-// newEvacuationNode is a node that knows a configuration and a server in each of the zones a
-// and b, on a platform that evacuates zones.
+// newEvacuationNode returns a node with a configuration and a server in each of the zones a and
+// b, on a platform that evacuates zones.
 func newEvacuationNode(t *testing.T, store Store) *Node {
 	t.Helper()
 	node := newTestNode(t)
@@ -90,7 +90,7 @@
 	return node
 }
 
-// shareEvacuations lets one node hear of the other's evacuations as datagrams tell them.
+// shareEvacuations delivers one node's evacuations to another as datagrams do.
 func shareEvacuations(from, to *Node) {
 	to.evacuations.receive(clock.Now(), from.options.PeerAddress, from.peers.state(clock.Now()).Evacuations)
 }
@@ -108,38 +108,40 @@
 	t.Helper()
 	for end := time.Now().Add(bound); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", bound, what)
+			t.Fatalf("condition not met within %v: %s", bound, what)
 		}
 	}
 }
 
-// TestNodeTurnedAwayHearsOfEvacuationsFromPeers, and of their end, within the bound.
+// TestNodeTurnedAwayHearsOfEvacuationsFromPeers checks that a node without access to the store
+// learns of an evacuation and of its end from a peer.
 func TestNodeTurnedAwayHearsOfEvacuationsFromPeers(t *testing.T) {
-	store, closed := newEvacuationStore(5), newEvacuationStore(5)
-	closed.unavailable = true
-	reader, away := newEvacuationNode(t, store), newEvacuationNode(t, closed)
+	store, unavailableStore := newEvacuationStore(5), newEvacuationStore(5)
+	unavailableStore.unavailable = true
+	reader, cutOff := newEvacuationNode(t, store), newEvacuationNode(t, unavailableStore)
 	reader.evacuations.run(t)
-	away.evacuations.run(t)
-	eventually(t, evacuateWithin, "the reader knows", reader.evacuations.isInitialized)
+	cutOff.evacuations.run(t)
+	eventually(t, evacuateWithin, "the reader has the list", reader.evacuations.isInitialized)
 	store.change([]evacuation.Event{{Zone: "a"}}, 6, "a")
 	eventually(t, evacuateWithin, "the reader evacuates a", func() bool { return !isAvailable(reader, "in-a") })
-	shareEvacuations(reader, away)
-	if isAvailable(away, "in-a") || !isAvailable(away, "in-b") {
-		t.Error("the node that is turned away does not go by its peer's word")
+	shareEvacuations(reader, cutOff)
+	if isAvailable(cutOff, "in-a") || !isAvailable(cutOff, "in-b") {
+		t.Error("the node without store access does not apply its peer's list")
 	}
 	store.change([]evacuation.Event{{Zone: "a", Ended: true}}, 9)
-	eventually(t, evacuateWithin, "the reader takes a back", func() bool { return isAvailable(reader, "in-a") })
-	shareEvacuations(reader, away)
-	if !isAvailable(away, "in-a") {
-		t.Error("the node that is turned away does not hear of the end")
+	eventually(t, evacuateWithin, "the reader ends the evacuation of a", func() bool { return isAvailable(reader, "in-a") })
+	shareEvacuations(reader, cutOff)
+	if !isAvailable(cutOff, "in-a") {
+		t.Error("the node without store access does not learn of the end")
 	}
 }
 
-// TestOldWordOfEvacuationsRevertsNothing: neither that of a peer nor the store's late
-// answer; also not one from between two lists that name the same zones.
+// TestOldWordOfEvacuationsRevertsNothing checks that neither a peer's older list nor a late
+// response of the store undoes a newer list, including a list from between two that name the
+// same zones.
 func TestOldWordOfEvacuationsRevertsNothing(t *testing.T) {
 	node := newEvacuationNode(t, newEvacuationStore(1))
-	hear := func(revision int64, zones ...string) {
+	receive := func(revision int64, zones ...string) {
 		node.evacuations.receive(clock.Now(), "126.0.0.1:1", &peerpb.Evacuations{Revision: revision, Zones: zones, AgeMs: 1})
 	}
 	steps := []struct {
@@ -147,18 +149,18 @@
 		take func()
 		want []string
 	}{
-		{"first", func() { hear(5, "a") }, []string{"a"}},
-		{"an older word", func() { hear(4) }, []string{"a"}},
-		{"the same zones later", func() { hear(9, "a") }, []string{"a"}},
-		{"a word from between", func() { hear(7, "b") }, []string{"a"}},
-		{"a late answer of the store", func() { node.evacuations.applyPeerList(evacuation.Snapshot{Position: storepos.At(0, 8)}, "read", 0) }, []string{"a"}},
+		{"first", func() { receive(5, "a") }, []string{"a"}},
+		{"an older list", func() { receive(4) }, []string{"a"}},
+		{"the same zones later", func() { receive(9, "a") }, []string{"a"}},
+		{"a list from between", func() { receive(7, "b") }, []string{"a"}},
+		{"a late response of the store", func() { node.evacuations.applyPeerList(evacuation.Snapshot{Position: storepos.At(0, 8)}, "read", 0) }, []string{"a"}},
 		{"late events of a watch", func() { node.evacuations.applyEvents([]evacuation.Event{{Zone: "a", Ended: true}}, storepos.At(0, 8)) }, []string{"a"}},
 		{"a digest of the same zones", func() {
 			digest := evacuation.Snapshot{Zones: []string{"a"}}.Digest()
 			node.evacuations.receive(clock.Now(), "126.0.0.1:1", &peerpb.Evacuations{Revision: 12, Abridged: digest, AgeMs: 1})
 		}, []string{"a"}},
-		{"a word from before that", func() { hear(11) }, []string{"a"}},
-		{"a newer word", func() { hear(13, "b") }, []string{"b"}},
+		{"a list from before that", func() { receive(11) }, []string{"a"}},
+		{"a newer list", func() { receive(13, "b") }, []string{"b"}},
 	}
 	for _, step := range steps {
 		step.take()
@@ -166,49 +168,52 @@
 			t.Errorf("%s: %q evacuated, want %q", step.name, got, step.want)
 		}
 		if isAvailable(node, "in-a") == slices.Contains(step.want, "a") {
-			t.Errorf("%s: in-a takes work: %v", step.name, isAvailable(node, "in-a"))
+			t.Errorf("%s: in-a available: %v", step.name, isAvailable(node, "in-a"))
 		}
 	}
 }
 
-// TestStartingNodeServesNothingBeforeItKnowsEvacuations, and takes no lead.
+// TestStartingNodeServesNothingBeforeItKnowsEvacuations checks that a node is not ready, and so
+// no candidate for the lease, before it knows the evacuations.
 func TestStartingNodeServesNothingBeforeItKnowsEvacuations(t *testing.T) {
 	peer, node := newEvacuationNode(t, newEvacuationStore(5)), newEvacuationNode(t, newEvacuationStore(5))
 	if node.isReady() || node.hasRequiredState() {
-		t.Error("ready before it knows the evacuations")
+		t.Error("ready before the evacuations are known")
 	}
 	peer.evacuations.applyPeerList(evacuation.Snapshot{Zones: []string{"a"}, Position: storepos.At(0, 5)}, "read", 0)
 	if !node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState()) || !node.isReady() {
-		t.Error("not ready with all that its peer knows")
+		t.Error("not ready with the peer's complete state")
 	}
 	if isAvailable(node, "in-a") {
-		t.Error("the evacuation did not come with the peer's snapshot")
+		t.Error("the peer's snapshot did not contain the evacuation")
 	}
 }
 
-// TestConfirmedEvacuationsLeaveTheStoreAlone as long as a share of their bound.
+// TestConfirmedEvacuationsLeaveTheStoreAlone checks that confirmed evacuations are not queried
+// from the store before a fraction of their bound has passed.
 func TestConfirmedEvacuationsLeaveTheStoreAlone(t *testing.T) {
 	node := newEvacuationNode(t, newEvacuationStore(5))
 	for i := range 3 {
 		node.peers.roster.Observe(clock.Now(), &peerpb.NodeState{Node: fmt.Sprint(i), Address: fmt.Sprintf("126.0.0.%d:1", i+1), Life: 1, Sequence: 1, Strength: strongStrength})
 	}
 	node.evacuations.receive(clock.Now(), "126.0.0.1:1", &peerpb.Evacuations{Revision: 5, AgeMs: 1})
-	asks := func(after time.Duration) bool {
+	queries := func(after time.Duration) bool {
 		return node.shouldQueryStore(clock.Now().Add(after), &node.evacuations.confirmed)
 	}
-	if asks(2 * time.Second) {
-		t.Error("asks the store for what was confirmed 2 s ago, of 5 s")
+	if queries(2 * time.Second) {
+		t.Error("queries the store for data confirmed 2 s ago, with a bound of 5 s")
 	}
-	if !asks(evacuateWithin * 3 / 4) {
-		t.Error("does not ask the store within the bound where nobody confirms")
+	if !queries(evacuateWithin * 3 / 4) {
+		t.Error("does not query the store within the bound without confirmations")
 	}
 	node.evacuations.receive(clock.Now(), "126.0.0.1:1", &peerpb.Evacuations{Revision: 4, Zones: []string{"b"}, AgeMs: 1})
 	if got := node.evacuations.zones(); len(got) != 0 {
-		t.Errorf("%q evacuated by an older word", got)
+		t.Errorf("%q evacuated by an older list", got)
 	}
 }
 
-// TestManyZonesAreToldByDigest, and asked for.
+// TestManyZonesAreToldByDigest checks that a long list is sent as a digest, upon which the
+// receiver requests it.
 func TestManyZonesAreToldByDigest(t *testing.T) {
 	var zones []string
 	for i := range 100 {
@@ -216,13 +221,13 @@
 	}
 	peer, node := newEvacuationNode(t, newEvacuationStore(5)), newEvacuationNode(t, newEvacuationStore(5))
 	peer.evacuations.applyPeerList(evacuation.Snapshot{Zones: zones, Position: storepos.At(0, 5)}, "read", 0)
-	told := peer.evacuations.encode(clock.Now())
-	if len(told.Zones) != 0 || told.Abridged == 0 {
-		t.Fatalf("told %d zones in a datagram", len(told.Zones))
+	encoded := peer.evacuations.encode(clock.Now())
+	if len(encoded.Zones) != 0 || encoded.Abridged == 0 {
+		t.Fatalf("%d zones in a datagram, want a digest", len(encoded.Zones))
 	}
 	shareEvacuations(peer, node)
 	if node.evacuations.isInitialized() || len(node.snapshots.pending) != 1 {
-		t.Error("the peer is not asked for its list")
+		t.Error("the peer's list is not requested")
 	}
 	node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState())
 	if got := node.evacuations.zones(); len(got) != len(zones) {
@@ -230,11 +235,12 @@
 	}
 	shareEvacuations(peer, node)
 	if len(node.snapshots.pending) != 1 {
-		t.Error("the peer is asked once more for what is known")
+		t.Error("the peer is asked again for a known list")
 	}
 }
 
-// TestUnknownZoneIsReportedOnceAndStaysInForce with its place and reason.
+// TestUnknownZoneIsReportedOnceAndStaysInForce checks the log line, with its place and reason,
+// for an evacuated zone that nothing else names.
 func TestUnknownZoneIsReportedOnceAndStaysInForce(t *testing.T) {
 	node := newEvacuationNode(t, newEvacuationStore(5))
 	lines := &strings.Builder{}
@@ -244,18 +250,18 @@
 		node.evacuations.reportUnknown()
 	}
 	if got := strings.Count(lines.String(), "place=evacuations/nowhere"); got != 1 || strings.Contains(lines.String(), "place=evacuations/a") {
-		t.Errorf("reported %d times, want once and for nowhere alone:\n%s", got, lines)
+		t.Errorf("reported %d times, want once and only for zone nowhere:\n%s", got, lines)
 	}
 	if !node.evacuations.isEvacuated("nowhere") {
 		t.Error("the evacuation is not in force")
 	}
 	node.applyServerChanges([]inventory.Change{{Server: inventory.Server{ID: "n", Zone: "nowhere", Position: storepos.At(0, 9)}}}, "list")
 	if isAvailable(node, "n") {
-		t.Error("a server that came later in the zone takes work")
+		t.Error("a server added later in the zone is available")
 	}
 	node.dispatch.Do(func(core *dispatch.Core) {
 		if got := core.CountServers(clock.Now(), dispatch.StateEvacuated); got != 2 {
-			t.Errorf("%d servers closed, want 2", got)
+			t.Errorf("%d servers evacuated, want 2", got)
 		}
 	})
 }
--- a/internal/edge/lapses_test.go
+++ b/internal/edge/lapses_test.go
@@ -23,44 +23,44 @@
 	return inventory.Change{Server: inventory.Server{ID: id}, Gone: true}
 }
 
-// TestLapsedEntriesComeBackOrGo: after an outage of the store nodes took all
-// servers whose entries had lapsed for gone, and refused their callers.
+// TestLapsedEntriesComeBackOrGo guards against refused requests after an outage of the store:
+// nodes considered all servers gone whose entries had expired during it.
 func TestLapsedEntriesComeBackOrGo(t *testing.T) {
-	var lapses expiryGrace
+	var grace expiryGrace
 	known := []inventory.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-	if got := ids(lapses.addMissing(begin, known[:1], known)); len(got) != 1 {
-		t.Errorf("in calm times a list is completed to %v", got)
+	if got := ids(grace.addMissing(begin, known[:1], known)); len(got) != 1 {
+		t.Errorf("without an outage a list was completed to %v", got)
 	}
-	lapses.begin(begin)
-	if diff := cmp.Diff([]string{"a", "b", "c"}, ids(lapses.addMissing(begin.Add(time.Millisecond), known[:1], known))); diff != "" {
+	grace.begin(begin)
+	if diff := cmp.Diff([]string{"a", "b", "c"}, ids(grace.addMissing(begin.Add(time.Millisecond), known[:1], known))); diff != "" {
 		t.Error(diff)
 	}
-	if kept := lapses.filterRemovals(begin.Add(time.Second), []inventory.Change{removal("a"), {Server: known[1]}}); len(kept) != 1 || kept[0].Gone {
-		t.Errorf("kept %v, want that b is back alone", kept)
+	if kept := grace.filterRemovals(begin.Add(time.Second), []inventory.Change{removal("a"), {Server: known[1]}}); len(kept) != 1 || kept[0].Gone {
+		t.Errorf("kept %v, want only the return of b", kept)
 	}
-	if lapses.finish(begin.Add(expiryGracePeriod - time.Millisecond)) {
-		t.Error("the time is over too soon")
+	if grace.finish(begin.Add(expiryGracePeriod - time.Millisecond)) {
+		t.Error("the grace period ended too soon")
 	}
-	if !lapses.finish(begin.Add(expiryGracePeriod)) || lapses.finish(begin.Add(expiryGracePeriod)) {
-		t.Error("the end of the time is not told, or told twice")
+	if !grace.finish(begin.Add(expiryGracePeriod)) || grace.finish(begin.Add(expiryGracePeriod)) {
+		t.Error("the end of the grace period was not reported exactly once")
 	}
-	if diff := cmp.Diff([]string{"b"}, ids(lapses.addMissing(begin.Add(expiryGracePeriod), known[1:2], known))); diff != "" {
-		t.Errorf("a list after the time is completed: %s", diff)
+	if diff := cmp.Diff([]string{"b"}, ids(grace.addMissing(begin.Add(expiryGracePeriod), known[1:2], known))); diff != "" {
+		t.Errorf("a list after the grace period was completed: %s", diff)
 	}
-	if kept := lapses.filterRemovals(begin.Add(expiryGracePeriod), []inventory.Change{removal("b")}); len(kept) != 1 {
-		t.Error("a server that goes after the time is kept")
+	if kept := grace.filterRemovals(begin.Add(expiryGracePeriod), []inventory.Change{removal("b")}); len(kept) != 1 {
+		t.Error("a server removed after the grace period was kept")
 	}
 }
 
-// TestShortFailureHoldsNothingBack: entries lapse only in an outage that is as long
-// as their servers take to renew them.
+// TestShortFailureHoldsNothingBack checks that removals are suppressed only after an outage long
+// enough for entries to expire.
 func TestShortFailureHoldsNothingBack(t *testing.T) {
 	node := newFollower(t, 0)
 	node.recordStoreFailure("servers", errNoAnswer)
 	node.recordStoreSuccess()
 	node.applyServerEvents([]inventory.Change{removal("a")}, storepos.At(0, 3))
 	if node.directory.table.IsAvailable("a") {
-		t.Error("a server that is gone takes work after one failed call")
+		t.Error("a removed server is available after one failed call")
 	}
 	node = newFollower(t, 0)
 	node.recordStoreFailure("servers", errNoAnswer)
@@ -68,28 +68,28 @@
 	node.recordStoreSuccess()
 	node.applyServerEvents([]inventory.Change{removal("a")}, storepos.At(0, 3))
 	if !node.directory.table.IsAvailable("a") {
-		t.Error("a server whose entry lapsed in an outage takes no work")
+		t.Error("a server whose entry expired in an outage is not available")
 	}
 	node.finishExpiryGrace(clock.Now().Add(expiryGracePeriod))
 	if got := countSignals(node.serversRefresh); got != 1 {
-		t.Errorf("the servers are read anew %d times, want once", got)
+		t.Errorf("the servers are reloaded %d times, want once", got)
 	}
 	node.expiryGrace.until = time.Time{}
 	node.applyServerList(clock.Now(), []inventory.Server{{ID: "b", Position: storepos.At(0, 4)}}, storepos.At(0, 5))
 	if node.directory.table.IsAvailable("a") {
-		t.Error("a server whose entry did not come back takes work")
+		t.Error("a server whose entry did not come back is available")
 	}
 }
 
-// TestLapsedEntryThatCameBackUnseenIsNotGone: a node that stopped watching before
-// entries came back took their servers for gone and told all others, from a revision
-// above that of the entries: nobody sent to them any more.
+// TestLapsedEntryThatCameBackUnseenIsNotGone guards against lost servers: a node that stopped
+// watching before entries came back considered their servers gone, and announced this with a
+// revision above that of the entries, so that no node used them any more.
 func TestLapsedEntryThatCameBackUnseenIsNotGone(t *testing.T) {
 	node := newFollower(t, 0)
 	node.expiryGrace.begin(clock.Now())
 	node.applyServerList(clock.Now(), nil, storepos.At(0, 9))
 	node.finishExpiryGrace(clock.Now().Add(expiryGracePeriod))
-	if news := takeChanges(node.directory, clock.Now()); len(news) != 0 || !node.directory.table.IsAvailable("a") {
-		t.Errorf("told %v without a look at the store", news)
+	if changes := takeChanges(node.directory, clock.Now()); len(changes) != 0 || !node.directory.table.IsAvailable("a") {
+		t.Errorf("announced %v without querying the store", changes)
 	}
 }
--- a/internal/edge/news_bench_test.go
+++ b/internal/edge/news_bench_test.go
@@ -15,15 +15,15 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// benchServers, benchLoads and periodsPerSecond are the size of a fleet of today, and
-// what one of its nodes has under way.
+// benchServers, benchLoads and periodsPerSecond are the size of a current fleet and the requests
+// in progress at one of its nodes.
 const (
 	benchServers     = 166
 	benchLoads       = 4
 	periodsPerSecond = int(time.Second / gossipPeriod)
 )
 
-// nodeDatagram is one node's datagram.
+// nodeDatagram returns one node's datagram.
 func nodeDatagram(b *testing.B, node *Node, index int, sequence uint64) []byte {
 	b.Helper()
 	state := &peerpb.NodeState{
@@ -52,10 +52,9 @@
 	return fmt.Sprintf("10.0.%d.%d:7380", index/200, index%200)
 }
 
-// BenchmarkSecondOfNews is what an ordinary node spends in a second on what nodes
-// tell each other: eight datagrams and one of the leader's a period, its own ones,
-// and its look at the lease. state-B is the memory that a fleet takes beyond a
-// node that knows nobody.
+// BenchmarkSecondOfNews measures what an ordinary node spends per second on gossip: eight
+// datagrams and one of the leader's per period, its own datagrams, and its lease checks. state-B
+// is the memory used for the fleet beyond that of a node without peers.
 func BenchmarkSecondOfNews(b *testing.B) {
 	for _, nodes := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
@@ -99,7 +98,7 @@
 	}
 }
 
-// heapBytes is the memory in use after a collection.
+// heapBytes returns the memory in use after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -14,7 +14,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// newTestNode is a node with its socket on loopback, that nothing runs.
+// newTestNode returns a node with a socket on loopback and no running goroutines.
 func newTestNode(t testing.TB) *Node {
 	t.Helper()
 	node := New(Options{
@@ -39,46 +39,46 @@
 	return count
 }
 
-// TestNodeThatBecomesSentinelWatchesAnew: the first two nodes were cut from the
-// store while a compaction had made the watches of the next ones deaf, which
-// went on for five seconds.
+// TestNodeThatBecomesSentinelWatchesAnew guards against stalled watches: while the first two
+// nodes were cut off from the store, a compaction had stalled the watches of the nodes next in
+// rank, which missed changes for five seconds.
 func TestNodeThatBecomesSentinelWatchesAnew(t *testing.T) {
 	node := newTestNode(t)
 	sequence := uint64(0)
-	hear := func(failing bool) {
+	receive := func(failing bool) {
 		sequence++
 		for _, address := range []string{"126.0.0.1:1", "126.0.0.2:1"} {
 			node.peers.handleState(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, StoreFailing: failing})
 		}
 	}
-	hear(false)
+	receive(false)
 	node.peers.refreshOnSentinel()
 	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
-		t.Errorf("%d and %d watches begun anew by a node that is no sentinel", config, servers)
+		t.Errorf("%d and %d watches restarted by a node that is no sentinel", config, servers)
 	}
-	hear(true)
+	receive(true)
 	node.peers.refreshOnSentinel()
 	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config != 1 || servers != 1 {
-		t.Errorf("%d and %d watches begun anew, want both", config, servers)
+		t.Errorf("%d and %d watches restarted, want both", config, servers)
 	}
 	node.peers.refreshOnSentinel()
 	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
-		t.Errorf("%d and %d watches begun anew by a node that was a sentinel before", config, servers)
+		t.Errorf("%d and %d watches restarted by a node that was a sentinel before", config, servers)
 	}
 }
 
-// TestNodeThatStartsKeepsItsWatches: a node that knows nobody yet watches for
-// itself, and each began its first watches anew for that.
+// TestNodeThatStartsKeepsItsWatches checks that a starting node, which knows no peers and
+// watches for itself, does not restart its first watches.
 func TestNodeThatStartsKeepsItsWatches(t *testing.T) {
 	node := newTestNode(t)
 	node.peers.refreshOnSentinel()
 	if config, servers := countSignals(node.configRefresh), countSignals(node.serversRefresh); config+servers != 0 {
-		t.Errorf("%d and %d watches begun anew by a node that just started", config, servers)
+		t.Errorf("%d and %d watches restarted by a node that has just started", config, servers)
 	}
 }
 
-// TestCandidateReadsPeersUnderTheirLock fails under the race detector, which found
-// it over processes, where the candidate reads a peer that a datagram is changing.
+// TestCandidateReadsPeersUnderTheirLock relies on the race detector: a candidate must not read a
+// peer's state while a datagram changes it.
 func TestCandidateReadsPeersUnderTheirLock(t *testing.T) {
 	node := newTestNode(t)
 	node.handler.SetTable(routetable.New(1, nil, nil, routetable.Limits{}))
@@ -104,6 +104,6 @@
 		}
 	}
 	if node.leader.isCandidate(clock.Now()) {
-		t.Error("a candidate beside a leader that is heard")
+		t.Error("candidate although a leader is heard from")
 	}
 }
--- a/internal/edge/quotas_test.go
+++ b/internal/edge/quotas_test.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// limitedTable has one tenant with a quota of tokens.
+// limitedTable returns a table with one tenant that has a token quota.
 func limitedTable(perSecond float64) *routetable.Table {
 	table := routetable.New(2, nil, nil, routetable.Limits{})
 	table.SetTenants([]routetable.Tenant{{
@@ -21,7 +21,7 @@
 	return table
 }
 
-// newQuotaNode returns a node whose quotas tolerate little, which hears its peers.
+// newQuotaNode returns a node with a small quota tolerance that receives datagrams.
 func newQuotaNode(t *testing.T, strength uint32) *Node {
 	t.Helper()
 	node := newTestNode(t)
@@ -38,14 +38,14 @@
 	return node
 }
 
-// introduce lets two nodes know each other.
+// introduce makes two nodes known to each other.
 func introduce(a, b *Node) {
 	now := clock.Now()
 	a.peers.handleState(b.peers.state(now))
 	b.peers.handleState(a.peers.state(now))
 }
 
-// acquireDirectly asks the node's own accounts, beside its peers.
+// acquireDirectly draws on the node's own accounts, bypassing its peers.
 func acquireDirectly(node *Node, now time.Time, tenant *routetable.Tenant, cost float64) quota.Decision {
 	node.quotas.mu.Lock()
 	defer node.quotas.mu.Unlock()
@@ -61,8 +61,8 @@
 	return tenant
 }
 
-// TestStrongestNodeCoordinates: another asks it, is granted what it has and refused more,
-// with the time to come back.
+// TestStrongestNodeCoordinates checks that another node asks the strongest one, which grants
+// what is available and refuses more with a retry time.
 func TestStrongestNodeCoordinates(t *testing.T) {
 	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
 	introduce(coordinator, asker)
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestSilentCoordinatorIsPassedOver: the node lives on its own share, and asks a coordinator that
-// did not answer only once a second.
+// TestSilentCoordinatorIsPassedOver checks that without a response the node uses its own share,
+// and skips a coordinator after repeated missed calls.
 func TestSilentCoordinatorIsPassedOver(t *testing.T) {
 	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
 	introduce(coordinator, asker)
@@ -94,24 +94,25 @@
 	defer cancel()
 	got := asker.quotas.Admit(ctx, tenant, 5000, 0)
 	if got.Granted || got.DecidedBy != "alone" {
-		t.Errorf("%+v of a node that just started and reaches no coordinator, want refused", got)
+		t.Errorf("%+v by a node that has just started and reaches no coordinator, want refused", got)
 	}
 	for range 2 * maxUnanswered {
 		asker.quotas.Admit(context.Background(), tenant, 5000, 0)
 	}
 	if asked := asker.quotas.unanswered.Load(); asked != maxUnanswered {
-		t.Errorf("%d questions without an answer: a silent coordinator was asked again at once", asked)
+		t.Errorf("%d calls without a response: an unresponsive coordinator was asked again at once", asked)
 	}
 }
 
-// TestAskedNodeSendsOnToTheCoordinator: a node that hears one before it does not give.
+// TestAskedNodeSendsOnToTheCoordinator checks that a node which hears from a preferred
+// coordinator forwards calls to it.
 func TestAskedNodeSendsOnToTheCoordinator(t *testing.T) {
 	coordinator, second, asker := newQuotaNode(t, 900), newQuotaNode(t, 500), newQuotaNode(t, 100)
 	introduce(coordinator, second)
 	introduce(second, asker)
 	got := asker.quotas.Admit(context.Background(), tenantOf(t, asker), 700, 0)
 	if !got.Granted {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want granted", got)
 	}
 	tenant := tenantOf(t, coordinator)
 	if level := acquireDirectly(coordinator, clock.Now(), tenant, 1e9).Remaining; level > 700 {
@@ -119,13 +120,14 @@
 	}
 }
 
-// TestRequestWaitsForItsQuota: one that will be granted in a moment is not sent away.
+// TestRequestWaitsForItsQuota checks that a request that can be granted shortly is held rather
+// than refused.
 func TestRequestWaitsForItsQuota(t *testing.T) {
 	coordinator, asker := newQuotaNode(t, 900), newQuotaNode(t, 100)
 	introduce(coordinator, asker)
 	tenant := tenantOf(t, asker)
 	for acquireDirectly(coordinator, clock.Now(), tenant, 700).Granted {
-		t.Log("the coordinator begins with a little")
+		t.Log("draining the coordinator's initial balance")
 	}
 	if got := asker.quotas.Admit(context.Background(), tenant, 1500, 0); !got.Granted {
 		t.Errorf("%+v for a request that is within the quota in 0.2 s", got)
--- a/internal/edge/relist_test.go
+++ b/internal/edge/relist_test.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// singleEventStore tells one event of its servers, and then none.
+// singleEventStore returns one server event and then none.
 type singleEventStore struct {
 	sourceStore
 	lists, watches atomic.Int64
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestLapsesEndInARest: entries that did not come back are asked for anew, also where that
-// falls into the rest between two calls for changes.
+// TestLapsesEndInARest checks that the end of the expiry grace period triggers a reload of the
+// servers even during the pause between two calls for changes.
 func TestLapsesEndInARest(t *testing.T) {
 	node := newFollower(t, 0)
 	store := &singleEventStore{}
@@ -56,7 +56,7 @@
 	node.finishExpiryGrace(clock.Now())
 	for end := time.Now().Add(5 * time.Second); store.lists.Load() == before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the servers are not read anew within 5 s of the end of the lapses")
+			t.Fatal("the servers are not reloaded within 5 s of the end of the grace period")
 		}
 	}
 }
--- a/internal/edge/return_test.go
+++ b/internal/edge/return_test.go
@@ -15,16 +15,15 @@
 	return available
 }
 
-// shareChanges lets one node hear the other's news of this period.
+// shareChanges delivers the changes that one node announces in this period to another.
 func shareChanges(from, to *Node) {
 	to.receivePeerChanges(clock.Now(), from.directory.takeDue(clock.Now()))
 }
 
-// TestServerThatWentAndCameBackTakesWork: where a server's entry went and came back
-// between two answers of the store, the node that watched told all others that the
-// server is gone as of the answer's revision, above that of the entry: nobody sent
-// to it any more until its entry changed, which that of a plain server does only as
-// it leaves.
+// TestServerThatWentAndCameBackTakesWork guards against lost servers. If an entry disappeared
+// and came back between two responses of the store, the watching node announced the removal with
+// the response's revision, above that of the entry. No node used the server until its entry
+// changed, which the entry of a plain server does only when it leaves.
 func TestServerThatWentAndCameBackTakesWork(t *testing.T) {
 	back := inventory.Server{ID: "a", Position: storepos.At(0, 8)}
 	steps := []struct {
@@ -48,41 +47,42 @@
 			shareChanges(other, watcher)
 			for name, node := range map[string]*Node{"watcher": watcher, "other": other} {
 				if got := isAvailable(node, "a"); got != step.want {
-					t.Errorf("%s: takes work %v, want %v", name, got, step.want)
+					t.Errorf("%s: available: %v, want %v", name, got, step.want)
 				}
 				if got := node.directory.table.IsAvailable("a"); got != step.want {
-					t.Errorf("%s: in the directory it takes work: %v, want %v", name, got, step.want)
+					t.Errorf("%s: available in the directory: %v, want %v", name, got, step.want)
 				}
 			}
 		})
 	}
 }
 
-// TestWordThatAServerIsGoneEndsWithItsNewerEntry in whichever order a node hears.
+// TestWordThatAServerIsGoneEndsWithItsNewerEntry checks that a newer entry overrides a removal
+// in whichever order they arrive.
 func TestWordThatAServerIsGoneEndsWithItsNewerEntry(t *testing.T) {
-	word := gossip.ServerChange{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 7)}}
+	removal := gossip.ServerChange{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 7)}}
 	back := gossip.ServerChange{Server: inventory.Server{ID: "a", Position: storepos.At(0, 8)}}
-	for _, order := range [][]gossip.ServerChange{{word, back}, {back, word}} {
+	for _, order := range [][]gossip.ServerChange{{removal, back}, {back, removal}} {
 		node := newFollower(t, 0)
 		for _, item := range order {
 			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{item})
 		}
 		if !isAvailable(node, "a") {
-			t.Errorf("heard %v: the server takes no work", order)
+			t.Errorf("received %v: the server is not available", order)
 		}
 	}
 }
 
-// TestPeersWordGoesBeforeAHeldEntry: a node that holds an entry back as lapsed, since
-// it saw the store fail, sent on to a server of which peers had told that it is gone,
-// 8 ms longer than it may. Then it sent to it no more when it was back, and did not
-// notice, as its directory still had it: the directory and the choice of servers go
-// by the same words.
+// TestPeersWordGoesBeforeAHeldEntry guards against the directory and the dispatcher disagreeing.
+// A node that retained an expired entry after a store failure kept using a server 8 ms longer
+// than allowed after peers had announced its removal. Later it did not use the server after its
+// return, and did not notice because its directory still contained it. Both must apply the same
+// announcements.
 func TestPeersWordGoesBeforeAHeldEntry(t *testing.T) {
 	back := inventory.Server{ID: "a", Position: storepos.At(0, 10)}
 	returns := map[string]func(node *Node){
 		"by the store": func(node *Node) { node.applyServerEvents([]inventory.Change{{Server: back}}, storepos.At(0, 10)) },
-		"by a peer's word": func(node *Node) {
+		"by a peer's announcement": func(node *Node) {
 			node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: back}})
 		},
 		"by a peer's list": func(node *Node) { node.applyPeerServerList([]inventory.Server{back}, storepos.At(0, 11)) },
@@ -96,18 +96,18 @@
 		node.expiryGrace.begin(clock.Now())
 		node.applyServerList(clock.Now(), nil, storepos.At(0, 9))
 		if !isAvailable(node, "a") {
-			t.Fatal("a lapsed entry is not held back")
+			t.Fatal("an expired entry is not retained")
 		}
 		node.receivePeerChanges(clock.Now(), []gossip.ServerChange{{Server: inventory.Server{ID: "a", Draining: true, Position: storepos.At(0, 8)}}})
 		if isAvailable(node, "a") || node.directory.table.IsAvailable("a") {
-			t.Error("the server takes work though a peer knows that it is gone")
+			t.Error("the server is available although a peer announced its removal")
 		}
 		if digest, _ := node.directory.digestAndPosition(); digest == before {
-			t.Error("peers cannot tell that this node sends nothing to the server")
+			t.Error("the digest does not show that the server is unavailable here")
 		}
 		comesBack(node)
 		if !isAvailable(node, "a") || !node.directory.table.IsAvailable("a") {
-			t.Errorf("%s: the server takes no work though its entry came back", name)
+			t.Errorf("%s: the server is not available although its entry came back", name)
 		}
 	}
 }
--- a/internal/edge/snapshot_bench_test.go
+++ b/internal/edge/snapshot_bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// BenchmarkSnapshotOfWhatIsKnown: a peer that knows all 3,000 servers asks for the rest.
+// BenchmarkSnapshotOfWhatIsKnown measures a snapshot for a peer that already has all 3,000
+// servers.
 func BenchmarkSnapshotOfWhatIsKnown(b *testing.B) {
 	node := newTestNode(b)
 	var servers []inventory.Server
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -17,7 +17,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// sourceStore reads a configuration from its source alone.
+// sourceStore only decodes configuration sources.
 type sourceStore struct{ Store }
 
 func (sourceStore) DecodeConfiguration(source []byte) (*routetable.Table, error) {
@@ -29,7 +29,7 @@
 	return table, nil
 }
 
-// serveSnapshots lets a node answer on a loopback address.
+// serveSnapshots serves the node's snapshots on a loopback address.
 func serveSnapshots(t *testing.T, node *Node) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,8 @@
 	return listener.Addr().String()
 }
 
-// TestSnapshotBringsWhatThePeerKnows over the wire, and how old that is.
+// TestSnapshotBringsWhatThePeerKnows checks that a snapshot transfers the peer's data and its
+// age.
 func TestSnapshotBringsWhatThePeerKnows(t *testing.T) {
 	peer, node := newTestNode(t), newTestNode(t)
 	for _, each := range []*Node{peer, node} {
@@ -50,7 +51,7 @@
 	}
 	address := serveSnapshots(t, peer)
 	if node.snapshots.fetch(context.Background(), address, node.knownState()) {
-		t.Error("a peer that knows nothing brought something")
+		t.Error("a peer without data satisfied the request")
 	}
 	table, _ := sourceStore{}.DecodeConfiguration([]byte("version nine"))
 	peer.activateTable(table, "read")
@@ -61,20 +62,20 @@
 	peer.configConfirmed.confirm(clock.Now().Add(-300 * time.Millisecond))
 	peer.serversConfirmed.confirm(clock.Now().Add(-300 * time.Millisecond))
 	if !node.snapshots.fetch(context.Background(), address, node.knownState()) {
-		t.Fatal("nothing came")
+		t.Fatal("the snapshot was not received")
 	}
 	if node.configVersion() != 9 || !node.directory.table.IsAvailable("a") || node.directory.table.IsAvailable("b") {
-		t.Errorf("version %d, a takes work: %v, b: %v", node.configVersion(), node.directory.table.IsAvailable("a"), node.directory.table.IsAvailable("b"))
+		t.Errorf("version %d, a available: %v, b available: %v", node.configVersion(), node.directory.table.IsAvailable("a"), node.directory.table.IsAvailable("b"))
 	}
 	for name, confirmed := range map[string]*confirmation{"configuration": &node.configConfirmed, "servers": &node.serversConfirmed} {
 		if age, known := confirmed.age(clock.Now()); !known || age < 300*time.Millisecond {
-			t.Errorf("%s: confirmed %v ago, %v; the peer's was 300 ms old", name, age, known)
+			t.Errorf("%s: confirmed %v ago, %v; want at least the peer's 300 ms", name, age, known)
 		}
 	}
 }
 
-// TestSnapshotLeavesOutWhatTheAskerHas: half of 2,300 answers of a large day brought
-// the same list of servers once more.
+// TestSnapshotLeavesOutWhatTheAskerHas guards against redundant transfers: half of 2,300
+// snapshots in a large test contained a list of servers that the requester already had.
 func TestSnapshotLeavesOutWhatTheAskerHas(t *testing.T) {
 	peer, node := newTestNode(t), newTestNode(t)
 	for _, each := range []*Node{peer, node} {
@@ -98,11 +99,11 @@
 	}
 	node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState())
 	if _, known := node.serversConfirmed.age(clock.Now()); !known || !node.directory.table.IsAvailable("a") {
-		t.Error("an answer without servers does not confirm those known, or drops them")
+		t.Error("a snapshot without servers did not confirm the known ones, or removed them")
 	}
 }
 
-// TestSnapshotOfADeadPeerFails at once where nobody listens.
+// TestSnapshotOfADeadPeerFails checks that a request fails at once if nobody listens.
 func TestSnapshotOfADeadPeerFails(t *testing.T) {
 	node := newTestNode(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,13 +113,13 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	if node.snapshots.fetch(context.Background(), address, node.knownState()) {
-		t.Error("a dead peer brought something")
+		t.Error("a dead peer satisfied the request")
 	}
 }
 
-// TestNodeThatHeardAllServersAsNewsBecomesReady: a node started right after an outage
-// and heard of all servers, whose entries were coming back, as news. Its peers took
-// from its digest that it had their list and never sent it; it asked 30 times a second
+// TestNodeThatHeardAllServersAsNewsBecomesReady guards against a node that never becomes ready.
+// A node that started right after an outage learned of all servers by announcements. Its peers
+// inferred from its digest that it had their list and never sent it; it asked 30 times a second
 // and was not ready for more than seven seconds.
 func TestNodeThatHeardAllServersAsNewsBecomesReady(t *testing.T) {
 	peer, node := newTestNode(t), newTestNode(t)
@@ -133,7 +134,7 @@
 		Node: "p", Address: "126.0.0.1:1", Life: 1, Sequence: 1, ServersDigest: digest, ServersRevision: at.Revision, ServersAgeMs: 1,
 	})
 	if _, confirmed := node.serversConfirmed.age(clock.Now()); confirmed {
-		t.Error("what a node heard as news alone is confirmed as the whole list")
+		t.Error("servers known only from announcements were confirmed as the whole list")
 	}
 	if !node.snapshots.fetch(context.Background(), serveSnapshots(t, peer), node.knownState()) || !node.isReady() {
 		t.Error("the peer's list does not make the node ready")
--- a/internal/edge/spread_test.go
+++ b/internal/edge/spread_test.go
@@ -16,7 +16,7 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// fakePeer keeps the datagrams of leaders that come to a socket.
+// fakePeer collects the leaders' datagrams that arrive at a socket.
 type fakePeer struct {
 	address string
 	states  chan *peerpb.NodeState
@@ -46,7 +46,7 @@
 	return peer
 }
 
-// next is the next datagram; nil where none comes soon.
+// next returns the next datagram, or nil if none arrives soon.
 func (p *fakePeer) next() *peerpb.NodeState {
 	select {
 	case state := <-p.states:
@@ -56,7 +56,7 @@
 	}
 }
 
-// newZonedNode is a node in a zone of two regions.
+// newZonedNode returns a node in one of the zones of two regions.
 func newZonedNode(t *testing.T, zone string) *Node {
 	t.Helper()
 	node := newTestNode(t)
@@ -70,8 +70,8 @@
 	n.peers.handleState(&peerpb.NodeState{Node: peer.address, Address: peer.address, Life: 1, Sequence: sequence, Zone: zone, Strength: 5})
 }
 
-// TestViewsGoOnceToARegionAndOnFromThere: the leader sends one datagram to a region, and
-// who gets it sends it on as it is, without the order to do so.
+// TestViewsGoOnceToARegionAndOnFromThere checks that the leader sends one datagram to a region,
+// and that its receiver forwards it unchanged but for the forwarding instructions.
 func TestViewsGoOnceToARegionAndOnFromThere(t *testing.T) {
 	leader, spreader := newZonedNode(t, "n"), newZonedNode(t, "s1")
 	var south []*fakePeer
@@ -93,7 +93,7 @@
 		}
 	}
 	if count != 1 || sent.Spread == nil || len(sent.Spread.Zones) != 2 {
-		t.Fatalf("%d datagrams crossed, the last %v; want one to be sent on in both zones", count, sent)
+		t.Fatalf("%d datagrams crossed regions, the last %v; want one to be forwarded in both zones", count, sent)
 	}
 	datagram, err := proto.Marshal(sent)
 	if err != nil {
@@ -104,7 +104,7 @@
 	for _, peer := range south {
 		state := peer.next()
 		if state == nil || state.Spread != nil || state.Leader == nil || state.Leader.Term != 7 || len(state.Leader.Views) != 1 || state.Sequence != sent.Sequence {
-			t.Errorf("%s got %v, want the leader's datagram as it was", peer.address, state)
+			t.Errorf("%s got %v, want the leader's datagram unchanged", peer.address, state)
 		}
 	}
 	if got := leader.peers.sentBytes[trafficViews][locality.OtherRegion].Load(); got == 0 || got != leader.peers.sentBytes.byKind(trafficViews) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestOvertakenViewsAreTaken: a datagram that came over another node is not lost where one
-// that the leader sent later came straight.
+// TestOvertakenViewsAreTaken checks that a forwarded datagram is not lost if a later one arrived
+// directly before it.
 func TestOvertakenViewsAreTaken(t *testing.T) {
 	node := newZonedNode(t, "s1")
 	node.dispatch.Do(func(core *dispatch.Core) {
@@ -131,27 +131,27 @@
 	})
 }
 
-// TestNodeWithoutViewsAsksForThem: who sends on may not reach it. What it has already is
-// only confirmed to it.
+// TestNodeWithoutViewsAsksForThem checks that a node requests views if they do not arrive, as
+// when the forwarder cannot reach it, and no longer once their digest is confirmed.
 func TestNodeWithoutViewsAsksForThem(t *testing.T) {
 	node := newZonedNode(t, "s1")
 	now := clock.Now()
 	node.peers.handleState(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 9, Zone: "n", Leader: &peerpb.LeaderState{Term: 7}})
 	if node.peers.shouldRequestViews(now.Add(maxViewsSilence / 2)) {
-		t.Error("asks before they are due")
+		t.Error("requests views before they are overdue")
 	}
 	node.peers.viewsDigestAt = now.Add(-2 * maxViewsSilence)
 	if !node.peers.state(now).ViewsWanted {
-		t.Error("does not ask for views though a leader lives")
+		t.Error("does not request views although there is a live leader")
 	}
 	node.peers.handleState(&peerpb.NodeState{Node: "l", Address: "126.0.0.1:1", Life: 3, Sequence: 10, Zone: "n", Leader: &peerpb.LeaderState{Term: 7, ViewsDigest: 5}})
 	if node.peers.shouldRequestViews(clock.Now()) {
-		t.Error("asks though it heard of the views just now")
+		t.Error("requests views although they were just confirmed")
 	}
 }
 
-// TestAnswersGoOnceToARegion that asks from several nodes at once, and what an asker has
-// is only confirmed.
+// TestAnswersGoOnceToARegion checks that requests from several nodes of a region are answered by
+// one reply to the region, and that a node which has all views receives only a confirmation.
 func TestAnswersGoOnceToARegion(t *testing.T) {
 	leader := newZonedNode(t, "n")
 	var south []*fakePeer
@@ -163,9 +163,9 @@
 	view := dispatch.View{ServerID: "i", Sequence: 1, Held: map[string][]string{"m": nil}}
 	view.Digest = viewDigest(view.ServerID, viewSignature(view))
 	leader.peers.published.record("i", view.Digest)
-	asked := 0
+	calls := 0
 	views := func(wanted func(string) bool) []dispatch.View {
-		asked++
+		calls++
 		return filterViews([]dispatch.View{view}, wanted)
 	}
 	for _, peer := range south {
@@ -181,28 +181,29 @@
 			}
 		}
 	}
-	if direct != 1 || spread != 1 || asked != 2 {
-		t.Errorf("%d answers to one node and %d to the region for %d askers, want one of each", direct, spread, len(south))
+	if direct != 1 || spread != 1 || calls != 2 {
+		t.Errorf("%d replies to one node and %d to the region for %d requesters, want one of each", direct, spread, len(south))
 	}
-	var has dispatch.ViewDigests
-	has.Add("i", view.Digest)
-	leader.peers.replyViews(&peerpb.NodeState{Address: south[0].address, ViewsDigests: has[:]}, 7, 0, views)
-	if state := south[0].next(); state == nil || len(state.Leader.Views) != 0 || state.Leader.ViewsDigest != view.Digest || asked != 2 {
-		t.Errorf("answered %v to a node that has all views, want their digest alone", state)
+	var held dispatch.ViewDigests
+	held.Add("i", view.Digest)
+	leader.peers.replyViews(&peerpb.NodeState{Address: south[0].address, ViewsDigests: held[:]}, 7, 0, views)
+	if state := south[0].next(); state == nil || len(state.Leader.Views) != 0 || state.Leader.ViewsDigest != view.Digest || calls != 2 {
+		t.Errorf("replied %v to a node that has all views, want only their digest", state)
 	}
 }
 
-// filterViews are those of the servers that an answer needs.
+// filterViews returns the views of the wanted servers.
 func filterViews(views []dispatch.View, wanted func(serverID string) bool) []dispatch.View {
 	return slices.DeleteFunc(slices.Clone(views), func(view dispatch.View) bool { return !wanted(view.ServerID) })
 }
 
-// TestOnlyWhatDiffersIsAnswered: of many servers a node misses the view of one.
+// TestOnlyWhatDiffersIsAnswered checks that a node which lacks one of many views is sent few of
+// them.
 func TestOnlyWhatDiffersIsAnswered(t *testing.T) {
 	leader := newZonedNode(t, "n")
 	peer := newFakePeer(t)
 	leader.observePeer("s1", peer, 1)
-	var has dispatch.ViewDigests
+	var held dispatch.ViewDigests
 	var views []dispatch.View
 	for i := range 400 {
 		view := dispatch.View{ServerID: "server-" + strconv.Itoa(i), Sequence: 1, Held: map[string][]string{"m": nil}}
@@ -210,10 +211,10 @@
 		views = append(views, view)
 		leader.peers.published.record(view.ServerID, view.Digest)
 		if i > 0 {
-			has.Add(view.ServerID, view.Digest)
+			held.Add(view.ServerID, view.Digest)
 		}
 	}
-	leader.peers.replyViews(&peerpb.NodeState{Address: peer.address, ViewsDigests: has[:]}, 7, 0, func(wanted func(string) bool) []dispatch.View {
+	leader.peers.replyViews(&peerpb.NodeState{Address: peer.address, ViewsDigests: held[:]}, 7, 0, func(wanted func(string) bool) []dispatch.View {
 		return filterViews(views, wanted)
 	})
 	answered := make(map[string]bool)
@@ -223,12 +224,12 @@
 		}
 	}
 	if !answered["server-0"] || len(answered) > 30 {
-		t.Errorf("%d views answered, the missing one among them: %v", len(answered), answered["server-0"])
+		t.Errorf("%d views sent, including the missing one: %v", len(answered), answered["server-0"])
 	}
 }
 
-// TestViewsGoOutInBursts that a receiver's socket holds, all in the end, and each once; the
-// digest never covers what was not told yet.
+// TestViewsGoOutInBursts checks that views are sent in bursts that fit a receiver's socket
+// buffer, each view exactly once, and that the digest never covers unpublished views.
 func TestViewsGoOutInBursts(t *testing.T) {
 	leader := newZonedNode(t, "n")
 	peer := newFakePeer(t)
@@ -239,70 +240,70 @@
 		view.Digest = viewDigest(view.ServerID, viewSignature(view))
 		views = append(views, view)
 	}
-	told := make(map[string]int)
+	received := make(map[string]int)
 	all := uint64(0)
-	for bursts, rest := 0, true; rest; bursts++ {
+	for bursts, more := 0, true; more; bursts++ {
 		before := leader.peers.sentBytes.byKind(trafficViews)
-		rest = leader.peers.publishViews(7, 0, views, nil)
+		more = leader.peers.publishViews(7, 0, views, nil)
 		if sent := leader.peers.sentBytes.byKind(trafficViews) - before; sent > 3*maxBurstBytes/2 || bursts > 10 {
 			t.Fatalf("burst %d has %d bytes", bursts, sent)
 		}
 		for state := peer.next(); state != nil; state = peer.next() {
 			for _, view := range decodeViews(state.Leader.Views) {
-				told[view.ServerID]++
+				received[view.ServerID]++
 				all ^= view.Digest
 			}
 			if state.Leader.ViewsDigest != 0 && state.Leader.ViewsDigest != all {
-				t.Fatal("the digest is not that of the views told")
+				t.Fatal("the digest does not match the published views")
 			}
 		}
 	}
-	if len(told) != len(views) {
-		t.Errorf("%d of %d views were told", len(told), len(views))
+	if len(received) != len(views) {
+		t.Errorf("%d of %d views were published", len(received), len(views))
 	}
-	for id, times := range told {
+	for id, times := range received {
 		if times != 1 {
-			t.Errorf("%s was told %d times", id, times)
+			t.Errorf("%s was published %d times", id, times)
 		}
 	}
 }
 
-// TestReplacedLeaderHidesNothing: one that goes on telling its views, which all have, must
-// not hide that those of the new leader are missing.
+// TestReplacedLeaderHidesNothing checks that a replaced leader which keeps publishing views that
+// all nodes have does not hide that the new leader's views are missing.
 func TestReplacedLeaderHidesNothing(t *testing.T) {
 	node := newZonedNode(t, "s1")
-	hear := func(address string, sequence uint64, term int64, digest uint64, views ...*peerpb.ServerView) {
+	receive := func(address string, sequence uint64, term int64, digest uint64, views ...*peerpb.ServerView) {
 		node.peers.handleState(&peerpb.NodeState{Node: address, Address: address, Life: 1, Sequence: sequence, Zone: "n", Leader: &peerpb.LeaderState{
 			Term: term, ViewsDigest: digest, Views: views,
 		}})
 	}
-	hear("126.0.0.1:1", 1, 8, 77, &peerpb.ServerView{Server: "i", Sequence: 1})
-	hear("126.0.0.2:1", 1, 7, 5)
+	receive("126.0.0.1:1", 1, 8, 77, &peerpb.ServerView{Server: "i", Sequence: 1})
+	receive("126.0.0.2:1", 1, 7, 5)
 	if !node.peers.shouldRequestViews(clock.Now().Add(2 * viewsRequestDelay)) {
-		t.Error("the word of a leader that was replaced hides that views are missing")
+		t.Error("a replaced leader's digest hides that views are missing")
 	}
 }
 
-// TestFewAskOtherRegions for what they know: the first of a region, and others only where
-// these do not hand it on.
+// TestFewAskOtherRegions checks that only the first nodes of a region request data from other
+// regions, and further ones only if these do not pass it on.
 func TestFewAskOtherRegions(t *testing.T) {
 	node := newZonedNode(t, "s1")
 	node.options.Strength = 1
-	far, near := newFakePeer(t), []*fakePeer{newFakePeer(t), newFakePeer(t)}
-	node.observePeer("n", far, 1)
+	remote, local := newFakePeer(t), []*fakePeer{newFakePeer(t), newFakePeer(t)}
+	node.observePeer("n", remote, 1)
 	now := clock.Now()
-	if !node.snapshots.mayRequest(now, far.address) {
-		t.Error("the first of its region does not ask")
+	if !node.snapshots.mayRequest(now, remote.address) {
+		t.Error("the first node of its region does not request data")
 	}
-	for _, peer := range near {
+	for _, peer := range local {
 		node.observePeer("s2", peer, 1)
 	}
 	node.peers.roster.SetStrength(1)
 	now = clock.Now()
-	if node.snapshots.mayRequest(now, far.address) || node.snapshots.mayRequest(now.Add(otherRegionDelay/2), far.address) {
-		t.Error("asks though stronger nodes of its region do")
+	if node.snapshots.mayRequest(now, remote.address) || node.snapshots.mayRequest(now.Add(otherRegionDelay/2), remote.address) {
+		t.Error("requests data although stronger nodes of its region do")
 	}
-	if !node.snapshots.mayRequest(now.Add(otherRegionDelay/2), near[0].address) || !node.snapshots.mayRequest(now.Add(otherRegionDelay+time.Millisecond), far.address) {
-		t.Error("does not ask near, or not after a while")
+	if !node.snapshots.mayRequest(now.Add(otherRegionDelay/2), local[0].address) || !node.snapshots.mayRequest(now.Add(otherRegionDelay+time.Millisecond), remote.address) {
+		t.Error("does not request data in its region, or from other regions after the delay")
 	}
 }
--- a/internal/edge/suspects_test.go
+++ b/internal/edge/suspects_test.go
@@ -12,7 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// newFleetNode is a node of a fleet of so many nodes; it is the strongest where isStrong.
+// newFleetNode returns a node in a fleet of the given size; it is the strongest if isStrong is
+// set.
 func newFleetNode(t *testing.T, nodes int, isStrong bool) *Node {
 	t.Helper()
 	node := newTestNode(t)
@@ -29,46 +30,47 @@
 	return node
 }
 
-// TestWhoIsToldOfCrashes: in a small fleet all; in a large one the coordinators, which tell
-// all from the second server of a request on, and of good ends.
+// TestWhoIsToldOfCrashes checks who receives crash reports: all nodes in a small fleet; the
+// coordinators in a large one, which notify all nodes of acquittals, and of crashes from a
+// request's second server on.
 func TestWhoIsToldOfCrashes(t *testing.T) {
 	const small, large = 7, 2 * maxLoadSharingNodes
 	now := clock.Now()
 	if got := len(newFleetNode(t, small, false).suspects.targets(now)); got != small-1 {
-		t.Errorf("a node of %d tells %d others", small, got)
+		t.Errorf("a node in a fleet of %d reports to %d others, want all", small, got)
 	}
 	if got := len(newFleetNode(t, large, false).suspects.targets(now)); got != greetingCoordinators {
-		t.Errorf("a node of %d tells %d others, want the coordinators", large, got)
+		t.Errorf("a node in a fleet of %d reports to %d others, want the coordinators", large, got)
 	}
 	coordinator := newFleetNode(t, large, true)
 	if got := len(coordinator.suspects.targets(now)); got != large-1 {
-		t.Errorf("a coordinator of %d tells %d others, want all", large, got)
+		t.Errorf("a coordinator in a fleet of %d reports to %d others, want all", large, got)
 	}
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
-	hears := func(at time.Time, report poison.Report) int {
+	record := func(at time.Time, report poison.Report) int {
 		report.Fingerprint = fingerprint
 		return len(coordinator.suspects.recordReports(at, "peer", []poison.Report{report}))
 	}
-	if told := hears(now, poison.Report{ServerID: "a"}); told != 0 {
-		t.Errorf("tells %d reports of the first server", told)
+	if sent := record(now, poison.Report{ServerID: "a"}); sent != 0 {
+		t.Errorf("sent %d reports for the first server, want 0", sent)
 	}
-	if told := hears(now.Add(time.Second), poison.Report{ServerID: "b"}); told != 2 {
-		t.Errorf("tells %d reports of the second server, want both", told)
+	if sent := record(now.Add(time.Second), poison.Report{ServerID: "b"}); sent != 2 {
+		t.Errorf("sent %d reports for the second server, want both", sent)
 	}
-	if told := hears(now.Add(2*time.Second), poison.Report{Acquitted: true}); told != 1 {
-		t.Errorf("tells %d reports of a good end, want one", told)
+	if sent := record(now.Add(2*time.Second), poison.Report{Acquitted: true}); sent != 1 {
+		t.Errorf("sent %d reports for an acquittal, want one", sent)
 	}
 	if coordinator.suspects.Status(fingerprint) != poison.StatusClear {
-		t.Error("suspects what ended well")
+		t.Error("an acquitted request is still suspect")
 	}
 }
 
-// TestBadReportsAreDropped: what is no fingerprint is nobody's.
+// TestBadReportsAreDropped checks that reports without a valid fingerprint are ignored.
 func TestBadReportsAreDropped(t *testing.T) {
 	node := newTestNode(t)
 	node.peers.handleDatagram(mustMarshal(t, &peerpb.NodeState{Node: "x", Crashes: []*peerpb.CrashReport{{Fingerprint: []byte("short"), Server: "a"}, {}}}))
 	if node.suspects.Any() {
-		t.Error("remembers a report without a fingerprint")
+		t.Error("a report without a valid fingerprint was recorded")
 	}
 }
 
--- a/internal/edge/suspension_test.go
+++ b/internal/edge/suspension_test.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// suspend suspends the machine for the rest of the test.
+// suspend simulates a suspended machine for the rest of the test.
 func suspend(t *testing.T, d time.Duration) {
 	t.Helper()
 	clock.SimulateSuspend(d)
@@ -29,36 +29,39 @@
 	return leader
 }
 
-// TestNoOrderAfterASuspension: the lease has passed to another meanwhile.
+// TestNoOrderAfterASuspension checks that a leader sends no orders after a suspension, during
+// which another node may have taken the lease.
 func TestNoOrderAfterASuspension(t *testing.T) {
 	leader := holdLease(newCandidate(t))
 	term := leader.term.Load()
 	if leader.orderTimeout(term, "z") == 0 {
-		t.Fatal("the holder may not order")
+		t.Fatal("the lease holder may not send orders")
 	}
 	suspend(t, 5*time.Second)
 	if leader.orderTimeout(term, "z") > 0 {
-		t.Error("may order 5 s after its lease of 2 s was written")
+		t.Error("may send orders 5 s after its lease of 2 s was written")
 	}
 	if _, lapsed := leader.leadership(); lapsed < 2*time.Second {
-		t.Errorf("tells others that its lease ended %v ago", lapsed)
+		t.Errorf("reports that its lease expired %v ago", lapsed)
 	}
 }
 
-// TestOrdersHaveUntilTheLeaseEnds: no order is under way beyond it.
+// TestOrdersHaveUntilTheLeaseEnds checks that no order may be in progress beyond the end of the
+// lease.
 func TestOrdersHaveUntilTheLeaseEnds(t *testing.T) {
 	leader := holdLease(newCandidate(t))
 	term := leader.term.Load()
 	suspend(t, leaseDuration-200*time.Millisecond)
 	if left := leader.orderTimeout(term, "z"); left <= 0 || left > 200*time.Millisecond {
-		t.Errorf("an order may be under way for %v, of 200 ms that the lease holds", left)
+		t.Errorf("an order may be in progress for %v, of the 200 ms left of the lease", left)
 	}
 	if left := leader.orderTimeout(term+1, "z"); left != 0 {
-		t.Errorf("an order of another term may be under way for %v", left)
+		t.Errorf("an order of another term may be in progress for %v", left)
 	}
 }
 
-// TestLateAnswerTakesNoLease: a write of the lease is answered after a suspension.
+// TestLateAnswerTakesNoLease checks that a lease write answered after a suspension gives no
+// right to send orders.
 func TestLateAnswerTakesNoLease(t *testing.T) {
 	node := newCandidate(t)
 	leader := holdLease(node)
@@ -67,37 +70,37 @@
 	leader.lease.WriteSucceeded(sent, clock.Now(), storepos.At(0, 5))
 	leader.followTerm(clock.Now())
 	if leader.orderTimeout(leader.term.Load(), "z") > 0 {
-		t.Error("may order by a write that was sent 5 s ago")
+		t.Error("may send orders based on a write sent 5 s ago")
 	}
 }
 
-// TestKnowledgeIsOldAfterASuspension: what the node knew is not told as fresh, and a
-// configuration that was confirmed before is confirmed no more.
+// TestKnowledgeIsOldAfterASuspension checks that data confirmed before a suspension is not
+// reported as fresh.
 func TestKnowledgeIsOldAfterASuspension(t *testing.T) {
 	node := newTestNode(t)
 	node.configConfirmed.confirm(clock.Now())
 	suspend(t, 5*time.Second)
 	state := node.peers.state(clock.Now())
 	if age := time.Duration(state.ConfigAgeMs) * time.Millisecond; age < 5*time.Second {
-		t.Errorf("tells that what it knows was confirmed %v ago", age)
+		t.Errorf("reports that its data was confirmed %v ago", age)
 	}
 }
 
-// TestLeadersWordIsOldAfterASuspension: callers are not told times by an order that was
-// announced before.
+// TestLeadersWordIsOldAfterASuspension checks that callers are not given times based on an order
+// that was announced before the suspension.
 func TestLeadersWordIsOldAfterASuspension(t *testing.T) {
 	node := newTestNode(t)
 	node.dispatch.Do(func(core *dispatch.Core) { core.SetLeader(clock.Now(), 1, false, 0) })
 	suspend(t, 5*time.Second)
 	node.dispatch.Do(func(core *dispatch.Core) {
 		if core.OrdersIn(clock.Now()) == 0 {
-			t.Error("orders are expected at once by the word of a leader from before")
+			t.Error("orders are expected at once based on a leader's report from before the suspension")
 		}
 	})
 }
 
-// TestReportsAgeInASuspension: what a node tells of a server that ended under a request is
-// dated by the world's time.
+// TestReportsAgeInASuspension checks that the age of crash reports includes time spent
+// suspended.
 func TestReportsAgeInASuspension(t *testing.T) {
 	node := newTestNode(t)
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
--- a/internal/edge/trials_test.go
+++ b/internal/edge/trials_test.go
@@ -13,8 +13,8 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// newConnectedNodes are nodes that know each other and take each other's datagrams; the first
-// one is the strongest.
+// newConnectedNodes returns nodes that know each other and receive each other's datagrams; the
+// first is the strongest.
 func newConnectedNodes(t *testing.T, count int) []*Node {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +41,7 @@
 	return nodes
 }
 
-// putOnTrial makes a request known as one whose bar is over.
+// putOnTrial registers at all nodes a request whose bar has expired.
 func putOnTrial(t *testing.T, nodes []*Node) poison.Fingerprint {
 	t.Helper()
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
@@ -51,14 +51,14 @@
 	time.Sleep(5 * time.Millisecond)
 	for i, node := range nodes {
 		if got := node.suspects.Status(fingerprint); got != poison.StatusOnTrial {
-			t.Fatalf("node %d: standing %d, want on trial", i, got)
+			t.Fatalf("node %d: status %d, want on trial", i, got)
 		}
 	}
 	return fingerprint
 }
 
-// TestOneNodeClaimsATrial of all that ask at once; at the others the request is barred
-// meanwhile.
+// TestOneNodeClaimsATrial checks that only one of several concurrent claims is granted, and that
+// the other nodes bar the request meanwhile.
 func TestOneNodeClaimsATrial(t *testing.T) {
 	nodes := newConnectedNodes(t, 4)
 	fingerprint := putOnTrial(t, nodes)
@@ -80,14 +80,14 @@
 	for i, node := range nodes {
 		for wait := 0; node.suspects.Status(fingerprint) != poison.StatusBarred; wait++ {
 			if wait == 200 {
-				t.Fatalf("node %d was not told that the request is barred beside its trial", i)
+				t.Fatalf("node %d was not notified that the request is barred during its trial", i)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 }
 
-// TestNoTrialWithoutACoordinator that answers: the request stays as it is.
+// TestNoTrialWithoutACoordinator checks that no trial is granted if no coordinator responds.
 func TestNoTrialWithoutACoordinator(t *testing.T) {
 	nodes := newConnectedNodes(t, 4)
 	fingerprint := putOnTrial(t, nodes)
@@ -95,11 +95,11 @@
 		_ = node.peers.conn.Close()
 	}
 	if nodes[3].suspects.ClaimTrial(context.Background(), fingerprint) {
-		t.Error("a trial was granted by nobody")
+		t.Error("a trial was granted without a coordinator")
 	}
 }
 
-// TestOperatorLiftsABar at one node, and all nodes forget it.
+// TestOperatorLiftsABar checks that a bar lifted at one node is removed at all nodes.
 func TestOperatorLiftsABar(t *testing.T) {
 	nodes := newConnectedNodes(t, 3)
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
@@ -123,23 +123,23 @@
 		}
 	}
 	if _, err := nodes[0].snapshots.LiftBar(context.Background(), &peerpb.LiftBarRequest{Fingerprint: []byte("short")}); err == nil {
-		t.Error("a short fingerprint was taken")
+		t.Error("a short fingerprint was accepted")
 	}
 }
 
-// TestAnswersThatComeLate or twice reach nobody.
+// TestAnswersThatComeLate checks that late and duplicate responses are ignored.
 func TestAnswersThatComeLate(t *testing.T) {
-	asked := newPendingCalls[bool]()
-	var number uint64
-	if _, ok := asked.call(context.Background(), time.Millisecond, func(id uint64) { number = id }); ok {
-		t.Error("an answer that nobody gave")
-	}
-	asked.resolve(number, true)
-	answer, ok := asked.call(context.Background(), time.Minute, func(id uint64) {
-		asked.resolve(id, true)
-		asked.resolve(id, false)
+	calls := newPendingCalls[bool]()
+	var callID uint64
+	if _, ok := calls.call(context.Background(), time.Millisecond, func(id uint64) { callID = id }); ok {
+		t.Error("received a response that was never sent")
+	}
+	calls.resolve(callID, true)
+	answer, ok := calls.call(context.Background(), time.Minute, func(id uint64) {
+		calls.resolve(id, true)
+		calls.resolve(id, false)
 	})
 	if !ok || !answer {
-		t.Errorf("answer %v, %v; the first one counts", answer, ok)
+		t.Errorf("response %v, %v; want the first one", answer, ok)
 	}
 }
