--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -61,8 +61,7 @@
 	p.broadcast(kind, gossip.BroadcastPlan{Direct: targets}, state)
 }
 
-// broadcast sends this node's state to the plan's direct targets and to its forwarders
-// (gossip.Spreader).
+// broadcast sends this node's state to the plan's direct targets and to its spreaders.
 func (p *peers) broadcast(kind trafficKind, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.mu.Lock()
 	p.sequence++
@@ -78,7 +77,7 @@
 	state.Peers = explicit
 }
 
-// writePlan sends the state unchanged to the plan's direct targets and to its forwarders.
+// writePlan sends the state unchanged to the plan's direct targets and to its spreaders.
 func (p *peers) writePlan(kind trafficKind, plan gossip.BroadcastPlan, state *peerpb.NodeState) {
 	p.writeUnique(kind, plan.Direct, state)
 	for _, spreader := range plan.Spreaders {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -82,7 +82,7 @@
 	// QuotaTolerance is by how much tenants may exceed their quotas.
 	QuotaTolerance quota.Tolerance
 	// ColdOverage and ColdSlack are by how much the requests sent to a cold server may exceed
-	// its capacity: a factor, and a number of requests per second.
+	// its capacity: a factor, and a constant number of requests per second.
 	ColdOverage float64
 	ColdSlack   float64
 	Pool        *backendconn.Pool
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -73,7 +73,7 @@
 	standbysSentAt    time.Time
 	demandLeader      string
 	demandLeaderSince time.Time
-	// spreaders holds the last forwarder and viewsRequests the last request for views per region
+	// spreaders holds the last spreader and viewsRequests the last request for views per region
 	// or zone, while this node leads.
 	spreaders     map[string]string
 	viewsRequests map[string]viewsRequest
@@ -152,7 +152,7 @@
 		return
 	}
 	if state.Spread != nil {
-		p.forward(clock.Now(), state)
+		p.relay(clock.Now(), state)
 	}
 	p.node.suspects.receive(cmp.Or(state.Address, state.Node), state.Crashes)
 	if state.Address != "" {
--- a/internal/edge/spread.go
+++ b/internal/edge/spread.go
@@ -9,10 +9,10 @@
 )
 
 // maxViewsSilence is how long a node waits for views from a live leader before it requests them;
-// the node that forwards them in its zone may be unable to reach it.
+// the node that relays them in its zone may be unable to reach it.
 const maxViewsSilence = 1500 * time.Millisecond
 
-// planBroadcast plans a broadcast from this node to all nodes. It logs each forwarder that
+// planBroadcast plans a broadcast from this node to all nodes. It logs each spreader that
 // changed.
 func (p *peers) planBroadcast(now time.Time) gossip.BroadcastPlan {
 	p.mu.Lock()
@@ -26,7 +26,7 @@
 	return plan
 }
 
-// updateSpreaders records the forwarders and returns those that changed. p.mu must be held.
+// updateSpreaders records the spreaders and returns those that changed. p.mu must be held.
 func (p *peers) updateSpreaders(plan gossip.BroadcastPlan) []gossip.Spreader {
 	var changed []gossip.Spreader
 	for _, spreader := range plan.Spreaders {
@@ -39,7 +39,7 @@
 	return changed
 }
 
-// spreaderScope names the area that a forwarder serves: a region, or a zone of this node's
+// spreaderScope names the area that a spreader serves: a region, or a zone of this node's
 // region.
 func spreaderScope(spreader gossip.Spreader) string {
 	if spreader.Region != "" {
@@ -48,8 +48,8 @@
 	return "zone " + spreader.Zone
 }
 
-// forward forwards another node's datagram. Receivers treat it as sent by that node.
-func (p *peers) forward(now time.Time, state *peerpb.NodeState) {
+// relay sends on another node's datagram. Receivers treat it as sent by that node.
+func (p *peers) relay(now time.Time, state *peerpb.NodeState) {
 	spread := state.Spread
 	state.Spread = nil
 	p.mu.Lock()
@@ -59,11 +59,11 @@
 	for _, target := range spread.Targets {
 		plan.Spreaders = append(plan.Spreaders, gossip.Spreader{Address: target.Address, Zones: []string{target.Zone}})
 	}
-	p.writePlan(trafficForwarded, plan, state)
+	p.writePlan(trafficRelayed, plan, state)
 }
 
 // applyLateViews applies the views of a datagram that a later one from the same sender overtook:
-// the later one may have come directly, and this one through a forwarder.
+// the later one may have come directly, and this one through a spreader.
 func (p *peers) applyLateViews(now time.Time, leader *peerpb.LeaderState) {
 	if leader == nil || len(leader.Views) == 0 {
 		return
@@ -118,7 +118,7 @@
 	isAnswered bool
 }
 
-// spreaderFor returns the forwarder for the nodes of a zone: that of its region, or of the zone
+// spreaderFor returns the spreader for the nodes of a zone: that of its region, or of the zone
 // itself if it is in this node's region; nil if this node sends directly. p.mu must be held.
 func (p *peers) spreaderFor(now time.Time, zone string) *gossip.Spreader {
 	region := p.node.options.Topology.Region(zone)
--- a/internal/edge/spread_test.go
+++ b/internal/edge/spread_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestViewsGoOnceToARegionAndOnFromThere checks that the leader sends one datagram to a region,
-// and that its receiver forwards it unchanged but for the forwarding instructions.
+// and that its receiver relays it unchanged but for the relaying instructions.
 func TestViewsGoOnceToARegionAndOnFromThere(t *testing.T) {
 	leader, spreader := newZonedNode(t, "n"), newZonedNode(t, "s1")
 	var south []*fakePeer
@@ -93,7 +93,7 @@
 		}
 	}
 	if count != 1 || sent.Spread == nil || len(sent.Spread.Zones) != 2 {
-		t.Fatalf("%d datagrams crossed regions, the last %v; want one to be forwarded in both zones", count, sent)
+		t.Fatalf("%d datagrams crossed regions, the last %v; want one to be relayed in both zones", count, sent)
 	}
 	datagram, err := proto.Marshal(sent)
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestOvertakenViewsAreTaken checks that a forwarded datagram is not lost if a later one arrived
+// TestOvertakenViewsAreTaken checks that a relayed datagram is not lost if a later one arrived
 // directly before it.
 func TestOvertakenViewsAreTaken(t *testing.T) {
 	node := newZonedNode(t, "s1")
@@ -132,7 +132,7 @@
 }
 
 // TestNodeWithoutViewsAsksForThem checks that a node requests views if they do not arrive, as
-// when the forwarder cannot reach it, and no longer once their digest is confirmed.
+// when the spreader cannot reach it, and no longer once their digest is confirmed.
 func TestNodeWithoutViewsAsksForThem(t *testing.T) {
 	node := newZonedNode(t, "s1")
 	now := clock.Now()
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -26,8 +26,8 @@
 	trafficQuotas
 	// trafficCrashes reports servers that crashed while running a request.
 	trafficCrashes
-	// trafficForwarded is forwarded on behalf of another node.
-	trafficForwarded
+	// trafficRelayed is relayed on behalf of another node.
+	trafficRelayed
 	// trafficSnapshots counts the snapshots that peers returned to this node.
 	trafficSnapshots
 
