--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -9,26 +9,26 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// directory is what a node knows of the servers: what the store last told it
-// and, ahead of that, the news that peers tell. It is safe for concurrent use.
+// directory holds what a node knows of the servers: the store's last answer and, ahead of it,
+// changes announced by peers. It is safe for concurrent use.
 type directory struct {
-	mu    sync.Mutex
-	table *inventory.Table
-	news  *gossip.ServerChanges
-	// heard is the latest position of what peers told.
-	heard storepos.Position
-	// lagSince is when a peer with a later position began to know other servers;
-	// zero while none does.
-	lagSince time.Time
+	mu       sync.Mutex
+	table    *inventory.Table
+	outgoing *gossip.ServerChanges
+	// peerPosition is the latest position received from peers.
+	peerPosition storepos.Position
+	// differsSince is when a peer with a later position began to report a different set of
+	// servers; zero while none does.
+	differsSince time.Time
 }
 
 func newDirectory() *directory {
-	return &directory{table: inventory.NewTable(), news: gossip.NewServerChanges()}
+	return &directory{table: inventory.NewTable(), outgoing: gossip.NewServerChanges()}
 }
 
-// list are the servers that take work, the position that they are known up to, and
-// their digest. Those that go are left out: nobody needs them.
-func (d *directory) list() (servers []inventory.Server, at storepos.Position, digest uint64) {
+// listAvailable returns the servers that accept work, the position up to which they are known,
+// and their digest. Draining servers are omitted because nobody needs them.
+func (d *directory) listAvailable() (servers []inventory.Server, at storepos.Position, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for server := range d.table.All {
@@ -39,79 +39,81 @@
 	return servers, d.table.Position(), d.table.Digest()
 }
 
-// replaceByPeer takes a peer's whole list, which is no news: the peer had told it.
+// replaceByPeer applies a peer's whole list. The changes are not queued for other peers, since
+// the sender has announced them already.
 func (d *directory) replaceByPeer(now time.Time, servers []inventory.Server, at storepos.Position) []inventory.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.ReplaceByPeer(now, servers, at)
 }
 
-// replace takes a whole list, asked for at asked. What it changed is news unless it is the first.
-func (d *directory) replace(now, asked time.Time, servers []inventory.Server, at storepos.Position) (changes []inventory.Change, hasNews bool) {
+// replace applies a whole list of the store, requested at requestedAt. Its changes are queued
+// for peers unless it is the first list.
+func (d *directory) replace(now, requestedAt time.Time, servers []inventory.Server, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	isFirst := d.table.Position().IsZero()
-	worked, wasCold := make(map[inventory.Start]bool, len(servers)), make(map[inventory.Start]bool)
+	wasAvailable, wasCold := make(map[inventory.Start]bool, len(servers)), make(map[inventory.Start]bool)
 	for server := range d.table.All {
-		worked[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdRemaining > 0
+		wasAvailable[server.Start()], wasCold[server.Start()] = !server.Draining, server.ColdRemaining > 0
 	}
-	changes = d.table.Replace(now, asked, servers, at)
-	if at.Era < d.heard.Era {
-		d.heard = at
+	changes = d.table.Replace(now, requestedAt, servers, at)
+	if at.Era < d.peerPosition.Era {
+		d.peerPosition = at
 	}
 	if isFirst {
 		return changes, false
 	}
-	return changes, d.learn(now, news(changes, worked, wasCold), at)
+	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// news are the changes by which a server came, started again, turned cold or takes no more
-// work: all that others need to hear at once.
-func news(changes []inventory.Change, worked, wasCold map[inventory.Start]bool) []inventory.Change {
-	var news []inventory.Change
+// notableChanges returns the changes that others need to learn of at once: a server appeared,
+// restarted, turned cold or stopped accepting work.
+func notableChanges(changes []inventory.Change, wasAvailable, wasCold map[inventory.Start]bool) []inventory.Change {
+	var notable []inventory.Change
 	for _, change := range changes {
 		start := change.Server.Start()
 		turnedCold := change.Server.ColdRemaining > 0 && !wasCold[start]
-		if change.Gone || change.Server.Draining || turnedCold || !worked[start] {
-			news = append(news, change)
+		if change.Gone || change.Server.Draining || turnedCold || !wasAvailable[start] {
+			notable = append(notable, change)
 		}
 	}
-	return news
+	return notable
 }
 
-// apply takes the store's events.
-func (d *directory) apply(now time.Time, events []inventory.Change, at storepos.Position) (changes []inventory.Change, hasNews bool) {
+// apply applies the store's events.
+func (d *directory) apply(now time.Time, events []inventory.Change, at storepos.Position) (changes []inventory.Change, hasOutgoing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	worked, wasCold := make(map[inventory.Start]bool, len(events)), make(map[inventory.Start]bool)
+	wasAvailable, wasCold := make(map[inventory.Start]bool, len(events)), make(map[inventory.Start]bool)
 	for _, event := range events {
 		start := event.Server.Start()
-		worked[start] = d.table.HasStart(start) && d.table.IsAvailable(start.ID)
+		wasAvailable[start] = d.table.HasStart(start) && d.table.IsAvailable(start.ID)
 		wasCold[start] = d.table.HasStart(start) && d.table.IsCold(start.ID)
 	}
 	changes = d.table.Apply(events, at)
-	return changes, d.learn(now, news(changes, worked, wasCold), at)
+	return changes, d.queueChanges(now, notableChanges(changes, wasAvailable, wasCold), at)
 }
 
-// learn makes news of changes that the store told.
-func (d *directory) learn(now time.Time, changes []inventory.Change, at storepos.Position) bool {
-	learned := false
+// queueChanges queues changes reported by the store for peers.
+func (d *directory) queueChanges(now time.Time, changes []inventory.Change, at storepos.Position) bool {
+	queued := false
 	for _, change := range changes {
 		server := change.Server
 		if change.Gone {
 			server = inventory.Server{ID: server.ID, StartedAtMs: server.StartedAtMs, Draining: true, Position: at}
 		}
-		if d.news.Learn(now, gossip.ServerChange{Server: server}) {
-			learned = true
+		if d.outgoing.Learn(now, gossip.ServerChange{Server: server}) {
+			queued = true
 		}
 	}
-	return learned
+	return queued
 }
 
-// hear takes what a peer tells, and returns what of it is new here. A word that a server
-// goes counts also where the entry is held back here as lapsed, and whether or not it is
-// told on.
-func (d *directory) hear(now time.Time, items []gossip.ServerChange) []inventory.Change {
+// applyPeerChanges applies changes announced by a peer and returns those that are new here. A
+// server's removal also applies to an entry retained during the expiry grace period, whether or
+// not the removal is forwarded.
+func (d *directory) applyPeerChanges(now time.Time, items []gossip.ServerChange) []inventory.Change {
 	if len(items) == 0 {
 		return nil
 	}
@@ -123,81 +125,83 @@
 		era := d.table.Position().Era
 		server.Position = server.Position.WithDefaultEra(era)
 		if server.Position.Era > era && era > 0 {
-			// The whole list of that era is asked for.
+			// The whole list of that era is requested instead.
 			continue
 		}
 		item.Server = server
 		if !server.Draining && server.ColdRemaining > item.Age && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) && d.table.IsNewer(server.ID, server.Position) {
-			d.news.Learn(now, item)
+			d.outgoing.Learn(now, item)
 			changes = append(changes, d.table.MarkCold(server.ID, server.ColdRemaining-item.Age, server.Position))
 			continue
 		}
 		if !server.Draining && d.table.IsAvailable(server.ID) && d.table.HasStart(server.Start()) {
-			// Known already, and not told on.
+			// Already known, and not forwarded.
 			d.table.ConfirmAvailable(server.ID, server.Position)
 			continue
 		}
 		if !d.table.IsNewer(server.ID, server.Position) {
 			continue
 		}
-		isToldOn := d.news.Learn(now, item)
+		isQueued := d.outgoing.Learn(now, item)
 		switch {
 		case server.Draining && d.table.IsAvailable(server.ID):
 			changes = append(changes, d.table.MarkDraining(server.ID, server.Position))
-		case isToldOn:
+		case isQueued:
 			server.ColdRemaining = max(0, server.ColdRemaining-item.Age)
 			changes = append(changes, d.table.ApplyAnnouncement(server)...)
 		default:
 			continue
 		}
-		d.heard = storepos.Later(d.heard, server.Position)
+		d.peerPosition = storepos.Later(d.peerPosition, server.Position)
 	}
 	return changes
 }
 
-// tell returns the news that are told in this period.
-func (d *directory) tell(now time.Time) []gossip.ServerChange {
+// takeDue returns the changes to send in this period.
+func (d *directory) takeDue(now time.Time) []gossip.ServerChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.news.TakeDue(now)
+	return d.outgoing.TakeDue(now)
 }
 
-// standing is a digest of the servers known, and the position they are from.
-func (d *directory) standing() (digest uint64, at storepos.Position) {
+// digestAndPosition returns a digest of the known servers and their position.
+func (d *directory) digestAndPosition() (digest uint64, at storepos.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table.Digest(), d.newest()
+	return d.table.Digest(), d.latestPosition()
 }
 
-// completeTo is the position up to which the servers are known.
-func (d *directory) completeTo() storepos.Position {
+// position returns the position up to which the servers are known completely.
+func (d *directory) position() storepos.Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Position()
 }
 
-// settles reports whether the list is to be read anew, as entries of an earlier era were kept.
-func (d *directory) settles(now time.Time) bool {
+// isReloadDue reports whether the list is to be reloaded because entries of an earlier era were
+// kept.
+func (d *directory) isReloadDue(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.ReloadDue(now)
 }
 
-// awaiting counts the servers of which an entry of an earlier era is kept.
-func (d *directory) awaiting(now time.Time) int {
+// countEarlierEra counts the servers whose kept entry is of an earlier era.
+func (d *directory) countEarlierEra(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.EarlierEraCount(now)
 }
 
-// eraAge is how long the era of what is known has been known; ok is false where no other came before.
+// eraAge returns how long the current era has been known. ok is false if no other era came
+// before it.
 func (d *directory) eraAge(now time.Time) (age time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.EraAge(now)
 }
 
-// beginEra takes from a peer that the era began at that time.
+// beginEra applies a peer's report of when the era began.
 func (d *directory) beginEra(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,24 +210,27 @@
 	}
 }
 
-// newest is the latest position of what is known. The lock is held.
-func (d *directory) newest() storepos.Position { return storepos.Later(d.table.Position(), d.heard) }
+// latestPosition returns the latest known position. d.mu must be held.
+func (d *directory) latestPosition() storepos.Position {
+	return storepos.Later(d.table.Position(), d.peerPosition)
+}
 
-// lags reports whether a peer has known other servers from a later position, or
-// confirmed later, for longer than news take: somebody is to be asked.
-func (d *directory) lags(now time.Time, digest uint64, at storepos.Position, isFresher bool, tolerated time.Duration) bool {
+// isBehind reports whether a peer has had different servers from a later position, or from a
+// later confirmation, for longer than changes take to propagate. Then the list should be
+// requested.
+func (d *directory) isBehind(now time.Time, digest uint64, at storepos.Position, isFresher bool, tolerance time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case at.Era > d.newest().Era:
+	case at.Era > d.latestPosition().Era:
 		return true
 	case digest == d.table.Digest():
-		d.lagSince = time.Time{}
-	case !at.WithDefaultEra(d.newest().Era).IsAfter(d.newest()) && !isFresher:
-	case d.lagSince.IsZero():
-		d.lagSince = now
-	case now.Sub(d.lagSince) > tolerated:
-		d.lagSince = time.Time{}
+		d.differsSince = time.Time{}
+	case !at.WithDefaultEra(d.latestPosition().Era).IsAfter(d.latestPosition()) && !isFresher:
+	case d.differsSince.IsZero():
+		d.differsSince = now
+	case now.Sub(d.differsSince) > tolerance:
+		d.differsSince = time.Time{}
 		return true
 	}
 	return false
--- a/internal/edge/greet.go
+++ b/internal/edge/greet.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// meetsFor is how long after its start a node goes to meet others as it hears of
-	// them; later the periodic datagrams do.
-	meetsFor = 2 * time.Second
-	// greetingsPerPeriod bounds the nodes that are greeted in one period: where all
-	// start at once, the others hear soon enough from those.
-	greetingsPerPeriod = 24
+	// discoveryPeriod is how long after its start a node contacts others as soon as it learns of
+	// them. Later the periodic datagrams suffice.
+	discoveryPeriod = 2 * time.Second
+	// maxGreetingsPerPeriod bounds the nodes that are greeted in one gossip period. When all
+	// nodes start at once, the remaining ones hear from the greeted nodes soon enough.
+	maxGreetingsPerPeriod = 24
 )
 
-// greet answers a node that has just started, and names the nodes that it needs to know
-// first; and goes to meet at once those that a peer named, where this one has started.
-// Without that nodes which start together know each other only after some seconds.
+// greet replies to a node that has just started and names the nodes that it needs to know first.
+// If this node has just started itself, it also contacts the nodes that the peer named. Without
+// greetings, nodes that start together take several seconds to discover each other.
 func (p *peers) greet(now time.Time, state *peerpb.NodeState, isNew bool) {
-	var meet []string
+	var targets []string
 	p.mu.Lock()
-	if isNew && p.greetings < greetingsPerPeriod {
+	if isNew && p.greetings < maxGreetingsPerPeriod {
 		p.greetings++
-		meet = append(meet, state.Address)
+		targets = append(targets, state.Address)
 	}
-	if now.Sub(p.node.started) < meetsFor {
-		for _, address := range state.Peers[:min(len(state.Peers), coordinatorsNamed)] {
+	if now.Sub(p.node.started) < discoveryPeriod {
+		for _, address := range state.Peers[:min(len(state.Peers), greetingCoordinators)] {
 			if !p.roster.HasHeardFrom(address) {
-				meet = append(meet, address)
+				targets = append(targets, address)
 			}
 		}
 	}
 	p.mu.Unlock()
-	if len(meet) == 0 {
+	if len(targets) == 0 {
 		return
 	}
 	greeting := p.state(now)
-	greeting.Crashes = p.node.suspects.greeting(now)
-	// Only the leader answers to these, and hears them in the next period.
+	greeting.Crashes = p.node.suspects.greetingReports(now)
+	// Only the leader answers view digests, and it receives them in the next period.
 	greeting.ViewsDigests = nil
 	for _, coordinator := range p.coordinators(now) {
-		if len(greeting.Peers) < coordinatorsNamed {
+		if len(greeting.Peers) < greetingCoordinators {
 			greeting.Peers = append(greeting.Peers, coordinator.Address)
 		}
 	}
-	p.send(trafficGossip, meet, greeting)
+	p.send(trafficGossip, targets, greeting)
 }
 
-// coordinatorsNamed is the number of nodes that a greeting names before others: those that
-// give quotas, which are the strongest.
-const coordinatorsNamed = 3
+// greetingCoordinators is the number of quota coordinators (the strongest nodes) that a greeting
+// names before other nodes.
+const greetingCoordinators = 3
--- a/internal/edge/hints.go
+++ b/internal/edge/hints.go
@@ -23,14 +23,14 @@
 	hintFromPeer   hintSource = "peer"
 )
 
-// serverHints passes on what servers tell of themselves with their answers. It is safe for
+// serverHints propagates the hints that servers send with their responses. It is safe for
 // concurrent use.
 type serverHints struct {
-	node *Node
-	mu   sync.Mutex
-	told *gossip.Hints
-	// unread are the names of fields that servers told and nodes do not read, and unreadCount counts
-	// the answers that had one.
+	node     *Node
+	mu       sync.Mutex
+	outgoing *gossip.Hints
+	// unread holds the names of hint fields that nodes do not understand, and unreadCount counts
+	// the responses that contained one.
 	unread      map[string]bool
 	unreadCount atomic.Int64
 }
@@ -39,11 +39,11 @@
 const maxUnreadFields = 32
 
 func newServerHints(node *Node) *serverHints {
-	return &serverHints{node: node, told: gossip.NewHints(), unread: make(map[string]bool)}
+	return &serverHints{node: node, outgoing: gossip.NewHints(), unread: make(map[string]bool)}
 }
 
-// noteUnread logs the name of a field that nodes do not read, once.
-func (h *serverHints) noteUnread(serverID, field string) {
+// recordUnreadField logs the name of an unknown field once.
+func (h *serverHints) recordUnreadField(serverID, field string) {
 	h.unreadCount.Add(1)
 	h.mu.Lock()
 	isNew := !h.unread[field] && len(h.unread) < maxUnreadFields
@@ -56,54 +56,54 @@
 	}
 }
 
-// receiveCall takes what a server told with its answer to an order or the question for a report.
-func (h *serverHints) receiveCall(start inventory.Start, hint inventory.Hint, from hintSource) {
-	news := false
-	h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceiveHint(clock.Now(), start, hint) })
-	if news {
-		h.passOn(start, hint, from)
+// receiveFromCall applies a hint from the response to an order or a report request.
+func (h *serverHints) receiveFromCall(start inventory.Start, hint inventory.Hint, from hintSource) {
+	changed := false
+	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceiveHint(clock.Now(), start, hint) })
+	if changed {
+		h.propagate(start, hint, from)
 	}
 }
 
-// receivePeerLimit takes what a peer knows of a start's rate limit.
+// receivePeerLimit applies what a peer knows of the rate limit of a server start.
 func (h *serverHints) receivePeerLimit(now time.Time, start inventory.Start, limit admission.Observation) {
-	news := false
-	h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceivePeerLimit(now, start, limit) })
-	if news {
-		h.passOn(start, inventory.Hint{Limit: limit.Limit, SentAt: limit.SentAt}, hintFromPeer)
+	changed := false
+	h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceivePeerLimit(now, start, limit) })
+	if changed {
+		h.propagate(start, inventory.Hint{Limit: limit.Limit, SentAt: limit.SentAt}, hintFromPeer)
 	}
 }
 
-// passOn logs what is news here, and lets peers hear of it.
-func (h *serverHints) passOn(start inventory.Start, hint inventory.Hint, from hintSource) {
+// propagate logs a new hint and queues it for peers.
+func (h *serverHints) propagate(start inventory.Start, hint inventory.Hint, from hintSource) {
 	var limit admission.RateLimit
 	h.node.dispatch.Do(func(core *dispatch.Core) { limit, _ = core.RateLimit(start) })
-	withLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.StartedAtMs).Bool("leaving", hint.Draining).
+	addLimit(h.node.options.Logger.Info(), hint).Str("server", start.ID).Int64("born", start.StartedAtMs).Bool("leaving", hint.Draining).
 		Int64("rest_ms", hint.Backoff.Milliseconds()).Str("from", string(from)).Msg("server_word")
 	h.node.metrics.hint(hint, from)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told.Learn(clock.Now(), gossip.HintItem{Start: start, Hint: hint, Limit: limit.Latest()})
+	h.outgoing.Learn(clock.Now(), gossip.HintItem{Start: start, Hint: hint, Limit: limit.Latest()})
 }
 
-// receivePeer takes what a peer tells.
-func (h *serverHints) receivePeer(now time.Time, told []*peerpb.ServerWord) {
-	for _, item := range hintsOf(now, told) {
-		news := false
-		h.node.dispatch.Do(func(core *dispatch.Core) { news = core.ReceivePeerHint(now, item.Start, item.Hint) })
-		if news {
-			h.passOn(item.Start, item.Hint, hintFromPeer)
+// receiveFromPeer applies the hints sent by a peer.
+func (h *serverHints) receiveFromPeer(now time.Time, encoded []*peerpb.ServerWord) {
+	for _, item := range decodeHints(now, encoded) {
+		changed := false
+		h.node.dispatch.Do(func(core *dispatch.Core) { changed = core.ReceivePeerHint(now, item.Start, item.Hint) })
+		if changed {
+			h.propagate(item.Start, item.Hint, hintFromPeer)
 		}
 		h.receivePeerLimit(now, item.Start, item.Limit)
 	}
 }
 
-// wire are the hints that are told in this period.
-func (h *serverHints) wire(now time.Time) []*peerpb.ServerWord {
+// takeDue returns the hints to send in this period.
+func (h *serverHints) takeDue(now time.Time) []*peerpb.ServerWord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var encoded []*peerpb.ServerWord
-	for _, item := range h.told.TakeDue(now) {
+	for _, item := range h.outgoing.TakeDue(now) {
 		encoded = append(encoded, &peerpb.ServerWord{
 			Server: item.Start.ID, Born: item.Start.StartedAtMs, Leaving: item.Hint.Draining, RestMs: uint32(item.Hint.Backoff.Milliseconds()),
 			Limit: encodeLimit(now, item.Limit),
@@ -112,10 +112,11 @@
 	return encoded
 }
 
-// hintsOf are the hints that a peer tells. A server without a name is none.
-func hintsOf(now time.Time, told []*peerpb.ServerWord) []gossip.HintItem {
-	items := make([]gossip.HintItem, 0, len(told))
-	for _, hint := range told {
+// decodeHints decodes the hints of a peer. Entries without a server name or with an invalid
+// start are dropped.
+func decodeHints(now time.Time, encoded []*peerpb.ServerWord) []gossip.HintItem {
+	items := make([]gossip.HintItem, 0, len(encoded))
+	for _, hint := range encoded {
 		if hint.Server == "" || hint.Born < 0 {
 			continue
 		}
@@ -129,36 +130,35 @@
 	return items
 }
 
-// encodeLimit is a rate limit as peers are told it; nil where the server never named one. Ages are
-// rounded to the side on which the limit holds longer.
+// encodeLimit encodes a rate limit, or returns nil if the server never reported one. Ages are
+// rounded in the direction in which the limit holds longer.
 func encodeLimit(now time.Time, limit admission.Observation) *peerpb.RateLimit {
 	if limit.Limit.Kind == inventory.RateLimitUnknown {
 		return nil
 	}
 	return &peerpb.RateLimit{
 		Named: limit.Limit.IsSet(), PerSecond: limit.Limit.PerSecond,
-		SentAgeMs: wireAge(now, limit.SentAt) + 1, HeardAgeMs: wireAge(now, limit.ReceivedAt),
+		SentAgeMs: ageMillis(now, limit.SentAt) + 1, HeardAgeMs: ageMillis(now, limit.ReceivedAt),
 	}
 }
 
-// wireAge is the age of a moment in milliseconds, up to longestAge.
-func wireAge(now, at time.Time) uint32 {
-	return uint32(min(max(0, now.Sub(at)), longestAge).Milliseconds())
+// ageMillis returns the age in milliseconds, up to maxWireAge.
+func ageMillis(now, at time.Time) uint32 {
+	return uint32(min(max(0, now.Sub(at)), maxWireAge).Milliseconds())
 }
 
-// decodeLimit is what a peer tells of a rate limit; ok is false where it tells none, or none that
-// can be.
-func decodeLimit(now time.Time, told *peerpb.RateLimit) (limit admission.Observation, ok bool) {
-	if told == nil || told.Named && !inventory.IsValidRate(told.PerSecond) {
+// decodeLimit decodes a peer's rate limit. ok is false if it has none or an invalid one.
+func decodeLimit(now time.Time, encoded *peerpb.RateLimit) (limit admission.Observation, ok bool) {
+	if encoded == nil || encoded.Named && !inventory.IsValidRate(encoded.PerSecond) {
 		return limit, false
 	}
 	limit = admission.Observation{
 		Limit:      inventory.RateLimit{Kind: inventory.RateLimitNone},
-		SentAt:     now.Add(-time.Duration(told.SentAgeMs) * time.Millisecond),
-		ReceivedAt: now.Add(-time.Duration(told.HeardAgeMs) * time.Millisecond),
+		SentAt:     now.Add(-time.Duration(encoded.SentAgeMs) * time.Millisecond),
+		ReceivedAt: now.Add(-time.Duration(encoded.HeardAgeMs) * time.Millisecond),
 	}
-	if told.Named {
-		limit.Limit = inventory.NewRateLimit(told.PerSecond)
+	if encoded.Named {
+		limit.Limit = inventory.NewRateLimit(encoded.PerSecond)
 	}
 	return limit, true
 }
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// snapshotDialTimeout and snapshotTimeout bound one question to a peer; the
-	// larger covers a configuration of 100 KB over a busy link of 10 Mbit/s.
+	// snapshotDialTimeout and snapshotTimeout bound one request to a peer. The latter covers a
+	// configuration of 100 KB over a busy 10 Mbit/s link.
 	snapshotDialTimeout = 300 * time.Millisecond
 	snapshotTimeout     = 1500 * time.Millisecond
-	// snapshotHeaderTimeout bounds how long a peer may take to ask.
+	// snapshotHeaderTimeout bounds how long a peer may take to send its request.
 	snapshotHeaderTimeout = 2 * time.Second
-	// refreshPeriod is the time between two whole lists of servers from peers:
-	// they drop what news left behind. It is drawn between one and two of it.
+	// refreshPeriod is the minimum interval between full server lists from peers, which remove
+	// entries whose removal was missed. The actual interval is random between one and two
+	// periods.
 	refreshPeriod = 30 * time.Second
-	// snapshotPeers is the number of addresses that an answer names.
+	// snapshotPeers is the number of addresses that a snapshot names.
 	snapshotPeers = 12
 )
 
-// snapshots asks peers for what they know from the store, and answers them.
+// snapshots requests and serves snapshots of the data that nodes have from the store.
 type snapshots struct {
 	node   *Node
 	client *http.Client
-	// wanted are peers that know more; one that waits is enough.
-	wanted chan wantedSnapshot
-	// farSince is when a peer of another region began to know more, since when this node
-	// leaves it to others of its own region to ask there. The goroutine that takes
-	// datagrams alone uses it.
-	farSince time.Time
+	// pending holds a peer with newer data to ask; one entry is enough.
+	pending chan wantedSnapshot
+	// otherRegionSince is when a peer of another region was first seen with newer data, since
+	// when this node leaves the request to other nodes of its own region. It is used only by the
+	// goroutine that receives datagrams.
+	otherRegionSince time.Time
 }
 
-// wantedSnapshot is a peer to ask.
+// wantedSnapshot names a peer to ask.
 type wantedSnapshot struct {
 	address string
-	// version is that of the configuration to ask for; 0 where the servers are
-	// wanted.
+	// version is the configuration version wanted, or 0 if the servers are wanted.
 	version int64
 }
 
@@ -56,11 +56,11 @@
 			Timeout:   snapshotTimeout,
 			Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 		},
-		wanted: make(chan wantedSnapshot, 1),
+		pending: make(chan wantedSnapshot, 1),
 	}
 }
 
-// serve answers peers on the TCP port with the number of the node's UDP port.
+// serve serves peers on the TCP port with the same number as the node's UDP port.
 func (s *snapshots) serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: peerpb.NewNodesServer(s), ReadHeaderTimeout: snapshotHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -68,91 +68,92 @@
 	return serve(server, listener)
 }
 
-// want asks the peer for what it knows, unless another waits to be asked.
-func (s *snapshots) want(wanted wantedSnapshot) {
+// enqueue requests a snapshot from the peer unless another request is pending.
+func (s *snapshots) enqueue(wanted wantedSnapshot) {
 	select {
-	case s.wanted <- wanted:
+	case s.pending <- wanted:
 	default:
 	}
 }
 
 const (
-	// farAskers is the number of nodes of a region that ask peers of other regions at
-	// once; the others hear from them, or ask after farPatience themselves. A list of a
-	// thousand servers has 100 KB.
-	farAskers   = 2
-	farPatience = 600 * time.Millisecond
+	// otherRegionRequesters is the number of nodes of a region that request snapshots from other
+	// regions at the same time. The others hear from these, or ask themselves after
+	// otherRegionDelay. A list of a thousand servers takes 100 KB.
+	otherRegionRequesters = 2
+	otherRegionDelay      = 600 * time.Millisecond
 )
 
-// mayAsk reports whether a peer that knows more is to be asked now.
-func (s *snapshots) mayAsk(now time.Time, address string) bool {
+// mayRequest reports whether a peer with newer data may be asked now.
+func (s *snapshots) mayRequest(now time.Time, address string) bool {
 	peers := s.node.peers
-	if !peers.isFar(address) || peers.rankNear(now) < farAskers {
+	if !peers.isInOtherRegion(address) || peers.regionRank(now) < otherRegionRequesters {
 		return true
 	}
-	waited := now.Sub(s.farSince)
-	if waited > 2*farPatience {
-		s.farSince, waited = now, 0
+	waited := now.Sub(s.otherRegionSince)
+	if waited > 2*otherRegionDelay {
+		s.otherRegionSince, waited = now, 0
 	}
-	return waited > farPatience
+	return waited > otherRegionDelay
 }
 
-// isDue reports whether what is wanted did not come meanwhile, from another peer
-// or the store.
-func (s *snapshots) isDue(wanted wantedSnapshot) bool {
+// isNeeded reports whether the wanted data has not arrived meanwhile from another peer or the
+// store.
+func (s *snapshots) isNeeded(wanted wantedSnapshot) bool {
 	return wanted.version == 0 || wanted.version > s.node.configVersion()
 }
 
-// run asks the seeds once, as the node starts, and then whom others name.
+// run asks the seeds once at startup, and then the peers that are enqueued.
 func (s *snapshots) run(ctx context.Context) {
 	for _, seed := range s.node.options.Tunables.PeerSeeds {
-		if seed != s.node.options.PeerAddress && s.fetch(ctx, seed, s.node.known()) {
+		if seed != s.node.options.PeerAddress && s.fetch(ctx, seed, s.node.knownState()) {
 			break
 		}
 	}
-	s.node.peersAsked.Store(true)
+	s.node.seedsQueried.Store(true)
 	refresh := time.NewTimer(refreshPeriod + rand.N(refreshPeriod))
 	defer refresh.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-s.wanted:
-			if s.isDue(wanted) {
-				s.fetch(ctx, wanted.address, s.node.known())
+		case wanted := <-s.pending:
+			if s.isNeeded(wanted) {
+				s.fetch(ctx, wanted.address, s.node.knownState())
 			}
 		case <-refresh.C:
 			refresh.Reset(refreshPeriod + rand.N(refreshPeriod))
-			if address := s.node.peers.near(clock.Now()); address != "" && !s.node.watchesStore(clock.Now(), &s.node.serversConfirmed) {
-				// All servers, whatever is known: the list drops what is gone.
+			if address := s.node.peers.randomNearby(clock.Now()); address != "" && !s.node.shouldQueryStore(clock.Now(), &s.node.serversConfirmed) {
+				// The request omits the digest to get the full list, which removes stale
+				// servers.
 				s.fetch(ctx, address, &peerpb.SnapshotRequest{ConfigVersion: s.node.configVersion()})
 			}
 		}
 	}
 }
 
-// known is what the node has and need not be told. Servers that it heard of as news
-// alone are no list: news do not say that they are all.
-func (n *Node) known() *peerpb.SnapshotRequest {
+// knownState describes the data that this node has and need not be sent. Servers known only from
+// announced changes are not included, because announcements do not amount to a complete list.
+func (n *Node) knownState() *peerpb.SnapshotRequest {
 	request := &peerpb.SnapshotRequest{ConfigVersion: n.configVersion()}
 	if n.hasServers.Load() {
-		request.ServersDigest, _ = n.directory.standing()
+		request.ServersDigest, _ = n.directory.digestAndPosition()
 	}
 	return request
 }
 
-// fetch asks one peer and uses its answer. It reports whether the node then knows
-// enough to answer callers.
+// fetch requests a snapshot from a peer and applies it. It reports whether the node then has the
+// state required to serve callers.
 func (s *snapshots) fetch(ctx context.Context, address string, request *peerpb.SnapshotRequest) bool {
 	node := s.node
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	response, err := peerpb.NewNodesProtobufClient("http://"+address, s.client).Snapshot(ctx, request)
 	if err != nil {
-		node.options.Logger.Warn().Str("peer", address).Int64("took_ms", clock.Since(asked).Milliseconds()).
+		node.options.Logger.Warn().Str("peer", address).Int64("took_ms", clock.Since(requestedAt).Milliseconds()).
 			Str("error", err.Error()).Msg("snapshot_failed")
 		return false
 	}
-	node.peers.addHints(asked, response.Peers)
+	node.peers.addCandidates(requestedAt, response.Peers)
 	node.peers.countSnapshot(address, response)
 	if len(response.Config) > 0 {
 		table, err := node.options.Store.DecodeConfiguration(response.Config)
@@ -160,46 +161,46 @@
 			node.options.Logger.Warn().Str("peer", address).Str("error", err.Error()).Msg("snapshot_unreadable")
 			return false
 		}
-		node.putInForce(table, "peer")
+		node.activateTable(table, "peer")
 	}
 	if response.ConfigVersion <= node.configVersion() {
-		node.configConfirmed.hear(asked, response.ConfigAgeMs)
+		node.configConfirmed.receiveAge(requestedAt, response.ConfigAgeMs)
 	}
 	if response.ServersRevision > 0 {
-		at := storepos.At(response.ServersEra, response.ServersRevision).WithDefaultEra(node.directory.completeTo().Era)
-		node.listPeerServers(entriesOf(response.Servers, at.Era), at)
+		at := storepos.At(response.ServersEra, response.ServersRevision).WithDefaultEra(node.directory.position().Era)
+		node.applyPeerServerList(decodeEntries(response.Servers, at.Era), at)
 		if response.EraAgeMs > 0 {
-			node.directory.beginEra(asked.Add(-time.Duration(response.EraAgeMs-1) * time.Millisecond))
+			node.directory.beginEra(requestedAt.Add(-time.Duration(response.EraAgeMs-1) * time.Millisecond))
 		}
 	}
-	node.confirmServers(asked, response.ServersDigest, response.ServersAgeMs)
-	node.evacuations.hear(asked, address, response.Evacuations)
+	node.confirmServers(requestedAt, response.ServersDigest, response.ServersAgeMs)
+	node.evacuations.receive(requestedAt, address, response.Evacuations)
 	node.options.Logger.Info().Str("peer", address).Int64("config", response.ConfigVersion).
 		Int("config_bytes", len(response.Config)).Int("servers", len(response.Servers)).
-		Int64("revision", response.ServersRevision).Int64("era", response.ServersEra).Int64("took_ms", clock.Since(asked).Milliseconds()).Msg("snapshot_taken")
-	return node.knowsEnough()
+		Int64("revision", response.ServersRevision).Int64("era", response.ServersEra).Int64("took_ms", clock.Since(requestedAt).Milliseconds()).Msg("snapshot_taken")
+	return node.hasRequiredState()
 }
 
-// Snapshot answers a peer with what this node knows.
+// Snapshot serves a peer the data that this node has.
 func (s *snapshots) Snapshot(_ context.Context, request *peerpb.SnapshotRequest) (*peerpb.SnapshotResponse, error) {
 	now := clock.Now()
 	node := s.node
-	response := &peerpb.SnapshotResponse{Peers: node.peers.some(now, snapshotPeers), Evacuations: node.evacuations.whole(now)}
+	response := &peerpb.SnapshotResponse{Peers: node.peers.sampleAddresses(now, snapshotPeers), Evacuations: node.evacuations.encodeFull(now)}
 	if table := node.handler.Table(); table != nil {
 		response.ConfigVersion = table.Version
-		response.ConfigAgeMs = node.configConfirmed.wire(now)
+		response.ConfigAgeMs = node.configConfirmed.encodedAge(now)
 		if table.Version > request.ConfigVersion {
 			response.Config = table.Source
 		}
 	}
 	if node.hasServers.Load() {
-		response.ServersDigest, _ = node.directory.standing()
-		response.ServersAgeMs = node.serversConfirmed.wire(now)
+		response.ServersDigest, _ = node.directory.digestAndPosition()
+		response.ServersAgeMs = node.serversConfirmed.encodedAge(now)
 		if response.ServersDigest != request.ServersDigest {
-			// Most who ask know them: a list for each took half of the memory that a leader of 300
-			// nodes and 3,000 servers used, 120 MB a second.
-			servers, at, digest := node.directory.list()
-			response.Servers, response.ServersDigest = encodeEntries(node.admissions.asOf(now, servers)), digest
+			// Most peers have the list already. Building it for each request caused half of the
+			// allocations of a leader with 300 nodes and 3,000 servers, 120 MB a second.
+			servers, at, digest := node.directory.listAvailable()
+			response.Servers, response.ServersDigest = encodeEntries(node.admissions.withColdState(now, servers)), digest
 			response.ServersEra, response.ServersRevision = at.Era, at.Revision
 			if age, ok := node.directory.eraAge(now); ok {
 				response.EraAgeMs = encodeAge(age)
@@ -209,8 +210,8 @@
 	return response, nil
 }
 
-// entriesOf are the servers that a peer lists, in the era where it does not tell theirs.
-func entriesOf(wire []*peerpb.ServerEntry, era int64) []inventory.Server {
+// decodeEntries decodes the servers of a peer's list. Entries without an era get the given one.
+func decodeEntries(wire []*peerpb.ServerEntry, era int64) []inventory.Server {
 	servers := make([]inventory.Server, 0, len(wire))
 	for _, entry := range wire {
 		server := inventory.Server{
@@ -220,7 +221,7 @@
 		if !isUsable(server) {
 			continue
 		}
-		server.ColdRemaining, server.ReportsCold = coldLeftOf(entry.ColdLeftMs)
+		server.ColdRemaining, server.ReportsCold = decodeColdRemaining(entry.ColdLeftMs)
 		for _, model := range entry.Held {
 			server.Models = append(server.Models, inventory.HeldModel{Name: model.Model, Adapters: model.Adapters})
 		}
@@ -229,8 +230,8 @@
 	return servers
 }
 
-// isUsable reports whether what a peer tells of a server names one: a peer of another build may
-// have taken what this one cannot read.
+// isUsable reports whether a server received from a peer is complete and valid. A peer running
+// another build may have accepted an entry that this one cannot use.
 func isUsable(server inventory.Server) bool {
 	if server.ID == "" || server.StartedAtMs < 0 || server.Position.IsBefore(storepos.Position{}) || server.Position.Revision < 0 {
 		return false
@@ -243,17 +244,17 @@
 }
 
 func encodeEntries(servers []inventory.Server) []*peerpb.ServerEntry {
-	wire := make([]*peerpb.ServerEntry, 0, len(servers))
+	encoded := make([]*peerpb.ServerEntry, 0, len(servers))
 	for _, server := range servers {
 		entry := &peerpb.ServerEntry{
 			Server: server.ID, Born: server.StartedAtMs, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Slots: uint32(server.Slots), Draining: server.Draining, Revision: server.Position.Revision, Era: server.Position.Era,
-			ColdLeftMs: encodeColdLeft(server.ColdRemaining, server.ReportsCold),
+			ColdLeftMs: encodeColdRemaining(server.ColdRemaining, server.ReportsCold),
 		}
 		for _, model := range server.Models {
 			entry.Held = append(entry.Held, &peerpb.HeldModel{Model: model.Name, Adapters: model.Adapters})
 		}
-		wire = append(wire, entry)
+		encoded = append(encoded, entry)
 	}
-	return wire
+	return encoded
 }
--- a/internal/edge/snapshot_bench_test.go
+++ b/internal/edge/snapshot_bench_test.go
@@ -8,15 +8,16 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// BenchmarkSnapshotOfWhatIsKnown: a peer that knows all 3,000 servers asks for the rest.
+// BenchmarkSnapshotOfWhatIsKnown measures a snapshot for a peer that already has all 3,000
+// servers.
 func BenchmarkSnapshotOfWhatIsKnown(b *testing.B) {
 	node := newTestNode(b)
 	var servers []inventory.Server
 	for i := range 3000 {
 		servers = append(servers, inventory.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: benchAddress(i), Position: storepos.At(0, 3)})
 	}
-	node.listPeerServers(servers, storepos.At(0, 4))
-	request := node.known()
+	node.applyPeerServerList(servers, storepos.At(0, 4))
+	request := node.knownState()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
--- a/internal/edge/trials.go
+++ b/internal/edge/trials.go
@@ -10,41 +10,41 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// ClaimTrial implements relay.Suspects. The first of the coordinators that answers decides for
-// all nodes; where none does the request stays barred.
+// ClaimTrial implements relay.Suspects. The first coordinator that answers decides for all
+// nodes. If none answers, the request stays barred.
 func (s *suspects) ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool {
 	granted, by := false, ""
 	for _, coordinator := range s.node.peers.coordinators(clock.Now()) {
 		var answered bool
-		if granted, answered = s.askTrial(ctx, coordinator.Address, fingerprint); answered {
+		if granted, answered = s.requestTrial(ctx, coordinator.Address, fingerprint); answered {
 			by = coordinator.Address
 			break
 		}
 	}
 	if granted && by != s.node.peers.address {
-		// What becomes of the trial is judged here, too.
+		// This node also tracks the outcome of the trial.
 		s.grantTrial(clock.Now(), fingerprint)
 	}
 	s.node.options.Logger.Info().Str("fingerprint", fingerprint.String()).Str("by", by).Bool("granted", granted).Msg("trial_claimed")
 	return granted
 }
 
-// askTrial asks one coordinator.
-func (s *suspects) askTrial(ctx context.Context, address string, fingerprint poison.Fingerprint) (granted, answered bool) {
+// requestTrial asks one coordinator for a trial.
+func (s *suspects) requestTrial(ctx context.Context, address string, fingerprint poison.Fingerprint) (granted, answered bool) {
 	if address == s.node.peers.address {
 		return s.decideTrial(fingerprint), true
 	}
 	call := &peerpb.TrialCall{Kind: peerpb.TrialCall_ASK, Asker: s.node.peers.address, Fingerprint: fingerprint[:]}
-	return s.trials.ask(ctx, askTimeout, func(id uint64) {
+	return s.pendingTrials.call(ctx, askTimeout, func(id uint64) {
 		call.Id = id
 		s.node.peers.sendTrial(address, call)
 	})
 }
 
-// takeTrial takes a question or an answer of another node.
-func (s *suspects) takeTrial(call *peerpb.TrialCall) {
+// handleTrial handles a trial request or response from another node.
+func (s *suspects) handleTrial(call *peerpb.TrialCall) {
 	if call.Kind != peerpb.TrialCall_ASK {
-		s.trials.answered(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
+		s.pendingTrials.resolve(call.Id, call.Kind == peerpb.TrialCall_GRANTED)
 		return
 	}
 	fingerprint, ok := poison.DecodeFingerprint(call.Fingerprint)
@@ -58,17 +58,18 @@
 	s.node.peers.sendTrial(call.Asker, answer)
 }
 
-// decideTrial grants one trial, and tells all nodes that the request is barred beside it.
+// decideTrial grants at most one trial, and notifies all nodes that other copies of the request
+// stay barred meanwhile.
 func (s *suspects) decideTrial(fingerprint poison.Fingerprint) bool {
 	now := clock.Now()
 	if !s.grantTrial(now, fingerprint) {
 		return false
 	}
 	s.mu.Lock()
-	left := s.tally.BarRemaining(now, fingerprint)
+	remaining := s.tally.BarRemaining(now, fingerprint)
 	s.mu.Unlock()
-	if left > 0 {
-		s.tellAll(now, poison.Report{Fingerprint: fingerprint, BarredFor: left})
+	if remaining > 0 {
+		s.broadcastReport(now, poison.Report{Fingerprint: fingerprint, BarredFor: remaining})
 	}
 	return true
 }
@@ -77,14 +78,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	granted := s.tally.ClaimTrial(now, fingerprint)
-	s.any.Store(s.tally.Size() > 0)
+	s.nonEmpty.Store(s.tally.Size() > 0)
 	return granted
 }
 
-// tellAll sends a report to all living nodes, at once and again in the next periods.
-func (s *suspects) tellAll(now time.Time, report poison.Report) {
+// broadcastReport sends a report to all live nodes immediately and again in the next periods.
+func (s *suspects) broadcastReport(now time.Time, report poison.Report) {
 	s.mu.Lock()
-	s.tellAgain(now, report)
+	s.scheduleRepeat(now, report)
 	s.mu.Unlock()
-	s.node.peers.sendCrashes(s.node.peers.all(now), peer.EncodeCrashReports([]poison.Report{report}))
+	s.node.peers.sendCrashes(s.node.peers.aliveAddresses(now), peer.EncodeCrashReports([]poison.Report{report}))
 }
