--- a/internal/placement/census.go
+++ b/internal/placement/census.go
@@ -5,44 +5,44 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// tally counts the held replicas of a model that are ready or on the way.
-type tally struct{ ready, coming int }
+// replicaCount is the result of countReplicas for one model.
+type replicaCount struct{ ready, loading int }
 
-// census counts all models in one pass; replicas does so for one.
-func (c *Core) census() map[fleet.ModelVersion]tally {
-	counts := make(map[fleet.ModelVersion]tally, len(c.names))
+// countAllReplicas returns what countReplicas does, for all models in one pass.
+func (c *Core) countAllReplicas() map[fleet.ModelVersion]replicaCount {
+	counts := make(map[fleet.ModelVersion]replicaCount, len(c.names))
 	for _, held := range c.engines {
 		if !held.serving() {
 			continue
 		}
 		for _, loaded := range held.state.Models {
-			counted := counts[loaded.Model]
+			count := counts[loaded.Model]
 			switch loaded.State {
 			case fleet.LoadReady:
-				counted.ready++
+				count.ready++
 			case fleet.LoadLoading:
-				counted.coming++
+				count.loading++
 			case fleet.LoadUnloading:
 			}
-			counts[loaded.Model] = counted
+			counts[loaded.Model] = count
 		}
 	}
-	type place struct {
+	type replicaKey struct {
 		engine fleet.BackendName
 		model  fleet.ModelVersion
 	}
-	seen := make(map[place]bool, len(c.orders))
+	seen := make(map[replicaKey]bool, len(c.orders))
 	for _, order := range c.orders {
 		held := c.engines[order.engine]
-		at := place{order.engine, order.Model}
+		key := replicaKey{order.engine, order.Model}
 		if order.Action != backend.ActionLoad || held == nil || !held.serving() ||
-			held.state.Find(order.Model) != nil || seen[at] {
+			held.state.Find(order.Model) != nil || seen[key] {
 			continue
 		}
-		seen[at] = true
-		counted := counts[order.Model]
-		counted.coming++
-		counts[order.Model] = counted
+		seen[key] = true
+		count := counts[order.Model]
+		count.loading++
+		counts[order.Model] = count
 	}
 	return counts
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -9,7 +9,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// choice is an engine for a load and what must go from it first.
+// choice is an engine for a load and the models to evict from it first.
 type choice struct {
 	engine fleet.BackendName
 	tier   fleet.Tier
@@ -17,15 +17,15 @@
 	cost   float64
 }
 
-// Relative costs of reading a checkpoint from each tier, and of a replica in
-// a rack that has one already.
+// Relative costs of loading a checkpoint from each tier, and of placing a replica in
+// a rack that already has one.
 const (
 	costMemory   = 0.1
 	costDisk     = 0.4
 	costRemote   = 1.0
 	costSameRack = 0.05
-	// costCrowded prefers the engine with more free memory among equals.
-	costCrowded = 0.01
+	// costLowMemory breaks ties in favor of the engine with more free memory.
+	costLowMemory = 0.01
 )
 
 func tierCost(tier fleet.Tier) float64 {
@@ -39,30 +39,30 @@
 	}
 }
 
-// choose picks the engine where the load costs least.
-func (c *Core) choose(now time.Time, facts catalog.ModelInfo) (choice, bool) {
-	racks := c.racksWith(facts.Model)
+// chooseEngine returns the engine with the lowest cost for the load.
+func (c *Core) chooseEngine(now time.Time, info catalog.ModelInfo) (choice, bool) {
+	racks := c.racksHolding(info.Model)
 	var choices []choice
 	for _, name := range c.engineNames() {
 		held := c.engines[name]
-		_, avoided := c.avoid[placementKey{name, facts.Model}]
-		if !held.serving() || avoided || held.state.Find(facts.Model) != nil {
+		_, avoided := c.avoidUntil[placementKey{name, info.Model}]
+		if !held.serving() || avoided || held.state.Find(info.Model) != nil {
 			continue
 		}
-		evict, evictCost, possible := c.makeRoom(now, name, facts.MemoryBytes+c.adapterRoom[facts.Model.Model])
+		evict, evictCost, possible := c.planEviction(now, name, info.MemoryBytes+c.adapterReserve[info.Model.Model])
 		if !possible {
 			continue
 		}
-		tier := held.tier(facts.Model)
+		tier := held.tier(info.Model)
 		cost := evictCost
-		if !c.without.Tiers {
-			cost += tierCost(tier) * sizeCost(facts)
+		if !c.disabled.Tiers {
+			cost += tierCost(tier) * relativeSize(info)
 		}
 		if held.state.Rack != "" && racks[held.state.Rack] {
 			cost += costSameRack
 		}
 		if held.state.MemoryBytes > 0 {
-			cost += costCrowded * (1 - float64(c.free(name))/float64(held.state.MemoryBytes))
+			cost += costLowMemory * (1 - float64(c.freeBytes(name))/float64(held.state.MemoryBytes))
 		}
 		choices = append(choices, choice{engine: name, tier: tier, evict: evict, cost: cost})
 	}
@@ -74,7 +74,8 @@
 	}), true
 }
 
-func (c *Core) racksWith(model fleet.ModelVersion) map[string]bool {
+// racksHolding returns the racks that hold or are loading the model.
+func (c *Core) racksHolding(model fleet.ModelVersion) map[string]bool {
 	racks := make(map[string]bool)
 	for name, held := range c.engines {
 		if held.state.Find(model) != nil || c.loadInFlight(name, model) {
@@ -84,62 +85,62 @@
 	return racks
 }
 
-// victim is a model that may be evicted from an engine.
-type victim struct {
+// candidate is a model that may be evicted from an engine.
+type candidate struct {
 	model fleet.ModelVersion
 	bytes int64
 	cost  float64
 }
 
-// makeRoom names the cheapest models to evict for the bytes. What is already
-// being unloaded is waited for before more is evicted.
-func (c *Core) makeRoom(now time.Time, name fleet.BackendName, bytes int64) ([]fleet.ModelVersion, float64, bool) {
-	missing := bytes - c.free(name)
+// planEviction returns the cheapest models to evict to free the bytes, their cost, and
+// whether that frees enough. Models that are already being unloaded come first at no cost.
+func (c *Core) planEviction(now time.Time, name fleet.BackendName, bytes int64) ([]fleet.ModelVersion, float64, bool) {
+	missing := bytes - c.freeBytes(name)
 	if missing <= 0 {
 		return nil, 0, true
 	}
-	var victims []victim
+	var candidates []candidate
 	for _, loaded := range c.engines[name].state.Models {
 		if loaded.State == fleet.LoadUnloading || c.orderInFlight(name, loaded.Model) {
-			victims = append(victims, victim{model: loaded.Model, bytes: loaded.Bytes})
+			candidates = append(candidates, candidate{model: loaded.Model, bytes: loaded.Bytes})
 			continue
 		}
-		if c.mayEvict(now, loaded) {
-			victims = append(victims, victim{loaded.Model, loaded.Bytes, c.policy.EvictionCost(now, c.idleSince(loaded), loaded.Model)})
+		if c.isEvictable(now, loaded) {
+			candidates = append(candidates, candidate{loaded.Model, loaded.Bytes, c.policy.EvictionCost(now, c.idleSince(loaded), loaded.Model)})
 		}
 	}
-	slices.SortFunc(victims, func(a, b victim) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), a.model.Compare(b.model))
 	})
 	var evict []fleet.ModelVersion
 	cost := 0.0
-	for _, victim := range victims {
+	for _, candidate := range candidates {
 		if missing <= 0 {
 			break
 		}
-		missing -= victim.bytes
-		cost += victim.cost
-		evict = append(evict, victim.model)
+		missing -= candidate.bytes
+		cost += candidate.cost
+		evict = append(evict, candidate.model)
 	}
 	return evict, cost, missing <= 0
 }
 
-// mayEvict holds for models that are ready, that nothing waits for, that stand
-// above their standing capacity, and that have stayed for their least time.
-func (c *Core) mayEvict(now time.Time, loaded fleet.LoadedModel) bool {
+// isEvictable reports whether the model is ready, has no waiting requests, has more
+// ready replicas than its standing capacity, and has been loaded for its minimum residence.
+func (c *Core) isEvictable(now time.Time, loaded fleet.LoadedModel) bool {
 	if loaded.State != fleet.LoadReady || len(c.wants[loaded.Model]) > 0 {
 		return false
 	}
-	ready, _ := c.replicas(loaded.Model)
+	ready, _ := c.countReplicas(loaded.Model)
 	if ready <= c.standing[loaded.Model] {
 		return false
 	}
-	return now.Sub(loaded.ReadySince) >= c.residence(now, loaded.Model)
+	return now.Sub(loaded.ReadySince) >= c.minResidence(now, loaded.Model)
 }
 
-// residence is the least time that the model stays: it doubles with each load
-// within the window, which bounds the loads of one model.
-func (c *Core) residence(now time.Time, model fleet.ModelVersion) time.Duration {
+// minResidence returns the minimum time that the model stays loaded. It doubles with
+// each load within ThrashWindow, which bounds the number of loads of one model.
+func (c *Core) minResidence(now time.Time, model fleet.ModelVersion) time.Duration {
 	history := c.historyOf(model)
 	history.loads = slices.DeleteFunc(history.loads, func(at time.Time) bool {
 		return now.Sub(at) > c.settings.ThrashWindow
@@ -148,4 +149,5 @@
 	return c.settings.MinResidence << doublings
 }
 
+// maxDoublings bounds the doublings of MinResidence.
 const maxDoublings = 5
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -12,14 +12,14 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Options make a core.
+// Options configure a core.
 type Options struct {
 	Settings Settings
-	// Policy replaces the core's own judgement of what stays; nil for none.
+	// Policy replaces the core's own policy; nil keeps that.
 	Policy Policy
-	// PreloadEvicts lets models that are loaded ahead evict others.
+	// PreloadEvicts lets a preload evict other models.
 	PreloadEvicts bool
-	// Disabled turns mechanisms off; only tests and the laboratory set it.
+	// Disabled disables mechanisms; only tests and simulations set it.
 	Disabled DisabledMechanisms
 }
 
@@ -27,50 +27,52 @@
 type Core struct {
 	settings Settings
 	policy   Policy
-	without  DisabledMechanisms
-	// preloadEvicts is from the options.
+	disabled DisabledMechanisms
+	// preloadEvicts is Options.PreloadEvicts.
 	preloadEvicts bool
 
 	models map[fleet.ModelVersion]catalog.ModelInfo
-	// names are those of the models in order.
+	// names are the keys of models, sorted.
 	names    []fleet.ModelVersion
 	adapters map[fleet.AdapterName]catalog.AdapterInfo
-	// adapterRoom is what a load leaves free for adapters, by model name.
-	adapterRoom     map[string]int64
+	// adapterReserve is the memory that a load leaves free for the model's adapters, by model name.
+	adapterReserve  map[string]int64
 	coldStartWeight float64
 	limits          map[fleet.ModelVersion]int
-	standing        map[fleet.ModelVersion]int
-	zones           int
-	zoneIndex       int
-
-	leading bool
-	fence   fleet.Fence
-	engines map[fleet.BackendName]*engine
-	full    map[fleet.BackendName]bool
-	orders  map[string]*order
-	// loading counts the loads among orders by engine and model.
-	loading map[placementKey]int
-	counter uint64
-
-	wants   map[fleet.ModelVersion]map[wantKey]timedWant
+	// standing is the zone's part of the replicas to keep ready.
+	standing  map[fleet.ModelVersion]int
+	zones     int
+	zoneIndex int
+
+	// roundActive is set while the core may send orders.
+	roundActive bool
+	fence       fleet.Fence
+	engines     map[fleet.BackendName]*engine
+	assumedFull map[fleet.BackendName]bool
+	orders      map[string]*order
+	// loading counts the loads in flight by engine and model.
+	loading      map[placementKey]int
+	orderCounter uint64
+
+	wants   map[fleet.ModelVersion]map[wantKey]expiringWant
 	history map[fleet.ModelVersion]*history
-	store   storeShare
-	// elsewhere are the models that another zone has ready or loads.
-	elsewhere map[fleet.ModelVersion]bool
-	// evacuated is set while the zone is out of service, displaced are models
-	// that stood in such zones and are loaded here.
+	store   storeQuota
+	// replicasElsewhere are the models that another zone has ready or is loading.
+	replicasElsewhere map[fleet.ModelVersion]bool
+	// evacuated is set while the zone is out of service. displaced are models whose
+	// replicas were only in evacuated zones, to be preloaded here.
 	evacuated bool
 	displaced map[fleet.ModelVersion]bool
-	// avoid holds engines at which a load of a model failed.
-	avoid    map[placementKey]time.Time
-	effects  []Effect
-	lastPlan time.Time
-	// dirty is set where something changed that decisions depend on; else
-	// they are made anew only every planInterval.
+	// avoidUntil is until when an engine is not used for a model after a failed order.
+	avoidUntil map[placementKey]time.Time
+	effects    []Effect
+	lastPlan   time.Time
+	// dirty is set after a change that requires a new plan at once; without one a
+	// plan is made every planInterval.
 	dirty bool
-	// refused holds the refusals of the last plan.
-	refused map[fleet.ModelVersion]Refuse
-	timings timings
+	// refusals are the refusals of the last plan.
+	refusals map[fleet.ModelVersion]Refuse
+	timings  timings
 }
 
 type wantKey struct {
@@ -79,9 +81,9 @@
 	regions fleet.Regions
 }
 
-type timedWant struct {
+type expiringWant struct {
 	fleet.Want
-	until time.Time
+	expiresAt time.Time
 }
 
 type placementKey struct {
@@ -89,69 +91,70 @@
 	model  fleet.ModelVersion
 }
 
-// engine is an engine that the round holds.
+// engine is an engine that is held in the current round.
 type engine struct {
 	state fleet.EngineState
-	// asked is the sequence of the newest state.
-	asked   uint64
-	leaving bool
-	silent  bool
-	// loadingSince is when each load was first seen or ordered.
+	// lastQuery is the query sequence of the newest state.
+	lastQuery    uint64
+	leaving      bool
+	unresponsive bool
+	// loadingSince is when each running load was first observed.
 	loadingSince map[fleet.ModelVersion]time.Time
 }
 
-// order is one that was sent and whose effect no state has shown yet.
+// order is an order in flight: it was sent, and no state has shown its effect yet.
 type order struct {
 	backend.Order
 	engine fleet.BackendName
-	sent   time.Time
-	// answered is set once the engine took it; the effect then shows in
-	// states asked for after visibleAfter.
-	answered     bool
+	sentAt time.Time
+	// accepted is set once the engine accepted the order; states queried after
+	// visibleAfter then show its effect.
+	accepted     bool
 	visibleAfter uint64
 }
 
-// New returns a core that holds no engine.
+// New returns a core without an active round.
 func New(options Options) *Core {
 	core := &Core{
 		settings: options.Settings,
 		policy:   options.Policy,
-		without:  options.Disabled,
+		disabled: options.Disabled,
 		zones:    1,
 
 		preloadEvicts: options.PreloadEvicts,
 
-		engines: make(map[fleet.BackendName]*engine),
-		full:    make(map[fleet.BackendName]bool),
-		orders:  make(map[string]*order),
-		loading: make(map[placementKey]int),
-		wants:   make(map[fleet.ModelVersion]map[wantKey]timedWant),
-		history: make(map[fleet.ModelVersion]*history),
-		avoid:   make(map[placementKey]time.Time),
-		refused: make(map[fleet.ModelVersion]Refuse),
-		timings: newTimings(),
+		engines:     make(map[fleet.BackendName]*engine),
+		assumedFull: make(map[fleet.BackendName]bool),
+		orders:      make(map[string]*order),
+		loading:     make(map[placementKey]int),
+		wants:       make(map[fleet.ModelVersion]map[wantKey]expiringWant),
+		history:     make(map[fleet.ModelVersion]*history),
+		avoidUntil:  make(map[placementKey]time.Time),
+		refusals:    make(map[fleet.ModelVersion]Refuse),
+		timings:     newTimings(),
 	}
 	if core.policy == nil {
-		core.policy = ownPolicy{core}
+		core.policy = defaultPolicy{core}
 	}
 	return core
 }
 
+// planInterval is the time between plans while nothing changes.
 const planInterval = 250 * time.Millisecond
 
-// NextWake returns when Step(now, Tick{}) is wanted; zero for none.
+// NextWake returns the time at which to call Step with a Tick; zero if not needed.
 func (c *Core) NextWake() time.Time {
-	if !c.leading {
+	if !c.roundActive {
 		return time.Time{}
 	}
 	wake := c.lastPlan.Add(planInterval)
-	if turn := c.storeTurn(); !turn.IsZero() && turn.Before(wake) {
-		return turn
+	if next := c.nextStoreLoad(); !next.IsZero() && next.Before(wake) {
+		return next
 	}
 	return wake
 }
 
-// Step takes a message and returns what is to be done.
+// Step processes a message and returns the effects to carry out.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	c.effects = nil
 	c.dirty = c.dirty || changesDecisions(message)
@@ -160,42 +163,42 @@
 	case CatalogChanged:
 		c.setCatalog(message)
 	case RoundBegan:
-		c.begin(now, message)
+		c.beginRound(now, message)
 	case RoundEnded:
-		c.finish()
+		c.endRound()
 	case LimitsChanged:
 		c.limits, c.standing = message.Limits, message.Standing
 		c.zones, c.zoneIndex = max(1, message.Zones), message.ZoneIndex
 	case StoreUsage:
 		c.store.others = message
 	case ReplicasElsewhere:
-		c.elsewhere = message.Models
+		c.replicasElsewhere = message.Models
 	case ModelsDisplaced:
 		c.displaced = message.Models
 	case EnginesGone:
-		c.dropGone(message.Engines)
+		c.removeEngines(message.Engines)
 	case EnginesLeaving:
 		c.markLeaving(message.Engines)
 	case EngineUnresponsive:
 		if held := c.engines[message.Engine]; held != nil {
-			held.silent = message.Unresponsive
+			held.unresponsive = message.Unresponsive
 		}
 	case EngineStateReceived:
-		c.see(now, message)
+		c.receiveState(now, message)
 	case WantsReported:
-		c.takeWants(now, message.Wants)
+		c.updateWants(now, message.Wants)
 	case OrderAnswered:
-		c.takeAnswer(now, message)
+		c.receiveOrderAnswer(now, message)
 	}
-	if c.leading && (c.dirty || !now.Before(c.NextWake())) {
+	if c.roundActive && (c.dirty || !now.Before(c.NextWake())) {
 		c.dirty = false
 		c.plan(now)
 	}
 	return c.effects
 }
 
-// changesDecisions reports whether a message calls for a plan at once; states
-// and wants do so only where they bring news.
+// changesDecisions reports whether a message always requires a new plan at once.
+// States and wants require one only where they contain a change.
 func changesDecisions(message Message) bool {
 	switch message.(type) {
 	case CatalogChanged, RoundBegan, LimitsChanged, ModelsDisplaced, EnginesGone, EnginesLeaving:
@@ -207,61 +210,61 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// mostAdapterRoom bounds the memory left for adapters beside a base. Without
-// any, bases that fill an engine and all wait for adapters would keep each other
-// from being evicted for ever.
-const mostAdapterRoom = 1 << 30
+// maxAdapterReserve bounds the memory left free for adapters beside their base model.
+// Without a reserve, base models that fill an engine and all wait for adapters would
+// prevent each other's eviction forever.
+const maxAdapterReserve = 1 << 30
 
 func (c *Core) setCatalog(changed CatalogChanged) {
 	c.models = make(map[fleet.ModelVersion]catalog.ModelInfo, len(changed.Models))
-	for _, facts := range changed.Models {
-		c.models[facts.Model] = facts
+	for _, info := range changed.Models {
+		c.models[info.Model] = info
 	}
 	c.names = slices.SortedFunc(maps.Keys(c.models), fleet.ModelVersion.Compare)
 	c.adapters = make(map[fleet.AdapterName]catalog.AdapterInfo, len(changed.Adapters))
-	c.adapterRoom = make(map[string]int64)
-	for _, facts := range changed.Adapters {
-		c.adapters[facts.Adapter] = facts
-		c.adapterRoom[facts.Model] = min(c.adapterRoom[facts.Model]+facts.MemoryBytes, mostAdapterRoom)
+	c.adapterReserve = make(map[string]int64)
+	for _, info := range changed.Adapters {
+		c.adapters[info.Adapter] = info
+		c.adapterReserve[info.Model] = min(c.adapterReserve[info.Model]+info.MemoryBytes, maxAdapterReserve)
 	}
 	c.coldStartWeight = changed.ColdStartWeight
 	c.evacuated = changed.Evacuated
 }
 
-// begin takes over the inventories of a round. Orders of earlier rounds are
-// either in them or refused for their fence.
-func (c *Core) begin(now time.Time, began RoundBegan) {
-	c.finish()
-	c.leading = true
+// beginRound takes over the engine states of a new round. Orders of earlier rounds
+// are either reflected in them or will be refused because of their fence.
+func (c *Core) beginRound(now time.Time, began RoundBegan) {
+	c.endRound()
+	c.roundActive = true
 	c.store.tokens = max(c.store.tokens, 1)
 	c.fence = began.Fence
 	for _, name := range slices.Sorted(maps.Keys(began.Held)) {
 		state := began.Held[name]
 		held := &engine{leaving: state.Leaving, loadingSince: make(map[fleet.ModelVersion]time.Time)}
 		c.engines[name] = held
-		c.adopt(now, held, state)
+		c.applyState(now, held, state)
 	}
 	for _, name := range began.AssumedFull {
-		c.full[name] = true
+		c.assumedFull[name] = true
 	}
 }
 
-func (c *Core) finish() {
-	c.leading = false
+func (c *Core) endRound() {
+	c.roundActive = false
 	clear(c.engines)
-	clear(c.full)
+	clear(c.assumedFull)
 	clear(c.orders)
 	clear(c.loading)
-	clear(c.refused)
+	clear(c.refusals)
 }
 
-func (c *Core) dropGone(names []fleet.BackendName) {
+func (c *Core) removeEngines(names []fleet.BackendName) {
 	for _, name := range names {
-		delete(c.full, name)
+		delete(c.assumedFull, name)
 		delete(c.engines, name)
 		for id, order := range c.orders {
 			if order.engine == name {
-				c.dropOrder(id)
+				c.removeOrder(id)
 			}
 		}
 	}
@@ -275,31 +278,31 @@
 	}
 }
 
-// see takes a newer state of a held engine.
-func (c *Core) see(now time.Time, seen EngineStateReceived) {
-	held := c.engines[seen.State.Name]
-	if held == nil || seen.QuerySequence < held.asked || seen.State.Fence != c.fence {
+// receiveState applies a state of a held engine unless it is outdated.
+func (c *Core) receiveState(now time.Time, received EngineStateReceived) {
+	held := c.engines[received.State.Name]
+	if held == nil || received.QuerySequence < held.lastQuery || received.State.Fence != c.fence {
 		return
 	}
-	held.asked = seen.QuerySequence
-	held.leaving = held.leaving || seen.State.Leaving
-	c.adopt(now, held, seen.State)
+	held.lastQuery = received.QuerySequence
+	held.leaving = held.leaving || received.State.Leaving
+	c.applyState(now, held, received.State)
 	for id, order := range c.orders {
-		if order.engine == seen.State.Name && orderShown(now, order, seen) {
-			c.dropOrder(id)
+		if order.engine == received.State.Name && accountsForOrder(now, order, received) {
+			c.removeOrder(id)
 		}
 	}
 }
 
-// orderShown reports whether the state accounts for the order: it was asked
-// for after the order was taken, or it shows the effect. A state does not show
-// an adapter that still loads: its order stays, else it would be sent again and
-// again until then.
-func orderShown(now time.Time, order *order, seen EngineStateReceived) bool {
-	if order.answered && (order.Action != backend.ActionLoadAdapter || now.Sub(order.sent) >= adapterPatience) {
-		return seen.QuerySequence > order.visibleAfter
+// accountsForOrder reports whether the state reflects the order: it was queried after
+// the order was accepted, or it shows the effect. A state does not show an adapter
+// that is still loading, so its order is kept until adapterLoadTimeout; otherwise it
+// would be sent repeatedly.
+func accountsForOrder(now time.Time, order *order, received EngineStateReceived) bool {
+	if order.accepted && (order.Action != backend.ActionLoadAdapter || now.Sub(order.sentAt) >= adapterLoadTimeout) {
+		return received.QuerySequence > order.visibleAfter
 	}
-	loaded := seen.State.Find(order.Model)
+	loaded := received.State.Find(order.Model)
 	switch order.Action {
 	case backend.ActionLoad:
 		return loaded != nil
@@ -307,16 +310,16 @@
 		return loaded == nil || loaded.State == fleet.LoadUnloading
 	case backend.ActionLoadAdapter:
 		return loaded != nil && slices.Contains(loaded.Adapters, order.Adapter) ||
-			order.answered && (loaded == nil || loaded.State != fleet.LoadReady) && seen.QuerySequence > order.visibleAfter
+			order.accepted && (loaded == nil || loaded.State != fleet.LoadReady) && received.QuerySequence > order.visibleAfter
 	default:
 		return false
 	}
 }
 
-// adapterPatience is how long an adapter may load before it is ordered again.
-const adapterPatience = 5 * time.Second
+// adapterLoadTimeout is the time after which an adapter that is not loaded is ordered again.
+const adapterLoadTimeout = 5 * time.Second
 
-func (c *Core) adopt(now time.Time, held *engine, state fleet.EngineState) {
+func (c *Core) applyState(now time.Time, held *engine, state fleet.EngineState) {
 	c.dirty = c.dirty || !reflect.DeepEqual(held.state.Models, state.Models)
 	held.state = state
 	since := make(map[fleet.ModelVersion]time.Time)
@@ -330,48 +333,50 @@
 		}
 	}
 	held.loadingSince = since
-	c.finishLoads(now, state)
+	c.reportFinishedLoads(now, state)
 }
 
-func (c *Core) takeAnswer(now time.Time, answer OrderAnswered) {
+func (c *Core) receiveOrderAnswer(now time.Time, answer OrderAnswered) {
 	order := c.orders[answer.ID]
 	if order == nil {
 		return
 	}
 	switch answer.Result {
 	case OrderAccepted:
-		order.answered = true
+		order.accepted = true
 		order.visibleAfter = answer.QuerySequence
-		c.timings.taken(now, order)
+		c.timings.loadAccepted(now, order)
 	case OrderRefused:
-		c.dropOrder(answer.ID)
-		c.timings.dropped(order.engine, order.Model)
+		c.removeOrder(answer.ID)
+		c.timings.loadDropped(order.engine, order.Model)
 		c.dirty = true
-		c.avoid[placementKey{order.engine, order.Model}] = now.Add(avoidAfterRefusal)
+		c.avoidUntil[placementKey{order.engine, order.Model}] = now.Add(avoidAfterRefusal)
 	case OrderUnanswered:
 	}
 }
 
+// avoidAfterRefusal is how long an engine is not used for a model after it refused an order.
 const avoidAfterRefusal = 2 * time.Second
 
-func (c *Core) send(now time.Time, name fleet.BackendName, sent backend.Order) {
-	c.sendFor(now, name, sent, false)
+func (c *Core) send(now time.Time, name fleet.BackendName, outgoing backend.Order) {
+	c.sendOrder(now, name, outgoing, false)
 }
 
-func (c *Core) sendFor(now time.Time, name fleet.BackendName, sent backend.Order, evicts bool) {
-	c.counter++
-	sent.ID = fmt.Sprintf("%s-%d", c.fence, c.counter)
-	sent.Fence = c.fence
-	sent.Incarnation = c.engines[name].state.Incarnation
-	c.orders[sent.ID] = &order{Order: sent, engine: name, sent: now}
-	if sent.Action == backend.ActionLoad {
-		c.loading[placementKey{name, sent.Model}]++
+func (c *Core) sendOrder(now time.Time, name fleet.BackendName, outgoing backend.Order, evicts bool) {
+	c.orderCounter++
+	outgoing.ID = fmt.Sprintf("%s-%d", c.fence, c.orderCounter)
+	outgoing.Fence = c.fence
+	outgoing.Incarnation = c.engines[name].state.Incarnation
+	c.orders[outgoing.ID] = &order{Order: outgoing, engine: name, sentAt: now}
+	if outgoing.Action == backend.ActionLoad {
+		c.loading[placementKey{name, outgoing.Model}]++
 	}
-	c.emit(SendOrder{Engine: name, Order: sent, Evicts: evicts})
+	c.emit(SendOrder{Engine: name, Order: outgoing, Evicts: evicts})
 }
 
-// dropOrder takes an order out of the flight, which may make room for another.
-func (c *Core) dropOrder(id string) {
+// removeOrder removes an order in flight and requests a new plan, since that may allow another
+// order.
+func (c *Core) removeOrder(id string) {
 	c.dirty = true
 	dropped := c.orders[id]
 	delete(c.orders, id)
--- a/internal/placement/count.go
+++ b/internal/placement/count.go
@@ -8,10 +8,11 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// count is the most replicas of the model that the zone may hold now: what the
-// held engines show, orders in flight, and one for each engine not held.
-func (c *Core) count(model fleet.ModelVersion) int {
-	total := len(c.full)
+// countUpperBound returns the maximum number of replicas of the model that the zone may
+// hold now: those in the states of held engines, loads in flight, and one for each
+// engine that is not held.
+func (c *Core) countUpperBound(model fleet.ModelVersion) int {
+	total := len(c.assumedFull)
 	for name, held := range c.engines {
 		if held.state.Find(model) != nil || c.loadInFlight(name, model) {
 			total++
@@ -33,23 +34,24 @@
 	return false
 }
 
-// free is the memory that a further load may take: an order in flight holds
-// its bytes until a state accounts for it, an unload frees nothing before.
-func (c *Core) free(name fleet.BackendName) int64 {
-	free := c.engines[name].state.FreeBytes()
+// freeBytes returns the memory available to a further load. A load in flight reserves
+// its bytes until a state accounts for it; an unload in flight frees nothing yet.
+func (c *Core) freeBytes(name fleet.BackendName) int64 {
+	freeBytes := c.engines[name].state.FreeBytes()
 	for _, order := range c.orders {
 		if order.engine != name {
 			continue
 		}
 		if order.Action == backend.ActionLoad || order.Action == backend.ActionLoadAdapter {
-			free -= order.Bytes
+			freeBytes -= order.Bytes
 		}
 	}
-	return free
+	return freeBytes
 }
 
-// replicas counts the held replicas of a model that are ready or on the way.
-func (c *Core) replicas(model fleet.ModelVersion) (ready, coming int) {
+// countReplicas returns the number of replicas of a model that are ready, and that are loading
+// or ordered, on held engines that take new work.
+func (c *Core) countReplicas(model fleet.ModelVersion) (ready, loading int) {
 	for name, held := range c.engines {
 		loaded := held.state.Find(model)
 		switch {
@@ -57,20 +59,20 @@
 		case loaded != nil && loaded.State == fleet.LoadReady:
 			ready++
 		case loaded != nil && loaded.State == fleet.LoadLoading:
-			coming++
+			loading++
 		case loaded == nil && c.loadInFlight(name, model):
-			coming++
+			loading++
 		}
 	}
-	return ready, coming
+	return ready, loading
 }
 
 // serving reports whether the engine takes new work.
-func (e *engine) serving() bool { return !e.leaving && !e.silent }
+func (e *engine) serving() bool { return !e.leaving && !e.unresponsive }
 
 func (c *Core) engineNames() []fleet.BackendName {
 	return slices.Sorted(maps.Keys(c.engines))
 }
 
-// ReplicaUpperBound is the most replicas of the model that the zone may hold now.
-func (c *Core) ReplicaUpperBound(model fleet.ModelVersion) int { return c.count(model) }
+// ReplicaUpperBound returns the maximum number of replicas of the model that the zone may hold now.
+func (c *Core) ReplicaUpperBound(model fleet.ModelVersion) int { return c.countUpperBound(model) }
--- a/internal/placement/history.go
+++ b/internal/placement/history.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// bucketCount covers idle times from one second to about a month in steps of
-// an eighth of a doubling.
+// Parameters of the distribution of idle times.
 const (
+	// bucketCount buckets cover idle times from one second to about a month in steps of
+	// an eighth of a doubling.
 	bucketCount      = 176
 	bucketsPerDouble = 8
-	// historyDecay makes what a model did long ago count less with each
-	// further idle time.
+	// historyDecay is the factor by which the weight of earlier idle times decreases
+	// with each new one.
 	historyDecay = 0.998
-	// priorWeight is how many idle times the prior counts for: those that a
-	// model may have about which nothing is known, spread over all buckets.
+	// priorWeight is the weight of the prior in idle times. The prior is the
+	// distribution of a model without history, uniform over all buckets.
 	priorWeight = 2.0
-	// arrivalGap separates idle times from the gaps within a burst.
+	// arrivalGap is the shortest gap between requests that counts as an idle time; shorter
+	// ones are part of a burst.
 	arrivalGap = time.Second
 )
 
@@ -25,18 +27,18 @@
 type history struct {
 	buckets     [bucketCount]float64
 	lastArrival time.Time
-	// here is set where the zone held the model, or was asked for it, at the
-	// last arrival; else another zone serves it.
-	here  bool
-	loads []time.Time
-	// index is what wakeIndex returned for an idle time; recomputed where that
-	// has changed by much.
-	index      float64
-	indexIdle  time.Duration
-	indexKnown bool
+	// servedHere is set where the zone held the model, or had waiting requests for it,
+	// at the last arrival; otherwise another zone serves it.
+	servedHere bool
+	loads      []time.Time
+	// cachedRate is the result of wakeRate for cachedIdle, used until the idle time has
+	// grown by more than 1/rateCacheDivisor of it.
+	cachedRate    float64
+	cachedIdle    time.Duration
+	hasCachedRate bool
 }
 
-// bucketEdges are the lower ends of the buckets in hours, and the last upper end.
+// bucketEdges are the lower bounds of the buckets in hours, followed by the last upper bound.
 var bucketEdges = func() (edges [bucketCount + 1]float64) {
 	for bucket := range edges {
 		edges[bucket] = math.Exp2(float64(bucket)/bucketsPerDouble) / time.Hour.Seconds()
@@ -52,7 +54,7 @@
 	return min(bucketCount-1, int(math.Log2(idle.Seconds())*bucketsPerDouble))
 }
 
-func (h *history) arrive(now time.Time) {
+func (h *history) recordArrival(now time.Time) {
 	if idle := now.Sub(h.lastArrival); !h.lastArrival.IsZero() && idle > arrivalGap {
 		for index := range h.buckets {
 			h.buckets[index] *= historyDecay
@@ -60,41 +62,41 @@
 		h.buckets[bucketOf(idle)]++
 	}
 	h.lastArrival = now
-	h.indexKnown = false
+	h.hasCachedRate = false
 }
 
-// wakeIndex is how many times an hour the model wakes from now on, over the
-// span ahead that makes it most: the largest quotient of the chance that it
-// wakes within a span and the time for which it is idle in that span, given
-// that it has been idle for so long.
-func (h *history) wakeIndex(idle time.Duration) float64 {
-	if changed := idle - h.indexIdle; h.indexKnown && changed >= 0 && changed <= h.indexIdle/indexStep {
-		return h.index
+// wakeRate returns the expected number of wakes per hour, over the future interval
+// that maximizes it: the largest ratio of the probability that the model wakes within
+// an interval to its expected idle time in it, given that it has been idle for so long.
+func (h *history) wakeRate(idle time.Duration) float64 {
+	if changed := idle - h.cachedIdle; h.hasCachedRate && changed >= 0 && changed <= h.cachedIdle/rateCacheDivisor {
+		return h.cachedRate
 	}
-	h.index, h.indexIdle, h.indexKnown = h.computeIndex(idle), idle, true
-	return h.index
+	h.cachedRate, h.cachedIdle, h.hasCachedRate = h.computeWakeRate(idle), idle, true
+	return h.cachedRate
 }
 
-// indexStep is the part of the idle time after which the index is worked out anew.
-const indexStep = 100
+// rateCacheDivisor bounds the use of the cached rate: it is recomputed once the idle time has
+// grown by more than 1/rateCacheDivisor of itself.
+const rateCacheDivisor = 100
 
-func (h *history) computeIndex(idle time.Duration) float64 {
+func (h *history) computeWakeRate(idle time.Duration) float64 {
 	const prior = priorWeight / bucketCount
 	first := bucketOf(idle)
 	from := idle.Hours()
-	inFirst := (bucketEdges[first+1] - from) / (bucketEdges[first+1] - bucketEdges[first])
-	alive := 0.0
+	firstFraction := (bucketEdges[first+1] - from) / (bucketEdges[first+1] - bucketEdges[first])
+	stillIdle := 0.0
 	for bucket := first; bucket < bucketCount; bucket++ {
-		alive += h.buckets[bucket] + prior
+		stillIdle += h.buckets[bucket] + prior
 	}
-	alive -= (1 - inFirst) * (h.buckets[first] + prior)
+	stillIdle -= (1 - firstFraction) * (h.buckets[first] + prior)
 	woken, waited, best := 0.0, 0.0, 0.0
 	for bucket := first; bucket < bucketCount; bucket++ {
 		wakes := h.buckets[bucket] + prior
 		if bucket == first {
-			wakes *= inFirst
+			wakes *= firstFraction
 		}
-		waited += (alive - woken - wakes/2) * (bucketEdges[bucket+1] - from)
+		waited += (stillIdle - woken - wakes/2) * (bucketEdges[bucket+1] - from)
 		from = bucketEdges[bucket+1]
 		woken += wakes
 		best = max(best, woken/waited)
--- a/internal/placement/keepalive.go
+++ b/internal/placement/keepalive.go
@@ -10,46 +10,49 @@
 )
 
 const (
-	// evictSpan is how far ahead the chance of waking counts for an eviction.
-	evictSpan = 10 * time.Minute
-	// preloadFactor is by how much more a load ahead must be worth than keeping
-	// what is loaded: it costs a load, and the model must not come and go.
+	// evictionHorizon is the time within which a model's probability of waking counts
+	// towards its eviction cost.
+	evictionHorizon = 10 * time.Minute
+	// preloadFactor is the retention value required to preload a model, where 1 suffices
+	// to keep a loaded one: a preload costs a load, and the margin prevents repeated
+	// loading and unloading.
 	preloadFactor = 1.5
-	// extraKeepAlive is for replicas beyond the first and beyond standing
-	// capacity.
+	// extraKeepAlive is the idle time after which replicas beyond the first and
+	// beyond standing capacity are unloaded.
 	extraKeepAlive = time.Minute
-	// worthBase is the worth of a second of cold start at the preferences 1 and
-	// 0, in GiB hours and in parts of one.
-	worthBase = 20.0
-	// tailSeconds is the cold start that counts as it is; longer ones count more
-	// and shorter ones less, since the tail is made of the longest.
-	tailSeconds = 5.0
+	// secondValueBase determines the value of a second of cold start in GiB hours: it
+	// is the value at a cold-start weight of 1, and its reciprocal that at 0.
+	secondValueBase = 20.0
+	// tailThresholdSeconds is the cold-start duration that counts unchanged; longer
+	// ones count more and shorter ones less, since the longest make up the tail.
+	tailThresholdSeconds = 5.0
 )
 
-// unloadIdle unloads what has been idle beyond its keep-alive, what the zone
-// holds beyond a lowered limit, and what a leaving engine holds: it gets no new
-// work, and its replicas stand in the way of others.
+// unloadIdle unloads replicas that have been idle for too long, replicas beyond a
+// lowered limit, and all replicas of leaving engines: those serve no new requests
+// but still count towards the limits.
 func (c *Core) unloadIdle(now time.Time) {
 	for _, name := range c.engineNames() {
 		held := c.engines[name]
 		for _, loaded := range held.state.Models {
-			if loaded.State == fleet.LoadUnloading || c.orderInFlight(name, loaded.Model) || c.avoided(name, loaded.Model) {
+			if loaded.State == fleet.LoadUnloading || c.orderInFlight(name, loaded.Model) || c.isAvoided(name, loaded.Model) {
 				continue
 			}
-			if held.leaving || c.beyondLimit(loaded.Model) || c.idleTooLong(now, loaded) {
+			if held.leaving || c.exceedsLimit(loaded.Model) || c.isIdleTooLong(now, loaded) {
 				c.send(now, name, backend.Order{Action: backend.ActionUnload, Model: loaded.Model})
 			}
 		}
 	}
 }
 
-func (c *Core) avoided(name fleet.BackendName, model fleet.ModelVersion) bool {
-	_, avoided := c.avoid[placementKey{name, model}]
-	return avoided
+// isAvoided reports whether the engine is not used for the model after a failed order.
+func (c *Core) isAvoided(name fleet.BackendName, model fleet.ModelVersion) bool {
+	_, isAvoided := c.avoidUntil[placementKey{name, model}]
+	return isAvoided
 }
 
-// beyondLimit reports whether a replica must go so that the limit is kept.
-func (c *Core) beyondLimit(model fleet.ModelVersion) bool {
+// exceedsLimit reports whether the zone has more replicas of the model than its limit.
+func (c *Core) exceedsLimit(model fleet.ModelVersion) bool {
 	remaining := 0
 	for name, held := range c.engines {
 		loaded := held.state.Find(model)
@@ -72,59 +75,59 @@
 	return false
 }
 
-func (c *Core) idleTooLong(now time.Time, loaded fleet.LoadedModel) bool {
-	if loaded.State != fleet.LoadReady || !c.mayEvict(now, loaded) {
+func (c *Core) isIdleTooLong(now time.Time, loaded fleet.LoadedModel) bool {
+	if loaded.State != fleet.LoadReady || !c.isEvictable(now, loaded) {
 		return false
 	}
 	return c.policy.ShouldUnload(now, c.idleSince(loaded), loaded.Model)
 }
 
-// ownPolicy goes by each model's own idle times.
-type ownPolicy struct{ core *Core }
+// defaultPolicy decides by each model's history of idle times.
+type defaultPolicy struct{ core *Core }
 
-func (ownPolicy) RequestsArrived(time.Time, fleet.ModelVersion) {}
+func (defaultPolicy) RequestsArrived(time.Time, fleet.ModelVersion) {}
 
-func (p ownPolicy) ShouldUnload(now, idleSince time.Time, model fleet.ModelVersion) bool {
+func (p defaultPolicy) ShouldUnload(now, idleSince time.Time, model fleet.ModelVersion) bool {
 	c := p.core
 	idle := now.Sub(idleSince)
-	if c.without.IdleTimes {
+	if c.disabled.IdleTimes {
 		return idle > c.settings.KeepAlive
 	}
-	if ready, _ := c.replicas(model); ready > max(1, c.standing[model]) && idle > extraKeepAlive {
+	if ready, _ := c.countReplicas(model); ready > max(1, c.standing[model]) && idle > extraKeepAlive {
 		return true
 	}
-	return c.worthKeeping(model, p.idle(now, idleSince, model)) < 1
+	return c.retentionValue(model, p.idle(now, idleSince, model)) < 1
 }
 
-// idle is the time since the last request, also for a model that was loaded
-// ahead since then: what it was loaded for is still due.
-func (p ownPolicy) idle(now, idleSince time.Time, model fleet.ModelVersion) time.Duration {
+// idle returns the time since the last request. A preload does not reset it, since
+// the request for which the model was preloaded has not arrived yet.
+func (p defaultPolicy) idle(now, idleSince time.Time, model fleet.ModelVersion) time.Duration {
 	if last := p.core.historyOf(model).lastArrival; !last.IsZero() {
 		return now.Sub(last)
 	}
 	return now.Sub(idleSince)
 }
 
-// EvictionCost is the cost of loading again, times the chance that the model
-// wakes soon.
-func (p ownPolicy) EvictionCost(now, idleSince time.Time, model fleet.ModelVersion) float64 {
-	if p.core.without.EvictionCost {
+// EvictionCost returns the cost of loading the model again, times the probability
+// that it wakes within evictionHorizon.
+func (p defaultPolicy) EvictionCost(now, idleSince time.Time, model fleet.ModelVersion) float64 {
+	if p.core.disabled.EvictionCost {
 		return leastRecentlyUsedCost(now, idleSince)
 	}
-	chance := min(1, p.core.historyOf(model).wakeIndex(p.idle(now, idleSince, model))*evictSpan.Hours())
-	return chance * sizeCost(p.core.models[model]) * costDisk
+	probability := min(1, p.core.historyOf(model).wakeRate(p.idle(now, idleSince, model))*evictionHorizon.Hours())
+	return probability * relativeSize(p.core.models[model]) * costDisk
 }
 
-// leastRecentlyUsedCost falls from 1 with the time of idleness.
+// leastRecentlyUsedCost decreases from 1 towards 0 with the idle time.
 func leastRecentlyUsedCost(now, idleSince time.Time) float64 {
 	return 1 / (1 + now.Sub(idleSince).Minutes())
 }
 
-func (p ownPolicy) LikelyToWake(now time.Time, model fleet.ModelVersion) bool {
-	return !p.core.without.Preload && p.core.likelyToWake(now, model)
+func (p defaultPolicy) LikelyToWake(now time.Time, model fleet.ModelVersion) bool {
+	return !p.core.disabled.Preload && p.core.likelyToWake(now, model)
 }
 
-// idleSince is the last arrival, or when the model became ready.
+// idleSince returns the time of the last arrival, or when the model became ready if that is later.
 func (c *Core) idleSince(loaded fleet.LoadedModel) time.Time {
 	last := c.historyOf(loaded.Model).lastArrival
 	if loaded.ReadySince.After(last) {
@@ -133,54 +136,55 @@
 	return last
 }
 
-// worthKeeping is what keeping the model loaded saves in cold starts over what
-// the memory costs meanwhile; it is kept while that is at least 1.
-func (c *Core) worthKeeping(model fleet.ModelVersion, idle time.Duration) float64 {
-	facts := c.models[model]
-	seconds := c.reloadSeconds(facts)
-	seconds *= math.Sqrt(seconds / tailSeconds)
-	perHour := c.historyOf(model).wakeIndex(idle)
-	return c.worthOfSecond() * seconds * perHour / (float64(facts.MemoryBytes) / gibibyte)
+// retentionValue returns the ratio of the cold-start time that keeping the model
+// loaded saves to the cost of its memory. A model is kept while it is at least 1.
+func (c *Core) retentionValue(model fleet.ModelVersion, idle time.Duration) float64 {
+	info := c.models[model]
+	seconds := c.reloadSeconds(info)
+	seconds *= math.Sqrt(seconds / tailThresholdSeconds)
+	wakesPerHour := c.historyOf(model).wakeRate(idle)
+	return c.coldStartSecondValue() * seconds * wakesPerHour / (float64(info.MemoryBytes) / gibibyte)
 }
 
 const gibibyte = 1 << 30
 
-// worthOfSecond is what a second of cold start is worth, in GiB hours.
-func (c *Core) worthOfSecond() float64 {
-	return math.Pow(worthBase, 2*c.coldStartWeight-1)
+// coldStartSecondValue returns the value of a second of cold start in GiB hours.
+func (c *Core) coldStartSecondValue() float64 {
+	return math.Pow(secondValueBase, 2*c.coldStartWeight-1)
 }
 
-// reloadSeconds is how long a load takes from the nearest tier of the zone.
-func (c *Core) reloadSeconds(facts catalog.ModelInfo) float64 {
+// reloadSeconds estimates the duration of a load from the fastest tier in the zone that holds
+// the checkpoint.
+func (c *Core) reloadSeconds(info catalog.ModelInfo) float64 {
 	best := costRemote
 	for _, held := range c.engines {
 		if held.serving() {
-			best = min(best, tierCost(held.tier(facts.Model)))
+			best = min(best, tierCost(held.tier(info.Model)))
 		}
 	}
-	return best * sizeCost(facts) * referenceLoad.Seconds()
+	return best * relativeSize(info) * referenceLoad.Seconds()
 }
 
-// referenceLoad is about what a checkpoint of referenceBytes takes from the
-// weight store.
+// referenceLoad is the approximate time to load a checkpoint of referenceBytes
+// from the weight store.
 const (
 	referenceLoad  = 20 * time.Second
 	referenceBytes = 14 << 30
 )
 
-// sizeCost is the size of a checkpoint against that of the reference.
-func sizeCost(facts catalog.ModelInfo) float64 {
-	return float64(facts.CheckpointBytes) / referenceBytes
+// relativeSize returns the size of the checkpoint relative to referenceBytes.
+func relativeSize(info catalog.ModelInfo) float64 {
+	return float64(info.CheckpointBytes) / referenceBytes
 }
 
-// likelyToWake reports whether a model that is not loaded is worth loading
-// ahead of its next request.
+// likelyToWake reports whether a model that is not loaded is worth preloading before
+// its next request. The zone must have served it last, and no other zone may hold it.
 func (c *Core) likelyToWake(now time.Time, model fleet.ModelVersion) bool {
 	history := c.history[model]
-	if history == nil || !history.here || c.elsewhere[model] || c.without.IdleTimes {
+	if history == nil || !history.servedHere || c.replicasElsewhere[model] || c.disabled.IdleTimes {
 		return false
 	}
-	facts := c.models[model]
-	lead := time.Duration(c.reloadSeconds(facts) * float64(time.Second))
-	return c.worthKeeping(model, now.Sub(history.lastArrival)+lead) >= preloadFactor
+	info := c.models[model]
+	lead := time.Duration(c.reloadSeconds(info) * float64(time.Second))
+	return c.retentionValue(model, now.Sub(history.lastArrival)+lead) >= preloadFactor
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -18,28 +18,28 @@
 
 func model(name string) fleet.ModelVersion { return fleet.ModelVersion{Model: name, Version: "1"} }
 
-// rig is a core with engines of 40 GiB each that it holds.
-type rig struct {
-	t      *testing.T
-	core   *Core
-	now    time.Time
-	states map[fleet.BackendName]fleet.EngineState
-	asked  uint64
-	facts  []catalog.ModelInfo
-	limits map[fleet.ModelVersion]int
+// harness is a core with held engines of 40 GiB each.
+type harness struct {
+	t         *testing.T
+	core      *Core
+	now       time.Time
+	states    map[fleet.BackendName]fleet.EngineState
+	lastQuery uint64
+	models    []catalog.ModelInfo
+	limits    map[fleet.ModelVersion]int
 }
 
-func newRig(t *testing.T, engines int, models ...catalog.ModelInfo) *rig {
+func newHarness(t *testing.T, engines int, models ...catalog.ModelInfo) *harness {
 	settings := DefaultSettings()
 	settings.StoreLoadsPerSecond, settings.StoreConcurrency = 1000, 1000
-	return newRigWith(t, settings, engines, models...)
+	return newHarnessWith(t, settings, engines, models...)
 }
 
-func newRigWith(t *testing.T, settings Settings, engines int, models ...catalog.ModelInfo) *rig {
-	r := &rig{
+func newHarnessWith(t *testing.T, settings Settings, engines int, models ...catalog.ModelInfo) *harness {
+	r := &harness{
 		t: t, core: New(Options{Settings: settings}), now: start,
 		states: make(map[fleet.BackendName]fleet.EngineState),
-		facts:  models, limits: make(map[fleet.ModelVersion]int),
+		models: models, limits: make(map[fleet.ModelVersion]int),
 	}
 	for index := range engines {
 		name := fleet.BackendName(fmt.Sprintf("e%d", index))
@@ -47,8 +47,8 @@
 			Backend: fleet.Backend{Name: name, Rack: fmt.Sprintf("r%d", index%2)}, Incarnation: 1, Fence: 1, MemoryBytes: 40 * gib,
 		}
 	}
-	for _, facts := range models {
-		r.limits[facts.Model] = facts.MaxReplicas
+	for _, info := range models {
+		r.limits[info.Model] = info.MaxReplicas
 	}
 	r.core.Step(r.now, CatalogChanged{Models: models, ColdStartWeight: 0.5})
 	r.core.Step(r.now, LimitsChanged{Limits: r.limits, Zones: 1})
@@ -56,39 +56,39 @@
 	return r
 }
 
-func (r *rig) begin() []Effect {
+func (r *harness) begin() []Effect {
 	return r.core.Step(r.now, RoundBegan{Fence: 1, Held: r.states})
 }
 
-func (r *rig) wait(span time.Duration) []Effect {
+func (r *harness) wait(span time.Duration) []Effect {
 	r.now = r.now.Add(span)
 	return r.core.Step(r.now, Tick{})
 }
 
-func (r *rig) want(name string, waiting, priority int) []Effect {
+func (r *harness) want(name string, waiting, priority int) []Effect {
 	return r.core.Step(r.now, WantsReported{Wants: []fleet.Want{{
 		Model: model(name), Node: "n", Waiting: waiting, Arrivals: 1, Priority: priority, Deadline: r.now.Add(time.Minute),
 	}}})
 }
 
-// show sets what an engine holds and lets the core see it.
-func (r *rig) show(name fleet.BackendName, models ...fleet.LoadedModel) []Effect {
+// showState sets the models of an engine and passes its state to the core.
+func (r *harness) showState(name fleet.BackendName, models ...fleet.LoadedModel) []Effect {
 	state := r.states[name]
 	state.Models = models
 	r.states[name] = state
-	r.asked++
-	return r.core.Step(r.now, EngineStateReceived{QuerySequence: r.asked, State: state})
+	r.lastQuery++
+	return r.core.Step(r.now, EngineStateReceived{QuerySequence: r.lastQuery, State: state})
 }
 
 func ready(name string, since time.Time) fleet.LoadedModel {
 	return fleet.LoadedModel{Model: model(name), State: fleet.LoadReady, Bytes: 14 * gib, ReadySince: since}
 }
 
-func facts(name string, most int) catalog.ModelInfo {
-	return catalog.ModelInfo{Model: model(name), MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: most}
+func modelInfo(name string, maxReplicas int) catalog.ModelInfo {
+	return catalog.ModelInfo{Model: model(name), MemoryBytes: 14 * gib, CheckpointBytes: 14 * gib, MaxReplicas: maxReplicas}
 }
 
-// orders lists "action model engine" of the orders sent.
+// orders returns "action model engine" for each order sent.
 func orders(effects []Effect) []string {
 	var sent []string
 	for _, effect := range effects {
@@ -99,7 +99,7 @@
 	return sent
 }
 
-func (r *rig) expect(effects []Effect, want ...string) {
+func (r *harness) expect(effects []Effect, want ...string) {
 	r.t.Helper()
 	if difference := cmp.Diff(want, orders(effects)); difference != "" {
 		r.t.Errorf("orders (-want +got):\n%s", difference)
@@ -107,7 +107,7 @@
 }
 
 func TestLoadGoesWhereTheCheckpointIsNearest(t *testing.T) {
-	r := newRig(t, 3, facts("a", 1))
+	r := newHarness(t, 3, modelInfo("a", 1))
 	state := r.states["e1"]
 	state.Tiers = map[fleet.ModelVersion]fleet.Tier{model("a"): fleet.TierDisk}
 	r.states["e1"] = state
@@ -117,42 +117,42 @@
 }
 
 func TestReplicasSpreadOverRacks(t *testing.T) {
-	r := newRig(t, 3, facts("a", 2))
+	r := newHarness(t, 3, modelInfo("a", 2))
 	r.begin()
-	r.show("e0", ready("a", r.now))
+	r.showState("e0", ready("a", r.now))
 	r.expect(r.want("a", 100, 0), "load a e1")
 }
 
 func TestEngineNotHeldCountsAsFull(t *testing.T) {
-	r := newRig(t, 2, facts("a", 1))
+	r := newHarness(t, 2, modelInfo("a", 1))
 	r.core.Step(r.now, RoundBegan{Fence: 1, Held: r.states, AssumedFull: []fleet.BackendName{"e9"}})
 	r.expect(r.want("a", 1, 0))
 	r.expect(r.core.Step(r.now, EnginesGone{Engines: []fleet.BackendName{"e9"}}), "load a e0")
 }
 
 func TestLostOrderStaysInFlightUntilShownOrANewRound(t *testing.T) {
-	r := newRig(t, 2, facts("a", 1))
+	r := newHarness(t, 2, modelInfo("a", 1))
 	r.begin()
 	r.expect(r.want("a", 1, 0), "load a e0")
-	r.expect(r.show("e0"))
-	asks := false
+	r.expect(r.showState("e0"))
+	requested := false
 	for range 8 {
 		r.want("a", 1, 0)
 		for _, effect := range r.wait(500 * time.Millisecond) {
 			if _, found := effect.(RequestNewRound); found {
-				asks = true
+				requested = true
 			}
 		}
 	}
-	if !asks {
-		t.Error("no new round was asked for")
+	if !requested {
+		t.Error("no new round was requested")
 	}
 	r.core.Step(r.now, RoundEnded{})
 	r.expect(r.begin(), "load a e0")
 }
 
 func TestAcceptedOrderIsHeldAgainstAnOlderState(t *testing.T) {
-	r := newRig(t, 2, facts("a", 1))
+	r := newHarness(t, 2, modelInfo("a", 1))
 	r.begin()
 	var id string
 	for _, effect := range r.want("a", 1, 0) {
@@ -161,15 +161,15 @@
 		}
 	}
 	r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, QuerySequence: 5})
-	r.asked = 2
-	r.expect(r.show("e0"))
+	r.lastQuery = 2
+	r.expect(r.showState("e0"))
 	r.expect(r.want("a", 1, 0))
 }
 
 func TestUrgentModelsLoadFirstWithinTheStoresRate(t *testing.T) {
 	settings := DefaultSettings()
 	settings.StoreLoadsPerSecond, settings.StoreConcurrency = 1, 1
-	r := newRigWith(t, settings, 3, facts("a", 1), facts("b", 1), facts("c", 1))
+	r := newHarnessWith(t, settings, 3, modelInfo("a", 1), modelInfo("b", 1), modelInfo("c", 1))
 	r.core.Step(r.now, WantsReported{Wants: []fleet.Want{
 		{Model: model("a"), Node: "n", Waiting: 1, Deadline: r.now.Add(time.Minute)},
 		{Model: model("b"), Node: "n", Waiting: 1, Priority: 9, Deadline: r.now.Add(time.Minute)},
@@ -177,21 +177,21 @@
 	}})
 	r.expect(r.begin(), "load b e0")
 	r.expect(r.wait(time.Second))
-	r.expect(r.show("e0", ready("b", r.now)), "load c e1")
-	r.expect(r.show("e1", ready("c", r.now)))
+	r.expect(r.showState("e0", ready("b", r.now)), "load c e1")
+	r.expect(r.showState("e1", ready("c", r.now)))
 	r.expect(r.wait(time.Second), "load a e2")
 }
 
 func TestColdestModelIsEvictedAndStandingCapacityKept(t *testing.T) {
-	standing := facts("s", 1)
+	standing := modelInfo("s", 1)
 	standing.MinReplicas = 1
-	r := newRig(t, 1, facts("a", 1), facts("b", 1), standing)
+	r := newHarness(t, 1, modelInfo("a", 1), modelInfo("b", 1), standing)
 	r.core.Step(r.now, LimitsChanged{Limits: r.limits, Standing: map[fleet.ModelVersion]int{model("s"): 1}, Zones: 1})
 	r.begin()
-	r.show("e0", ready("a", r.now), ready("s", r.now))
+	r.showState("e0", ready("a", r.now), ready("s", r.now))
 	r.wait(time.Minute)
 	r.expect(r.want("b", 1, 0), "unload a e0")
-	r.expect(r.show("e0", ready("s", r.now)), "load b e0")
+	r.expect(r.showState("e0", ready("s", r.now)), "load b e0")
 }
 
 func TestModelIsUnloadedAfterItsOwnIdleTimes(t *testing.T) {
@@ -202,14 +202,14 @@
 		{30 * time.Minute, 29 * time.Minute, time.Hour},
 	}
 	for _, test := range cases {
-		r := newRig(t, 1, facts("a", 1))
+		r := newHarness(t, 1, modelInfo("a", 1))
 		r.begin()
 		for range 10 {
 			r.want("a", 0, 0)
 			r.now = r.now.Add(test.gap)
 		}
 		r.want("a", 0, 0)
-		r.show("e0", ready("a", r.now.Add(-time.Minute)))
+		r.showState("e0", ready("a", r.now.Add(-time.Minute)))
 		r.expect(r.wait(test.kept))
 		r.expect(r.wait(test.gone-test.kept), "unload a e0")
 	}
@@ -217,13 +217,13 @@
 
 func TestModelWithATimetableIsLoadedAhead(t *testing.T) {
 	for _, servedHere := range []bool{true, false} {
-		r := newRig(t, 1, facts("a", 1))
+		r := newHarness(t, 1, modelInfo("a", 1))
 		state := r.states["e0"]
 		state.Tiers = map[fleet.ModelVersion]fleet.Tier{model("a"): fleet.TierDisk}
 		r.states["e0"] = state
 		r.begin()
 		if servedHere {
-			r.show("e0", ready("a", r.now))
+			r.showState("e0", ready("a", r.now))
 		}
 		for range 10 {
 			r.want("a", 0, 0)
@@ -231,7 +231,7 @@
 		}
 		r.expect(r.want("a", 0, 0))
 		r.now = r.now.Add(20 * time.Minute)
-		r.expect(r.show("e0"))
+		r.expect(r.showState("e0"))
 		effects := r.wait(39 * time.Minute)
 		if servedHere {
 			r.expect(effects, "load a e0")
@@ -242,7 +242,7 @@
 }
 
 func TestLoadsOfOneModelAreBounded(t *testing.T) {
-	r := newRig(t, 1, facts("a", 1), facts("b", 1), facts("c", 1))
+	r := newHarness(t, 1, modelInfo("a", 1), modelInfo("b", 1), modelInfo("c", 1))
 	r.begin()
 	loads := 0
 	for range 600 {
@@ -257,20 +257,20 @@
 				if sent.Order.Action == backend.ActionLoad {
 					loads++
 				}
-				r.core.Step(r.now, OrderAnswered{ID: sent.Order.ID, Result: OrderAccepted, QuerySequence: r.asked})
-				r.show("e0", r.apply(sent.Order)...)
+				r.core.Step(r.now, OrderAnswered{ID: sent.Order.ID, Result: OrderAccepted, QuerySequence: r.lastQuery})
+				r.showState("e0", r.apply(sent.Order)...)
 			}
 			r.now = r.now.Add(time.Second)
 		}
 	}
-	// Half an hour of three models that share room for two.
+	// For half an hour, three models compete for memory that holds two.
 	if loads > 60 {
 		t.Errorf("%d loads in 30 minutes", loads)
 	}
 }
 
-// apply is what the engine holds after the order.
-func (r *rig) apply(order backend.Order) []fleet.LoadedModel {
+// apply returns the models of the engine after the order.
+func (r *harness) apply(order backend.Order) []fleet.LoadedModel {
 	var models []fleet.LoadedModel
 	for _, loaded := range r.states["e0"].Models {
 		if loaded.Model != order.Model {
@@ -284,30 +284,30 @@
 }
 
 func TestLoadThatNeverEndsIsTriedElsewhere(t *testing.T) {
-	r := newRig(t, 2, facts("a", 1))
+	r := newHarness(t, 2, modelInfo("a", 1))
 	r.begin()
-	r.show("e0", fleet.LoadedModel{Model: model("a"), State: fleet.LoadLoading, Bytes: 14 * gib})
+	r.showState("e0", fleet.LoadedModel{Model: model("a"), State: fleet.LoadLoading, Bytes: 14 * gib})
 	r.expect(r.wait(time.Minute))
 	r.expect(r.wait(2*time.Minute), "unload a e0")
-	r.show("e0")
+	r.showState("e0")
 	r.expect(r.want("a", 1, 0), "load a e1")
 }
 
 func TestAdapterIsLoadedBesideItsModel(t *testing.T) {
-	r := newRig(t, 1, facts("a", 1))
-	r.core.Step(r.now, CatalogChanged{Models: r.facts, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: gib}}})
+	r := newHarness(t, 1, modelInfo("a", 1))
+	r.core.Step(r.now, CatalogChanged{Models: r.models, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: gib}}})
 	r.begin()
-	r.show("e0", ready("a", r.now))
+	r.showState("e0", ready("a", r.now))
 	effects := r.core.Step(r.now, WantsReported{Wants: []fleet.Want{{Model: model("a"), Adapter: "x", Node: "n", Waiting: 1}}})
 	r.expect(effects, "load-adapter a e0")
 }
 
 func TestMemoryOfOrdersInFlightIsNotGivenTwice(t *testing.T) {
-	large := facts("a", 1)
+	large := modelInfo("a", 1)
 	large.MemoryBytes = 30 * gib
-	other := facts("b", 1)
+	other := modelInfo("b", 1)
 	other.MemoryBytes = 30 * gib
-	r := newRig(t, 1, large, other)
+	r := newHarness(t, 1, large, other)
 	r.begin()
 	r.expect(r.want("a", 1, 0), "load a e0")
 	effects := r.want("b", 1, 0)
@@ -319,43 +319,43 @@
 		}
 	}
 	if !refused {
-		t.Error("the model without memory was not refused at once")
+		t.Error("the model that does not fit into memory was not refused at once")
 	}
 }
 
-func (r *rig) wantAdapter(name string, adapter fleet.AdapterName) []Effect {
+func (r *harness) wantAdapter(name string, adapter fleet.AdapterName) []Effect {
 	return r.core.Step(r.now, WantsReported{Wants: []fleet.Want{{
 		Model: model(name), Adapter: adapter, Node: "n", Waiting: 1, Arrivals: 1, Deadline: r.now.Add(time.Minute),
 	}}})
 }
 
-func newAdapterRig(t *testing.T) *rig {
-	r := newRig(t, 1, facts("a", 1), facts("b", 1))
+func newAdapterHarness(t *testing.T) *harness {
+	r := newHarness(t, 1, modelInfo("a", 1), modelInfo("b", 1))
 	r.core.Step(r.now, CatalogChanged{
-		Models: r.facts, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: 14 * gib}},
+		Models: r.models, Adapters: []catalog.AdapterInfo{{Adapter: "x", Model: "a", MemoryBytes: 14 * gib}},
 	})
 	r.begin()
 	return r
 }
 
 func TestAdapterWithoutRoomEvicts(t *testing.T) {
-	r := newAdapterRig(t)
-	r.show("e0", ready("a", r.now), ready("b", r.now))
+	r := newAdapterHarness(t)
+	r.showState("e0", ready("a", r.now), ready("b", r.now))
 	r.now = r.now.Add(time.Minute)
 	r.expect(r.wantAdapter("a", "x"), "unload b e0")
-	r.expect(r.show("e0", ready("a", start)), "load-adapter a e0")
+	r.expect(r.showState("e0", ready("a", start)), "load-adapter a e0")
 }
 
 func TestAdapterThatLoadsIsNotOrderedAgain(t *testing.T) {
-	r := newAdapterRig(t)
-	r.show("e0", ready("a", r.now))
+	r := newAdapterHarness(t)
+	r.showState("e0", ready("a", r.now))
 	effects := r.wantAdapter("a", "x")
 	r.expect(effects, "load-adapter a e0")
 	id := effects[0].(SendOrder).Order.ID
-	r.asked++
-	r.expect(r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, QuerySequence: r.asked}))
-	r.expect(r.show("e0", ready("a", start)))
-	r.now = r.now.Add(adapterPatience)
+	r.lastQuery++
+	r.expect(r.core.Step(r.now, OrderAnswered{ID: id, Result: OrderAccepted, QuerySequence: r.lastQuery}))
+	r.expect(r.showState("e0", ready("a", start)))
+	r.now = r.now.Add(adapterLoadTimeout)
 	r.expect(r.wantAdapter("a", "x"))
-	r.expect(r.show("e0", ready("a", start)), "load-adapter a e0")
+	r.expect(r.showState("e0", ready("a", start)), "load-adapter a e0")
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -8,43 +8,43 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// plan makes every decision that the present state allows.
+// plan makes all decisions that are possible in the current state.
 func (c *Core) plan(now time.Time) {
 	c.lastPlan = now
-	clear(c.refused)
+	clear(c.refusals)
 	c.expireWants(now)
 	c.refillTokens(now)
-	c.store.waiting, c.store.further = 0, 0
-	c.endSlowLoads(now)
-	c.askForRound(now)
+	c.store.waiting, c.store.additional = 0, 0
+	c.cancelSlowLoads(now)
+	c.requestRoundIfUnanswered(now)
 	if c.evacuated {
 		c.refuseAll()
 	} else {
 		for _, demand := range c.demands(now) {
-			c.serve(now, demand)
+			c.serveDemand(now, demand)
 		}
 		c.loadAdapters(now)
 	}
 	c.unloadIdle(now)
 }
 
-// demands lists what is wanted beyond what is loaded or on its way, in the
-// order in which it is served.
+// demands returns the models that need a further replica, in the order in which
+// they are served.
 func (c *Core) demands(now time.Time) []demand {
 	var demands []demand
-	counts := c.census()
+	counts := c.countAllReplicas()
 	for _, model := range c.names {
-		ready, coming := counts[model].ready, counts[model].coming
+		ready, loading := counts[model].ready, counts[model].loading
 		waiting, wanted := c.demandFor(model)
-		waiting.further = ready+coming > 0 || c.elsewhere[model]
+		waiting.additional = ready+loading > 0 || c.replicasElsewhere[model]
 		switch {
-		case ready+coming < c.standing[model]:
+		case ready+loading < c.standing[model]:
 			waiting.model, waiting.standing = model, true
 			waiting.priority = max(waiting.priority, c.models[model].Priority)
 			demands = append(demands, waiting)
-		case wanted && ready+coming < c.wantedReplicas(waiting, ready):
+		case wanted && ready+loading < c.wantedReplicas(waiting, ready):
 			demands = append(demands, waiting)
-		case ready+coming == 0 && (c.displaced[model] || c.policy.LikelyToWake(now, model)):
+		case ready+loading == 0 && (c.displaced[model] || c.policy.LikelyToWake(now, model)):
 			demands = append(demands, demand{model: model, preload: true})
 		}
 	}
@@ -52,33 +52,35 @@
 	return demands
 }
 
-// wantedReplicas is one for what waits, and one more for each full queue that
-// the ready replicas do not work off.
+// wantedReplicas returns the number of replicas for the waiting requests: at least
+// one, and one more than are ready for every WaitingPerReplica of them.
 func (c *Core) wantedReplicas(demand demand, ready int) int {
-	if c.without.Coalescing {
+	if c.disabled.Coalescing {
 		return max(1, len(c.wants[demand.model]))
 	}
 	return max(1, ready+demand.waiting/c.settings.WaitingPerReplica)
 }
 
-func (c *Core) serve(now time.Time, demand demand) {
-	facts := c.models[demand.model]
-	ready, coming := c.replicas(demand.model)
+// serveDemand orders a load for the demand, evicts models to make room for it, or
+// refuses it.
+func (c *Core) serveDemand(now time.Time, demand demand) {
+	info := c.models[demand.model]
+	ready, loading := c.countReplicas(demand.model)
 	if demand.waiting > 0 {
-		c.timings.waiting(now, demand.model)
+		c.timings.startWait(now, demand.model)
 	}
-	if c.count(demand.model) >= c.limits[demand.model] {
-		c.timings.heldBy(now, demand.model, byAllotment)
-		if ready+coming == 0 && !demand.preload {
-			c.refuse(demand, placementRefusal{reason: "no-allotment", wait: noAllotmentWait})
+	if c.countUpperBound(demand.model) >= c.limits[demand.model] {
+		c.timings.addHoldTime(now, demand.model, byAllotment)
+		if ready+loading == 0 && !demand.preload {
+			c.refuse(demand, placementRefusal{reason: "no-allotment", retryAfter: noAllotmentRetryDelay})
 		}
 		return
 	}
-	choice, found := c.choose(now, facts)
+	choice, found := c.chooseEngine(now, info)
 	if !found {
-		c.timings.heldBy(now, demand.model, byMemory)
-		if ready+coming == 0 && !demand.preload {
-			c.refuse(demand, c.noMemory(now, facts.MemoryBytes))
+		c.timings.addHoldTime(now, demand.model, byMemory)
+		if ready+loading == 0 && !demand.preload {
+			c.refuse(demand, c.memoryRefusal(now, info.MemoryBytes))
 		}
 		return
 	}
@@ -86,22 +88,22 @@
 		return
 	}
 	if len(choice.evict) > 0 {
-		c.timings.heldBy(now, demand.model, byEviction)
+		c.timings.addHoldTime(now, demand.model, byEviction)
 		c.evict(now, choice)
 		return
 	}
 	if choice.tier == fleet.TierRemote && !c.takeToken() {
-		c.timings.heldBy(now, demand.model, byStore)
-		c.store.hold(demand)
+		c.timings.addHoldTime(now, demand.model, byStore)
+		c.store.countWaiting(demand)
 		return
 	}
 	c.historyOf(demand.model).loads = append(c.historyOf(demand.model).loads, now)
-	c.timings.ordered(now, choice.engine, demand.model, choice.tier)
+	c.timings.loadOrdered(now, choice.engine, demand.model, choice.tier)
 	c.send(now, choice.engine, backend.Order{
 		Action:          backend.ActionLoad,
 		Model:           demand.model,
-		Bytes:           facts.MemoryBytes,
-		CheckpointBytes: facts.CheckpointBytes,
+		Bytes:           info.MemoryBytes,
+		CheckpointBytes: info.CheckpointBytes,
 	})
 }
 
@@ -109,14 +111,14 @@
 	for _, model := range choice.evict {
 		loaded := c.engines[choice.engine].state.Find(model)
 		if loaded.State == fleet.LoadReady && !c.orderInFlight(choice.engine, model) {
-			c.sendFor(now, choice.engine, backend.Order{Action: backend.ActionUnload, Model: model}, true)
+			c.sendOrder(now, choice.engine, backend.Order{Action: backend.ActionUnload, Model: model}, true)
 		}
 	}
 }
 
-// endSlowLoads ends loads that take too long; the model is then loaded
-// elsewhere once the engine shows that it is gone.
-func (c *Core) endSlowLoads(now time.Time) {
+// cancelSlowLoads unloads models whose load takes too long; once the engine's state
+// shows that the model is gone, it is loaded on another engine.
+func (c *Core) cancelSlowLoads(now time.Time) {
 	for _, name := range c.engineNames() {
 		held := c.engines[name]
 		for _, loaded := range held.state.Models {
@@ -124,25 +126,27 @@
 			if !loading || now.Sub(since) < c.settings.LoadTimeout || c.orderInFlight(name, loaded.Model) {
 				continue
 			}
-			c.avoid[placementKey{name, loaded.Model}] = now.Add(avoidAfterSlowLoad)
+			c.avoidUntil[placementKey{name, loaded.Model}] = now.Add(avoidAfterSlowLoad)
 			c.send(now, name, backend.Order{Action: backend.ActionUnload, Model: loaded.Model})
 		}
 	}
 }
 
+// avoidAfterSlowLoad is how long an engine is not used for a model after a canceled load.
 const avoidAfterSlowLoad = 5 * time.Minute
 
-// askForRound asks for a new round where an order has had no answer for long:
-// only then is it sure that it does not take effect later.
-func (c *Core) askForRound(now time.Time) {
+// requestRoundIfUnanswered requests a new round if an order has had no answer for
+// UnansweredOrderTimeout: only a new round ensures that it cannot take effect later.
+func (c *Core) requestRoundIfUnanswered(now time.Time) {
 	for _, order := range c.orders {
-		if !order.answered && now.Sub(order.sent) >= c.settings.UnansweredOrderTimeout {
+		if !order.accepted && now.Sub(order.sentAt) >= c.settings.UnansweredOrderTimeout {
 			c.emit(RequestNewRound{})
 			return
 		}
 	}
 }
 
+// tier returns the engine's fastest tier that holds the model's checkpoint.
 func (e *engine) tier(model fleet.ModelVersion) fleet.Tier {
 	if tier, known := e.state.Tiers[model]; known {
 		return tier
@@ -150,7 +154,7 @@
 	return fleet.TierRemote
 }
 
-// loadAdapters loads the adapters that are waited for beside their base.
+// loadAdapters loads the adapters that requests wait for on engines that hold their base model.
 func (c *Core) loadAdapters(now time.Time) {
 	for _, model := range c.names {
 		demand, wanted := c.demandFor(model)
@@ -164,7 +168,7 @@
 }
 
 func (c *Core) loadAdapter(now time.Time, model fleet.ModelVersion, adapter fleet.AdapterName) {
-	facts, known := c.adapters[adapter]
+	info, known := c.adapters[adapter]
 	if !known {
 		return
 	}
@@ -178,25 +182,25 @@
 		if slices.Contains(loaded.Adapters, adapter) || c.orderInFlight(name, model) {
 			return
 		}
-		if c.free(name) >= facts.MemoryBytes && (best == "" || c.free(name) > c.free(best)) {
+		if c.freeBytes(name) >= info.MemoryBytes && (best == "" || c.freeBytes(name) > c.freeBytes(best)) {
 			best = name
 		}
 	}
 	if best == "" {
-		c.makeRoomForAdapter(now, model, facts.MemoryBytes)
+		c.evictForAdapter(now, model, info.MemoryBytes)
 		return
 	}
 	c.send(now, best, backend.Order{
 		Action:  backend.ActionLoadAdapter,
 		Model:   model,
 		Adapter: adapter,
-		Bytes:   facts.MemoryBytes,
+		Bytes:   info.MemoryBytes,
 	})
 }
 
-// makeRoomForAdapter evicts what costs least beside a replica of the base that
-// is ready; the adapter is loaded once the memory is free.
-func (c *Core) makeRoomForAdapter(now time.Time, model fleet.ModelVersion, bytes int64) {
+// evictForAdapter frees memory for an adapter on the engine with a ready replica of
+// its base model where eviction costs least; a later plan loads the adapter.
+func (c *Core) evictForAdapter(now time.Time, model fleet.ModelVersion, bytes int64) {
 	var cheapest choice
 	for _, name := range c.engineNames() {
 		held := c.engines[name]
@@ -204,7 +208,7 @@
 		if loaded == nil || loaded.State != fleet.LoadReady || !held.serving() {
 			continue
 		}
-		evict, cost, possible := c.makeRoom(now, name, bytes)
+		evict, cost, possible := c.planEviction(now, name, bytes)
 		if possible && (cheapest.engine == "" || cost < cheapest.cost) {
 			cheapest = choice{engine: name, evict: evict, cost: cost}
 		}
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -6,32 +6,34 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Policy judges how long models stay and which are loaded ahead. The core's
-// own is used where Options name none; others serve to compare with it.
+// Policy decides how long models stay loaded and which are preloaded. The core
+// uses its own unless Options set one; others serve as a baseline for comparison.
 type Policy interface {
-	// RequestsArrived says that requests for the model came since it was last said.
+	// RequestsArrived reports that requests for the model arrived since its last call.
 	RequestsArrived(now time.Time, model fleet.ModelVersion)
-	// ShouldUnload reports whether a replica that has been idle since then goes.
+	// ShouldUnload reports whether to unload a replica that has been idle since idleSince.
 	ShouldUnload(now, idleSince time.Time, model fleet.ModelVersion) bool
-	// EvictionCost ranks what goes first under need of memory, and weighs it
-	// against the cost of a slower tier, where 1 is a read from the weight store.
+	// EvictionCost returns the cost of evicting the model. Models with the lowest cost
+	// are evicted first. The cost is comparable to that of loading from a slower
+	// tier, where 1 is a load from the weight store.
 	EvictionCost(now, idleSince time.Time, model fleet.ModelVersion) float64
-	// LikelyToWake reports whether a model that is not loaded is worth loading
-	// ahead of its next request.
+	// LikelyToWake reports whether a model that is not loaded is worth preloading
+	// before its next request.
 	LikelyToWake(now time.Time, model fleet.ModelVersion) bool
 }
 
-// DisabledMechanisms turns single mechanisms off, so that the worth of each can be
-// measured. Only tests and the laboratory set it.
+// DisabledMechanisms disables individual mechanisms, so that the benefit of each can be
+// measured. Only tests and simulations set it.
 type DisabledMechanisms struct {
-	// Preload loads nothing ahead.
+	// Preload disables preloading.
 	Preload bool
-	// IdleTimes keeps every model for Settings.KeepAlive.
+	// IdleTimes disables the use of models' idle times: each is kept for Settings.KeepAlive.
 	IdleTimes bool
-	// EvictionCost evicts the least recently used.
+	// EvictionCost disables the cost estimate: the least recently used model is evicted first.
 	EvictionCost bool
-	// Tiers chooses engines as if all checkpoints were equally far.
+	// Tiers ignores which storage tier of an engine holds the checkpoint.
 	Tiers bool
-	// Coalescing loads one replica for each node that wants a model.
+	// Coalescing disables the merging of wants: one replica is loaded for each node that wants
+	// a model.
 	Coalescing bool
 }
--- a/internal/placement/refuse.go
+++ b/internal/placement/refuse.go
@@ -8,23 +8,23 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Times after which a refused load may be possible.
+// Retry delays of refused loads.
 const (
-	// noAllotmentWait is what a move of allotment takes: two writes of the
-	// record, a round and a majority.
-	noAllotmentWait = 2 * time.Second
-	// unknownWait is given where nothing says when memory becomes free.
-	unknownWait = 5 * time.Second
-	// neverWait is given for a model that fits no engine.
-	neverWait = time.Minute
-	leastWait = time.Second
+	// noAllotmentRetryDelay is the time to move allotment between zones: two writes
+	// of the record, a round and a majority.
+	noAllotmentRetryDelay = 2 * time.Second
+	// unknownRetryDelay is used where it is not known when memory becomes free.
+	unknownRetryDelay = 5 * time.Second
+	// impossibleRetryDelay is used for a model that fits no engine.
+	impossibleRetryDelay = time.Minute
+	minRetryDelay        = time.Second
 )
 
-// placementRefusal is why a load is refused.
+// placementRefusal is the reason for refusing a load.
 type placementRefusal struct {
-	reason string
-	wait   time.Duration
-	never  bool
+	reason     string
+	retryAfter time.Duration
+	permanent  bool
 }
 
 func (c *Core) refuse(demand demand, cause placementRefusal) {
@@ -32,81 +32,82 @@
 		return
 	}
 	refusal := Refuse{
-		Refusal:           fleet.LoadRefusal{Model: demand.model, Reason: cause.reason, RetryAfter: cause.wait},
+		Refusal:           fleet.LoadRefusal{Model: demand.model, Reason: cause.reason, RetryAfter: cause.retryAfter},
 		PossibleElsewhere: true,
-		Permanent:         cause.never,
+		Permanent:         cause.permanent,
 	}
 	if wait := c.timings.waits[demand.model]; wait != nil {
 		refusal.Since = wait.since
 	}
-	c.refused[demand.model] = refusal
+	c.refusals[demand.model] = refusal
 	c.emit(refusal)
 }
 
-// refuseAll refuses what waits for a zone that is evacuated; another zone may
-// have it.
+// refuseAll refuses all demands because the zone is evacuated; another zone may
+// serve them.
 func (c *Core) refuseAll() {
 	for _, model := range c.names {
 		if demand, wanted := c.demandFor(model); wanted {
-			c.refuse(demand, placementRefusal{reason: "zone-evacuated", wait: noAllotmentWait})
+			c.refuse(demand, placementRefusal{reason: "zone-evacuated", retryAfter: noAllotmentRetryDelay})
 		}
 	}
 }
 
-// noMemory tells when an engine may have room: when enough of what it holds has
-// stayed for its least time, or is loaded and has then stayed for it.
-func (c *Core) noMemory(now time.Time, bytes int64) placementRefusal {
-	never, known := len(c.engines) > 0 && len(c.full) == 0, false
-	var soonest time.Duration
+// memoryRefusal returns the refusal for lack of memory. Its retry delay is the shortest
+// time until an engine can free the bytes, or the refusal is permanent where the model
+// fits no engine.
+func (c *Core) memoryRefusal(now time.Time, bytes int64) placementRefusal {
+	impossible, known := len(c.engines) > 0 && len(c.assumedFull) == 0, false
+	var shortest time.Duration
 	for name, held := range c.engines {
 		if held.state.MemoryBytes-held.state.KVReserveBytes < bytes {
 			continue
 		}
-		never = false
+		impossible = false
 		if !held.serving() {
 			continue
 		}
-		if wait, possible := c.roomAfter(now, name, bytes); possible && (!known || wait < soonest) {
-			soonest, known = wait, true
+		if wait, possible := c.timeUntilFree(now, name, bytes); possible && (!known || wait < shortest) {
+			shortest, known = wait, true
 		}
 	}
 	switch {
-	case never:
-		return placementRefusal{reason: "no-memory", wait: neverWait, never: true}
+	case impossible:
+		return placementRefusal{reason: "no-memory", retryAfter: impossibleRetryDelay, permanent: true}
 	case !known:
-		return placementRefusal{reason: "no-memory", wait: unknownWait}
+		return placementRefusal{reason: "no-memory", retryAfter: unknownRetryDelay}
 	default:
-		return placementRefusal{reason: "no-memory", wait: max(leastWait, soonest)}
+		return placementRefusal{reason: "no-memory", retryAfter: max(minRetryDelay, shortest)}
 	}
 }
 
-// roomAfter is the time until the engine can make room by what is known now;
-// false where what waits or stands keeps its memory.
-func (c *Core) roomAfter(now time.Time, name fleet.BackendName, bytes int64) (time.Duration, bool) {
-	type leaving struct {
+// timeUntilFree estimates the time until the engine can free the bytes. It returns false
+// where models with waiting requests or standing capacity occupy the memory.
+func (c *Core) timeUntilFree(now time.Time, name fleet.BackendName, bytes int64) (time.Duration, bool) {
+	type release struct {
 		bytes int64
-		after time.Duration
+		delay time.Duration
 	}
-	missing := bytes - c.free(name)
-	var leave []leaving
+	missing := bytes - c.freeBytes(name)
+	var releases []release
 	for _, loaded := range c.engines[name].state.Models {
-		ready, _ := c.replicas(loaded.Model)
+		ready, _ := c.countReplicas(loaded.Model)
 		switch {
 		case loaded.State == fleet.LoadUnloading:
-			leave = append(leave, leaving{loaded.Bytes, 0})
+			releases = append(releases, release{loaded.Bytes, 0})
 		case loaded.State == fleet.LoadReady && len(c.wants[loaded.Model]) == 0 && ready > c.standing[loaded.Model]:
-			stay := c.residence(now, loaded.Model) - now.Sub(loaded.ReadySince)
-			leave = append(leave, leaving{loaded.Bytes, max(0, stay)})
+			remaining := c.minResidence(now, loaded.Model) - now.Sub(loaded.ReadySince)
+			releases = append(releases, release{loaded.Bytes, max(0, remaining)})
 		}
 	}
-	slices.SortFunc(leave, func(a, b leaving) int { return cmp.Compare(a.after, b.after) })
+	slices.SortFunc(releases, func(a, b release) int { return cmp.Compare(a.delay, b.delay) })
 	var wait time.Duration
-	for _, gone := range leave {
+	for _, next := range releases {
 		if missing <= 0 {
 			break
 		}
-		missing -= gone.bytes
-		wait = gone.after
+		missing -= next.bytes
+		wait = next.delay
 	}
 	return wait, missing <= 0
 }
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Settings bound and weigh the decisions.
+// Settings are the limits and weights of the placement decisions.
 type Settings struct {
-	// StoreLoadsPerSecond and StoreConcurrency are what the weight store
-	// gives to the whole fleet.
+	// StoreLoadsPerSecond and StoreConcurrency are the weight store's limits
+	// for the whole fleet.
 	StoreLoadsPerSecond float64
 	StoreConcurrency    int
-	// LoadTimeout bounds a load; one that takes longer is ended and tried on
-	// another engine.
+	// LoadTimeout bounds a load; one that takes longer is canceled and retried
+	// on another engine.
 	LoadTimeout time.Duration
-	// WantLifetime is how long a want holds without being repeated.
+	// WantLifetime is how long a want stays valid without being renewed.
 	WantLifetime time.Duration
-	// KeepAlive is used for models whose idle times are not yet known.
+	// KeepAlive is the idle time after which a model is unloaded where idle times are not used.
 	KeepAlive time.Duration
-	// MinResidence is how long a model stays at least; it doubles with each
-	// load of the model within ThrashWindow.
+	// MinResidence is the minimum time that a model stays loaded; it doubles with
+	// each load of the model within ThrashWindow.
 	MinResidence time.Duration
 	ThrashWindow time.Duration
-	// UnansweredOrderTimeout is when an order without an answer asks for a new round.
+	// UnansweredOrderTimeout is the age at which an unanswered order causes a new round.
 	UnansweredOrderTimeout time.Duration
-	// WaitingPerReplica is the queue at which one more replica is wanted.
+	// WaitingPerReplica is the number of waiting requests for which one more replica is wanted.
 	WaitingPerReplica int
 }
 
-// DefaultSettings returns the settings used where none are declared.
+// DefaultSettings returns the settings used unless others are given.
 func DefaultSettings() Settings {
 	return Settings{
 		StoreLoadsPerSecond:    3,
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -7,56 +7,57 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// storeShare is what the zone may take of the weight store. The zones divide
-// its rate by what waits in each, and its concurrency by what runs. The store
-// keeps its limits itself; a load that has to wait waits here, where it can
-// still be put behind one that is more urgent.
-type storeShare struct {
+// storeQuota is the zone's share of the weight store. The zones divide the store's rate
+// by the loads waiting in each, and its concurrency by the loads running in each. The
+// store enforces its limits itself; loads wait here instead of in its queue so that a
+// more urgent load can still overtake them.
+type storeQuota struct {
 	others StoreUsage
-	// tokens are the loads that may begin now.
-	tokens float64
-	asOf   time.Time
-	// waiting and further count the loads that the last plan held back: those of
-	// models that nobody serves, and others.
-	waiting, further int
+	// tokens is the number of loads that may start now.
+	tokens     float64
+	refilledAt time.Time
+	// waiting and additional count the loads that the last plan delayed: those of
+	// models without a replica, and others.
+	waiting, additional int
 }
 
-func (s *storeShare) hold(demand demand) {
-	if demand.further || demand.preload {
-		s.further++
+func (s *storeQuota) countWaiting(demand demand) {
+	if demand.additional || demand.preload {
+		s.additional++
 		return
 	}
 	s.waiting++
 }
 
-// storeRate is the zone's part of the weight store's rate, in loads a second:
-// its part of the models that nobody serves yet, where some wait here, else its
-// equal part of what those elsewhere leave. A zone that is not heard has the
-// part that would be its own if all were alike.
+// storeRate returns the zone's share of the weight store's rate, in loads per second.
+// The rate is divided in proportion to the waiting loads of models without a replica;
+// a zone that waits only for additional replicas gets an equal share of the rest. A zone
+// whose use is not known is assumed to take an equal share.
 func (c *Core) storeRate() float64 {
-	equal := c.settings.StoreLoadsPerSecond / float64(c.zones)
-	own, others := c.store.waiting, c.store.others.Waiting
-	if own == 0 && c.store.further > 0 {
-		return equal / float64(1+others)
+	equalShare := c.settings.StoreLoadsPerSecond / float64(c.zones)
+	waiting, others := c.store.waiting, c.store.others.Waiting
+	if waiting == 0 && c.store.additional > 0 {
+		return equalShare / float64(1+others)
 	}
-	own = max(1, own)
-	heard := max(1, c.zones-c.store.others.UnknownZones)
-	return equal * float64(heard) * float64(own) / float64(own+others)
+	waiting = max(1, waiting)
+	knownZones := max(1, c.zones-c.store.others.UnknownZones)
+	return equalShare * float64(knownZones) * float64(waiting) / float64(waiting+others)
 }
 
-// refillTokens adds the zone's part of the weight store's rate. No more is kept
-// than one load and what comes until the next plan: a burst after a pause would
-// only queue at the store, in the order of its coming.
+// refillTokens adds tokens at the zone's share of the weight store's rate. At most one
+// load and the tokens of one plan interval are saved up: a larger burst after a pause
+// would only queue at the store, which serves loads in order of arrival.
 func (c *Core) refillTokens(now time.Time) {
 	rate := c.storeRate()
-	if !c.store.asOf.IsZero() {
-		c.store.tokens += rate * now.Sub(c.store.asOf).Seconds()
+	if !c.store.refilledAt.IsZero() {
+		c.store.tokens += rate * now.Sub(c.store.refilledAt).Seconds()
 	}
-	c.store.asOf = now
+	c.store.refilledAt = now
 	c.store.tokens = min(c.store.tokens, 1+rate*planInterval.Seconds())
 }
 
-// takeToken reports whether one more load may read from the weight store now.
+// takeToken reports whether one more load from the weight store may start now, and consumes a
+// token if so.
 func (c *Core) takeToken() bool {
 	if c.store.tokens < 1 || c.remoteLoads() >= c.storeSlots() {
 		return false
@@ -65,30 +66,31 @@
 	return true
 }
 
-// storeTurn is when the rate allows the next load that waits; zero for none.
-func (c *Core) storeTurn() time.Time {
+// nextStoreLoad returns when the rate allows the next waiting load; zero if none waits or it may
+// start now.
+func (c *Core) nextStoreLoad() time.Time {
 	rate := c.storeRate()
-	if c.store.waiting+c.store.further == 0 || rate <= 0 || c.store.tokens >= 1 {
+	if c.store.waiting+c.store.additional == 0 || rate <= 0 || c.store.tokens >= 1 {
 		return time.Time{}
 	}
-	return c.store.asOf.Add(time.Duration((1 - c.store.tokens) / rate * float64(time.Second)))
+	return c.store.refilledAt.Add(time.Duration((1 - c.store.tokens) / rate * float64(time.Second)))
 }
 
-// storeSlots is how many loads the zone may have at once: what the others leave,
-// and at least its equal part; what does not divide goes to the first zones.
+// storeSlots returns the number of concurrent loads that the zone may have: what the
+// other zones leave, and at least an equal share, whose remainder goes to the first zones.
 func (c *Core) storeSlots() int {
-	equal := c.settings.StoreConcurrency / c.zones
-	left := c.settings.StoreConcurrency - c.store.others.Loading - c.store.others.UnknownZones*max(1, equal)
+	equalShare := c.settings.StoreConcurrency / c.zones
+	remaining := c.settings.StoreConcurrency - c.store.others.Loading - c.store.others.UnknownZones*max(1, equalShare)
 	if c.zoneIndex < c.settings.StoreConcurrency%c.zones {
-		equal++
+		equalShare++
 	}
-	return max(1, equal, left)
+	return max(1, equalShare, remaining)
 }
 
-// WaitingLoads counts the loads of models that nobody serves which wait for
-// their turn at the weight store.
+// WaitingLoads returns the number of loads of models without a replica that wait for
+// the weight store.
 func (c *Core) WaitingLoads() int {
-	if !c.leading {
+	if !c.roundActive {
 		return 0
 	}
 	return c.store.waiting
--- a/internal/placement/timing.go
+++ b/internal/placement/timing.go
@@ -7,67 +7,68 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// LoadFinished gives the times of a load that this core ordered, once its end
-// was seen, so that it shows what a cold start spent its time on.
+// LoadFinished reports the times of a load that this core ordered, once a state showed it
+// ready. It shows how the time of a cold start was spent.
 type LoadFinished struct {
 	Engine fleet.BackendName
 	Model  fleet.ModelVersion
 	Tier   fleet.Tier
-	// RequestedAt is when the first want was heard; zero for a load that nothing
-	// waited for.
+	// RequestedAt is when the first want was received; zero for a load without waiting
+	// requests.
 	RequestedAt time.Time
-	// Ordered is when the order was sent, Accepted when the engine's answer came,
-	// Started when a state first showed the load, ReadySeen when one showed it ready.
+	// Ordered is when the order was sent, Accepted when the engine's answer was
+	// received, Started when a state first showed the load, ReadySeen when one showed it
+	// ready.
 	Ordered, Accepted, Started, ReadySeen time.Time
-	// Ready is when the model was ready by the engine's own clock.
+	// Ready is when the model became ready, by the engine's clock.
 	Ready time.Time
-	// HoldTimes is how long the load was held back before it was ordered, by cause.
+	// HoldTimes is how long the load was delayed before it was ordered, by cause.
 	HoldTimes HoldTimes
 }
 
-// HoldTimes are the times for which wants could not be served, by cause.
+// HoldTimes are the times for which wants could not be served, by cause of the delay.
 type HoldTimes struct {
-	// Allotment is for want of allotment, Memory for want of an engine with
-	// room, Eviction while room was made, Store for the weight store's limits.
+	// Allotment is for lack of allotment, Memory for lack of an engine with enough
+	// memory, Eviction while models were evicted, Store for the weight store's limits.
 	Allotment, Memory, Eviction, Store time.Duration
 }
 
 func (LoadFinished) effect() {}
 
-// waitRecord follows the wants of a model that nothing serves yet.
+// waitRecord tracks the unserved wants for a model.
 type waitRecord struct {
 	since time.Time
-	// marked is the time up to which held is counted.
-	marked time.Time
-	held   HoldTimes
+	// countedUntil is the time up to which holdTimes are counted.
+	countedUntil time.Time
+	holdTimes    HoldTimes
 }
 
-// timings follow what is waited for and what is loading; what is loaded does
-// not depend on them.
+// timings track the waiting and loading times for LoadFinished; no decision depends on
+// them.
 type timings struct {
-	waits   map[fleet.ModelVersion]*waitRecord
-	flights map[placementKey]*LoadFinished
+	waits map[fleet.ModelVersion]*waitRecord
+	loads map[placementKey]*LoadFinished
 }
 
 func newTimings() timings {
 	return timings{
-		waits:   make(map[fleet.ModelVersion]*waitRecord),
-		flights: make(map[placementKey]*LoadFinished),
+		waits: make(map[fleet.ModelVersion]*waitRecord),
+		loads: make(map[placementKey]*LoadFinished),
 	}
 }
 
-// waiting notes that a model is wanted.
-func (t *timings) waiting(now time.Time, model fleet.ModelVersion) {
+// startWait records that requests wait for the model.
+func (t *timings) startWait(now time.Time, model fleet.ModelVersion) {
 	if t.waits[model] == nil {
-		t.waits[model] = &waitRecord{since: now, marked: now}
+		t.waits[model] = &waitRecord{since: now, countedUntil: now}
 	}
 }
 
-// heldBy adds the time since the last plan to a cause.
-func (t *timings) heldBy(now time.Time, model fleet.ModelVersion, cause func(*HoldTimes) *time.Duration) {
+// addHoldTime attributes the time since the last call to a cause.
+func (t *timings) addHoldTime(now time.Time, model fleet.ModelVersion, cause func(*HoldTimes) *time.Duration) {
 	if wait := t.waits[model]; wait != nil {
-		*cause(&wait.held) += now.Sub(wait.marked)
-		wait.marked = now
+		*cause(&wait.holdTimes) += now.Sub(wait.countedUntil)
+		wait.countedUntil = now
 	}
 }
 
@@ -76,48 +77,49 @@
 func byEviction(held *HoldTimes) *time.Duration  { return &held.Eviction }
 func byStore(held *HoldTimes) *time.Duration     { return &held.Store }
 
-// ordered begins the record of a load.
-func (t *timings) ordered(now time.Time, engine fleet.BackendName, model fleet.ModelVersion, tier fleet.Tier) {
-	flight := &LoadFinished{Engine: engine, Model: model, Tier: tier, Ordered: now}
+// loadOrdered starts the record of a load.
+func (t *timings) loadOrdered(now time.Time, engine fleet.BackendName, model fleet.ModelVersion, tier fleet.Tier) {
+	load := &LoadFinished{Engine: engine, Model: model, Tier: tier, Ordered: now}
 	if wait := t.waits[model]; wait != nil {
-		flight.RequestedAt, flight.HoldTimes = wait.since, wait.held
+		load.RequestedAt, load.HoldTimes = wait.since, wait.holdTimes
 		delete(t.waits, model)
 	}
-	t.flights[placementKey{engine, model}] = flight
+	t.loads[placementKey{engine, model}] = load
 }
 
-// taken notes the engine's answer to the order of a load.
-func (t *timings) taken(now time.Time, order *order) {
-	if flight := t.flights[placementKey{order.engine, order.Model}]; flight != nil && order.Action == backend.ActionLoad {
-		flight.Accepted = now
+// loadAccepted records that the engine accepted the order of a load.
+func (t *timings) loadAccepted(now time.Time, order *order) {
+	if load := t.loads[placementKey{order.engine, order.Model}]; load != nil && order.Action == backend.ActionLoad {
+		load.Accepted = now
 	}
 }
 
-// dropped forgets loads that an engine refused or lost.
-func (t *timings) dropped(engine fleet.BackendName, model fleet.ModelVersion) {
-	delete(t.flights, placementKey{engine, model})
+// loadDropped discards the record of a load that the engine refused.
+func (t *timings) loadDropped(engine fleet.BackendName, model fleet.ModelVersion) {
+	delete(t.loads, placementKey{engine, model})
 }
 
-// finishLoads reports the loads that the engine's state shows to have ended.
-func (c *Core) finishLoads(now time.Time, state fleet.EngineState) {
+// reportFinishedLoads emits LoadFinished for the loads that the engine's state shows as ready, and
+// discards the records of those that are gone.
+func (c *Core) reportFinishedLoads(now time.Time, state fleet.EngineState) {
 	for _, loaded := range state.Models {
 		key := placementKey{state.Name, loaded.Model}
-		flight := c.timings.flights[key]
-		if flight == nil {
+		load := c.timings.loads[key]
+		if load == nil {
 			continue
 		}
-		if flight.Started.IsZero() {
-			flight.Started = now
+		if load.Started.IsZero() {
+			load.Started = now
 		}
 		if loaded.State == fleet.LoadReady {
-			flight.Ready, flight.ReadySeen = loaded.ReadySince, now
-			c.emit(*flight)
-			delete(c.timings.flights, key)
+			load.Ready, load.ReadySeen = loaded.ReadySince, now
+			c.emit(*load)
+			delete(c.timings.loads, key)
 		}
 	}
-	for key, flight := range c.timings.flights {
-		if key.engine == state.Name && !flight.Started.IsZero() && state.Find(key.model) == nil {
-			delete(c.timings.flights, key)
+	for key, load := range c.timings.loads {
+		if key.engine == state.Name && !load.Started.IsZero() && state.Find(key.model) == nil {
+			delete(c.timings.loads, key)
 		}
 	}
 }
--- a/internal/placement/wants.go
+++ b/internal/placement/wants.go
@@ -8,27 +8,27 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// demand is all that waits for one model, from however many nodes.
+// demand is the need for a further replica of one model, merged from the wants of all nodes.
 type demand struct {
 	model    fleet.ModelVersion
 	waiting  int
 	priority int
 	deadline time.Time
-	// standing is set where the replica is wanted by standing capacity.
+	// standing is set where the replica is needed for standing capacity.
 	standing bool
-	// preload is set where nothing waits yet.
+	// preload is set where no requests wait yet.
 	preload bool
-	// further is set where the model has a replica, or gets one, here or in
-	// another zone.
-	further  bool
-	adapters []fleet.AdapterName
+	// additional is set where the model already has a replica, ready or loading, in
+	// this or another zone.
+	additional bool
+	adapters   []fleet.AdapterName
 }
 
-func (c *Core) takeWants(now time.Time, wants []fleet.Want) {
+func (c *Core) updateWants(now time.Time, wants []fleet.Want) {
 	for _, want := range wants {
 		if want.Arrivals > 0 || want.Waiting > 0 {
-			c.historyOf(want.Model).arrive(now)
-			c.historyOf(want.Model).here = want.Waiting > 0 || c.count(want.Model) > 0
+			c.historyOf(want.Model).recordArrival(now)
+			c.historyOf(want.Model).servedHere = want.Waiting > 0 || c.countUpperBound(want.Model) > 0
 			c.policy.RequestsArrived(now, want.Model)
 		}
 		key := wantKey{want.Node, want.Adapter, want.Regions}
@@ -38,11 +38,11 @@
 		}
 		if c.wants[want.Model] == nil {
 			c.dirty = true
-			c.wants[want.Model] = make(map[wantKey]timedWant)
-			c.timings.waiting(now, want.Model)
+			c.wants[want.Model] = make(map[wantKey]expiringWant)
+			c.timings.startWait(now, want.Model)
 		}
-		c.wants[want.Model][key] = timedWant{Want: want, until: now.Add(c.settings.WantLifetime)}
-		if refusal, found := c.refused[want.Model]; found && !c.dirty {
+		c.wants[want.Model][key] = expiringWant{Want: want, expiresAt: now.Add(c.settings.WantLifetime)}
+		if refusal, refused := c.refusals[want.Model]; refused && !c.dirty {
 			c.emit(refusal)
 		}
 	}
@@ -60,7 +60,7 @@
 func (c *Core) expireWants(now time.Time) {
 	for model, wants := range c.wants {
 		for key, want := range wants {
-			if now.After(want.until) {
+			if now.After(want.expiresAt) {
 				delete(wants, key)
 			}
 		}
@@ -69,14 +69,14 @@
 			delete(c.timings.waits, model)
 		}
 	}
-	for key, until := range c.avoid {
+	for key, until := range c.avoidUntil {
 		if now.After(until) {
-			delete(c.avoid, key)
+			delete(c.avoidUntil, key)
 		}
 	}
 }
 
-// demandFor merges the wants of all nodes into one.
+// demandFor merges the wants of all nodes for the model into one demand.
 func (c *Core) demandFor(model fleet.ModelVersion) (demand, bool) {
 	wants := c.wants[model]
 	if len(wants) == 0 {
@@ -97,14 +97,14 @@
 	return merged, true
 }
 
-// compareDemand orders loads: standing capacity first, then what waits: models
-// that nobody serves before further replicas, by priority, deadline and number
-// waiting.
+// compareDemand orders demands: standing capacity first, then waiting requests, then
+// preloads. Within these, models without a replica come before additional replicas,
+// then priority, deadline and number of waiting requests decide.
 func compareDemand(a, b demand) int {
 	return cmp.Or(
 		-compareBool(a.standing, b.standing),
 		compareBool(a.preload, b.preload),
-		compareBool(a.further, b.further),
+		compareBool(a.additional, b.additional),
 		-cmp.Compare(a.priority, b.priority),
 		a.deadline.Compare(b.deadline),
 		-cmp.Compare(a.waiting, b.waiting),
@@ -123,7 +123,7 @@
 	}
 }
 
-// Busy reports whether something loads, waits or is ordered.
+// Busy reports whether any load, unload, order or want is pending.
 func (c *Core) Busy() bool {
 	if len(c.orders) > 0 || len(c.wants) > 0 {
 		return true
