--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// The size to build towards.
+// The size of fleet that the project is designed for.
 const (
 	benchModels    = 54
 	benchAdapters  = 8_700
@@ -18,7 +18,7 @@
 	benchTenants   = 400
 )
 
-// fleetObjects declares a fleet of the size to build towards.
+// fleetObjects returns the declarations of a fleet of that size.
 func fleetObjects(b *testing.B) []objectstore.Object {
 	b.Helper()
 	var objects []objectstore.Object
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -29,7 +29,8 @@
 	return spec.LabelSelector{MatchLabels: map[string]string{key: value}}
 }
 
-func reports(t testing.TB) []objectstore.Object {
+// reportObjects returns a small valid set of declarations of most kinds.
+func reportObjects(t testing.TB) []objectstore.Object {
 	return []objectstore.Object{
 		object(t, spec.KindModel, "report", nil, spec.Model{
 			Versions:      []spec.ModelVersion{{Name: "v1", Memory: 10, Checkpoint: 9}, {Name: "v2", Memory: 12, Checkpoint: 11}},
@@ -62,7 +63,7 @@
 	}
 }
 
-func compiled(t testing.TB, objects []objectstore.Object) *Snapshot {
+func mustCompile(t testing.TB, objects []objectstore.Object) *Snapshot {
 	t.Helper()
 	snapshot, problems := Compile(9, objects)
 	if len(problems) > 0 {
@@ -72,7 +73,7 @@
 }
 
 func TestModelRoute(t *testing.T) {
-	snapshot := compiled(t, reports(t))
+	snapshot := mustCompile(t, reportObjects(t))
 	cases := []struct {
 		name       string
 		labels     map[string]string
@@ -97,9 +98,9 @@
 		})
 	}
 	for name, labels := range map[string]map[string]string{
-		"nothing known":                   {"model": "unknown"},
-		"precedence leads to no target":   {"tenant": "owner", "stopped": "yes", "model": "chat"},
-		"no label at all is not a choice": {},
+		"unknown model":                 {"model": "unknown"},
+		"selector without a deployment": {"tenant": "owner", "stopped": "yes", "model": "chat"},
+		"no labels":                     {},
 	} {
 		if route, found := snapshot.ModelRoute(labels); found {
 			t.Errorf("%s: got %+v", name, route)
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestFiledSelectorsMatchLikeTheirList compares the choice among filed
-// selectors with trying all of them in order.
+// TestFiledSelectorsMatchLikeTheirList compares the lookup in the index of selectors
+// with the evaluation of all selectors in order.
 func TestFiledSelectorsMatchLikeTheirList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		labels := rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.SampledFrom([]string{"", "1", "2"}), 0, 3)
@@ -140,7 +141,7 @@
 }
 
 func TestModelRouteGivesVersionsAdapterAndContext(t *testing.T) {
-	snapshot := compiled(t, reports(t))
+	snapshot := mustCompile(t, reportObjects(t))
 	route, _ := snapshot.ModelRoute(map[string]string{"model": "report-certified"})
 	want := ModelRoute{
 		Deployment: "report-certified",
@@ -158,17 +159,17 @@
 }
 
 func TestServiceRoute(t *testing.T) {
-	snapshot := compiled(t, reports(t))
+	snapshot := mustCompile(t, reportObjects(t))
 	longest, _ := snapshot.ServiceRoute("GET", "/turbines/ping/7")
 	if longest.Service != "pings" || !longest.Repeatable || longest.Deadline != time.Second {
 		t.Errorf("longest prefix: %+v", longest)
 	}
 	stop, _ := snapshot.ServiceRoute("POST", "/turbines/7/stop")
 	if stop.Service != "turbines" || stop.Repeatable || stop.Deadline != defaultServiceDeadline || stop.KeyWindow != defaultKeyWindow {
-		t.Errorf("command: %+v", stop)
+		t.Errorf("POST call: %+v", stop)
 	}
 	if yaw, _ := snapshot.ServiceRoute("PUT", "/turbines/7/yaw"); !yaw.Repeatable {
-		t.Error("a declared method is not repeatable")
+		t.Error("a method declared as repeatable is not repeatable")
 	}
 	if other, found := snapshot.ServiceRoute("GET", "/slots"); found {
 		t.Errorf("got %+v", other)
@@ -176,7 +177,7 @@
 }
 
 func TestModelFacts(t *testing.T) {
-	snapshot := compiled(t, reports(t))
+	snapshot := mustCompile(t, reportObjects(t))
 	want := []ModelInfo{
 		{Model: fleet.ModelVersion{Model: "chat", Version: "v1"}, MemoryBytes: 3, MaxReplicas: 1, Priority: 7},
 		{Model: fleet.ModelVersion{Model: "report", Version: "v1"}, MemoryBytes: 10, CheckpointBytes: 9,
@@ -188,12 +189,12 @@
 		t.Error(difference)
 	}
 	if weight := snapshot.Preferences().ColdStartWeight; weight != defaultColdStartWeight {
-		t.Errorf("default preference is %v", weight)
+		t.Errorf("got default cold-start weight %v", weight)
 	}
 }
 
 func TestCompileLeavesOutWhatCannotBeUsed(t *testing.T) {
-	objects := append(reports(t),
+	objects := append(reportObjects(t),
 		objectstore.Object{Kind: string(spec.KindSelector), Name: "broken", Version: 4, Spec: json.RawMessage(`{"priority":"high"}`)},
 		object(t, spec.KindAdapter, "orphan", nil, spec.Adapter{Model: "gone"}),
 		object(t, spec.KindDeployment, "wrong-adapter", nil, spec.Deployment{Model: "chat", Adapter: "insurer"}),
@@ -217,7 +218,7 @@
 }
 
 func TestCompilerTakesChangedObjectsAnew(t *testing.T) {
-	objects := reports(t)
+	objects := reportObjects(t)
 	compiler := NewCompiler()
 	compiler.Apply(objects)
 	compiler.Snapshot(1)
--- a/internal/catalog/compile.go
+++ b/internal/catalog/compile.go
@@ -12,29 +12,29 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// Problem tells why a declared object is not in the snapshot.
+// Problem is the reason why a declared object is not in the snapshot.
 type Problem struct {
 	Object  objectstore.Key
 	Version uint64
 	Reason  string
 }
 
-// String gives the problem on one line.
+// String returns the problem as one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s/%s at version %d: %s", p.Object.Kind, p.Object.Name, p.Version, p.Reason)
 }
 
-// Compile decodes the declared objects of one store revision. Tombstones and
-// the system's own records are passed over. An object that cannot be decoded,
-// or that refers to one that is not there, becomes a Problem and is left out.
+// Compile compiles the declared objects of one store revision. It ignores tombstones and
+// the system's own records. An object that cannot be decoded, or that refers to a missing
+// one, is left out and reported as a Problem.
 func Compile(version uint64, objects []objectstore.Object) (*Snapshot, []Problem) {
 	compiler := NewCompiler()
 	compiler.Apply(objects)
 	return compiler.Snapshot(version)
 }
 
-// Compiler keeps what it compiled, so that a change costs little more than
-// what depends on it. It is not safe for concurrent use; its snapshots are.
+// Compiler compiles snapshots incrementally: after a change, only the stages that depend
+// on it are recompiled. It is not safe for concurrent use; its snapshots are.
 type Compiler struct {
 	kinds map[spec.Kind]*kindSet
 
@@ -46,20 +46,20 @@
 // kindSet holds the decoded objects of one kind.
 type kindSet struct {
 	byName map[string]decodedObject
-	// sorted is by name; nil where it must be made anew.
+	// sorted is ordered by name; nil where it must be rebuilt.
 	sorted []decodedObject
 	// changed is set until the next snapshot.
 	changed bool
 }
 
-// decodedObject is one object with its decoded spec; the value is immutable
-// and may be shared by several snapshots.
+// decodedObject is an object with its decoded spec. The value is immutable and may be
+// shared by several snapshots.
 type decodedObject struct {
 	key     objectstore.Key
 	version uint64
 	labels  map[string]string
 	value   any
-	// reason tells why it could not be decoded.
+	// reason is why the object is invalid; empty if it is valid.
 	reason string
 }
 
@@ -67,7 +67,7 @@
 	return Problem{Object: o.key, Version: o.version, Reason: reason}
 }
 
-// NewCompiler returns a compiler that has seen nothing.
+// NewCompiler returns a compiler without objects.
 func NewCompiler() *Compiler {
 	kinds := make(map[spec.Kind]*kindSet)
 	for _, kind := range spec.Kinds() {
@@ -76,7 +76,7 @@
 	return &Compiler{kinds: kinds}
 }
 
-// Apply takes new, changed and deleted objects.
+// Apply adds new and changed objects, and removes deleted ones.
 func (c *Compiler) Apply(objects []objectstore.Object) {
 	for _, object := range objects {
 		set, declared := c.kinds[spec.Kind(object.Kind)]
@@ -117,7 +117,7 @@
 	return strings.Compare(object.key.Name, name)
 }
 
-// usable lists the decoded objects by name and adds the others to problems.
+// usable returns the valid objects ordered by name and adds the others to problems.
 func (s *kindSet) usable(problems *[]Problem) []decodedObject {
 	if s.sorted == nil {
 		s.sorted = slices.SortedFunc(maps.Values(s.byName), func(a, b decodedObject) int {
@@ -135,12 +135,12 @@
 	return usable
 }
 
-// Snapshot compiles what was applied. The version is the store revision that
-// it shows.
+// Snapshot compiles the applied objects. The version is the store revision that they
+// represent.
 func (c *Compiler) Snapshot(version uint64) (*Snapshot, []Problem) {
-	modelsChanged := c.take(spec.KindModel)
-	adaptersChanged := c.take(spec.KindAdapter) || modelsChanged
-	deploymentsChanged := c.take(spec.KindDeployment) || adaptersChanged
+	modelsChanged := c.takeChanged(spec.KindModel)
+	adaptersChanged := c.takeChanged(spec.KindAdapter) || modelsChanged
+	deploymentsChanged := c.takeChanged(spec.KindDeployment) || adaptersChanged
 	if modelsChanged {
 		c.models = compileModels(c.kinds[spec.KindModel])
 	}
@@ -151,13 +151,13 @@
 		c.deployments = compileDeployments(c.kinds[spec.KindDeployment], c.models, c.adapters)
 	}
 	linker := newLinker(version, c.models, c.adapters, c.deployments)
-	linker.takeSelectors(c.kinds[spec.KindSelector])
-	linker.takeCapacities(c.kinds[spec.KindCapacity])
-	linker.takeServices(c.kinds[spec.KindService])
-	linker.takePreferences(c.kinds[spec.KindPreferences])
-	linker.takeTenants(c.kinds[spec.KindTenant])
-	linker.takeRegions(c.kinds[spec.KindRegion])
-	linker.takeEvacuations(c.kinds[spec.KindEvacuation])
+	linker.linkSelectors(c.kinds[spec.KindSelector])
+	linker.linkCapacities(c.kinds[spec.KindCapacity])
+	linker.linkServices(c.kinds[spec.KindService])
+	linker.linkPreferences(c.kinds[spec.KindPreferences])
+	linker.linkTenants(c.kinds[spec.KindTenant])
+	linker.linkRegions(c.kinds[spec.KindRegion])
+	linker.linkEvacuations(c.kinds[spec.KindEvacuation])
 	problems := slices.Concat(c.models.problems, c.adapters.problems, c.deployments.problems, linker.problems)
 	slices.SortFunc(problems, func(a, b Problem) int {
 		return cmp.Or(strings.Compare(a.Object.Kind, b.Object.Kind), strings.Compare(a.Object.Name, b.Object.Name))
@@ -165,8 +165,8 @@
 	return linker.snapshot, problems
 }
 
-// take reports whether a kind changed since the last snapshot.
-func (c *Compiler) take(kind spec.Kind) bool {
+// takeChanged reports whether a kind changed since the last snapshot, and resets that.
+func (c *Compiler) takeChanged(kind spec.Kind) bool {
 	changed := c.kinds[kind].changed
 	c.kinds[kind].changed = false
 	return changed
@@ -200,7 +200,7 @@
 	if err != nil {
 		decoded.reason = err.Error()
 	} else {
-		decoded.reason = outOfBounds(decoded.value)
+		decoded.reason = validateBounds(decoded.value)
 	}
 	return decoded
 }
--- a/internal/catalog/evacuation_test.go
+++ b/internal/catalog/evacuation_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestUnreadableEvacuationHolds: others than apply write to the store too.
+// TestUnreadableEvacuationHolds checks that an evacuation with an invalid spec is in force: the
+// apply command rejects one, but other writers may store it.
 func TestUnreadableEvacuationHolds(t *testing.T) {
 	broken := objectstore.Object{Kind: string(spec.KindEvacuation), Name: "oslo-a", Version: 1, Spec: json.RawMessage(`{"reason":7}`)}
 	snapshot, problems := Compile(1, []objectstore.Object{broken})
--- a/internal/catalog/fuzz_test.go
+++ b/internal/catalog/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// FuzzCompile holds that no object in the store, which others may write too,
-// makes a node fail: it is compiled, or left out with a reason, and what comes
-// out has no figure that a decision could not use.
+// FuzzCompile checks that no object in the store makes a node fail, whoever wrote it: it is
+// compiled, or left out with a reason, and the snapshot contains no invalid numbers. It also
+// checks that incremental compilation gives the same result.
 func FuzzCompile(f *testing.F) {
 	files, err := filepath.Glob("../../examples/*/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -54,10 +54,10 @@
 		}
 		stepwise, stepwiseProblems := compiler.Snapshot(3)
 		if difference := cmp.Diff(problems, stepwiseProblems); difference != "" {
-			t.Fatalf("problems (-whole +object by object):\n%s", difference)
+			t.Fatalf("problems (-whole +incremental):\n%s", difference)
 		}
 		if difference := cmp.Diff(whole.Models(), stepwise.Models()); difference != "" {
-			t.Fatalf("models (-whole +object by object):\n%s", difference)
+			t.Fatalf("models (-whole +incremental):\n%s", difference)
 		}
 	})
 }
--- a/internal/catalog/link.go
+++ b/internal/catalog/link.go
@@ -11,17 +11,20 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
+// defaultColdStartWeight weighs cold starts and idle accelerators equally.
 const defaultColdStartWeight = 0.5
 
+// selector is a declared selector with its resolved deployments.
 type selector struct {
 	name string
 	spec.Selector
 	deadline time.Duration
-	// targets index the deployments that it leads to, in order of name.
+	// targets are the indexes of the matching deployments, in order of name.
 	targets []int
 	regions locality.Regions
 }
 
+// service is a declared service with defaults applied.
 type service struct {
 	name string
 	spec.Service
@@ -30,8 +33,7 @@
 	regions   locality.Regions
 }
 
-// linker makes one snapshot of the stages and resolves what is chosen by
-// labels.
+// linker builds one snapshot from the stages and resolves references by label.
 type linker struct {
 	snapshot *Snapshot
 	byLabel  map[labelPair][]int
@@ -55,11 +57,11 @@
 	}
 }
 
-func (l *linker) takeSelectors(set *kindSet) {
+func (l *linker) linkSelectors(set *kindSet) {
 	for _, object := range set.usable(&l.problems) {
 		declared := object.value.(spec.Selector)
-		targets := l.matching(declared.Deployments)
-		l.eachModel(targets, func(facts *ModelInfo) { facts.Priority = max(facts.Priority, declared.Priority) })
+		targets := l.matchingDeployments(declared.Deployments)
+		l.forEachModel(targets, func(info *ModelInfo) { info.Priority = max(info.Priority, declared.Priority) })
 		l.snapshot.selectors = append(l.snapshot.selectors, selector{
 			name:     object.key.Name,
 			Selector: declared,
@@ -75,19 +77,19 @@
 			strings.Compare(a.name, b.name),
 		)
 	})
-	l.fileSelectors()
+	l.indexSelectors()
 }
 
-func (l *linker) takeCapacities(set *kindSet) {
+func (l *linker) linkCapacities(set *kindSet) {
 	for _, object := range set.usable(&l.problems) {
 		capacity := object.value.(spec.Capacity)
-		l.eachModel(l.matching(capacity.Deployments), func(facts *ModelInfo) {
-			facts.StandingReplicas = max(facts.StandingReplicas, capacity.Replicas)
+		l.forEachModel(l.matchingDeployments(capacity.Deployments), func(info *ModelInfo) {
+			info.StandingReplicas = max(info.StandingReplicas, capacity.Replicas)
 		})
 	}
 }
 
-func (l *linker) takeServices(set *kindSet) {
+func (l *linker) linkServices(set *kindSet) {
 	for _, object := range set.usable(&l.problems) {
 		declared := object.value.(spec.Service)
 		if !strings.HasPrefix(declared.PathPrefix, "/") {
@@ -108,27 +110,28 @@
 	})
 }
 
-// takePreferences takes the last by name, so that all nodes choose alike.
-func (l *linker) takePreferences(set *kindSet) {
+// linkPreferences uses the last preferences by name, so that all nodes choose the same.
+func (l *linker) linkPreferences(set *kindSet) {
 	for _, object := range set.usable(&l.problems) {
 		l.snapshot.preferences = object.value.(spec.Preferences)
 	}
 }
 
-// takeRegions maps zones to regions; of two regions that name a zone the last by
-// name has it, so that all nodes choose alike.
-func (l *linker) takeRegions(set *kindSet) {
+// linkRegions maps zones to regions. A zone named by two regions belongs to the last by
+// name, so that all nodes choose the same.
+func (l *linker) linkRegions(set *kindSet) {
 	regionOf := make(map[string]string)
 	for _, object := range set.usable(&l.problems) {
 		for _, zone := range object.value.(spec.Region).Zones {
 			regionOf[zone] = object.key.Name
 		}
 	}
-	l.snapshot.places = locality.NewMap(regionOf)
+	l.snapshot.topology = locality.NewMap(regionOf)
 }
 
-// allowedRegions is the set that a declaration binds requests to. A list that is there
-// and names none lets nothing run: a bound that is lost must not set requests free.
+// allowedRegions returns the regions to which a declaration restricts requests; nil is no
+// restriction. A list that is present but empty allows no region: the loss of its entries
+// must not lift the restriction.
 func allowedRegions(names []string) locality.Regions {
 	if names == nil {
 		return locality.Regions{}
@@ -136,23 +139,22 @@
 	return locality.Only(names...)
 }
 
-// takeEvacuations goes by the names alone: an evacuation whose spec cannot be
-// read holds all the same, since serving a zone that is to be empty is the worse
-// mistake.
-func (l *linker) takeEvacuations(set *kindSet) {
+// linkEvacuations uses only the objects' names: an evacuation with an invalid spec is in
+// force too, since serving requests in an evacuated zone is worse than not using a zone.
+func (l *linker) linkEvacuations(set *kindSet) {
 	set.usable(&l.problems)
 	for _, object := range set.sorted {
 		l.snapshot.evacuated = append(l.snapshot.evacuated, object.key.Name)
 	}
 }
 
-// fileSelectors files each selector under the label that the fewest others ask
-// for, so that a request looks at few.
-func (l *linker) fileSelectors() {
-	asked := make(map[labelPair]int)
+// indexSelectors indexes each selector by the one of its labels that the fewest selectors
+// require, so that few candidates are evaluated for a request.
+func (l *linker) indexSelectors() {
+	labelCounts := make(map[labelPair]int)
 	for index := range l.snapshot.selectors {
 		for key, value := range l.snapshot.selectors[index].Match.MatchLabels {
-			asked[labelPair{key: key, value: value}]++
+			labelCounts[labelPair{key: key, value: value}]++
 		}
 	}
 	l.snapshot.selectorsByLabel = make(map[labelPair][]int)
@@ -161,20 +163,21 @@
 		l.snapshot.selectorIndex[l.snapshot.selectors[index].name] = index
 		labels := l.snapshot.selectors[index].Match.MatchLabels
 		if len(labels) == 0 {
-			l.snapshot.anySelectors = append(l.snapshot.anySelectors, index)
+			l.snapshot.unlabeledSelectors = append(l.snapshot.unlabeledSelectors, index)
 			continue
 		}
-		rarest := rarestLabel(labels, asked)
+		rarest := rarestLabel(labels, labelCounts)
 		l.snapshot.selectorsByLabel[rarest] = append(l.snapshot.selectorsByLabel[rarest], index)
 	}
 }
 
-func rarestLabel(labels map[string]string, asked map[labelPair]int) labelPair {
+// rarestLabel returns the label with the lowest count, the first by key among equals.
+func rarestLabel(labels map[string]string, labelCounts map[labelPair]int) labelPair {
 	var rarest labelPair
 	first := true
 	for key, value := range labels {
 		pair := labelPair{key: key, value: value}
-		byRarity := cmp.Or(cmp.Compare(asked[pair], asked[rarest]), strings.Compare(key, rarest.key))
+		byRarity := cmp.Or(cmp.Compare(labelCounts[pair], labelCounts[rarest]), strings.Compare(key, rarest.key))
 		if first || byRarity < 0 {
 			rarest, first = pair, false
 		}
@@ -182,8 +185,8 @@
 	return rarest
 }
 
-// eachModel visits each model version that the deployments name once.
-func (l *linker) eachModel(targets []int, visit func(*ModelInfo)) {
+// forEachModel calls visit once for each model version of the deployments.
+func (l *linker) forEachModel(targets []int, visit func(*ModelInfo)) {
 	seen := make(map[int]bool)
 	for _, target := range targets {
 		for _, version := range l.snapshot.deployments[target].Versions {
@@ -196,9 +199,9 @@
 	}
 }
 
-// matching lists the deployments whose labels the selector matches. It looks
-// only at those that carry the rarest of the labels asked for.
-func (l *linker) matching(labels spec.LabelSelector) []int {
+// matchingDeployments returns the deployments whose labels match. It evaluates only the
+// deployments with the rarest of the required labels.
+func (l *linker) matchingDeployments(labels spec.LabelSelector) []int {
 	var targets []int
 	candidates, narrowed := l.candidates(labels)
 	if narrowed {
@@ -217,11 +220,13 @@
 	return targets
 }
 
+// candidates returns the deployments with the rarest of the required labels; narrowed is false
+// where no label value is required.
 func (l *linker) candidates(labels spec.LabelSelector) (fewest []int, narrowed bool) {
 	for key, value := range labels.MatchLabels {
-		carrying := l.byLabel[labelPair{key: key, value: value}]
-		if !narrowed || len(carrying) < len(fewest) {
-			fewest, narrowed = carrying, true
+		labeled := l.byLabel[labelPair{key: key, value: value}]
+		if !narrowed || len(labeled) < len(fewest) {
+			fewest, narrowed = labeled, true
 		}
 	}
 	return fewest, narrowed
--- a/internal/catalog/regions_test.go
+++ b/internal/catalog/regions_test.go
@@ -9,8 +9,8 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// TestRoutesAreBoundToTheirRegions, and to none where the list is there and names none:
-// others than apply write to the store too.
+// TestRoutesAreBoundToTheirRegions checks that routes have the declared regions, and that an
+// empty list allows no region: the apply command rejects one, but other writers may store it.
 func TestRoutesAreBoundToTheirRegions(t *testing.T) {
 	raw := func(kind spec.Kind, name, text string) objectstore.Object {
 		return objectstore.Object{Kind: string(kind), Name: name, Version: 1, Spec: json.RawMessage(text)}
@@ -38,7 +38,7 @@
 			}
 			return string(text)
 		}
-		snapshot := compiled(t, append(reports(t),
+		snapshot := mustCompile(t, append(reportObjects(t),
 			raw(spec.KindRegion, "north", `{"zones":["a","b"]}`),
 			raw(spec.KindSelector, "bound", with(map[string]any{"match": map[string]any{"matchLabels": map[string]string{"bound": "yes"}},
 				"deployments": map[string]any{"matchLabels": map[string]string{"use": "chat"}}, "precedence": 9})),
@@ -50,11 +50,11 @@
 		called, _ := snapshot.ServiceRegions("bound")
 		for name, got := range map[string]locality.Regions{"model": model.Regions, "service": service.Regions, "selector": selected, "called": called} {
 			if got != test.want {
-				t.Errorf("%s of %s: %s, want %s", name, test.bound, got, test.want)
+				t.Errorf("%s of %s: got %s, want %s", name, test.bound, got, test.want)
 			}
 		}
 		if snapshot.Topology().Region("b") != "north" || snapshot.Topology().Region("c") != "" {
-			t.Errorf("zones lie in %q and %q", snapshot.Topology().Region("b"), snapshot.Topology().Region("c"))
+			t.Errorf("got regions %q and %q of zones b and c, want north and none", snapshot.Topology().Region("b"), snapshot.Topology().Region("c"))
 		}
 	}
 }
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -11,22 +11,22 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// ModelRoute says how a request for a model is to be treated.
+// ModelRoute describes how to handle a request for a model.
 type ModelRoute struct {
-	// Selector is the declared selector that matched, empty when the request
-	// named a deployment itself.
+	// Selector is the selector that matched; empty where the request itself named a
+	// deployment.
 	Selector   string
 	Deployment fleet.DeploymentName
 	Adapter    fleet.AdapterName
-	// Versions are the model versions to choose from, by weight.
+	// Versions are the model versions to choose from by weight.
 	Versions []WeightedModel
 	Priority int
 	// Deadline bounds the time until the first token.
 	Deadline time.Duration
 	Limits   spec.Limits
-	// ContextTokens bounds prompt and answer together; 0 is without bound.
+	// ContextTokens bounds the sum of prompt and output tokens; 0 is no bound.
 	ContextTokens int
-	// Regions are those in which the request may run.
+	// Regions are the regions in which the request may run.
 	Regions locality.Regions
 	// Tenant is who asks; empty where none is declared.
 	Tenant string
@@ -38,74 +38,75 @@
 	Weight int
 }
 
-// ServiceRoute says how a plain call is to be treated.
+// ServiceRoute describes how to handle a call to a service.
 type ServiceRoute struct {
 	Service    string
 	PathPrefix string
-	// Repeatable holds whether the call's method may be sent twice.
+	// Repeatable reports whether a call with this method may be sent more than once.
 	Repeatable bool
 	Deadline   time.Duration
 	KeyWindow  time.Duration
 	Limits     spec.Limits
-	// Regions are those in which the call may run.
+	// Regions are the regions in which the call may run.
 	Regions locality.Regions
 	// Tenant is who asks; empty where none is declared.
 	Tenant string
 }
 
-// ModelInfo is what placement needs to know of one model version.
+// ModelInfo describes one model version for placement.
 type ModelInfo struct {
 	Model           fleet.ModelVersion
 	MemoryBytes     int64
 	CheckpointBytes int64
 	MinReplicas     int
 	MaxReplicas     int
-	// StandingReplicas is the largest standing capacity that names it.
+	// StandingReplicas is the largest standing capacity declared for it.
 	StandingReplicas int
-	// Priority is the largest priority of the selectors that lead to it.
+	// Priority is the highest priority of the selectors that route to it.
 	Priority int
 }
 
-// AdapterInfo is what placement needs to know of one adapter.
+// AdapterInfo describes one adapter for placement.
 type AdapterInfo struct {
 	Adapter     fleet.AdapterName
 	Model       string
 	MemoryBytes int64
 }
 
-// DefaultModelDeadline bounds the time until the first token where no
-// selector says otherwise.
+// DefaultModelDeadline bounds the time until the first token where no selector sets
+// a deadline.
 const DefaultModelDeadline = 30 * time.Second
 
 const (
-	// modelLabel is the request label that carries the body's model field.
+	// modelLabel is the request label with the value of the body's model field.
 	modelLabel = "model"
 
 	defaultServiceDeadline = 5 * time.Second
 	defaultKeyWindow       = 10 * time.Minute
 )
 
-// ModelRoute returns how a request with these labels is treated. The first
-// matching selector decides: where it leads to no deployment there is no
-// route. Where no selector matches, the label "model" may name a deployment.
+// ModelRoute returns the route of a request with these labels. The first matching
+// selector decides; if it matches no deployment, there is no route. If no selector
+// matches, the label "model" may name a deployment.
 func (s *Snapshot) ModelRoute(labels map[string]string) (ModelRoute, bool) {
-	named, hasNamed := s.deploymentIndex[labels[modelLabel]]
+	namedIndex, hasNamed := s.deploymentIndex[labels[modelLabel]]
 	if chosen := s.firstMatching(labels); chosen != nil {
-		return s.selectedRoute(chosen, named, hasNamed)
+		return s.routeBySelector(chosen, namedIndex, hasNamed)
 	}
 	if !hasNamed {
 		return ModelRoute{}, false
 	}
-	route := s.routeTo(named)
+	route := s.routeTo(namedIndex)
 	route.Deadline = DefaultModelDeadline
 	return route, true
 }
 
-// firstMatching looks only at selectors that are filed under one of the labels.
+// firstMatching returns the first selector that matches the labels. It evaluates only selectors
+// that are indexed under one of them or require none.
 func (s *Snapshot) firstMatching(labels map[string]string) *selector {
-	first := s.firstOf(s.anySelectors, len(s.selectors), labels)
+	first := s.firstMatchBefore(s.unlabeledSelectors, len(s.selectors), labels)
 	for key, value := range labels {
-		first = s.firstOf(s.selectorsByLabel[labelPair{key: key, value: value}], first, labels)
+		first = s.firstMatchBefore(s.selectorsByLabel[labelPair{key: key, value: value}], first, labels)
 	}
 	if first == len(s.selectors) {
 		return nil
@@ -113,8 +114,9 @@
 	return &s.selectors[first]
 }
 
-// firstOf returns the first matching candidate before the limit, or the limit.
-func (s *Snapshot) firstOf(candidates []int, limit int, labels map[string]string) int {
+// firstMatchBefore returns the first matching candidate with an index below the limit, or the
+// limit.
+func (s *Snapshot) firstMatchBefore(candidates []int, limit int, labels map[string]string) int {
 	for _, index := range candidates {
 		if index >= limit {
 			return limit
@@ -126,16 +128,16 @@
 	return limit
 }
 
-// selectedRoute prefers the deployment that the request names, and takes the
-// first by name otherwise, so that all nodes choose alike.
-func (s *Snapshot) selectedRoute(chosen *selector, named int, hasNamed bool) (ModelRoute, bool) {
+// routeBySelector prefers the deployment that the request names and otherwise uses the
+// first by name, so that all nodes choose the same.
+func (s *Snapshot) routeBySelector(chosen *selector, namedIndex int, hasNamed bool) (ModelRoute, bool) {
 	if len(chosen.targets) == 0 {
 		return ModelRoute{}, false
 	}
 	target := chosen.targets[0]
 	if hasNamed {
-		if _, found := slices.BinarySearch(chosen.targets, named); found {
-			target = named
+		if _, found := slices.BinarySearch(chosen.targets, namedIndex); found {
+			target = namedIndex
 		}
 	}
 	route := s.routeTo(target)
@@ -157,8 +159,8 @@
 	}
 }
 
-// ServiceRoute returns how a plain call is treated: the service with the
-// longest prefix of the path takes it.
+// ServiceRoute returns the route of a call to a service: that of the service with the
+// longest matching path prefix.
 func (s *Snapshot) ServiceRoute(method, path string) (ServiceRoute, bool) {
 	for index := range s.services {
 		candidate := &s.services[index]
@@ -168,7 +170,7 @@
 		return ServiceRoute{
 			Service:    candidate.name,
 			PathPrefix: candidate.PathPrefix,
-			Repeatable: candidate.repeatable(method),
+			Repeatable: candidate.isRepeatable(method),
 			Deadline:   candidate.deadline,
 			KeyWindow:  candidate.keyWindow,
 			Limits:     candidate.Limits,
@@ -178,7 +180,8 @@
 	return ServiceRoute{}, false
 }
 
-func (s *service) repeatable(method string) bool {
+// isRepeatable reports whether a call with the method may be sent more than once.
+func (s *service) isRepeatable(method string) bool {
 	if method == http.MethodGet || method == http.MethodHead {
 		return true
 	}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -12,8 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/storepos"
 )
 
-// Snapshot is the catalog at one store revision. It is immutable: callers
-// must not change the slices that it returns.
+// Snapshot is the catalog at one store revision. It is immutable: callers must not
+// modify the slices that it returns.
 type Snapshot struct {
 	version uint64
 
@@ -22,26 +22,26 @@
 	adapters     []AdapterInfo
 	adapterIndex map[fleet.AdapterName]int
 	deployments  []DeploymentInfo
-	// deploymentIndex finds a deployment by its name.
+	// deploymentIndex is the index of each deployment by name.
 	deploymentIndex map[string]int
 	modelNames      []string
-	// selectors are in the order in which they are tried.
+	// selectors are in order of evaluation.
 	selectors []selector
-	// selectorIndex finds a selector by its name.
+	// selectorIndex is the index of each selector by name.
 	selectorIndex map[string]int
-	// selectorsByLabel files each selector under one label that it asks for;
-	// anySelectors are those that ask for none by value.
-	selectorsByLabel map[labelPair][]int
-	anySelectors     []int
-	// services are ordered by the length of their prefix, longest first.
+	// selectorsByLabel contains each selector under one of the labels that it requires;
+	// unlabeledSelectors are those that require no label value.
+	selectorsByLabel   map[labelPair][]int
+	unlabeledSelectors []int
+	// services are in descending order of prefix length.
 	services    []service
 	preferences spec.Preferences
-	places      locality.Map
-	// tenants holds the declared tenants; needsKey is set also where none of them can be
-	// read.
+	topology    locality.Map
+	// tenants holds the valid tenants. needsKey is set where any is declared, even if none
+	// is valid.
 	tenants  routetable.Table
 	needsKey bool
-	// evacuated are sorted by name.
+	// evacuated are the evacuated zones, sorted by name.
 	evacuated []string
 }
 
@@ -51,7 +51,7 @@
 	Labels   map[string]string
 	Adapter  fleet.AdapterName
 	Versions []WeightedModel
-	// ContextTokens bounds prompt and answer together; 0 is without bound.
+	// ContextTokens bounds the sum of prompt and output tokens; 0 is no bound.
 	ContextTokens int
 	// CreatedVersion is the store revision of the deployment's last change.
 	CreatedVersion uint64
@@ -63,17 +63,17 @@
 	PathPrefix string
 }
 
-// Version is the store revision that the snapshot shows.
+// Version returns the store revision of the snapshot.
 func (s *Snapshot) Version() uint64 {
 	return s.version
 }
 
-// Models are the facts of all declared model versions in order.
+// Models returns all declared model versions in order.
 func (s *Snapshot) Models() []ModelInfo {
 	return s.models
 }
 
-// Model returns the facts of one model version.
+// Model returns one model version.
 func (s *Snapshot) Model(model fleet.ModelVersion) (ModelInfo, bool) {
 	index, found := s.modelIndex[model]
 	if !found {
@@ -82,12 +82,12 @@
 	return s.models[index], true
 }
 
-// Adapters are the facts of all declared adapters, ordered by name.
+// Adapters returns all declared adapters, ordered by name.
 func (s *Snapshot) Adapters() []AdapterInfo {
 	return s.adapters
 }
 
-// Adapter returns the facts of one adapter.
+// Adapter returns one adapter.
 func (s *Snapshot) Adapter(name fleet.AdapterName) (AdapterInfo, bool) {
 	index, found := s.adapterIndex[name]
 	if !found {
@@ -96,32 +96,32 @@
 	return s.adapters[index], true
 }
 
-// Deployments describes all deployments, ordered by name.
+// Deployments returns all deployments, ordered by name.
 func (s *Snapshot) Deployments() []DeploymentInfo {
 	return s.deployments
 }
 
-// ModelNames lists, in order, what callers may name as model.
+// ModelNames returns, in order, the names that callers may use as model.
 func (s *Snapshot) ModelNames() []string {
 	return s.modelNames
 }
 
-// Services describes all services, ordered by name.
+// Services returns all services, ordered by name.
 func (s *Snapshot) Services() []ServiceInfo {
 	infos := make([]ServiceInfo, 0, len(s.services))
-	for _, known := range s.services {
-		infos = append(infos, ServiceInfo{Name: known.name, PathPrefix: known.PathPrefix})
+	for _, declared := range s.services {
+		infos = append(infos, ServiceInfo{Name: declared.name, PathPrefix: declared.PathPrefix})
 	}
 	slices.SortFunc(infos, func(a, b ServiceInfo) int { return strings.Compare(a.Name, b.Name) })
 	return infos
 }
 
-// Preferences weigh the cold-start tail against idle accelerator hours.
+// Preferences returns the weight of the cold-start tail against idle accelerator hours.
 func (s *Snapshot) Preferences() spec.Preferences {
 	return s.preferences
 }
 
-// Evacuations are the zones that are out of service as of the snapshot.
+// Evacuations returns the zones that are out of service as of the snapshot.
 func (s *Snapshot) Evacuations() evacuation.Snapshot {
 	return evacuation.Snapshot{Zones: s.evacuated, Position: storepos.At(0, int64(s.version))}
 }
@@ -131,13 +131,13 @@
 	return slices.Contains(s.evacuated, string(zone))
 }
 
-// Topology tells the region of each zone.
+// Topology returns the region of each zone.
 func (s *Snapshot) Topology() locality.Map {
-	return s.places
+	return s.topology
 }
 
-// SelectorRegions are the regions in which a selector's requests may run; ok is false
-// where there is no such selector.
+// SelectorRegions returns the regions in which a selector's requests may run; ok is false
+// if the selector does not exist.
 func (s *Snapshot) SelectorRegions(name string) (regions locality.Regions, ok bool) {
 	index, ok := s.selectorIndex[name]
 	if !ok {
@@ -146,8 +146,8 @@
 	return s.selectors[index].regions, true
 }
 
-// ServiceRegions are the regions in which a service's calls may run; ok is false where
-// there is no such service.
+// ServiceRegions returns the regions in which a service's calls may run; ok is false if
+// the service does not exist.
 func (s *Snapshot) ServiceRegions(name string) (regions locality.Regions, ok bool) {
 	for index := range s.services {
 		if s.services[index].name == name {
--- a/internal/catalog/stages.go
+++ b/internal/catalog/stages.go
@@ -9,13 +9,14 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
+// defaultMaxReplicas is used for a model that declares no bounds of replicas.
 const defaultMaxReplicas = 1
 
-// modelStage is what the declared models give. Like the other stages it is
-// immutable once made, and shared by snapshots until its input changes.
+// modelStage is the result of compiling the declared models. Like the other stages
+// it is immutable, and shared by snapshots until its input changes.
 type modelStage struct {
 	declared map[string]spec.Model
-	// facts lack what selectors and capacities add.
+	// facts does not include the values that selectors and capacities add.
 	facts    []ModelInfo
 	index    map[fleet.ModelVersion]int
 	problems []Problem
@@ -43,7 +44,7 @@
 	return stage
 }
 
-// adapterStage is what the declared adapters give.
+// adapterStage is the result of compiling the declared adapters.
 type adapterStage struct {
 	facts    []AdapterInfo
 	index    map[fleet.AdapterName]int
@@ -78,12 +79,12 @@
 	value string
 }
 
-// deploymentStage is what the declared deployments give.
+// deploymentStage is the result of compiling the declared deployments.
 type deploymentStage struct {
 	infos []DeploymentInfo
 	names []string
 	index map[string]int
-	// byLabel lists the deployments that carry a label, in order of name.
+	// byLabel lists the deployments with a label, in order of name.
 	byLabel  map[labelPair][]int
 	problems []Problem
 }
@@ -125,9 +126,9 @@
 	}
 }
 
-// weightedVersions checks what a deployment refers to. Without versions the
-// model's last declared one takes all traffic; where no weight is positive,
-// all versions weigh the same.
+// weightedVersions returns the versions of a deployment with their weights, or the reason
+// why one of its references is invalid. A deployment without versions uses the model's
+// last declared version; if no weight is positive, all versions have the same weight.
 func weightedVersions(declared spec.Deployment, models modelStage, adapters adapterStage) ([]WeightedModel, string) {
 	model, found := models.declared[declared.Model]
 	if !found || len(model.Versions) == 0 {
@@ -140,7 +141,7 @@
 	if len(weighted) == 0 {
 		weighted = []spec.WeightedVersion{{Name: model.Versions[len(model.Versions)-1].Name, Weight: 1}}
 	}
-	weightless := !slices.ContainsFunc(weighted, func(version spec.WeightedVersion) bool { return version.Weight > 0 })
+	hasNoWeights := !slices.ContainsFunc(weighted, func(version spec.WeightedVersion) bool { return version.Weight > 0 })
 	versions := make([]WeightedModel, 0, len(weighted))
 	for _, version := range weighted {
 		name := fleet.ModelVersion{Model: declared.Model, Version: version.Name}
@@ -148,7 +149,7 @@
 			return nil, fmt.Sprintf("model version %q is not declared", name)
 		}
 		switch {
-		case weightless:
+		case hasNoWeights:
 			versions = append(versions, WeightedModel{Model: name, Weight: 1})
 		case version.Weight > 0:
 			versions = append(versions, WeightedModel{Model: name, Weight: version.Weight})
@@ -157,6 +158,7 @@
 	return versions, ""
 }
 
+// checkAdapter returns why the deployment's adapter is invalid; empty if it is valid.
 func checkAdapter(declared spec.Deployment, adapters adapterStage) string {
 	if declared.Adapter == "" {
 		return ""
--- a/internal/catalog/tenants.go
+++ b/internal/catalog/tenants.go
@@ -10,20 +10,20 @@
 // NeedsKey reports whether callers need a tenant's key.
 func (s *Snapshot) NeedsKey() bool { return s.needsKey }
 
-// TenantByKey is the owner of a key.
+// TenantByKey returns the tenant that owns a key.
 func (s *Snapshot) TenantByKey(key string) (*routetable.Tenant, bool) {
 	return s.tenants.TenantByKey(key)
 }
 
-// Tenant returns the tenant of a name.
+// Tenant returns the tenant with the name.
 func (s *Snapshot) Tenant(name string) (*routetable.Tenant, bool) { return s.tenants.Tenant(name) }
 
-// Tenants are all that are declared and can be read, by name.
+// Tenants returns all valid tenants, ordered by name.
 func (s *Snapshot) Tenants() []routetable.Tenant { return s.tenants.Tenants() }
 
-// takeTenants takes the tenants. One that cannot be read is left out, so that its callers
-// are refused; keys are needed all the same.
-func (l *linker) takeTenants(set *kindSet) {
+// linkTenants adds the valid tenants. An invalid one is left out, so that its callers are
+// rejected; callers need a key even if no tenant is valid.
+func (l *linker) linkTenants(set *kindSet) {
 	var tenants []routetable.Tenant
 	for _, object := range set.usable(&l.problems) {
 		declared := object.value.(spec.Tenant)
@@ -31,7 +31,7 @@
 			Name: object.key.Name, Regions: allowedRegions(declared.Regions), Quota: quotaOf(declared.Quota),
 		}
 		for _, key := range declared.Keys {
-			if hash, ok := keyHash(key); ok {
+			if hash, ok := parseKeyHash(key); ok {
 				tenant.Keys = append(tenant.Keys, hash)
 			}
 		}
@@ -48,7 +48,7 @@
 	return routetable.Quota{PerSecond: declared.RequestsPerSecond, Burst: declared.Burst}
 }
 
-func keyHash(text string) (hash routetable.KeyHash, ok bool) {
+func parseKeyHash(text string) (hash routetable.KeyHash, ok bool) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(hash) {
 		return hash, false
@@ -56,14 +56,14 @@
 	return routetable.KeyHash(decoded), true
 }
 
-func tenantOutOfBounds(tenant spec.Tenant) string {
+func validateTenant(tenant spec.Tenant) string {
 	for _, key := range tenant.Keys {
-		if _, ok := keyHash(key); !ok {
-			return "a key is no SHA-256 in hex"
+		if _, ok := parseKeyHash(key); !ok {
+			return "a key is not a SHA-256 hash in hex"
 		}
 	}
 	quota := tenant.Quota
-	isBound := quota != spec.TenantQuota{}
-	return reasonIf(isBound && !(quota.RequestsPerSecond > 0 || quota.TokensPerSecond > 0) || isBound && !(quota.Burst >= 1),
-		"the quota has no rate above 0, or no burst of 1 or more")
+	hasQuota := quota != spec.TenantQuota{}
+	return reasonIf(hasQuota && !(quota.RequestsPerSecond > 0 || quota.TokensPerSecond > 0) || hasQuota && !(quota.Burst >= 1),
+		"the quota needs a rate above 0 and a burst of at least 1")
 }
--- a/internal/catalog/tenants_test.go
+++ b/internal/catalog/tenants_test.go
@@ -12,8 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// TestTenantsThatCannotBeReadOpenNothing: keys are needed though no tenant is left, and a
-// quota without a rate is not one without a bound.
+// TestTenantsThatCannotBeReadOpenNothing checks that invalid tenants grant no access: callers
+// need a key even if no tenant is valid, and a quota without a rate is not unlimited.
 func TestTenantsThatCannotBeReadOpenNothing(t *testing.T) {
 	if snapshot, _ := Compile(1, nil); snapshot.NeedsKey() {
 		t.Error("keys are needed though no tenant is declared")
@@ -26,7 +26,7 @@
 		object := objectstore.Object{Kind: string(spec.KindTenant), Name: "anna", Version: 1, Spec: json.RawMessage(text)}
 		snapshot, problems := Compile(1, []objectstore.Object{object})
 		if len(problems) != 1 || !snapshot.NeedsKey() || len(snapshot.Tenants()) != 0 {
-			t.Errorf("%s: problems %v, needs a key: %v, tenants %v", text, problems, snapshot.NeedsKey(), snapshot.Tenants())
+			t.Errorf("%s: got problems %v, needs key %v, tenants %v; want one problem, a key, no tenants", text, problems, snapshot.NeedsKey(), snapshot.Tenants())
 		}
 	}
 }
@@ -38,13 +38,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshot := compiled(t, []objectstore.Object{{Kind: string(spec.KindTenant), Name: "anna", Version: 1, Spec: text}})
+	snapshot := mustCompile(t, []objectstore.Object{{Kind: string(spec.KindTenant), Name: "anna", Version: 1, Spec: text}})
 	tenant, found := snapshot.TenantByKey("secret")
 	if !found || tenant.Name != "anna" || tenant.Regions != locality.Only("north") ||
 		tenant.Quota != (routetable.Quota{PerSecond: 3, Burst: 9, CountsTokens: true}) {
-		t.Errorf("found %v: %+v", found, tenant)
+		t.Errorf("found %v, tenant %+v", found, tenant)
 	}
 	if _, found := snapshot.TenantByKey(hex.EncodeToString(hash[:])); found {
-		t.Error("the hash of a key serves as the key")
+		t.Error("the hash of a key was accepted as the key")
 	}
 }
