--- a/internal/objectstore/client.go
+++ b/internal/objectstore/client.go
@@ -17,36 +17,36 @@
 	"github.com/spanlanding/spanlanding/internal/traffic"
 )
 
-// ZoneHeader tells the platform from which zone a call comes.
+// ZoneHeader is the request header with the zone of the calling process.
 const ZoneHeader = "X-Zone"
 
 const (
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 90 * time.Second
-	idleConnections = 4
-	// maxErrorBytes bounds what is read of an error's body.
+	dialTimeout        = 2 * time.Second
+	idleTimeout        = 90 * time.Second
+	maxIdleConnections = 4
+	// maxErrorBytes bounds how much of an error response's body is read.
 	maxErrorBytes = 4 << 10
-	// maxListBytes bounds a list.
+	// maxListBytes bounds the body of any other response; lists are the largest.
 	maxListBytes = 256 << 20
 )
 
 // Client calls the object API and the machine list. It is safe for concurrent
-// use. Every call must be bounded by its context.
+// use. It sets no timeout for a whole call: the caller's context must.
 type Client struct {
 	base string
 	zone fleet.Zone
 	http *http.Client
 }
 
-// NewClient returns a client of the platform at the base address (a URL or
-// IP:port) for a process in the zone.
+// NewClient returns a client of the platform at the address (a URL or IP:port) for
+// a process in the zone.
 func NewClient(address string, zone fleet.Zone) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
 	}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 	return &Client{
@@ -56,18 +56,19 @@
 	}
 }
 
-// CountTraffic counts the calls from now on; it goes before the first call.
+// CountTraffic counts the traffic of all calls in channel. It must be called before the first
+// call.
 func (c *Client) CountTraffic(channel *traffic.ChannelCounters) {
 	channel.InstrumentClient(c.http)
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// List returns the objects of a kind, or of all kinds where it is empty,
-// without tombstones.
+// List returns the objects of a kind, or of all kinds if kind is empty, without
+// tombstones.
 func (c *Client) List(ctx context.Context, kind string) (ObjectList, error) {
 	var list ObjectList
 	query := url.Values{}
@@ -78,24 +79,24 @@
 	return list, err
 }
 
-// Get returns one object, or NotFound where there is none or a tombstone.
+// Get returns one object; it fails with NotFound if the object does not exist or was deleted.
 func (c *Client) Get(ctx context.Context, key Key) (Object, error) {
-	object, err := c.read(ctx, key)
+	object, err := c.getWithTombstone(ctx, key)
 	if err == nil && object.Deleted {
 		return object, NotFound.New("%s/%s was deleted at version %d", key.Kind, key.Name, object.Version)
 	}
 	return object, err
 }
 
-// read also returns tombstones.
-func (c *Client) read(ctx context.Context, key Key) (Object, error) {
+// getWithTombstone is like Get but also returns tombstones.
+func (c *Client) getWithTombstone(ctx context.Context, key Key) (Object, error) {
 	var object Object
 	query := url.Values{"tombstones": {"true"}}
 	err := c.call(ctx, http.MethodGet, objectPath(key), query, nil, &object)
 	return object, err
 }
 
-// Machines returns the list of machines. It lags.
+// Machines returns the list of machines, which may be out of date.
 func (c *Client) Machines(ctx context.Context) (MachineList, error) {
 	var list MachineList
 	err := c.call(ctx, http.MethodGet, "/v1/machines", nil, nil, &list)
@@ -106,29 +107,30 @@
 	return "/v1/objects/" + url.PathEscape(key.Kind) + "/" + url.PathEscape(key.Name)
 }
 
-// call makes one request and decodes the answer.
-func (c *Client) call(ctx context.Context, method, path string, query url.Values, body, answer any) error {
+// call sends one request and decodes the response into result.
+func (c *Client) call(ctx context.Context, method, path string, query url.Values, body, result any) error {
 	response, err := c.send(ctx, method, path, query, body)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return failure(response)
+		return responseError(response)
 	}
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxListBytes))
-	if err := decoder.Decode(answer); err != nil {
-		return Unavailable.Wrap(err, "answer to %s %s broke off", method, path)
+	if err := decoder.Decode(result); err != nil {
+		return Unavailable.Wrap(err, "decode the response to %s %s", method, path)
 	}
 	return nil
 }
 
+// send sends one request. Its error is NotSent where no connection could be made.
 func (c *Client) send(ctx context.Context, method, path string, query url.Values, body any) (*http.Response, error) {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return nil, Rejected.Wrap(err, "request cannot be encoded")
+			return nil, Rejected.Wrap(err, "encode the request")
 		}
 		reader = bytes.NewReader(raw)
 	}
@@ -138,7 +140,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target, reader)
 	if err != nil {
-		return nil, Rejected.Wrap(err, "request cannot be made")
+		return nil, Rejected.Wrap(err, "create the request")
 	}
 	request.Header.Set(ZoneHeader, string(c.zone))
 	if body != nil {
@@ -155,21 +157,21 @@
 	}
 }
 
-// isDialError tells that no connection was made.
+// isDialError reports whether no connection could be made.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// failure reads an answer that is not 200.
-func failure(response *http.Response) error {
+// responseError returns the error for a response with a status other than 200.
+func responseError(response *http.Response) error {
 	raw, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	text := strings.TrimSpace(string(raw))
 	switch {
 	case response.StatusCode == http.StatusConflict:
 		var conflict ConflictResponse
 		if err := json.Unmarshal(raw, &conflict); err != nil {
-			return Unavailable.Wrap(err, "conflict cannot be read")
+			return Unavailable.Wrap(err, "decode the conflict response")
 		}
 		return &ConflictError{Current: conflict.Current}
 	case response.StatusCode == http.StatusNotFound:
--- a/internal/objectstore/client_test.go
+++ b/internal/objectstore/client_test.go
@@ -15,14 +15,14 @@
 	"github.com/joomcode/errorx"
 )
 
-// fakeStore is a small object API whose answers to writes can be lost.
+// fakeStore is a minimal object API that can lose requests and responses of writes.
 type fakeStore struct {
 	mutex   sync.Mutex
 	version uint64
 	objects map[Key]Object
 	writes  int
 	zones   map[string]bool
-	// fault is applied to the next write.
+	// fault handles the next write in place of the store.
 	fault func(store *fakeStore, writer http.ResponseWriter, apply func() (Object, *ConflictResponse))
 	// unreadable makes reads fail.
 	unreadable bool
@@ -92,8 +92,8 @@
 
 func (s *fakeStore) apply(write WriteRequest) (Object, *ConflictResponse) {
 	current := s.objects[write.Object.Key()]
-	stands := current.Version == write.ExpectedVersion || write.ExpectedVersion == 0 && current.Deleted
-	if !stands {
+	matches := current.Version == write.ExpectedVersion || write.ExpectedVersion == 0 && current.Deleted
+	if !matches {
 		return Object{}, &ConflictResponse{Current: current}
 	}
 	s.version++
@@ -102,33 +102,33 @@
 	return write.Object, nil
 }
 
-// loseAnswer applies the write and breaks the connection.
-func loseAnswer(_ *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
+// loseResponse applies the write and closes the connection.
+func loseResponse(_ *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	apply()
 	panic(http.ErrAbortHandler)
 }
 
-// loseRequest breaks the connection before the write.
+// loseRequest closes the connection without applying the write.
 func loseRequest(*fakeStore, http.ResponseWriter, func() (Object, *ConflictResponse)) {
 	panic(http.ErrAbortHandler)
 }
 
-// loseAnswerAndOverwrite lets another writer come after the lost answer.
-func loseAnswerAndOverwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
+// loseResponseThenOverwrite applies the write, then another writer's, and closes the connection.
+func loseResponseThenOverwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	written, _ := apply()
 	_, _ = store.apply(WriteRequest{ExpectedVersion: written.Version, Object: model("other")})
 	panic(http.ErrAbortHandler)
 }
 
-// overwrite lets another writer come first and loses the answer.
-func overwrite(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
-	standing := store.objects[model("").Key()]
-	_, _ = store.apply(WriteRequest{ExpectedVersion: standing.Version, Object: model("other")})
+// overwriteFirst applies another writer's write first, and closes the connection.
+func overwriteFirst(store *fakeStore, _ http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
+	current := store.objects[model("").Key()]
+	_, _ = store.apply(WriteRequest{ExpectedVersion: current.Version, Object: model("other")})
 	apply()
 	panic(http.ErrAbortHandler)
 }
 
-func sayUnavailable(_ *fakeStore, writer http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
+func respondBadGateway(_ *fakeStore, writer http.ResponseWriter, apply func() (Object, *ConflictResponse)) {
 	apply()
 	writer.WriteHeader(http.StatusBadGateway)
 }
@@ -151,14 +151,14 @@
 		expected   uint64
 		want       outcome
 	}{
-		{"answered", nil, false, 1, applied},
-		{"answer lost", loseAnswer, false, 1, applied},
-		{"gateway failed after the write", sayUnavailable, false, 1, applied},
+		{"response received", nil, false, 1, applied},
+		{"response lost", loseResponse, false, 1, applied},
+		{"gateway failed after the write", respondBadGateway, false, 1, applied},
 		{"request lost", loseRequest, false, 1, unknown},
-		{"answer lost and the store cannot be read", loseAnswer, true, 1, unknown},
-		{"another came first", overwrite, false, 1, conflict},
-		{"another came after", loseAnswerAndOverwrite, false, 1, conflict},
-		{"wrong expectation", nil, false, 9, conflict},
+		{"response lost and reads fail", loseResponse, true, 1, unknown},
+		{"another write before", overwriteFirst, false, 1, conflict},
+		{"another write after", loseResponseThenOverwrite, false, 1, conflict},
+		{"wrong expected version", nil, false, 9, conflict},
 	}
 	writes := map[string]func(context.Context, *Client, uint64) (Object, error){
 		"put": func(ctx context.Context, client *Client, expected uint64) (Object, error) {
@@ -191,7 +191,7 @@
 					t.Errorf("got %s (%v), want %s", got, err, testCase.want)
 				}
 				if store.writes != 1 {
-					t.Errorf("%d writes were sent", store.writes)
+					t.Errorf("%d writes were sent, want 1", store.writes)
 				}
 			})
 		}
@@ -212,7 +212,7 @@
 
 func TestAWriteMadeTwiceTakesEffectOnce(t *testing.T) {
 	store, client := startStore(t)
-	store.fault = loseAnswer
+	store.fault = loseResponse
 	store.unreadable = true
 	if _, err := client.Put(t.Context(), model("mine"), 0); !errorx.IsOfType(err, Unavailable) {
 		t.Fatalf("got %v", err)
@@ -269,7 +269,7 @@
 		t.Errorf("got %v", err)
 	}
 	if !store.zones["oslo-1"] || len(store.zones) != 1 {
-		t.Errorf("calls came from zones %v", store.zones)
+		t.Errorf("got calls from zones %v, want oslo-1", store.zones)
 	}
 }
 
@@ -300,6 +300,6 @@
 		t.Errorf("got %+v, %+v", first, second)
 	}
 	if event, err := watch.Next(); !errorx.IsOfType(err, Unavailable) {
-		t.Errorf("a torn line gave %+v, %v", event, err)
+		t.Errorf("got %+v, %v for an incomplete line", event, err)
 	}
 }
--- a/internal/objectstore/standin_test.go
+++ b/internal/objectstore/standin_test.go
@@ -14,7 +14,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/httpdriver"
 )
 
-// startStandIn serves the platform's stand-in, which keeps three changes for
+// startStandIn starts the platform's stand-in, with a history of three changes for
 // watches.
 func startStandIn(t *testing.T) (client *objectstore.Client, setFaults func(faults.Set)) {
 	t.Helper()
@@ -39,18 +39,18 @@
 	}
 }
 
-func named(name, changeID string) objectstore.Object {
+func modelObject(name, changeID string) objectstore.Object {
 	return objectstore.Object{Kind: "Model", Name: name, ChangeID: changeID, Spec: json.RawMessage(`{}`)}
 }
 
 func TestClientAgreesWithTheStandIn(t *testing.T) {
 	ctx := t.Context()
 	client, _ := startStandIn(t)
-	first, err := client.Put(ctx, named("a", "1"), 0)
+	first, err := client.Put(ctx, modelObject("a", "1"), 0)
 	if err != nil || first.Version != 1 {
 		t.Fatalf("put: %+v, %v", first, err)
 	}
-	if _, err := client.Put(ctx, named("b/with slash", "2"), 0); err != nil {
+	if _, err := client.Put(ctx, modelObject("b/with slash", "2"), 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := client.Delete(ctx, first.Key(), first.Version, "3", "op"); err != nil {
@@ -84,7 +84,7 @@
 func TestWatchOfWhatTheStandInCannotTellIsCompacted(t *testing.T) {
 	client, _ := startStandIn(t)
 	for _, changeID := range []string{"1", "2", "3", "4", "5"} {
-		if _, err := client.Put(t.Context(), named(changeID, changeID), 0); err != nil {
+		if _, err := client.Put(t.Context(), modelObject(changeID, changeID), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -98,17 +98,17 @@
 func TestStaleReadsDoNotDecideALostWrite(t *testing.T) {
 	client, setFaults := startStandIn(t)
 	setFaults(faults.Set{StaleReads: true})
-	first, err := client.Put(t.Context(), named("a", "1"), 0)
+	first, err := client.Put(t.Context(), modelObject("a", "1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	setFaults(faults.Set{StaleReads: true, LoseAnswers: 1})
-	if _, err := client.Put(t.Context(), named("a", "2"), first.Version); !errorx.IsOfType(err, objectstore.Unavailable) || isConflict(err) {
-		t.Errorf("while reads are stale: %v", err)
+	if _, err := client.Put(t.Context(), modelObject("a", "2"), first.Version); !errorx.IsOfType(err, objectstore.Unavailable) || isConflict(err) {
+		t.Errorf("with stale reads: got %v, want Unavailable", err)
 	}
 	setFaults(faults.Set{})
-	if second, err := client.Put(t.Context(), named("a", "2"), first.Version); err != nil || second.Version != 2 {
-		t.Errorf("the same write again: %+v, %v", second, err)
+	if second, err := client.Put(t.Context(), modelObject("a", "2"), first.Version); err != nil || second.Version != 2 {
+		t.Errorf("repeated write: got %+v, %v", second, err)
 	}
 }
 
--- a/internal/objectstore/write.go
+++ b/internal/objectstore/write.go
@@ -10,38 +10,37 @@
 )
 
 const (
-	// readBackAttempts is how often a write without an answer is looked up.
+	// readBackAttempts is how often the object is read after a write without a response.
 	readBackAttempts = 3
-	// readBackPause goes between them.
-	readBackPause = 100 * time.Millisecond
+	// readBackInterval is the time between these reads.
+	readBackInterval = 100 * time.Millisecond
 )
 
-// Put writes an object if it stands at the expected version; 0 expects none or
-// a tombstone. The object needs a ChangeID that no other write has.
+// Put writes an object if it is at the expected version; 0 expects no object or a
+// tombstone. The object needs a ChangeID that no other write uses.
 //
-// It returns the object as it stands after the write, a ConflictError where
-// another change came first, NotSent where nothing was sent, and Unavailable
-// where it cannot be known whether the write was made. The write goes out
-// once: where its answer is lost, the object is read back in the second half
-// of the context's time. After Unavailable the same write with the same change
-// id may be made again: at most one of them takes effect.
+// It returns the object after the write. It fails with a ConflictError if another
+// change came first, with NotSent if no request was sent, and with Unavailable if
+// the outcome is unknown. The write is sent only once: if its response is lost, the
+// object is read back in the second half of the context's time. After Unavailable the
+// same write may be repeated with the same change ID: at most one takes effect.
 func (c *Client) Put(ctx context.Context, object Object, expected uint64) (Object, error) {
 	if object.ChangeID == "" {
-		return Object{}, Rejected.New("a write needs a change id")
+		return Object{}, Rejected.New("write without a change ID")
 	}
 	var written Object
 	request := WriteRequest{Object: object, ExpectedVersion: expected}
-	writeCtx, cancel := firstHalf(ctx)
+	writeCtx, cancel := withHalfTimeout(ctx)
 	defer cancel()
 	err := c.call(writeCtx, http.MethodPut, objectPath(object.Key()), nil, request, &written)
-	return c.resolve(ctx, object, expected, written, err)
+	return c.resolveOutcome(ctx, object, expected, written, err)
 }
 
-// Delete removes an object if it stands at the expected version. The errors
-// are those of Put; the object returned is the tombstone.
+// Delete deletes an object if it is at the expected version, and returns its
+// tombstone. The errors are those of Put.
 func (c *Client) Delete(ctx context.Context, key Key, expected uint64, changeID, changedBy string) (Object, error) {
 	if changeID == "" {
-		return Object{}, Rejected.New("a write needs a change id")
+		return Object{}, Rejected.New("write without a change ID")
 	}
 	query := url.Values{
 		"expected":  {formatVersion(expected)},
@@ -49,16 +48,16 @@
 		"changedBy": {changedBy},
 	}
 	var tombstone Object
-	writeCtx, cancel := firstHalf(ctx)
+	writeCtx, cancel := withHalfTimeout(ctx)
 	defer cancel()
 	err := c.call(writeCtx, http.MethodDelete, objectPath(key), query, nil, &tombstone)
 	intended := Object{Kind: key.Kind, Name: key.Name, ChangeID: changeID, Deleted: true}
-	return c.resolve(ctx, intended, expected, tombstone, err)
+	return c.resolveOutcome(ctx, intended, expected, tombstone, err)
 }
 
-// resolve decides what became of a write. A conflict that names the write's
-// own change id is its success: the platform or a proxy sent it twice.
-func (c *Client) resolve(ctx context.Context, intended Object, expected uint64, written Object, err error) (Object, error) {
+// resolveOutcome determines the outcome of a write. A conflict with the write's own
+// change ID is a success: the platform or a proxy sent the request twice.
+func (c *Client) resolveOutcome(ctx context.Context, intended Object, expected uint64, written Object, err error) (Object, error) {
 	if err == nil {
 		return written, nil
 	}
@@ -74,22 +73,22 @@
 	return c.readBack(ctx, intended, expected, err)
 }
 
-// readBack looks the object up after a lost answer.
+// readBack determines the outcome of a write with a lost response by reading the object.
 //
-//   - It carries the change id: the write was made.
-//   - It stands at a version above the expected one: another change came
-//     first, or came after and hid the write. Versions of one object grow, so
-//     the write can no longer be made; whether it was is not told apart, and
-//     the object that stands is what the writer must look at either way.
-//   - It stands as before, or there is none: the request may still be under
-//     way, or the read may be stale, so that the outcome stays unknown. Where
-//     it was deleted since, the tombstone is read and is the second case.
+//   - It has the change ID: the write was applied.
+//   - It has a higher version than the expected one: another change came before or
+//     after the write. Versions of one object increase, so the write cannot be applied
+//     any more. Whether it was applied is not distinguished, since the writer must
+//     consider the current object either way.
+//   - It is unchanged, or does not exist: the request may still be in transit, or the
+//     read may be stale, so the outcome remains unknown. If the object was deleted
+//     meanwhile, its tombstone is read, which is the second case.
 func (c *Client) readBack(ctx context.Context, intended Object, expected uint64, cause error) (Object, error) {
 	for attempt := range readBackAttempts {
-		if attempt > 0 && !pause(ctx, readBackPause) {
+		if attempt > 0 && !sleep(ctx, readBackInterval) {
 			break
 		}
-		current, err := c.read(ctx, intended.Key())
+		current, err := c.getWithTombstone(ctx, intended.Key())
 		switch {
 		case err != nil:
 		case current.ChangeID == intended.ChangeID:
@@ -98,19 +97,21 @@
 			return Object{}, &ConflictError{Current: current}
 		}
 	}
-	return Object{}, Unavailable.Wrap(cause, "it is not known whether the change %s was made", intended.ChangeID)
+	return Object{}, Unavailable.Wrap(cause, "the outcome of change %s is unknown", intended.ChangeID)
 }
 
-// firstHalf leaves the second half of the time for reading back.
-func firstHalf(ctx context.Context) (context.Context, context.CancelFunc) {
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
+// withHalfTimeout returns a context with half of the remaining time, which leaves the second half
+// for reading back.
+func withHalfTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, time.Until(deadline)/2)
 }
 
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration; it returns false if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
