--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -14,21 +14,21 @@
 	"github.com/spanlanding/spanlanding/internal/quota"
 )
 
-// limitLotsAfter is how long after its start a node may send to limited back ends without a
-// coordinator.
-const limitLotsAfter = 3 * time.Second
+// fallbackAllowanceDelay is the time after its start during which a node sends no requests
+// to rate-limited back ends without a coordinator's grant.
+const fallbackAllowanceDelay = 3 * time.Second
 
-// backendLimits is what this node granted of the rate limits that back ends name. The lock of Quotas
-// guards it.
+// backendLimits tracks what this node has granted of the rate limits of back ends. It is
+// guarded by Quotas.mutex.
 type backendLimits struct {
 	coordinator *quota.Coordinator
-	lots        *admission.FallbackAllowance
+	fallback    *admission.FallbackAllowance
 }
 
 func newBackendLimits(self fleet.Member) backendLimits {
 	return backendLimits{
 		coordinator: quota.NewCoordinator(admission.RateLimitTolerance()),
-		lots:        admission.NewRateLimitFallback(string(self.Name)),
+		fallback:    admission.NewRateLimitFallback(string(self.Name)),
 	}
 }
 
@@ -37,36 +37,39 @@
 // AdmitBackend implements gateway.Admission.
 func (q *Quotas) AdmitBackend(ctx context.Context, backend fleet.BackendName, incarnation uint64, perSecond float64) (granted bool, retryIn time.Duration) {
 	question := &peerpb.QuotaQuestion{Cost: 1, Backend: string(backend), Incarnation: incarnation, PerSecond: perSecond}
-	for _, judge := range judges(q.dependencies.Self, q.dependencies.Views) {
-		asked := time.Now()
-		answer := q.askQuestion(ctx, judge, question)
+	for _, coordinator := range coordinators(q.dependencies.Self, q.dependencies.Views) {
+		sentAt := time.Now()
+		answer := q.sendQuestion(ctx, coordinator, question)
 		if answer == nil || answer.GetDeclined() {
 			continue
 		}
-		// A grant counts from its question; one that took longer is void.
-		granted = answer.GetGranted() && time.Since(asked) < admission.GrantLifetime
-		return granted, max(time.Duration(answer.GetRetryMillis())*time.Millisecond, shortestLimitRetry)
+		// The lifetime of a grant starts when it is requested; a grant that arrives after the
+		// end of its lifetime is void.
+		granted = answer.GetGranted() && time.Since(sentAt) < admission.GrantLifetime
+		return granted, max(time.Duration(answer.GetRetryMillis())*time.Millisecond, minRateLimitRetry)
 	}
-	return q.admitBackendAlone(question), unknownRetry
+	return q.admitBackendWithoutCoordinator(question), noCoordinatorRetry
 }
 
-// shortestLimitRetry bounds how soon a back end is asked for again that did not grant a request.
-const shortestLimitRetry = 10 * time.Millisecond
+// minRateLimitRetry is the shortest time until a back end whose rate limit denied a request
+// is tried again.
+const minRateLimitRetry = 10 * time.Millisecond
 
-// admitBackendAlone decides where no judge answers.
-func (q *Quotas) admitBackendAlone(question *peerpb.QuotaQuestion) bool {
+// admitBackendWithoutCoordinator decides from this node's fallback allowance when no
+// coordinator answers.
+func (q *Quotas) admitBackendWithoutCoordinator(question *peerpb.QuotaQuestion) bool {
 	now := time.Now()
-	if now.Sub(q.started) < limitLotsAfter {
+	if now.Sub(q.started) < fallbackAllowanceDelay {
 		return false
 	}
 	nodes, _ := q.fleetSize(now)
 	bound := admission.RateLimitBound{PerSecond: question.GetPerSecond()}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limits.lots.Take(now, backendAccount(question), bound.MaxRequests(), nodes)
+	return q.limits.fallback.Take(now, backendAccount(question), bound.MaxRequests(), nodes)
 }
 
-// decideBackend answers a question for a limited back end as the coordinator.
+// decideBackend answers, as the coordinator, a request to use a rate-limited back end.
 func (q *Quotas) decideBackend(now time.Time, question *peerpb.QuotaQuestion) *peerpb.QuotaAnswer {
 	reach, ok := q.mayCoordinate(now)
 	if !ok || !inventory.IsValidRate(question.GetPerSecond()) {
@@ -79,12 +82,13 @@
 	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryAfter.Milliseconds()}
 }
 
-// backendAccount names the account of an incarnation.
+// backendAccount returns the account name of one incarnation of a back end.
 func backendAccount(question *peerpb.QuotaQuestion) string {
 	return question.GetBackend() + "/" + strconv.FormatUint(question.GetIncarnation(), 10)
 }
 
-// pruneLimits drops the accounts of back ends that are gone. The lock is held.
+// pruneLimits drops the accounts of back ends that are in no route table. The caller holds
+// the lock.
 func (q *Quotas) pruneLimits(now time.Time) {
 	tables, _ := q.dependencies.Views.RouteTables.Get()
 	known := make(map[string]bool)
@@ -96,6 +100,6 @@
 			known[string(service.Name)] = true
 		}
 	}
-	q.limits.lots.Prune(now)
+	q.limits.fallback.Prune(now)
 	q.limits.coordinator.Prune(func(account string) bool { return known[account[:strings.LastIndexByte(account, '/')]] })
 }
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -12,7 +12,9 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// TestAllNodesTogetherKeepARateLimit: all ask as fast as they can, and one of those that grant ends.
+// TestAllNodesTogetherKeepARateLimit has all nodes ask as fast as they can while the first
+// coordinator disappears: the grants of old and new coordinator together must stay within
+// the limit.
 func TestAllNodesTogetherKeepARateLimit(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "b-1", "c-0", "c-1")
 	const perSecond = 3
@@ -29,8 +31,8 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	first := judges(f.nodes[0].member, f.nodes[0].views)[0].Name
-	f.meet(func(_, other fleet.Member) bool { return other.Name != first })
+	first := coordinators(f.nodes[0].member, f.nodes[0].views)[0].Name
+	f.publishMembers(func(_, other fleet.Member) bool { return other.Name != first })
 	asking.Wait()
 	most := admission.RateLimitBound{PerSecond: perSecond}.MaxRequests()
 	t.Logf("%d granted in 4 s at %d a second, %.0f are allowed", granted.Load(), perSecond, most)
@@ -39,15 +41,16 @@
 	}
 }
 
-// TestBadRateIsDeclined: a question of another build, or one that was damaged, is no grant.
+// TestBadRateIsDeclined guards against granting requests with an invalid rate, as another
+// build or corrupted data can produce.
 func TestBadRateIsDeclined(t *testing.T) {
 	f := startQuotasFleet(t, "a-0")
 	for _, rate := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		if answer := f.nodes[0].decide(&peerpb.QuotaQuestion{Backend: "e1", PerSecond: rate}); !answer.GetDeclined() {
-			t.Errorf("%v a second: %v", rate, answer)
+			t.Errorf("rate of %v a second was not declined: %v", rate, answer)
 		}
 	}
 	if answer := f.nodes[0].decide(&peerpb.QuotaQuestion{Backend: "e1", PerSecond: 1e300}); answer.GetDeclined() {
-		t.Error("a huge rate is declined")
+		t.Error("a very high rate was declined")
 	}
 }
--- a/internal/node/bad_input_test.go
+++ b/internal/node/bad_input_test.go
@@ -15,45 +15,46 @@
 )
 
 const (
-	// heapSlack is what a node may hold more after the tests than before them;
-	// each of the bodies that never end alone is larger.
+	// heapSlack is how much the heap may grow over the test; a single retained endless body
+	// is larger.
 	heapSlack = 4 << 20
-	// badRounds is how often each bad input is sent, so that one goroutine
-	// left behind by each of one kind is more than goroutineSlack.
+	// badRounds is how often each bad input is sent. If each input of one kind leaks one
+	// goroutine, the sum exceeds goroutineSlack.
 	badRounds = 16
-	// goroutineSlack is for connections that stay open for reuse: both ends of
-	// one hold four goroutines in this process, and how many there are depends
-	// on what happened to run side by side.
+	// goroutineSlack allows for connections that stay open for reuse: both ends of one hold four
+	// goroutines in this process, and their number depends on what ran concurrently.
 	goroutineSlack = 12
 )
 
-// TestBadInputAtARealNode sends what callers must not send to a whole node over
-// sockets. Each gets a clear refusal or a clean end, and nothing of it stays.
+// TestBadInputAtARealNode sends malformed and abandoned requests to a whole node over
+// sockets. Each must be refused clearly or end cleanly, and must leak neither goroutines nor
+// memory.
 func TestBadInputAtARealNode(t *testing.T) {
 	running := startRealFleet(t)
 	eventually(t, "an answer", func() bool { return running.ask(t, chatBody).status == 200 })
-	goroutines, heap := settled()
+	goroutines, heap := measureResources()
 
-	standing := running.beginNeverEnding(t)
+	stalled := running.startStalledRequests(t)
 	for round := range badRounds {
 		t.Run("refusals", func(t *testing.T) { checkRefusals(t, running) })
-		t.Run("body without end", func(t *testing.T) { checkEndlessBody(t, running) })
-		t.Run("caller gone mid-stream", func(t *testing.T) { checkGoneCaller(t, running, round+1) })
+		t.Run("endless body", func(t *testing.T) { checkEndlessBody(t, running) })
+		t.Run("caller disconnects mid-stream", func(t *testing.T) { checkDisconnectedCaller(t, running, round+1) })
 	}
-	for _, begun := range standing {
-		t.Run(begun.what, begun.ended)
+	for _, request := range stalled {
+		t.Run(request.what, request.ended)
 	}
 	if got := running.ask(t, chatBody); got.status != http.StatusOK {
-		t.Errorf("good input afterwards: %d %s", got.status, got.text)
+		t.Errorf("valid request after the bad ones: %d %s", got.status, got.text)
 	}
 	eventually(t, "goroutines and heap as before", func() bool {
-		nowGoroutines, nowHeap := settled()
+		nowGoroutines, nowHeap := measureResources()
 		return nowGoroutines <= goroutines+goroutineSlack && nowHeap <= heap+heapSlack
 	})
 }
 
-// settled returns goroutines and heap once what is unused has been given back.
-func settled() (goroutines int, heap uint64) {
+// measureResources returns the number of goroutines and the heap size after closing idle
+// connections and collecting garbage.
+func measureResources() (goroutines int, heap uint64) {
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	runtime.GC()
 	var memory runtime.MemStats
@@ -73,7 +74,7 @@
 		"null":                 {body: `null`, status: 400, code: "malformed-request"},
 		"wrong type":           {body: `{"model":7}`, status: 400, code: "malformed-request"},
 		"unknown model":        {body: `{"model":"nobody"}`, status: 404, code: "unknown-model"},
-		"labels nobody takes":  {body: `{}`, headers: []string{labels, "job=none"}, status: 404, code: "no-route"},
+		"labels without route": {body: `{}`, headers: []string{labels, "job=none"}, status: 404, code: "no-route"},
 		"labels without value": {body: `{"model":"notes"}`, headers: []string{labels, "job"}, status: 400, code: "malformed-request"},
 		"long labels":          {body: chatBody, headers: []string{labels, "job=" + strings.Repeat("x", 8<<10)}, status: 431, code: "malformed-request"},
 		"long header":          {body: chatBody, headers: []string{"X-Other", strings.Repeat("x", 64<<10)}, status: 431},
@@ -94,10 +95,10 @@
 	}
 }
 
-// endless is a body that goes on until the reader stops.
-type endless struct{}
+// endlessBody is a body that never ends.
+type endlessBody struct{}
 
-func (endless) Read(into []byte) (int, error) {
+func (endlessBody) Read(into []byte) (int, error) {
 	for index := range into {
 		into[index] = ' '
 	}
@@ -105,13 +106,13 @@
 }
 
 func checkEndlessBody(t *testing.T, running *realFleet) {
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, running.url(backend.PathChat), endless{})
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, running.url(backend.PathChat), endlessBody{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		// The node may close the connection before all of the answer is read.
+		// The node may close the connection before the whole answer is read.
 		return
 	}
 	defer response.Body.Close()
@@ -120,9 +121,9 @@
 	}
 }
 
-// checkGoneCaller leaves after the first piece of a long answer, and looks into
-// the engine's own book for the end of this and all earlier ones.
-func checkGoneCaller(t *testing.T, running *realFleet, gone int) {
+// checkDisconnectedCaller disconnects after the first line of a long answer, and checks in the
+// engine's log that this request and all earlier ones were cancelled.
+func checkDisconnectedCaller(t *testing.T, running *realFleet, wantCancelled int) {
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
 	body := strings.Replace(chatBody, `"max_tokens":4`, `"max_tokens":400`, 1)
@@ -147,33 +148,34 @@
 				cancelled++
 			}
 		}
-		return cancelled == gone
+		return cancelled == wantCancelled
 	})
 }
 
-// neverEnding is a request that stands still, and the check of its end.
-type neverEnding struct {
+// stalledRequest is a request whose sender has stopped sending, and the check of how it
+// ends.
+type stalledRequest struct {
 	what  string
 	ended func(*testing.T)
 }
 
-// beginNeverEnding begins requests that stand still; the node's own bounds of
-// time end them.
-func (r *realFleet) beginNeverEnding(t *testing.T) []neverEnding {
+// startStalledRequests starts requests that stop midway; the node's own timeouts end them.
+func (r *realFleet) startStalledRequests(t *testing.T) []stalledRequest {
 	t.Helper()
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: node\r\n", backend.PathChat)
-	var begun []neverEnding
+	var requests []stalledRequest
 	for range badRounds {
-		begun = append(begun,
-			neverEnding{"body that stands still", r.beginStill(t, head+"Content-Length: 100\r\n\r\n{", "body-timeout")},
-			neverEnding{"header that stands still", r.beginStill(t, head+"X-Other: ", "")},
+		requests = append(requests,
+			stalledRequest{"stalled body", r.startStalledRequest(t, head+"Content-Length: 100\r\n\r\n{", "body-timeout")},
+			stalledRequest{"stalled header", r.startStalledRequest(t, head+"X-Other: ", "")},
 		)
 	}
-	return begun
+	return requests
 }
 
-// beginStill sends the text and nothing more; want is what the answer holds.
-func (r *realFleet) beginStill(t *testing.T, text, want string) func(*testing.T) {
+// startStalledRequest sends the text and nothing more. The returned check requires that the
+// answer contains want.
+func (r *realFleet) startStalledRequest(t *testing.T, text, want string) func(*testing.T) {
 	t.Helper()
 	connection, err := net.Dial("tcp", r.settings.Listen.Caller)
 	if err != nil {
--- a/internal/node/claim_drain.go
+++ b/internal/node/claim_drain.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// drainCheck is the time between two looks at a drain's progress.
-	drainCheck = 200 * time.Millisecond
-	// drainPatience bounds the wait: after it the other keepers of each slot
-	// still have a majority.
-	drainPatience = 15 * time.Second
+	// drainPollInterval is the time between two checks of a drain's progress.
+	drainPollInterval = 200 * time.Millisecond
+	// keeperDrainTimeout bounds the wait for the hand-over. After it the remaining keepers
+	// of each slot still have a majority.
+	keeperDrainTimeout = 15 * time.Second
 )
 
-// slotVersion names one version of one slot.
+// slotVersion identifies one version of one slot.
 type slotVersion struct {
 	Index   int
 	Version uint64
 }
 
-// Drain waits until no slot names this node any more and a majority of the new
-// keepers has gathered the records, or until the context ends, or for as long
-// as it may take where the store answers. The members must already know that
-// this node drains.
+// Drain waits until this node has no seat in any slot and a majority of the new keepers has
+// received the records. It gives up when the context ends, after keeperDrainTimeout, or if
+// no other member can take the records. The members must already know that this node is
+// draining.
 func (c *Claims) Drain(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drainPatience)
+	ctx, cancel := context.WithTimeout(ctx, keeperDrainTimeout)
 	defer cancel()
-	held := c.seatedSlots()
+	heldSlots := c.ownSlots()
 	for {
-		if len(c.seatedSlots()) == 0 && c.handedOver(held) {
+		if len(c.ownSlots()) == 0 && c.handoverComplete(heldSlots) {
 			return nil
 		}
 		if !c.hasSuccessor() {
 			return errorx.IllegalState.New("no other usable member can take the records")
 		}
-		c.wakeTable()
+		c.requestTableRefresh()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainCheck):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-// seatedSlots are the indexes of the slots that name this process.
-func (c *Claims) seatedSlots() []int {
+// ownSlots returns the indexes of the slots in which this process has a seat.
+func (c *Claims) ownSlots() []int {
 	var indexes []int
 	for _, slot := range c.currentTable().Slots {
 		if slices.ContainsFunc(slot.Seats, c.seat.SameProcess) {
@@ -60,15 +60,15 @@
 	return indexes
 }
 
-// handedOver reports whether a majority of the keepers of each of the slots
-// says that it is settled.
-func (c *Claims) handedOver(indexes []int) bool {
+// handoverComplete reports whether, for each of the slots, a majority of its keepers reports
+// the current version as settled.
+func (c *Claims) handoverComplete(indexes []int) bool {
 	slots := slices.DeleteFunc(slices.Clone(c.currentTable().Slots), func(slot claim.Slot) bool {
 		return !slices.Contains(indexes, slot.Index)
 	})
 	settled := make(map[slotVersion]int)
-	for seat, named := range slotsBySeat(slots) {
-		for _, slot := range c.askSeat(seat, named).GetSettled() {
+	for seat, seatSlots := range slotsBySeat(slots) {
+		for _, slot := range c.querySeat(seat, seatSlots).GetSettled() {
 			settled[slotVersion{Index: int(slot.GetIndex()), Version: slot.GetVersion()}]++
 		}
 	}
--- a/internal/node/claim_gone.go
+++ b/internal/node/claim_gone.go
@@ -9,14 +9,14 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// listedGoneAge is how long the machine list must show a machine as gone,
-// while its seat is silent, until the seat counts as ended.
-const listedGoneAge = 30 * time.Second
+// goneConfirmationPeriod is how long the machine list must show a machine as gone, with no
+// answer from its seat, until the seat counts as ended.
+const goneConfirmationPeriod = 30 * time.Second
 
-// goneMachines are the nodes that the machine list shows as gone. The list lags
-// and knows names only: a process that was started anew under the name may be
-// called gone for the end of the one before it. So the list counts only for the
-// peer address that it shows, and only once it has shown that for long.
+// goneMachines tracks the nodes that the machine list shows as gone. The list lags and
+// identifies machines by name only, so a process restarted under the same name can be listed
+// as gone because its predecessor ended. An entry therefore applies only to the peer address
+// that it shows, and only after it has been listed for goneConfirmationPeriod.
 type goneMachines struct {
 	mutex    sync.Mutex
 	machines map[fleet.NodeName]goneMachine
@@ -24,44 +24,47 @@
 
 type goneMachine struct {
 	address string
-	// since is when the list first showed it, or when its seat last answered.
+	// since is the later of when the machine was first listed as gone and when its seat last
+	// answered.
 	since time.Time
 }
 
-// note takes a newer list.
-func (g *goneMachines) note(list objectstore.MachineList, now time.Time) {
+// update replaces the entries by those of a newer machine list. An entry that is unchanged
+// keeps its time.
+func (g *goneMachines) update(list objectstore.MachineList, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	before := g.machines
+	previous := g.machines
 	g.machines = make(map[fleet.NodeName]goneMachine)
 	for _, machine := range list.Machines {
 		if machine.Role != "node" || machine.State != objectstore.MachineGone {
 			continue
 		}
 		name := fleet.NodeName(machine.Name)
-		shown := goneMachine{address: machine.Node.Peer, since: now}
-		if known, found := before[name]; found && known.address == shown.address {
-			shown.since = known.since
+		entry := goneMachine{address: machine.Node.Peer, since: now}
+		if known, found := previous[name]; found && known.address == entry.address {
+			entry.since = known.since
 		}
-		g.machines[name] = shown
+		g.machines[name] = entry
 	}
 }
 
-// answered notes that the seat's process runs, whatever the list says.
-func (g *goneMachines) answered(seat claim.Seat, now time.Time) {
+// recordAnswer restarts the waiting period of a seat that has answered: its process runs,
+// whatever the list says.
+func (g *goneMachines) recordAnswer(seat claim.Seat, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if shown, found := g.machines[seat.Name]; found {
-		shown.since = now
-		g.machines[seat.Name] = shown
+	if entry, found := g.machines[seat.Name]; found {
+		entry.since = now
+		g.machines[seat.Name] = entry
 	}
 }
 
-// has reports whether the seat's machine is gone.
-func (g *goneMachines) has(seat claim.Seat, now time.Time) bool {
+// isGone reports whether the machine of the seat counts as gone.
+func (g *goneMachines) isGone(seat claim.Seat, now time.Time) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	shown, found := g.machines[seat.Name]
-	isSeats := found && (shown.address == "" || shown.address == seat.Address)
-	return isSeats && now.Sub(shown.since) >= listedGoneAge
+	entry, found := g.machines[seat.Name]
+	matchesSeat := found && (entry.address == "" || entry.address == seat.Address)
+	return matchesSeat && now.Sub(entry.since) >= goneConfirmationPeriod
 }
--- a/internal/node/claim_gone_test.go
+++ b/internal/node/claim_gone_test.go
@@ -9,9 +9,9 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// TestListThatLagsEndsNoNewProcess: the machine list still shows the end of the
-// process before. A seat taken for ended lets the keepers of a newer version
-// vouch while it may still grant in the older one.
+// TestListThatLagsEndsNoNewProcess guards against a machine list that still shows the end of
+// a seat's previous process. If the seat counted as ended, keepers of a newer slot version
+// would answer while it can still grant in the older one.
 func TestListThatLagsEndsNoNewProcess(t *testing.T) {
 	start := time.Unix(1000, 0)
 	seat := claim.Seat{Name: "n1", Boot: 2, Address: "10.0.0.1:7"}
@@ -27,48 +27,58 @@
 		"just listed":     {nil, false},
 		"listed for long": {[]func(*goneMachines, time.Time){wait}, true},
 		"listed again": {[]func(*goneMachines, time.Time){
-			func(gone *goneMachines, now time.Time) { gone.note(listOf(objectstore.MachineGone, seat.Address), now) }, wait}, true},
-		"of another address": {[]func(*goneMachines, time.Time){
-			func(gone *goneMachines, now time.Time) { gone.note(listOf(objectstore.MachineGone, "10.0.0.1:8"), now) }, wait}, false},
+			func(gone *goneMachines, now time.Time) {
+				gone.update(listOf(objectstore.MachineGone, seat.Address), now)
+			}, wait}, true},
+		"at another address": {[]func(*goneMachines, time.Time){
+			func(gone *goneMachines, now time.Time) {
+				gone.update(listOf(objectstore.MachineGone, "10.0.0.1:8"), now)
+			}, wait}, false},
 		"answers meanwhile": {[]func(*goneMachines, time.Time){wait,
-			func(gone *goneMachines, now time.Time) { gone.answered(seat, now) }}, false},
+			func(gone *goneMachines, now time.Time) { gone.recordAnswer(seat, now) }}, false},
 		"live again": {[]func(*goneMachines, time.Time){wait,
-			func(gone *goneMachines, now time.Time) { gone.note(listOf(objectstore.MachineLive, seat.Address), now) }}, false},
+			func(gone *goneMachines, now time.Time) {
+				gone.update(listOf(objectstore.MachineLive, seat.Address), now)
+			}}, false},
 		"gone, live, gone": {[]func(*goneMachines, time.Time){wait,
-			func(gone *goneMachines, now time.Time) { gone.note(listOf(objectstore.MachineLive, seat.Address), now) },
-			func(gone *goneMachines, now time.Time) { gone.note(listOf(objectstore.MachineGone, seat.Address), now) }}, false},
+			func(gone *goneMachines, now time.Time) {
+				gone.update(listOf(objectstore.MachineLive, seat.Address), now)
+			},
+			func(gone *goneMachines, now time.Time) {
+				gone.update(listOf(objectstore.MachineGone, seat.Address), now)
+			}}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			gone := &goneMachines{}
-			gone.note(listOf(objectstore.MachineGone, seat.Address), start)
+			gone.update(listOf(objectstore.MachineGone, seat.Address), start)
 			now := start
 			for _, event := range test.after {
 				event(gone, now)
-				now = now.Add(listedGoneAge)
+				now = now.Add(goneConfirmationPeriod)
 			}
 			if len(test.after) > 0 && !test.gone {
 				now = now.Add(-time.Nanosecond)
 			}
-			if got := gone.has(seat, now); got != test.gone {
-				t.Errorf("gone: %v", got)
+			if got := gone.isGone(seat, now); got != test.gone {
+				t.Errorf("isGone returned %v", got)
 			}
 		})
 	}
 }
 
-// wait lets listedGoneAge pass.
+// wait does nothing: after each step the test lets goneConfirmationPeriod pass.
 func wait(*goneMachines, time.Time) {}
 
-// TestMachineListAloneEndsNoSeat runs the shell: a list that calls a living
-// keeper gone must not make the others take it for ended.
+// TestMachineListAloneEndsNoSeat checks the same in the shell: a list that shows a live
+// keeper as gone must not mark its seat as ended.
 func TestMachineListAloneEndsNoSeat(t *testing.T) {
-	shell := &Claims{coordinator: newCoordinator()}
+	shell := &Claims{seatTracker: newSeatTracker()}
 	seat := claim.Seat{Name: "n1", Boot: 2, Address: "10.0.0.1:7"}
 	shell.watchMachines(objectstore.MachineList{Machines: []objectstore.Machine{{
 		Role: "node", Name: "n1", State: objectstore.MachineGone, Node: fleet.Addresses{Peer: "10.0.0.1:6"},
 	}}})
-	if shell.knownGone()(seat) {
-		t.Error("a process was taken for ended since the list shows the one before it")
+	if shell.hasEndedFunc()(seat) {
+		t.Error("a running process counts as ended because the list shows its predecessor")
 	}
 }
--- a/internal/node/claim_guard.go
+++ b/internal/node/claim_guard.go
@@ -10,24 +10,26 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// granted is an attempt of this node whose outcome the keepers wait for.
-type granted struct {
-	asked    []claim.Seat
+// grantedAttempt is an attempt that this node was granted and whose outcome the keepers
+// still wait for.
+type grantedAttempt struct {
+	keepers  []claim.Seat
 	complete claim.Complete
-	// until is when an attempt that nobody completed is dropped.
-	until time.Time
+	// expiresAt is when the attempt is dropped if nobody has completed it.
+	expiresAt time.Time
 }
 
 const (
-	// acquireTimeout bounds the search for a majority.
+	// acquireTimeout bounds the time to collect votes from a majority of the keepers.
 	acquireTimeout = 2 * time.Second
-	// completeTimeout bounds the telling of an outcome, retries included.
+	// completeTimeout bounds the delivery of an outcome to one keeper, retries included.
 	completeTimeout = 10 * time.Second
-	// completeRetry is the time between two tries to tell a keeper.
-	completeRetry = 250 * time.Millisecond
-	// forgottenAttempt is how long after its deadline an attempt that nobody
-	// completed is dropped.
-	forgottenAttempt = 10 * time.Minute
+	// completeRetryInterval is the time between two attempts to deliver an outcome to a
+	// keeper.
+	completeRetryInterval = 250 * time.Millisecond
+	// attemptRetention is how long an attempt that nobody completed is kept after its
+	// deadline.
+	attemptRetention = 10 * time.Minute
 	noTableRetry     = time.Second
 )
 
@@ -35,7 +37,7 @@
 func (c *Claims) Acquire(ctx context.Context, request claim.Request) claim.Decision {
 	table := c.currentTable()
 	if len(table.Slots) == 0 {
-		c.wakeTable()
+		c.requestTableRefresh()
 		return claim.Decision{Verdict: claim.NoMajority, RetryAfter: noTableRetry}
 	}
 	attempt, seed := c.newAttempt()
@@ -51,18 +53,18 @@
 		RandomSeed: seed,
 	})
 	finish := c.runAsker(asker, table.Slots[table.SlotOf(request.Key)])
-	c.takeSlots([]claim.Slot{finish.Slot})
+	c.mergeSlots([]claim.Slot{finish.Slot})
 	switch finish.Decision.Verdict {
 	case claim.Granted:
-		c.remember(ctx, attempt, request, finish)
+		c.rememberAttempt(ctx, attempt, request, finish)
 	case claim.NoMajority:
-		c.wakeTable()
+		c.requestTableRefresh()
 	}
 	return finish.Decision
 }
 
-// newAttempt returns a name unique in the fleet. It begins with a hash, so
-// that no node's attempts always sort first.
+// newAttempt returns an attempt name that is unique in the fleet, and a random seed for it.
+// The name starts with a hash, so that no node's attempts always sort first.
 func (c *Claims) newAttempt() (string, uint64) {
 	c.mutex.Lock()
 	c.sequence++
@@ -74,7 +76,8 @@
 	return fmt.Sprintf("%016x-%s", digest.Sum64(), name), digest.Sum64()
 }
 
-// runAsker feeds the asker until it finishes; its deadline ends it.
+// runAsker performs the asker's effects and feeds it the replies until it finishes, at the
+// latest at its deadline.
 func (c *Claims) runAsker(asker *claim.Asker, slot claim.Slot) claim.Finish {
 	answers := make(chan claim.VoteReceived, claim.SeatsPerSlot)
 	done := make(chan struct{})
@@ -84,9 +87,9 @@
 		for _, effect := range asker.Step(time.Now(), message) {
 			switch effect := effect.(type) {
 			case claim.RequestGrant:
-				c.goBackground(func() { c.askGrant(effect, answers, done) })
+				c.runInBackground(func() { c.requestGrant(effect, answers, done) })
 			case claim.Release:
-				c.goBackground(func() { c.tellOutcome(c.lifetime, effect.To, effect.Complete) })
+				c.runInBackground(func() { c.reportOutcome(c.lifetime, effect.To, effect.Complete) })
 			case claim.Finish:
 				return effect
 			}
@@ -101,48 +104,49 @@
 	}
 }
 
-// askGrant asks one keeper and always answers.
-func (c *Claims) askGrant(ask claim.RequestGrant, answers chan<- claim.VoteReceived, done <-chan struct{}) {
+// requestGrant asks one keeper for its vote and delivers the reply; a failed call yields an
+// empty reply.
+func (c *Claims) requestGrant(request claim.RequestGrant, answers chan<- claim.VoteReceived, done <-chan struct{}) {
 	ctx, cancel := context.WithTimeout(c.lifetime, keeperCallTimeout)
 	defer cancel()
-	voted := claim.VoteReceived{From: ask.To, Version: ask.Grant.Slot.Version, Reply: c.grantAt(ctx, ask)}
+	vote := claim.VoteReceived{From: request.To, Version: request.Grant.Slot.Version, Reply: c.sendGrant(ctx, request)}
 	select {
-	case answers <- voted:
+	case answers <- vote:
 	case <-done:
 	}
 }
 
-func (c *Claims) grantAt(ctx context.Context, ask claim.RequestGrant) claim.GrantReply {
-	if ask.To.SameProcess(c.seat) {
-		reply, err := call[claim.GrantReply](ctx, c, ask.Grant)
+func (c *Claims) sendGrant(ctx context.Context, request claim.RequestGrant) claim.GrantReply {
+	if request.To.SameProcess(c.seat) {
+		reply, err := callKeeper[claim.GrantReply](ctx, c, request.Grant)
 		if err != nil {
 			return claim.GrantReply{}
 		}
 		return reply
 	}
-	response, err := c.dependencies.Pool.To(ask.To.Address).Claims.Grant(ctx, encodeGrant(ask.Grant))
+	response, err := c.dependencies.Pool.To(request.To.Address).Claims.Grant(ctx, encodeGrant(request.Grant))
 	if err != nil {
 		return claim.GrantReply{}
 	}
 	return decodeGrantReply(response)
 }
 
-func (c *Claims) remember(ctx context.Context, attempt string, request claim.Request, finish claim.Finish) {
+func (c *Claims) rememberAttempt(ctx context.Context, attempt string, request claim.Request, finish claim.Finish) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	for name, other := range c.attempts {
-		if now.After(other.until) {
+		if now.After(other.expiresAt) {
 			delete(c.attempts, name)
 		}
 	}
-	end := now
+	endsAt := now
 	if deadline, found := ctx.Deadline(); found && deadline.After(now) {
-		end = deadline
+		endsAt = deadline
 	}
-	c.attempts[attempt] = granted{
-		asked: finish.Asked,
-		until: end.Add(forgottenAttempt),
+	c.attempts[attempt] = grantedAttempt{
+		keepers:   finish.Asked,
+		expiresAt: endsAt.Add(attemptRetention),
 		complete: claim.Complete{
 			Key:         request.Key,
 			Fingerprint: request.Fingerprint,
@@ -153,44 +157,45 @@
 	}
 }
 
-// Complete implements claim.Guard. It returns once a majority of the keepers
-// has stored the outcome or the context ends; the telling goes on until every
-// keeper that was asked has it or could not be reached for long.
+// Complete implements claim.Guard. It returns once the deliveries to a majority of the
+// keepers have ended or the context ends. Delivery continues in the background until every
+// keeper that was asked has stored the outcome or completeTimeout has passed for it.
 func (c *Claims) Complete(ctx context.Context, key, attempt string, outcome claim.Outcome, answer *claim.Answer) {
 	c.mutex.Lock()
-	held, found := c.attempts[attempt]
+	pending, found := c.attempts[attempt]
 	delete(c.attempts, attempt)
 	c.mutex.Unlock()
-	if !found || held.complete.Key != key {
+	if !found || pending.complete.Key != key {
 		return
 	}
-	held.complete.Outcome = outcome
-	held.complete.Answer = answer
-	told := make(chan struct{})
-	c.goBackground(func() {
-		defer close(told)
-		c.tellOutcome(c.lifetime, held.asked, held.complete)
+	pending.complete.Outcome = outcome
+	pending.complete.Answer = answer
+	done := make(chan struct{})
+	c.runInBackground(func() {
+		defer close(done)
+		c.reportOutcome(c.lifetime, pending.keepers, pending.complete)
 	})
 	select {
-	case <-told:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// tellOutcome tells all the keepers at once, and those of newer versions that
-// they name, and returns when a majority of the slot's seats has it.
-func (c *Claims) tellOutcome(ctx context.Context, seats []claim.Seat, complete claim.Complete) {
-	stored := make(chan struct{}, len(seats))
-	outcomes := &outcomeTeller{claims: c, complete: complete, told: make(map[fleet.NodeName]bool)}
+// reportOutcome sends the outcome to all the keepers concurrently, and to the seats of newer
+// slot versions that they name. It returns when the deliveries to a majority of the keepers
+// have ended, by success or by timeout.
+func (c *Claims) reportOutcome(ctx context.Context, seats []claim.Seat, complete claim.Complete) {
+	delivered := make(chan struct{}, len(seats))
+	reporter := &outcomeReporter{claims: c, complete: complete, reported: make(map[fleet.NodeName]bool)}
 	for _, seat := range seats {
-		c.goBackground(func() {
-			outcomes.tell(ctx, seat)
-			stored <- struct{}{}
+		c.runInBackground(func() {
+			reporter.report(ctx, seat)
+			delivered <- struct{}{}
 		})
 	}
 	for range claim.Majority(seats) {
 		select {
-		case <-stored:
+		case <-delivered:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/node/claim_outcome.go
+++ b/internal/node/claim_outcome.go
@@ -9,51 +9,52 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// outcomeTeller tells keepers of one attempt's outcome.
-type outcomeTeller struct {
+// outcomeReporter delivers the outcome of one attempt to keepers, to each at most once.
+type outcomeReporter struct {
 	claims   *Claims
 	complete claim.Complete
 
-	mutex sync.Mutex
-	told  map[fleet.NodeName]bool
+	mutex    sync.Mutex
+	reported map[fleet.NodeName]bool
 }
 
-// tell repeats until the keeper has it or the time is up, and goes on to the
-// seats of a newer version of the slot.
-func (o *outcomeTeller) tell(ctx context.Context, seat claim.Seat) {
-	if !o.first(seat) {
+// report retries until the keeper has stored the outcome or completeTimeout has passed. If
+// the reply names a newer version of the slot, it reports to the seats of that version too.
+func (o *outcomeReporter) report(ctx context.Context, seat claim.Seat) {
+	if !o.markReported(seat) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, completeTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		slot, err := o.once(ctx, seat)
+		slot, err := o.reportOnce(ctx, seat)
 		if err == nil {
-			o.follow(ctx, slot)
+			o.reportToNewerSeats(ctx, slot)
 			return
 		}
 		select {
-		case <-time.After(completeRetry):
+		case <-time.After(completeRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (o *outcomeTeller) first(seat claim.Seat) bool {
+// markReported returns false if the outcome was already being reported to the seat.
+func (o *outcomeReporter) markReported(seat claim.Seat) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.told[seat.Name] {
+	if o.reported[seat.Name] {
 		return false
 	}
-	o.told[seat.Name] = true
+	o.reported[seat.Name] = true
 	return true
 }
 
-func (o *outcomeTeller) once(ctx context.Context, seat claim.Seat) (claim.Slot, error) {
+func (o *outcomeReporter) reportOnce(ctx context.Context, seat claim.Seat) (claim.Slot, error) {
 	ctx, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 	defer cancel()
 	if seat.SameProcess(o.claims.seat) {
-		reply, err := call[claim.CompleteReply](ctx, o.claims, o.complete)
+		reply, err := callKeeper[claim.CompleteReply](ctx, o.claims, o.complete)
 		return reply.Slot, err
 	}
 	client := o.claims.dependencies.Pool.To(seat.Address).Claims
@@ -64,12 +65,12 @@
 	return decodeSlot(response.GetSlot()), nil
 }
 
-func (o *outcomeTeller) follow(ctx context.Context, slot claim.Slot) {
+func (o *outcomeReporter) reportToNewerSeats(ctx context.Context, slot claim.Slot) {
 	if slot.Version <= o.complete.Slot.Version {
 		return
 	}
-	o.claims.takeSlots([]claim.Slot{slot})
+	o.claims.mergeSlots([]claim.Slot{slot})
 	for _, seat := range slot.Seats {
-		o.claims.goBackground(func() { o.tell(context.WithoutCancel(ctx), seat) })
+		o.claims.runInBackground(func() { o.report(context.WithoutCancel(ctx), seat) })
 	}
 }
--- a/internal/node/claim_server.go
+++ b/internal/node/claim_server.go
@@ -12,7 +12,7 @@
 // claimsServer serves the peers' calls to this node's keeper.
 type claimsServer struct{ claims *Claims }
 
-// maxSlotIndex bounds what a peer may name.
+// maxSlotIndex is the largest slot index accepted from peers.
 const maxSlotIndex = 1 << 12
 
 func checkSlot(slot *peerpb.KeeperSlot) error {
@@ -27,7 +27,7 @@
 	if err := checkSlot(request.GetSlot()); err != nil {
 		return nil, err
 	}
-	reply, err := call[claim.GrantReply](ctx, s.claims, decodeGrant(request))
+	reply, err := callKeeper[claim.GrantReply](ctx, s.claims, decodeGrant(request))
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the keeper did not answer")
 	}
@@ -39,15 +39,15 @@
 	if err := checkSlot(request.GetSlot()); err != nil {
 		return nil, err
 	}
-	reply, err := call[claim.CompleteReply](ctx, s.claims, decodeComplete(request))
+	reply, err := callKeeper[claim.CompleteReply](ctx, s.claims, decodeComplete(request))
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the keeper did not answer")
 	}
 	return &peerpb.CompleteResponse{Slot: encodeSlot(reply.Slot)}, nil
 }
 
-// Transfer implements peerpb.Claims. A process that is not the one asked for
-// says so by its own boot and hands nothing over.
+// Transfer implements peerpb.Claims. If the request is addressed to another process than
+// this one, the response carries this process's boot ID and no records.
 func (s claimsServer) Transfer(ctx context.Context, request *peerpb.TransferRequest) (*peerpb.TransferResponse, error) {
 	if err := checkSlot(request.GetSlot()); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	if request.GetTo() != string(seat.Name) || request.GetToBoot() != seat.Boot {
 		return &peerpb.TransferResponse{Boot: seat.Boot}, nil
 	}
-	reply, err := call[claim.SealReply](ctx, s.claims, claim.Seal{Slot: decodeSlot(request.GetSlot())})
+	reply, err := callKeeper[claim.SealReply](ctx, s.claims, claim.Seal{Slot: decodeSlot(request.GetSlot())})
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the keeper did not answer")
 	}
@@ -72,9 +72,9 @@
 		}
 		slots = append(slots, decodeSlot(slot))
 	}
-	s.claims.takeSlots(slots)
+	s.claims.mergeSlots(slots)
 	response := &peerpb.SeatsResponse{Boot: s.claims.seat.Boot}
-	settled := s.claims.settled(ctx)
+	settled := s.claims.settledSlots(ctx)
 	for _, slot := range slots {
 		if version := settled[slot.Index]; version > 0 {
 			response.Settled = append(response.Settled, &peerpb.KeeperSettled{Index: int32(slot.Index), Version: version})
@@ -88,8 +88,9 @@
 	return response, nil
 }
 
-// settled returns the keeper's settled slots; nil when it did not answer.
-func (c *Claims) settled(ctx context.Context) map[int]uint64 {
+// settledSlots returns the settled version of each slot that this keeper has settled, or nil
+// if the keeper did not answer.
+func (c *Claims) settledSlots(ctx context.Context) map[int]uint64 {
 	query := settledQuery{reply: make(chan map[int]uint64, 1)}
 	c.dependencies.System.Root.Send(c.pid, query)
 	select {
--- a/internal/node/claim_shell.go
+++ b/internal/node/claim_shell.go
@@ -18,9 +18,10 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// KeeperStore is what the keepers' table needs of the platform's object API;
-// *objectstore.Client has it. Get fails with a trait of errorx.NotFound where
-// there is no object, and returns the tombstone beside the error if it has one.
+// KeeperStore is the part of the platform's object API that the keepers' table is stored
+// with. *objectstore.Client implements it. If there is no object, Get fails with an error
+// that has the trait errorx.NotFound, and returns the tombstone beside the error if there is
+// one.
 type KeeperStore interface {
 	Get(ctx context.Context, key objectstore.Key) (objectstore.Object, error)
 	Put(ctx context.Context, object objectstore.Object, expected uint64) (objectstore.Object, error)
@@ -29,18 +30,18 @@
 // ClaimDependencies is what the claim shell needs.
 type ClaimDependencies struct {
 	System *actor.ActorSystem
-	// Self is this node; name, boot and peer address make its seat.
+	// Self is this node. Its name, boot ID and peer address form its seat.
 	Self   fleet.Member
 	Pool   *peer.Pool
 	Views  *views.Views
 	Store  KeeperStore
 	Logger *log.Logger
-	// Keeper sets up the keeper core; Self is filled in.
+	// Keeper configures the keeper core; Self is filled in.
 	Keeper claim.KeeperOptions
 }
 
-// Claims is this node's keeper, its view of the table of keepers, and the
-// claim.Guard of its gateway.
+// Claims runs this node's keeper, holds its copy of the keepers' table, and implements
+// claim.Guard for the node's gateway.
 type Claims struct {
 	dependencies ClaimDependencies
 	seat         claim.Seat
@@ -49,19 +50,19 @@
 	timer        *time.Timer
 
 	// lifetime ends all background calls at Stop.
-	lifetime   context.Context
-	cancel     context.CancelFunc
-	background sync.WaitGroup
-	refresh    chan struct{}
-	// records counts what the keeper holds, for the figures.
-	records atomic.Int64
+	lifetime             context.Context
+	cancel               context.CancelFunc
+	background           sync.WaitGroup
+	tableRefreshRequests chan struct{}
+	// recordCount is the number of records that the keeper holds, for the metrics.
+	recordCount atomic.Int64
 
 	mutex    sync.Mutex
 	table    claim.Table
-	attempts map[string]granted
+	attempts map[string]grantedAttempt
 	sequence uint64
 
-	coordinator  coordinator
+	seatTracker  seatTracker
 	goneMachines goneMachines
 }
 
@@ -73,11 +74,11 @@
 const (
 	// keeperCallTimeout bounds one call to a keeper.
 	keeperCallTimeout = time.Second
-	// transferTimeout bounds one hand-over of records.
+	// transferTimeout bounds one transfer of records.
 	transferTimeout = 5 * time.Second
 )
 
-// keeperCall is a message for the keeper and where its effects go.
+// keeperCall is a message for the keeper whose effects are returned to the sender.
 type keeperCall struct {
 	message claim.KeeperMessage
 	reply   chan []claim.KeeperEffect
@@ -86,7 +87,8 @@
 // settledQuery asks the actor for the keeper's settled slots.
 type settledQuery struct{ reply chan map[int]uint64 }
 
-// StartClaims spawns the keeper's actor and begins to follow the table.
+// StartClaims spawns the keeper's actor and starts the loop that maintains the keepers'
+// table.
 func StartClaims(dependencies ClaimDependencies) *Claims {
 	seat := claim.Seat{
 		Name:    dependencies.Self.Name,
@@ -97,26 +99,26 @@
 	options.Self = seat
 	lifetime, cancel := context.WithCancel(context.Background())
 	shell := &Claims{
-		dependencies: dependencies,
-		seat:         seat,
-		keeper:       claim.NewKeeper(options),
-		lifetime:     lifetime,
-		cancel:       cancel,
-		refresh:      make(chan struct{}, 1),
-		attempts:     make(map[string]granted),
-		coordinator:  newCoordinator(),
+		dependencies:         dependencies,
+		seat:                 seat,
+		keeper:               claim.NewKeeper(options),
+		lifetime:             lifetime,
+		cancel:               cancel,
+		tableRefreshRequests: make(chan struct{}, 1),
+		attempts:             make(map[string]grantedAttempt),
+		seatTracker:          newSeatTracker(),
 	}
-	props := actor.PropsFromFunc(shell.receive, inPart(dependencies.Self.Name, partClaims))
+	props := actor.PropsFromFunc(shell.receive, withProfileLabels(dependencies.Self.Name, partClaims))
 	spawn(dependencies.System, props, func(pid *actor.PID) { shell.pid = pid })
 	shell.background.Add(1)
-	go shell.followTable()
+	go shell.runTableLoop()
 	dependencies.Views.Members.Watch(shell.watchMembers())
 	dependencies.Views.Machines.Watch(shell.watchMachines)
 	return shell
 }
 
-// Stop ends the actor and all background calls. The records are lost: Drain
-// goes before it at a planned stop.
+// Stop ends the actor and all background calls. The records are lost: at a planned stop,
+// call Drain first.
 func (c *Claims) Stop() {
 	c.mutex.Lock()
 	c.cancel()
@@ -145,35 +147,37 @@
 	}
 }
 
+// step feeds the keeper one message, starts the seal requests that it asks for, schedules
+// the next tick and returns all effects.
 func (c *Claims) step(message claim.KeeperMessage) []claim.KeeperEffect {
 	effects := c.keeper.Step(time.Now(), message)
-	c.records.Store(int64(c.keeper.Records()))
+	c.recordCount.Store(int64(c.keeper.Records()))
 	for _, effect := range effects {
-		if ask, found := effect.(claim.RequestSeal); found {
-			c.goBackground(func() { c.askSeal(ask) })
+		if request, found := effect.(claim.RequestSeal); found {
+			c.runInBackground(func() { c.requestSeal(request) })
 		}
 	}
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 	delay := max(time.Until(c.keeper.NextWake()), time.Millisecond)
-	c.timer = time.AfterFunc(delay, func() { c.tell(claim.Tick{}) })
+	c.timer = time.AfterFunc(delay, func() { c.send(claim.Tick{}) })
 	return effects
 }
 
-// tell sends the keeper a message whose effects need no answer.
-func (c *Claims) tell(message claim.KeeperMessage) {
+// send sends the keeper a message whose effects the sender does not need.
+func (c *Claims) send(message claim.KeeperMessage) {
 	if c.lifetime.Err() == nil {
 		c.dependencies.System.Root.Send(c.pid, message)
 	}
 }
 
-// call sends the keeper a message and returns the answer of the given type.
-func call[Reply claim.KeeperEffect](ctx context.Context, c *Claims, message claim.KeeperMessage) (Reply, error) {
-	var none Reply
+// callKeeper sends the keeper a message and returns its reply of the given type.
+func callKeeper[Reply claim.KeeperEffect](ctx context.Context, c *Claims, message claim.KeeperMessage) (Reply, error) {
+	var zero Reply
 	request := keeperCall{message: message, reply: make(chan []claim.KeeperEffect, 1)}
 	if c.lifetime.Err() != nil {
-		return none, context.Canceled
+		return zero, context.Canceled
 	}
 	c.dependencies.System.Root.Send(c.pid, request)
 	select {
@@ -183,17 +187,17 @@
 				return reply, nil
 			}
 		}
-		return none, context.Canceled
+		return zero, context.Canceled
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	case <-c.lifetime.Done():
-		return none, context.Canceled
+		return zero, context.Canceled
 	}
 }
 
-// goBackground runs the function, which Stop waits for; after Stop it does
+// runInBackground runs the function in a goroutine that Stop waits for. After Stop it does
 // nothing.
-func (c *Claims) goBackground(work func()) {
+func (c *Claims) runInBackground(work func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lifetime.Err() != nil {
@@ -206,63 +210,64 @@
 	}()
 }
 
-// askSeal carries a request to an older keeper. Any other process that answers
-// at the seat's address proves that the seat's own has ended: it would still
-// hold the port.
-func (c *Claims) askSeal(ask claim.RequestSeal) {
+// requestSeal asks a keeper of an older version to seal a slot and hand over its records. If
+// another process answers at the seat's address, the seat's own process has ended, as it
+// would still hold the port.
+func (c *Claims) requestSeal(request claim.RequestSeal) {
 	ctx, cancel := context.WithTimeout(c.lifetime, transferTimeout)
 	defer cancel()
-	response, err := c.dependencies.Pool.To(ask.To.Address).Claims.Transfer(ctx, &peerpb.TransferRequest{
+	response, err := c.dependencies.Pool.To(request.To.Address).Claims.Transfer(ctx, &peerpb.TransferRequest{
 		From:   string(c.seat.Name),
-		Slot:   encodeSlot(ask.Slot),
-		To:     string(ask.To.Name),
-		ToBoot: ask.To.Boot,
+		Slot:   encodeSlot(request.Slot),
+		To:     string(request.To.Name),
+		ToBoot: request.To.Boot,
 	})
 	if err != nil {
 		return
 	}
-	if response.GetBoot() != ask.To.Boot {
-		c.tell(claim.ProcessEnded{Seat: ask.To})
+	if response.GetBoot() != request.To.Boot {
+		c.send(claim.ProcessEnded{Seat: request.To})
 		return
 	}
-	c.goneMachines.answered(ask.To, time.Now())
-	c.tell(claim.SealAnswered{
-		Index:   ask.Slot.Index,
-		Version: ask.Slot.Version,
-		From:    ask.To,
+	c.goneMachines.recordAnswer(request.To, time.Now())
+	c.send(claim.SealAnswered{
+		Index:   request.Slot.Index,
+		Version: request.Slot.Version,
+		From:    request.To,
 		Reply:   decodeSealReply(response),
 	})
 }
 
-// watchMembers tells the keeper of nodes that the failure detector lost.
+// watchMembers returns a view watcher that reports nodes to the keeper that the failure
+// detector found dead or that left.
 func (c *Claims) watchMembers() func([]fleet.Member) {
 	lost := make(map[fleet.NodeName]bool)
 	return func(members []fleet.Member) {
 		for _, member := range members {
 			isLost := member.State == fleet.MemberDead || member.State == fleet.MemberLeft
 			if isLost && !lost[member.Name] {
-				c.tell(claim.NodeLost{Node: member.Name})
+				c.send(claim.NodeLost{Node: member.Name})
 			}
 			lost[member.Name] = isLost
 		}
-		c.wakeTable()
+		c.requestTableRefresh()
 	}
 }
 
-// watchMachines takes a newer machine list.
+// watchMachines applies a newer machine list.
 func (c *Claims) watchMachines(list objectstore.MachineList) {
-	c.goneMachines.note(list, time.Now())
-	c.tellGone()
+	c.goneMachines.update(list, time.Now())
+	c.reportEndedSeats()
 }
 
-// tellGone tells the keeper of seats whose machine is gone.
-func (c *Claims) tellGone() {
+// reportEndedSeats reports to the keeper the seats whose machine is gone.
+func (c *Claims) reportEndedSeats() {
 	now := time.Now()
 	for _, slot := range c.currentTable().Slots {
 		for _, generation := range slices.Concat(slot.Previous, [][]claim.Seat{slot.Seats}) {
 			for _, seat := range generation {
-				if c.goneMachines.has(seat, now) {
-					c.tell(claim.ProcessEnded{Seat: seat})
+				if c.goneMachines.isGone(seat, now) {
+					c.send(claim.ProcessEnded{Seat: seat})
 				}
 			}
 		}
@@ -275,13 +280,13 @@
 	return c.table
 }
 
-// takeSlots merges newer slots and tells the keeper of them.
-func (c *Claims) takeSlots(slots []claim.Slot) {
+// mergeSlots merges newer slot versions into the table and passes them to the keeper.
+func (c *Claims) mergeSlots(slots []claim.Slot) {
 	c.mutex.Lock()
-	merged, newer := c.table.Merge(usableSlots(slots))
+	merged, newer := c.table.Merge(validSlots(slots))
 	c.table = merged
 	c.mutex.Unlock()
 	for _, slot := range newer {
-		c.tell(claim.SlotUpdate{Slot: slot})
+		c.send(claim.SlotUpdate{Slot: slot})
 	}
 }
--- a/internal/node/claim_shell_test.go
+++ b/internal/node/claim_shell_test.go
@@ -21,7 +21,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// memoryStore is an object store with compare-and-set.
+// memoryStore is an in-memory object store with compare-and-set.
 type memoryStore struct {
 	mutex  sync.Mutex
 	object objectstore.Object
@@ -94,7 +94,7 @@
 	}
 }
 
-// acquire asks until the verdict is another than NoMajority.
+// acquire retries until the verdict is not NoMajority.
 func acquire(t *testing.T, claims *Claims, key string) claim.Decision {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -122,17 +122,17 @@
 		t.Fatalf("first call: %+v", decision)
 	}
 	if repeated := acquire(t, nodes[1].claims, "stop-17"); repeated.Verdict != claim.InProgress {
-		t.Fatalf("while it runs: %+v", repeated)
+		t.Fatalf("call while the first one runs: %+v", repeated)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	answer := &claim.Answer{Status: 200, ContentType: "text/plain", Body: []byte("stopped")}
 	nodes[0].claims.Complete(ctx, "stop-17", decision.Attempt, claim.Ran, answer)
 	if done := acquire(t, nodes[2].claims, "stop-17"); done.Verdict != claim.Done || string(done.Answer.Body) != "stopped" {
-		t.Fatalf("repeated: %+v", done)
+		t.Fatalf("call after the first one: %+v", done)
 	}
 
-	// One node drains: its records must go on with the others.
+	// One node drains: the other keepers must take over its records.
 	nodes[0].member.Draining = true
 	publishMembers(nodes)
 	if err := nodes[0].claims.Drain(ctx); err != nil {
--- a/internal/node/claim_table.go
+++ b/internal/node/claim_table.go
@@ -17,89 +17,91 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// coordinator is what the node that keeps the table knows of the seats. Only
-// the table's goroutine uses it.
-type coordinator struct {
-	heard map[claim.Seat]time.Time
-	tried map[claim.Seat]time.Time
-	gone  map[claim.Seat]bool
+// seatTracker holds what the coordinator of the keepers' table knows of the seats: when each
+// was first queried, when it last answered, and which have ended. Only the table loop uses
+// it.
+type seatTracker struct {
+	lastHeard  map[claim.Seat]time.Time
+	firstTried map[claim.Seat]time.Time
+	ended      map[claim.Seat]bool
 }
 
-func newCoordinator() coordinator {
-	return coordinator{
-		heard: make(map[claim.Seat]time.Time),
-		tried: make(map[claim.Seat]time.Time),
-		gone:  make(map[claim.Seat]bool),
+func newSeatTracker() seatTracker {
+	return seatTracker{
+		lastHeard:  make(map[claim.Seat]time.Time),
+		firstTried: make(map[claim.Seat]time.Time),
+		ended:      make(map[claim.Seat]bool),
 	}
 }
 
 const (
 	keepersObject = "fleet"
-	// tableInterval is how often the coordinator looks after the table, and
-	// others for a first one.
-	tableInterval = time.Second
-	// quietTableInterval is the same once nothing changes.
-	quietTableInterval = 5 * time.Second
-	// tableRefresh is how often a node compares its table with another's.
-	tableRefresh = 30 * time.Second
-	// seatSilence is how long a seat may be silent until it is replaced.
-	seatSilence  = 10 * time.Second
-	storeTimeout = 2 * time.Second
+	// tablePollInterval is how often the coordinator updates the table, and how often other
+	// nodes ask for it while they have none.
+	tablePollInterval = time.Second
+	// stableTablePollInterval is how often the coordinator checks the table while nothing
+	// changes.
+	stableTablePollInterval = 5 * time.Second
+	// tableCompareInterval is how often a node compares its table with another's.
+	tableCompareInterval = 30 * time.Second
+	// seatSilenceTimeout is how long a seat may fail to answer until it is replaced.
+	seatSilenceTimeout = 10 * time.Second
+	storeTimeout       = 2 * time.Second
 )
 
-// wakeTable makes the table's goroutine look at once.
-func (c *Claims) wakeTable() {
+// requestTableRefresh wakes the table loop.
+func (c *Claims) requestTableRefresh() {
 	select {
-	case c.refresh <- struct{}{}:
+	case c.tableRefreshRequests <- struct{}{}:
 	default:
 	}
 }
 
-// followTable keeps the table where this node is the coordinator, and learns
-// it from others where it is not.
-func (c *Claims) followTable() {
+// runTableLoop maintains the table if this node is the coordinator, and otherwise copies it
+// from other nodes. Two runs are at least tablePollInterval apart.
+func (c *Claims) runTableLoop() {
 	defer c.background.Done()
-	var lastWork time.Time
-	wait := tableInterval
+	var lastRun time.Time
+	wait := tablePollInterval
 	for {
 		timer := time.NewTimer(wait)
 		select {
 		case <-c.lifetime.Done():
 			timer.Stop()
 			return
-		case <-c.refresh:
+		case <-c.tableRefreshRequests:
 		case <-timer.C:
 		}
 		timer.Stop()
-		if pause := tableInterval - time.Since(lastWork); pause > 0 {
+		if pause := tablePollInterval - time.Since(lastRun); pause > 0 {
 			wait = pause
 			continue
 		}
-		lastWork = time.Now()
-		wait = c.lookAfterTable()
+		lastRun = time.Now()
+		wait = c.maintainTable()
 	}
 }
 
-// lookAfterTable returns how long until the next look.
-func (c *Claims) lookAfterTable() time.Duration {
-	c.tellGone()
+// maintainTable runs one iteration and returns the time until the next one.
+func (c *Claims) maintainTable() time.Duration {
+	c.reportEndedSeats()
 	members, _ := c.dependencies.Views.Members.Get()
 	usable := usableForSeats(members)
-	first, found := claim.Coordinator(usable)
+	coordinator, found := claim.Coordinator(usable)
 	if !found {
-		return tableInterval
+		return tablePollInterval
 	}
-	if first.Name != c.seat.Name || c.dependencies.Store == nil {
-		return c.learnTable(first, usable)
+	if coordinator.Name != c.seat.Name || c.dependencies.Store == nil {
+		return c.syncTable(coordinator, usable)
 	}
-	changed, err := c.keepTable(usable)
+	changed, err := c.updateTable(usable)
 	if err != nil {
 		c.dependencies.Logger.Warn().Err(err).Msg("keeper_table_failed")
 	}
 	if changed || err != nil {
-		return tableInterval
+		return tablePollInterval
 	}
-	return quietTableInterval
+	return stableTablePollInterval
 }
 
 func usableForSeats(members []fleet.Member) []fleet.Member {
@@ -108,22 +110,24 @@
 	})
 }
 
-// learnTable compares the table with the coordinator's, or with that of a
-// random member where the coordinator does not answer.
-func (c *Claims) learnTable(first fleet.Member, usable []fleet.Member) time.Duration {
+// syncTable compares the table with the coordinator's, or with a random member's if the
+// coordinator does not answer, and returns the time until the next comparison.
+func (c *Claims) syncTable(coordinator fleet.Member, usable []fleet.Member) time.Duration {
 	others := slices.DeleteFunc(slices.Clone(usable), func(member fleet.Member) bool {
 		return member.Name == c.seat.Name
 	})
-	if !c.compareTable(first) && len(others) > 0 {
-		c.compareTable(others[rand.IntN(len(others))])
+	if !c.pullTable(coordinator) && len(others) > 0 {
+		c.pullTable(others[rand.IntN(len(others))])
 	}
 	if len(c.currentTable().Slots) == 0 {
-		return tableInterval
+		return tablePollInterval
 	}
-	return tableRefresh
+	return tableCompareInterval
 }
 
-func (c *Claims) compareTable(other fleet.Member) bool {
+// pullTable merges the other member's table if it differs, and reports whether the member
+// answered.
+func (c *Claims) pullTable(other fleet.Member) bool {
 	if other.Name == c.seat.Name {
 		return false
 	}
@@ -137,7 +141,7 @@
 	if err != nil {
 		return false
 	}
-	c.takeSlots(decodeSlots(response.GetSlots()))
+	c.mergeSlots(decodeSlots(response.GetSlots()))
 	return true
 }
 
@@ -149,19 +153,19 @@
 	return slots
 }
 
-// keepTable reads the table, asks all seats how far they are and writes what
-// has to change. What it rests on is only that the store compares and sets.
-func (c *Claims) keepTable(usable []fleet.Member) (bool, error) {
-	object, table, err := c.readTable(usable)
+// updateTable reads the table, queries all seats, and writes the changes that claim.Plan
+// asks for. Its safety depends only on the store's compare-and-set.
+func (c *Claims) updateTable(usable []fleet.Member) (bool, error) {
+	object, table, err := c.readOrCreateTable(usable)
 	if err != nil {
 		return false, err
 	}
-	c.takeSlots(table.Slots)
-	settled := c.askSeats(table)
+	c.mergeSlots(table.Slots)
+	settled := c.querySeats(table)
 	planned, changed := claim.Plan(table, claim.PlanInput{
-		Usable:   c.responsive(usable),
+		Usable:   c.responsiveMembers(usable),
 		Settled:  settled,
-		HasEnded: c.knownGone(),
+		HasEnded: c.hasEndedFunc(),
 	})
 	if !changed {
 		return false, nil
@@ -169,16 +173,16 @@
 	if _, err := c.writeTable(planned, object.Version); err != nil {
 		return true, err
 	}
-	c.takeSlots(planned.Slots)
-	c.askSeats(planned)
+	c.mergeSlots(planned.Slots)
+	c.querySeats(planned)
 	return true, nil
 }
 
-// readTable returns the stored table, or writes the first one. A table that
-// was lost is neither founded anew nor written from a copy: a copy may be older
-// than what keepers already count on, and one version would have two sets of
-// seats. Keyed calls then go on with the seats as they are.
-func (c *Claims) readTable(usable []fleet.Member) (objectstore.Object, claim.Table, error) {
+// readOrCreateTable returns the stored table, or writes the first one. A table that was
+// deleted is neither created anew nor restored from a local copy: the copy may be older than
+// the table that keepers already work with, and one version would then have two sets of
+// seats. Calls with idempotency keys continue with the current seats.
+func (c *Claims) readOrCreateTable(usable []fleet.Member) (objectstore.Object, claim.Table, error) {
 	ctx, cancel := context.WithTimeout(c.lifetime, storeTimeout)
 	defer cancel()
 	object, err := c.dependencies.Store.Get(ctx, objectstore.Key{Kind: objectstore.KindKeepers, Name: keepersObject})
@@ -189,9 +193,9 @@
 	case err != nil && (known || object.Version > 0):
 		return object, claim.Table{}, errorx.IllegalState.New("the keepers' table was deleted: no keeper can be replaced")
 	case err != nil:
-		founded := claim.NewTable(usable)
-		object, err = c.writeTable(founded, 0)
-		return object, founded, err
+		created := claim.NewTable(usable)
+		object, err = c.writeTable(created, 0)
+		return object, created, err
 	}
 	var table claim.Table
 	if err := json.Unmarshal(object.Spec, &table); err != nil {
@@ -216,15 +220,16 @@
 	}, expected)
 }
 
-// askSeats tells every seat of its slots and returns those that are settled.
-func (c *Claims) askSeats(table claim.Table) map[int][]claim.Seat {
+// querySeats sends every seat its slots and returns, by slot index, the seats that have
+// settled the current version.
+func (c *Claims) querySeats(table claim.Table) map[int][]claim.Seat {
 	bySeat := slotsBySeat(table.Slots)
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	responses := make(map[claim.Seat]*peerpb.SeatsResponse)
 	for seat, slots := range bySeat {
 		group.Go(func() {
-			if response := c.askSeat(seat, slots); response != nil {
+			if response := c.querySeat(seat, slots); response != nil {
 				mutex.Lock()
 				defer mutex.Unlock()
 				responses[seat] = response
@@ -234,7 +239,7 @@
 	group.Wait()
 	settled := make(map[int][]claim.Seat)
 	for seat := range bySeat {
-		c.noteSeat(seat, responses[seat], table, settled)
+		c.recordSeatResponse(seat, responses[seat], table, settled)
 	}
 	return settled
 }
@@ -249,7 +254,7 @@
 	return bySeat
 }
 
-func (c *Claims) askSeat(seat claim.Seat, slots []claim.Slot) *peerpb.SeatsResponse {
+func (c *Claims) querySeat(seat claim.Seat, slots []claim.Slot) *peerpb.SeatsResponse {
 	ctx, cancel := context.WithTimeout(c.lifetime, keeperCallTimeout)
 	defer cancel()
 	request := &peerpb.SeatsRequest{From: string(c.seat.Name)}
@@ -267,22 +272,24 @@
 	return response
 }
 
-func (c *Claims) noteSeat(
+// recordSeatResponse records the answer of a seat, or nil if there was none. A response with
+// another boot ID means that the seat's process has ended.
+func (c *Claims) recordSeatResponse(
 	seat claim.Seat, response *peerpb.SeatsResponse, table claim.Table, settled map[int][]claim.Seat,
 ) {
 	now := time.Now()
-	if _, found := c.coordinator.tried[seat]; !found {
-		c.coordinator.tried[seat] = now
+	if _, found := c.seatTracker.firstTried[seat]; !found {
+		c.seatTracker.firstTried[seat] = now
 	}
 	if response == nil {
 		return
 	}
 	if response.GetBoot() != seat.Boot {
-		c.coordinator.gone[seat] = true
+		c.seatTracker.ended[seat] = true
 		return
 	}
-	c.coordinator.heard[seat] = now
-	c.goneMachines.answered(seat, now)
+	c.seatTracker.lastHeard[seat] = now
+	c.goneMachines.recordAnswer(seat, now)
 	for _, slot := range response.GetSettled() {
 		index := int(slot.GetIndex())
 		if index < len(table.Slots) && table.Slots[index].Version == slot.GetVersion() {
@@ -291,26 +298,27 @@
 	}
 }
 
-// responsive leaves out members whose seat was silent for long.
-func (c *Claims) responsive(usable []fleet.Member) []fleet.Member {
+// responsiveMembers leaves out members whose seat has not answered for seatSilenceTimeout.
+func (c *Claims) responsiveMembers(usable []fleet.Member) []fleet.Member {
 	now := time.Now()
 	return slices.DeleteFunc(slices.Clone(usable), func(member fleet.Member) bool {
 		seat := claim.Seat{Name: member.Name, Boot: member.BootID, Address: member.Addresses.Peer}
-		tried, asked := c.coordinator.tried[seat]
-		if !asked {
+		firstTried, queried := c.seatTracker.firstTried[seat]
+		if !queried {
 			return false
 		}
-		last := c.coordinator.heard[seat]
-		if last.Before(tried) {
-			last = tried
+		last := c.seatTracker.lastHeard[seat]
+		if last.Before(firstTried) {
+			last = firstTried
 		}
-		return now.Sub(last) > seatSilence
+		return now.Sub(last) > seatSilenceTimeout
 	})
 }
 
-func (c *Claims) knownGone() func(claim.Seat) bool {
+// hasEndedFunc returns a function that reports whether the process of a seat has ended.
+func (c *Claims) hasEndedFunc() func(claim.Seat) bool {
 	now := time.Now()
 	return func(seat claim.Seat) bool {
-		return c.coordinator.gone[seat] || c.goneMachines.has(seat, now)
+		return c.seatTracker.ended[seat] || c.goneMachines.isGone(seat, now)
 	}
 }
--- a/internal/node/claim_wire.go
+++ b/internal/node/claim_wire.go
@@ -54,9 +54,9 @@
 	return slot
 }
 
-// usableSlots leaves out what no table has: each index up to the largest takes
-// memory in a table.
-func usableSlots(slots []claim.Slot) []claim.Slot {
+// validSlots drops slots whose index is out of range: a table allocates memory for each
+// index up to the largest.
+func validSlots(slots []claim.Slot) []claim.Slot {
 	return slices.DeleteFunc(slices.Clone(slots), func(slot claim.Slot) bool {
 		return slot.Index < 0 || slot.Index > maxSlotIndex
 	})
@@ -86,8 +86,8 @@
 	}
 }
 
-// votes pairs the wire's verdicts with the core's votes.
-var votes = map[peerpb.GrantResponse_Verdict]claim.Vote{
+// votesByVerdict maps the verdicts of the peer protocol to votes.
+var votesByVerdict = map[peerpb.GrantResponse_Verdict]claim.Vote{
 	peerpb.GrantResponse_GRANTED:     claim.VoteGranted,
 	peerpb.GrantResponse_IN_PROGRESS: claim.VoteInProgress,
 	peerpb.GrantResponse_DONE:        claim.VoteDone,
@@ -99,7 +99,7 @@
 }
 
 func encodeVote(vote claim.Vote) peerpb.GrantResponse_Verdict {
-	for verdict, paired := range votes {
+	for verdict, paired := range votesByVerdict {
 		if paired == vote {
 			return verdict
 		}
@@ -124,7 +124,7 @@
 		Fingerprint: request.GetFingerprint(),
 		Attempt:     request.GetAttempt(),
 		Node:        fleet.NodeName(request.GetNode()),
-		Window:      milliseconds(request.GetWindowMillis()),
+		Window:      durationFromMillis(request.GetWindowMillis()),
 		Slot:        decodeSlot(request.GetSlot()),
 	}
 }
@@ -141,11 +141,11 @@
 
 func decodeGrantReply(response *peerpb.GrantResponse) claim.GrantReply {
 	return claim.GrantReply{
-		Vote:       votes[response.GetVerdict()],
+		Vote:       votesByVerdict[response.GetVerdict()],
 		Answer:     decodeAnswer(response.GetAnswer()),
 		Holder:     response.GetHolder(),
 		Slot:       decodeSlot(response.GetSlot()),
-		RetryAfter: milliseconds(response.GetRetryAfterMillis()),
+		RetryAfter: durationFromMillis(response.GetRetryAfterMillis()),
 	}
 }
 
@@ -166,15 +166,15 @@
 		Key:         request.GetKey(),
 		Fingerprint: request.GetFingerprint(),
 		Attempt:     request.GetAttempt(),
-		Window:      milliseconds(request.GetWindowMillis()),
+		Window:      durationFromMillis(request.GetWindowMillis()),
 		Outcome:     claim.Outcome(request.GetOutcome()),
 		Answer:      decodeAnswer(request.GetAnswer()),
 		Slot:        decodeSlot(request.GetSlot()),
 	}
 }
 
-// alwaysMillis stands for a keeper that knows of all time.
-const alwaysMillis = -1
+// knowsAllMillis is the value of KnownForMillis that stands for SealReply.KnowsAll.
+const knowsAllMillis = -1
 
 func encodeSealReply(boot uint64, reply claim.SealReply) *peerpb.TransferResponse {
 	response := &peerpb.TransferResponse{
@@ -183,19 +183,19 @@
 		KnownForMillis: reply.KnownFor.Milliseconds(),
 	}
 	if reply.KnowsAll {
-		response.KnownForMillis = alwaysMillis
+		response.KnownForMillis = knowsAllMillis
 	}
-	for _, held := range reply.Records {
+	for _, transferred := range reply.Records {
 		record := &peerpb.TransferRecord{
-			Key:                 held.Key,
-			Fingerprint:         held.Fingerprint,
-			Holders:             held.Holders,
-			Released:            held.Released,
-			Node:                string(held.Node),
-			ExpiresInMillis:     roundUp(held.ExpiresIn),
-			AttemptEndsInMillis: roundUp(held.AttemptEndsIn),
-			Done:                held.Done,
-			Answer:              encodeAnswer(held.Answer),
+			Key:                 transferred.Key,
+			Fingerprint:         transferred.Fingerprint,
+			Holders:             transferred.Holders,
+			Released:            transferred.Released,
+			Node:                string(transferred.Node),
+			ExpiresInMillis:     ceilMillis(transferred.ExpiresIn),
+			AttemptEndsInMillis: ceilMillis(transferred.AttemptEndsIn),
+			Done:                transferred.Done,
+			Answer:              encodeAnswer(transferred.Answer),
 		}
 		response.Records = append(response.Records, record)
 	}
@@ -205,8 +205,8 @@
 func decodeSealReply(response *peerpb.TransferResponse) claim.SealReply {
 	reply := claim.SealReply{
 		Settled:  response.GetSettled(),
-		KnowsAll: response.GetKnownForMillis() == alwaysMillis,
-		KnownFor: milliseconds(max(0, response.GetKnownForMillis())),
+		KnowsAll: response.GetKnownForMillis() == knowsAllMillis,
+		KnownFor: durationFromMillis(max(0, response.GetKnownForMillis())),
 	}
 	for _, record := range response.GetRecords() {
 		reply.Records = append(reply.Records, claim.TransferredRecord{
@@ -215,8 +215,8 @@
 			Holders:       record.GetHolders(),
 			Released:      record.GetReleased(),
 			Node:          fleet.NodeName(record.GetNode()),
-			ExpiresIn:     milliseconds(record.GetExpiresInMillis()),
-			AttemptEndsIn: milliseconds(record.GetAttemptEndsInMillis()),
+			ExpiresIn:     durationFromMillis(record.GetExpiresInMillis()),
+			AttemptEndsIn: durationFromMillis(record.GetAttemptEndsInMillis()),
 			Done:          record.GetDone(),
 			Answer:        decodeAnswer(record.GetAnswer()),
 		})
@@ -224,17 +224,17 @@
 	return reply
 }
 
-// mostMillis is the longest span that a time.Duration holds.
-const mostMillis = int64(math.MaxInt64 / time.Millisecond)
+// maxDurationMillis is the longest time.Duration in milliseconds.
+const maxDurationMillis = int64(math.MaxInt64 / time.Millisecond)
 
-// milliseconds keeps a span that is too long as long as can be: wrapped round,
-// a record would be forgotten at once.
-func milliseconds(count int64) time.Duration {
-	return time.Duration(max(-mostMillis, min(count, mostMillis))) * time.Millisecond
+// durationFromMillis limits the count to what a time.Duration holds: after an overflow a
+// record would expire at once.
+func durationFromMillis(count int64) time.Duration {
+	return time.Duration(max(-maxDurationMillis, min(count, maxDurationMillis))) * time.Millisecond
 }
 
-// roundUp never makes a record's life shorter.
-func roundUp(duration time.Duration) int64 {
+// ceilMillis rounds up, so that the lifetime of a record is never shortened.
+func ceilMillis(duration time.Duration) int64 {
 	whole := duration.Milliseconds()
 	if duration%time.Millisecond > 0 {
 		whole++
--- a/internal/node/config_actor.go
+++ b/internal/node/config_actor.go
@@ -16,22 +16,22 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// configDependencies are what the configuration shell works with.
+// configDependencies is what the configuration shell needs.
 type configDependencies struct {
 	Self     fleet.Member
 	Platform *objectstore.Client
 	Peers    *peer.Pool
 	Views    *views.Views
 	Logger   *log.Logger
-	// Changed is told of objects as they change, the system's own records and
-	// tombstones included. It must not block. It may be nil.
-	Changed func(version uint64, changed []objectstore.Object)
-	// Options tune the core; Self and Seed are set by the shell.
+	// OnChanged is called with objects as they change, including the system's own records
+	// and tombstones. It must not block. It may be nil.
+	OnChanged func(version uint64, changed []objectstore.Object)
+	// Options configures the core; Self and Seed are set by the shell.
 	Options configsync.Options
 }
 
-// configActor feeds the configuration core of a node and carries out its
-// effects. It writes the views Catalog and Machines.
+// configActor is the actor that runs the node's configuration core and performs its effects.
+// It writes the views Catalog and Machines.
 type configActor struct {
 	dependencies configDependencies
 	core         *configsync.Core
@@ -39,10 +39,10 @@
 	self         *actor.PID
 
 	lifetime context.Context
-	end      context.CancelFunc
-	// stopReading ends the list or watch under way.
-	stopReading context.CancelFunc
-	wake        *time.Timer
+	cancel   context.CancelFunc
+	// cancelRead cancels the running list or watch.
+	cancelRead context.CancelFunc
+	wakeTimer  *time.Timer
 
 	storeOutage   outage
 	machineOutage outage
@@ -53,29 +53,29 @@
 
 	compiler  *catalog.Compiler
 	compiling bool
-	// pending are the changes since the last compilation began; outdated is
-	// set also where only the version in force moved.
-	pending  []objectstore.Object
-	outdated bool
-	encoder  pushEncoder
+	// pending holds the changes since the last compilation began. needsCompile
+	// is also set when only the version in force has moved.
+	pending      []objectstore.Object
+	needsCompile bool
+	encoder      pushEncoder
 }
 
-// pushCall is a peer's push with where its answer goes.
+// pushCall is a peer's push and the channel for its answer.
 type pushCall struct {
 	from   fleet.NodeName
 	push   configsync.Push
 	answer chan<- uint64
 }
 
-// digestCall is a peer's digest with where its answer goes.
+// digestCall is a peer's digest and the channel for its answer.
 type digestCall struct {
 	from   fleet.NodeName
 	digest configsync.Digest
 	answer chan<- configsync.DigestAnswer
 }
 
-// compiled is the outcome of a compilation.
-type compiled struct {
+// compileResult is the outcome of a compilation.
+type compileResult struct {
 	snapshot *catalog.Snapshot
 	problems []catalog.Problem
 	took     time.Duration
@@ -85,25 +85,25 @@
 	options := dependencies.Options
 	options.Self = dependencies.Self
 	options.Seed = rand.Uint64()
-	lifetime, end := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	return &configActor{
 		dependencies:  dependencies,
 		core:          configsync.New(options),
 		lifetime:      lifetime,
-		end:           end,
-		stopReading:   func() {},
+		cancel:        cancel,
+		cancelRead:    func() {},
 		pushAnswers:   make(map[uint64]chan<- uint64),
 		digestAnswers: make(map[uint64]chan<- configsync.DigestAnswer),
 		compiler:      catalog.NewCompiler(),
 	}
 }
 
-// spawnConfig starts the shell and returns its process and the service that it
-// offers to peers.
+// spawnConfig starts the shell and returns its actor and the service that it offers to
+// peers.
 func spawnConfig(system *actor.ActorSystem, dependencies configDependencies) (*actor.PID, *configService) {
 	shell := newConfigActor(dependencies)
 	process := system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return shell },
-		inPart(dependencies.Self.Name, partConfig)))
+		withProfileLabels(dependencies.Self.Name, partConfig)))
 	dependencies.Views.Members.Watch(func(members []fleet.Member) {
 		system.Root.Send(process, configsync.MembersChanged{Members: members})
 	})
@@ -131,7 +131,7 @@
 		a.digestAnswers[call] = message.answer
 		a.step(configsync.DigestReceived{Call: call, From: message.from, Digest: message.digest})
 		delete(a.digestAnswers, call)
-	case compiled:
+	case compileResult:
 		a.publish(message)
 	}
 }
@@ -142,9 +142,9 @@
 }
 
 func (a *configActor) stop() {
-	a.end()
-	if a.wake != nil {
-		a.wake.Stop()
+	a.cancel()
+	if a.wakeTimer != nil {
+		a.wakeTimer.Stop()
 	}
 }
 
@@ -156,14 +156,14 @@
 }
 
 func (a *configActor) scheduleWake() {
-	if a.wake != nil {
-		a.wake.Stop()
+	if a.wakeTimer != nil {
+		a.wakeTimer.Stop()
 	}
 	next := a.core.NextWake()
 	if next.IsZero() {
 		return
 	}
-	a.wake = time.AfterFunc(max(0, time.Until(next)), func() { a.send(configsync.Tick{}) })
+	a.wakeTimer = time.AfterFunc(max(0, time.Until(next)), func() { a.send(configsync.Tick{}) })
 }
 
 func (a *configActor) send(message any) {
@@ -177,28 +177,28 @@
 	case configsync.WatchStore:
 		a.startReading(func(ctx context.Context) { a.watch(ctx, effect) })
 	case configsync.StopReading:
-		a.stopReading()
+		a.cancelRead()
 	case configsync.ListMachines:
 		go a.listMachines()
 	case configsync.SendPush:
 		request := a.encoder.encode(a.dependencies.Self.Name, effect.Push)
-		go a.push(effect.To, request)
+		go a.sendPush(effect.To, request)
 	case configsync.SendDigest:
-		go a.digest(effect)
+		go a.sendDigest(effect)
 	case configsync.AnswerPush:
 		a.pushAnswers[effect.Call] <- effect.Version
 	case configsync.AnswerDigest:
 		a.digestAnswers[effect.Call] <- effect.Answer
 	case configsync.ObjectsUpdated:
-		a.updated(effect)
+		a.handleObjectsUpdated(effect)
 	case configsync.MachinesUpdated:
 		a.dependencies.Views.Machines.Set(effect.List)
 	case configsync.StoreBehind, configsync.PeerDiverged, configsync.ReaderChanged:
-		a.report(effect)
+		a.logEffect(effect)
 	}
 }
 
-func (a *configActor) report(effect configsync.Effect) {
+func (a *configActor) logEffect(effect configsync.Effect) {
 	logger := a.dependencies.Logger
 	switch effect := effect.(type) {
 	case configsync.StoreBehind:
@@ -210,35 +210,36 @@
 	}
 }
 
-func (a *configActor) updated(effect configsync.ObjectsUpdated) {
-	if a.dependencies.Changed != nil {
-		a.dependencies.Changed(effect.Version, effect.Changed)
+func (a *configActor) handleObjectsUpdated(effect configsync.ObjectsUpdated) {
+	if a.dependencies.OnChanged != nil {
+		a.dependencies.OnChanged(effect.Version, effect.Changed)
 	}
 	a.pending = append(a.pending, effect.Changed...)
-	a.outdated = true
+	a.needsCompile = true
 	a.compile()
 }
 
-// compile runs beside the mailbox, one at a time, so that many changes in a
-// row cost few compilations. The compiler belongs to the one that runs.
+// compile compiles the pending changes in a goroutine outside the mailbox, one compilation
+// at a time, so that a burst of changes costs few compilations. The running goroutine owns
+// the compiler.
 func (a *configActor) compile() {
 	version, loaded := a.core.Version()
-	if a.compiling || !a.outdated || !loaded {
+	if a.compiling || !a.needsCompile || !loaded {
 		return
 	}
 	a.compiling = true
-	a.outdated = false
+	a.needsCompile = false
 	changed := a.pending
 	a.pending = nil
 	go func() {
 		started := time.Now()
 		a.compiler.Apply(changed)
 		snapshot, problems := a.compiler.Snapshot(version)
-		a.send(compiled{snapshot: snapshot, problems: problems, took: time.Since(started)})
+		a.send(compileResult{snapshot: snapshot, problems: problems, took: time.Since(started)})
 	}()
 }
 
-func (a *configActor) publish(result compiled) {
+func (a *configActor) publish(result compileResult) {
 	a.compiling = false
 	logger := a.dependencies.Logger
 	for _, problem := range result.problems {
--- a/internal/node/config_actor_test.go
+++ b/internal/node/config_actor_test.go
@@ -20,7 +20,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// fakePlatform serves objects that only grow in number.
+// fakePlatform serves a growing set of objects.
 type fakePlatform struct {
 	mutex   sync.Mutex
 	objects []objectstore.Object
@@ -70,7 +70,7 @@
 	}
 }
 
-// testConfigNode is a node with nothing but its configuration shell.
+// testConfigNode is a node with only a configuration shell.
 type testConfigNode struct {
 	member fleet.Member
 	views  *views.Views
--- a/internal/node/config_io.go
+++ b/internal/node/config_io.go
@@ -19,16 +19,16 @@
 	machinesTimeout = 5 * time.Second
 	pushTimeout     = 2 * time.Second
 	digestTimeout   = 5 * time.Second
-	// watchIdleLimit ends a watch that brings nothing: its connection may be
-	// dead. The next one goes on from where it was.
+	// watchIdleLimit ends a watch that delivers nothing, as its connection may be dead. The
+	// next watch continues from the same version.
 	watchIdleLimit = 10 * time.Second
 )
 
-// startReading runs one list or watch in place of the one under way.
+// startReading starts a list or watch and cancels the one that runs.
 func (a *configActor) startReading(read func(context.Context)) {
-	a.stopReading()
+	a.cancelRead()
 	ctx, cancel := context.WithCancel(a.lifetime)
-	a.stopReading = cancel
+	a.cancelRead = cancel
 	go read(ctx)
 }
 
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := a.dependencies.Platform.List(ctx, "")
-	a.storeOutage.note(a.dependencies.Logger, storeEvents, err)
+	a.storeOutage.record(a.dependencies.Logger, storeEvents, err)
 	if err != nil {
 		a.send(configsync.ListFailed(effect))
 		return
@@ -44,34 +44,34 @@
 	a.send(configsync.StoreListed{Generation: effect.Generation, List: list})
 }
 
-func (a *configActor) watch(wanted context.Context, effect configsync.WatchStore) {
-	ctx, cancel := context.WithCancel(wanted)
+func (a *configActor) watch(parent context.Context, effect configsync.WatchStore) {
+	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	idle := time.AfterFunc(watchIdleLimit, cancel)
 	defer idle.Stop()
-	answered, err := a.readWatch(ctx, effect, idle)
-	if wanted.Err() != nil {
+	started, err := a.readWatch(ctx, effect, idle)
+	if parent.Err() != nil {
 		return
 	}
-	idled := answered && ctx.Err() != nil
-	if !idled {
-		a.storeOutage.note(a.dependencies.Logger, storeEvents, err)
+	endedIdle := started && ctx.Err() != nil
+	if !endedIdle {
+		a.storeOutage.record(a.dependencies.Logger, storeEvents, err)
 	}
 	a.send(configsync.WatchEnded{
 		Generation: effect.Generation,
 		Compacted:  errorx.IsOfType(err, objectstore.Compacted),
-		Idle:       idled,
+		Idle:       endedIdle,
 	})
 }
 
-// readWatch reads until the watch ends, and tells whether it ever began.
-func (a *configActor) readWatch(ctx context.Context, effect configsync.WatchStore, idle *time.Timer) (answered bool, err error) {
+// readWatch reads events until the watch ends, and reports whether the watch was opened.
+func (a *configActor) readWatch(ctx context.Context, effect configsync.WatchStore, idle *time.Timer) (started bool, err error) {
 	watch, err := a.dependencies.Platform.Watch(ctx, effect.Since)
 	if err != nil {
 		return false, err
 	}
 	defer watch.Close()
-	a.storeOutage.note(a.dependencies.Logger, storeEvents, nil)
+	a.storeOutage.record(a.dependencies.Logger, storeEvents, nil)
 	for {
 		event, err := watch.Next()
 		if err != nil {
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(a.lifetime, machinesTimeout)
 	defer cancel()
 	list, err := a.dependencies.Platform.Machines(ctx)
-	a.machineOutage.note(a.dependencies.Logger, machineEvents, err)
+	a.machineOutage.record(a.dependencies.Logger, machineEvents, err)
 	if err != nil {
 		a.send(configsync.ListMachinesFailed{})
 		return
@@ -98,7 +98,7 @@
 	a.send(configsync.MachinesListed{List: list})
 }
 
-func (a *configActor) push(to fleet.Member, request *peerpb.PushRequest) {
+func (a *configActor) sendPush(to fleet.Member, request *peerpb.PushRequest) {
 	ctx, cancel := context.WithTimeout(a.lifetime, pushTimeout)
 	defer cancel()
 	if _, err := a.dependencies.Peers.To(to.Addresses.Peer).Config.Push(ctx, request); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (a *configActor) digest(effect configsync.SendDigest) {
+func (a *configActor) sendDigest(effect configsync.SendDigest) {
 	ctx, cancel := context.WithTimeout(a.lifetime, digestTimeout)
 	defer cancel()
 	request := encodeDigest(a.dependencies.Self.Name, effect.Digest)
@@ -124,13 +124,13 @@
 	a.send(configsync.DigestAnswered{From: effect.To.Name, Answer: answer})
 }
 
-// outage logs the first failure in a row and the recovery, so that a long
-// outage does not fill the log.
+// outage logs only the first of consecutive failures and the recovery, so that a long outage
+// does not fill the log.
 type outage struct {
 	failing atomic.Bool
 }
 
-// outageEvents name what is logged when an outage begins and when it ends.
+// outageEvents names the log events for the beginning and the end of an outage.
 type outageEvents struct {
 	failed    string
 	recovered string
@@ -141,7 +141,7 @@
 	machineEvents = outageEvents{failed: "machine_list_failed", recovered: "machine_list_recovered"}
 )
 
-func (o *outage) note(logger *log.Logger, events outageEvents, err error) {
+func (o *outage) record(logger *log.Logger, events outageEvents, err error) {
 	switch failed := err != nil; {
 	case failed == o.failing.Swap(failed):
 	case failed:
--- a/internal/node/config_wire.go
+++ b/internal/node/config_wire.go
@@ -14,7 +14,7 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// configService offers the configuration shell to peers.
+// configService serves the peers' calls to the configuration shell.
 type configService struct {
 	root    *actor.RootContext
 	process *actor.PID
@@ -66,8 +66,8 @@
 		answer: answer,
 	})
 	select {
-	case held := <-answer:
-		return encodeDigestAnswer(held)
+	case reply := <-answer:
+		return encodeDigestAnswer(reply)
 	case <-ctx.Done():
 		return nil, twirp.NewError(twirp.DeadlineExceeded, "digest was not answered in time")
 	}
@@ -150,7 +150,7 @@
 	return objects, nil
 }
 
-// pushEncoder encodes a push once for all the peers that it goes to.
+// pushEncoder encodes a push once for all the peers that receive it.
 type pushEncoder struct {
 	last    *configsync.Changes
 	request *peerpb.PushRequest
@@ -158,12 +158,12 @@
 
 func (e *pushEncoder) encode(from fleet.NodeName, push configsync.Push) *peerpb.PushRequest {
 	changes := push.Changes
-	if e.request != nil && e.request.Space == string(push.Space) && sameObjects(e.last.Objects, changes.Objects) &&
+	if e.request != nil && e.request.Space == string(push.Space) && isSameSlice(e.last.Objects, changes.Objects) &&
 		e.last.Since == changes.Since && e.last.Version == changes.Version {
 		return e.request
 	}
-	// What cannot be encoded cannot have been decoded: the error is left to
-	// the digests, which report it.
+	// An object that was decoded can be encoded again. If encoding fails all
+	// the same, the digests, which encode the same objects, report the error.
 	objects, err := encodeObjects(changes.Objects)
 	if err != nil {
 		objects = nil
@@ -183,7 +183,7 @@
 	return e.request
 }
 
-// sameObjects compares identity, not content.
-func sameObjects(one, other []objectstore.Object) bool {
+// isSameSlice reports whether both are the same slice; it does not compare contents.
+func isSameSlice(one, other []objectstore.Object) bool {
 	return len(one) == len(other) && (len(one) == 0 || &one[0] == &other[0])
 }
--- a/internal/node/config_wire_test.go
+++ b/internal/node/config_wire_test.go
@@ -47,11 +47,11 @@
 	push := configsync.Push{Changes: configsync.Changes{Since: 3, Version: 9, Objects: testObjects()}}
 	first := encoder.encode("a", push)
 	if second := encoder.encode("a", push); second != first {
-		t.Error("the same push was encoded anew")
+		t.Error("the same push was encoded again")
 	}
 	push.Changes.Version = 10
 	if third := encoder.encode("a", push); third == first || third.GetVersion() != 10 {
-		t.Errorf("another push was taken for the same: %v", third)
+		t.Errorf("a different push was treated as the same: %v", third)
 	}
 }
 
--- a/internal/node/control_actor.go
+++ b/internal/node/control_actor.go
@@ -18,7 +18,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// EngineClient is what the control shell needs of engines.
+// EngineClient is the part of the engine API that the control shell uses.
 type EngineClient interface {
 	State(ctx context.Context, address string) (fleet.EngineState, error)
 	Claim(ctx context.Context, address string, claim backend.Claim) (fleet.EngineState, error)
@@ -27,15 +27,14 @@
 
 // RecordStore reads and writes the record of allotments in the store.
 type RecordStore interface {
-	// Read returns the object, or false where the store says there is none.
+	// Read returns the object, or false if the store has none.
 	Read(ctx context.Context) (objectstore.Object, bool, error)
-	// Write writes by compare-and-set. It returns the object that stands and
-	// whether another change came first; an error means that the outcome is
-	// not known.
+	// Write writes by compare-and-set. It returns the object that is now stored, and whether
+	// a concurrent change made the write fail. After an error the outcome is unknown.
 	Write(ctx context.Context, object objectstore.Object, expected uint64) (standing objectstore.Object, conflict bool, err error)
 }
 
-// ControlDependencies are what the control shell works with.
+// ControlDependencies is what the control shell needs.
 type ControlDependencies struct {
 	System  *actor.ActorSystem
 	Self    fleet.Member
@@ -44,23 +43,23 @@
 	Engines EngineClient
 	Store   RecordStore
 	Logger  *log.Logger
-	// Registerer takes the shell's figures; nil keeps them unregistered.
+	// Registerer registers the shell's metrics; if nil they stay unregistered.
 	Registerer prometheus.Registerer
-	// Core sets up the core; Self, Zone and BootID are set from Self.
+	// Core configures the core; Self, Zone and BootID are set from Self.
 	Core control.Options
-	// Facts turns a catalog into what the core takes of it.
-	Facts func(*catalog.Snapshot) control.CatalogChanged
+	// CatalogMessage converts a catalog to the message for the core.
+	CatalogMessage func(*catalog.Snapshot) control.CatalogChanged
 }
 
-// Control runs the control core of a node. It serves peerpb.Control to peers
-// and fleet.Demand to the node.
+// Control runs the control core of a node. It serves peerpb.Control to peers and implements
+// fleet.DemandReporter for the node.
 type Control struct {
 	dependencies ControlDependencies
 	core         *control.Core
 	metrics      *controlMetrics
 	pid          *actor.PID
 	lifetime     context.Context
-	end          context.CancelFunc
+	cancel       context.CancelFunc
 	timer        *time.Timer
 
 	mutex     sync.Mutex
@@ -69,7 +68,7 @@
 
 var _ fleet.DemandReporter = (*Control)(nil)
 
-// query runs a function in the actor, for calls that want an answer.
+// query is a message that runs a function in the actor, for calls that need an answer.
 type query struct {
 	run func(*Control)
 }
@@ -80,15 +79,15 @@
 	options.Self = dependencies.Self.Name
 	options.Zone = dependencies.Self.Zone
 	options.BootID = dependencies.Self.BootID
-	lifetime, end := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	shell := &Control{
 		dependencies: dependencies,
 		core:         control.New(options),
 		metrics:      newControlMetrics(dependencies.Registerer),
 		lifetime:     lifetime,
-		end:          end,
+		cancel:       cancel,
 	}
-	props := actor.PropsFromFunc(shell.receive, inPart(dependencies.Self.Name, partControl))
+	props := actor.PropsFromFunc(shell.receive, withProfileLabels(dependencies.Self.Name, partControl))
 	spawn(dependencies.System, props, func(pid *actor.PID) { shell.pid = pid })
 	shell.subscribe()
 	return shell
@@ -102,12 +101,12 @@
 		s.send(control.MachinesChanged{List: list})
 	})
 	s.dependencies.Views.Catalog.Watch(func(snapshot *catalog.Snapshot) {
-		s.send(s.dependencies.Facts(snapshot))
+		s.send(s.dependencies.CatalogMessage(snapshot))
 	})
 }
 
-// ObjectChanged takes the record of allotments as the configuration spreads
-// it; other objects are ignored.
+// ObjectChanged passes on the record of allotments when configuration sync delivers it.
+// Other objects are ignored.
 func (s *Control) ObjectChanged(object objectstore.Object) {
 	if object.Kind != objectstore.KindAllotments || object.Deleted {
 		return
@@ -120,29 +119,29 @@
 	s.send(control.AllotmentsChanged{VersionedRecord: record})
 }
 
-// Report implements fleet.Demand.
+// Report implements fleet.DemandReporter.
 func (s *Control) Report(wants []fleet.Want) {
 	s.send(control.WantsReported{From: s.dependencies.Self.Name, Wants: wants})
 }
 
-// OnRefusal implements fleet.Demand.
-func (s *Control) OnRefusal(told func([]fleet.LoadRefusal)) {
+// OnRefusal implements fleet.DemandReporter.
+func (s *Control) OnRefusal(handler func([]fleet.LoadRefusal)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.onRefusal = append(s.onRefusal, told)
+	s.onRefusal = append(s.onRefusal, handler)
 }
 
-// BackendLeaving spreads that a back end said that it goes away.
+// BackendLeaving broadcasts that a back end has announced that it is leaving.
 func (s *Control) BackendLeaving(name fleet.BackendName) {
 	s.send(control.LeavingNoticeReceived{Backends: []fleet.BackendName{name}})
 }
 
-// HandOver gives the leadership away, for a planned stop.
+// HandOver hands the leadership to another node, for a planned stop.
 func (s *Control) HandOver() { s.send(control.StopRequested{}) }
 
-// Stop ends the actor and the calls under way.
+// Stop ends the actor and cancels the running calls.
 func (s *Control) Stop() {
-	s.end()
+	s.cancel()
 	_ = s.dependencies.System.Root.StopFuture(s.pid).Wait()
 }
 
@@ -165,8 +164,8 @@
 	}
 }
 
-// step feeds the core and carries out its effects; it returns the refusals
-// that go to other nodes.
+// step feeds the core one message and performs its effects. It returns the refusals for
+// other nodes, by node.
 func (s *Control) step(message control.Message) map[fleet.NodeName][]fleet.LoadRefusal {
 	refusals := make(map[fleet.NodeName][]fleet.LoadRefusal)
 	for _, effect := range s.core.Step(time.Now(), message) {
@@ -187,17 +186,16 @@
 	s.timer = time.AfterFunc(max(0, time.Until(s.core.NextWake())), func() { s.send(control.Tick{}) })
 }
 
-func (s *Control) refuseLocal(refusals []fleet.LoadRefusal) {
+func (s *Control) notifyRefusals(refusals []fleet.LoadRefusal) {
 	s.metrics.refusedWants.Add(float64(len(refusals)))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, told := range s.onRefusal {
-		told(refusals)
+	for _, handler := range s.onRefusal {
+		handler(refusals)
 	}
 }
 
-// logFailure logs an event that tells of an error; its name is fixed at each
-// place that calls it.
+// logFailure logs a warning event with an error. Callers pass a constant event name.
 func (s *Control) logFailure(event string, err error) {
 	s.dependencies.Logger.Warn().Err(err).Msg(event)
 }
--- a/internal/node/control_actor_test.go
+++ b/internal/node/control_actor_test.go
@@ -23,12 +23,12 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// instantWeights hands over every checkpoint at once.
+// instantWeights serves every checkpoint at once.
 type instantWeights struct{}
 
 func (instantWeights) ReadWeights(context.Context, httpdriver.WeightRead) error { return nil }
 
-// controlNode is a node with nothing but its control shell.
+// controlNode is a node with only a control shell.
 type controlNode struct {
 	member fleet.Member
 	views  *views.Views
@@ -47,14 +47,14 @@
 		System: actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
 			return slog.New(slog.NewTextHandler(io.Discard, nil))
 		})),
-		Self:    node.member,
-		Views:   node.views,
-		Peers:   peer.NewPool(),
-		Engines: engines,
-		Store:   store,
-		Logger:  &log.Logger{Level: log.FatalLevel},
-		Core:    control.Options{Settings: control.DefaultSettings()},
-		Facts:   func(*catalog.Snapshot) control.CatalogChanged { return facts },
+		Self:           node.member,
+		Views:          node.views,
+		Peers:          peer.NewPool(),
+		Engines:        engines,
+		Store:          store,
+		Logger:         &log.Logger{Level: log.FatalLevel},
+		Core:           control.Options{Settings: control.DefaultSettings()},
+		CatalogMessage: func(*catalog.Snapshot) control.CatalogChanged { return facts },
 	})
 	server.Config.Handler = peer.NewHandler(peer.Handlers{Control: ControlService{node.shell}})
 	server.Start()
@@ -67,7 +67,7 @@
 	return node
 }
 
-// awaitReady returns once the node's own table shows the model ready.
+// awaitReady returns once the node's own route table shows the model as ready.
 func (n *controlNode) awaitReady(t *testing.T, model fleet.ModelVersion) {
 	t.Helper()
 	found := make(chan struct{}, 1)
@@ -84,9 +84,8 @@
 	<-found
 }
 
-// spreadRecord tells all nodes of the record as it stands, as the configuration
-// shell does.
-func spreadRecord(ctx context.Context, client *objectstore.Client, nodes []*controlNode) {
+// sendRecordToNodes passes the stored record to all nodes, as the configuration shell does.
+func sendRecordToNodes(ctx context.Context, client *objectstore.Client, nodes []*controlNode) {
 	record, err := client.Get(ctx, objectstore.Key{Kind: objectstore.KindAllotments, Name: allotment.ObjectName})
 	if err != nil {
 		return
@@ -96,24 +95,24 @@
 	}
 }
 
-// TestWantAtOneNodeIsServedThroughTheLeader runs two nodes, the platform and
-// an engine over HTTP: the record is made, the engine claimed, the model
-// loaded, and both nodes' tables show it.
+// TestWantAtOneNodeIsServedThroughTheLeader runs two nodes, the platform and an engine over
+// HTTP. A want on one node must make the leader write the record, claim the engine and load
+// the model, and both nodes' tables must show it.
 func TestWantAtOneNodeIsServedThroughTheLeader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	store := httptest.NewServer(httpdriver.NewPlatform(ctx, httpdriver.PlatformOptions{}).Handler())
 	defer store.Close()
-	standIn := httptest.NewUnstartedServer(nil)
-	address := standIn.Listener.Addr().String()
+	engineServer := httptest.NewUnstartedServer(nil)
+	address := engineServer.Listener.Addr().String()
 	loader := httpdriver.NewEngine(ctx, engine.Options{
 		Backend:     fleet.Backend{Name: "e", Zone: "z", Address: address},
 		Incarnation: 7,
 		Timing:      engine.Timing{RemoteLoad: time.Millisecond},
 	}, instantWeights{})
-	standIn.Config.Handler = loader.Handler()
-	standIn.Start()
-	defer standIn.Close()
+	engineServer.Config.Handler = loader.Handler()
+	engineServer.Start()
+	defer engineServer.Close()
 
 	model := fleet.ModelVersion{Model: "alarm", Version: "1"}
 	facts := control.CatalogChanged{Models: []catalog.ModelInfo{{
@@ -143,13 +142,13 @@
 				return
 			}
 			nodes[0].shell.Report([]fleet.Want{{Model: model, Node: "n1", Zone: "z", Waiting: 1, Arrivals: 1}})
-			spreadRecord(ctx, client, nodes)
+			sendRecordToNodes(ctx, client, nodes)
 		}
 	}()
 	for _, node := range nodes {
 		node.awaitReady(t, model)
 	}
-	if stays := loader.Book().Residencies; len(stays) != 1 {
-		t.Errorf("the engine's book shows %d loads, want one", len(stays))
+	if residencies := loader.Book().Residencies; len(residencies) != 1 {
+		t.Errorf("the engine recorded %d loads, want one", len(residencies))
 	}
 }
--- a/internal/node/control_effects.go
+++ b/internal/node/control_effects.go
@@ -17,7 +17,7 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// Bounds of the shell's calls.
+// Timeouts of the shell's calls.
 const (
 	engineCallTimeout = 900 * time.Millisecond
 	peerCallTimeout   = time.Second
@@ -25,7 +25,7 @@
 	storeWriteTimeout = 3 * time.Second
 )
 
-// perform starts what an effect asks for; it does not wait for it.
+// perform starts the work that an effect asks for and does not wait for it.
 func (s *Control) perform(effect control.Effect) {
 	switch effect := effect.(type) {
 	case control.ReadEngine:
@@ -45,7 +45,7 @@
 	case control.ForwardWants:
 		go s.forwardWants(effect)
 	case control.RefuseWants:
-		s.refuseLocal(effect.Refusals)
+		s.notifyRefusals(effect.Refusals)
 	case control.BroadcastLeaving:
 		s.broadcastLeaving(effect)
 	case control.HandOver:
@@ -64,12 +64,12 @@
 	}
 }
 
-func (s *Control) bounded(limit time.Duration) (context.Context, context.CancelFunc) {
+func (s *Control) withTimeout(limit time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.lifetime, limit)
 }
 
 func (s *Control) readEngine(effect control.ReadEngine) {
-	ctx, cancel := s.bounded(engineCallTimeout)
+	ctx, cancel := s.withTimeout(engineCallTimeout)
 	defer cancel()
 	state, err := s.dependencies.Engines.State(ctx, effect.Address)
 	s.send(control.StateRead{StateRead: leadership.StateRead{
@@ -81,7 +81,7 @@
 }
 
 func (s *Control) sendClaim(effect control.SendClaim) {
-	ctx, cancel := s.bounded(engineCallTimeout)
+	ctx, cancel := s.withTimeout(engineCallTimeout)
 	defer cancel()
 	state, err := s.dependencies.Engines.Claim(ctx, effect.Address, backend.Claim{
 		Fence:       effect.Fence,
@@ -102,29 +102,29 @@
 }
 
 func (s *Control) sendOrder(effect control.SendOrder) {
-	ctx, cancel := s.bounded(engineCallTimeout)
+	ctx, cancel := s.withTimeout(engineCallTimeout)
 	defer cancel()
 	_, err := s.dependencies.Engines.Order(ctx, effect.Address, effect.Order)
 	answer := control.OrderAnswered{Engine: effect.Engine, OrderID: effect.Order.ID}
-	var fenced *backend.FenceRefusedError
-	var refused *backend.OrderRefusedError
+	var fenceRefused *backend.FenceRefusedError
+	var orderRefused *backend.OrderRefusedError
 	switch {
 	case err == nil:
 		answer.Result = placement.OrderAccepted
-	case errors.As(err, &fenced):
+	case errors.As(err, &fenceRefused):
 		answer.FenceStale = true
-		answer.Fence = fenced.Refusal.Fence
-	case errors.As(err, &refused):
+		answer.Fence = fenceRefused.Refusal.Fence
+	case errors.As(err, &orderRefused):
 		answer.Result = placement.OrderRefused
-		answer.Reason = refused.Refusal.Reason
+		answer.Reason = orderRefused.Refusal.Reason
 	}
 	s.logOrder(effect, err)
 	s.metrics.orderAnswered(effect.Order.Action, answer.Result, answer.FenceStale)
 	s.send(answer)
 }
 
-// logOrder writes one line for each order that was answered or not; what was
-// not accepted is a warning.
+// logOrder logs one line for each order: information if it was accepted, a warning if it was
+// refused or not answered.
 func (s *Control) logOrder(effect control.SendOrder, err error) {
 	entry := s.dependencies.Logger.Info()
 	if err != nil {
@@ -146,13 +146,14 @@
 	return control.VersionedRecord{Record: record, StoreVersion: object.Version}, nil
 }
 
-// errStoreLeftOut stands for the answer of a store that was not to be asked.
-var errStoreLeftOut = errors.New("store left out")
+// errStoreSkipped stands in for the store's answer if only the members are to be asked.
+var errStoreSkipped = errors.New("store not queried")
 
-// learnRecord asks the store, then the members.
+// learnRecord reads the record from the store or, if that fails or is not wanted, from the
+// members.
 func (s *Control) learnRecord(effect control.LearnRecord) {
 	var answer control.RecordLearned
-	err := errStoreLeftOut
+	err := errStoreSkipped
 	if !effect.MembersOnly {
 		answer, err = s.readStore()
 	}
@@ -168,7 +169,7 @@
 }
 
 func (s *Control) readStore() (control.RecordLearned, error) {
-	ctx, cancel := s.bounded(storeCallTimeout)
+	ctx, cancel := s.withTimeout(storeCallTimeout)
 	defer cancel()
 	object, found, err := s.dependencies.Store.Read(ctx)
 	if err != nil || !found {
@@ -178,49 +179,49 @@
 	return control.RecordLearned{VersionedRecord: record, FromStore: true}, err
 }
 
-// readMajority takes the newest record that a majority of the zone's members
-// vouches for, this node included.
+// readMajority returns the newest record among those that a majority of the zone's members,
+// this node included, holds authoritatively.
 func (s *Control) readMajority(effect control.LearnRecord) (control.RecordLearned, error) {
 	answers := make(chan control.VersionedRecord, len(effect.Members)+1)
-	go func() { answers <- s.ownVouched() }()
+	go func() { answers <- s.ownAuthoritativeRecord() }()
 	for _, member := range effect.Members {
-		go func() { answers <- s.askRecord(member) }()
+		go func() { answers <- s.fetchRecord(member) }()
 	}
 	var newest control.VersionedRecord
-	vouched := 0
+	authoritative := 0
 	for range len(effect.Members) + 1 {
 		answer := <-answers
 		if answer.Record.Generation == 0 || answer.Record.Generation < effect.MinGeneration {
 			continue
 		}
-		vouched++
+		authoritative++
 		if answer.Record.Generation > newest.Record.Generation {
 			newest = answer
 		}
 	}
-	if vouched < effect.Majority {
-		return control.RecordLearned{}, fmt.Errorf("%d of the %d members needed vouch for a record", vouched, effect.Majority)
+	if authoritative < effect.Majority {
+		return control.RecordLearned{}, fmt.Errorf("%d of the %d members required hold an authoritative record", authoritative, effect.Majority)
 	}
 	return control.RecordLearned{VersionedRecord: newest}, nil
 }
 
-func (s *Control) ownVouched() control.VersionedRecord {
-	record, _ := ask(s, s.lifetime, func(shell *Control) control.VersionedRecord { return shell.vouchedRecord() })
+func (s *Control) ownAuthoritativeRecord() control.VersionedRecord {
+	record, _ := queryActor(s, s.lifetime, func(shell *Control) control.VersionedRecord { return shell.authoritativeRecord() })
 	return record
 }
 
-// vouchedRecord is the record, or none where this process has it from hearsay
-// only.
-func (s *Control) vouchedRecord() control.VersionedRecord {
-	record, vouched := s.core.AuthoritativeRecord()
-	if !vouched {
+// authoritativeRecord returns the core's record, or none if this process has learned it only
+// from a source that is not authoritative.
+func (s *Control) authoritativeRecord() control.VersionedRecord {
+	record, isAuthoritative := s.core.AuthoritativeRecord()
+	if !isAuthoritative {
 		return control.VersionedRecord{}
 	}
 	return record
 }
 
-func (s *Control) askRecord(member fleet.Member) control.VersionedRecord {
-	ctx, cancel := s.bounded(peerCallTimeout)
+func (s *Control) fetchRecord(member fleet.Member) control.VersionedRecord {
+	ctx, cancel := s.withTimeout(peerCallTimeout)
 	defer cancel()
 	response, err := s.dependencies.Peers.To(member.Addresses.Peer).Control.Allotments(ctx,
 		&peerpb.AllotmentsRequest{From: string(s.dependencies.Self.Name)})
@@ -257,7 +258,7 @@
 	if err != nil {
 		return objectstore.Object{}, false, err
 	}
-	ctx, cancel := s.bounded(storeWriteTimeout)
+	ctx, cancel := s.withTimeout(storeWriteTimeout)
 	defer cancel()
 	self := s.dependencies.Self
 	return s.dependencies.Store.Write(ctx, objectstore.Object{
--- a/internal/node/control_peers.go
+++ b/internal/node/control_peers.go
@@ -15,23 +15,23 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// ask runs a function in the actor and returns its answer.
-func ask[T any](s *Control, ctx context.Context, question func(*Control) T) (T, error) {
+// queryActor runs a function in the actor and returns its result.
+func queryActor[T any](s *Control, ctx context.Context, question func(*Control) T) (T, error) {
 	answer := make(chan T, 1)
 	s.send(query{run: func(shell *Control) { answer <- question(shell) }})
 	select {
 	case value := <-answer:
 		return value, nil
 	case <-ctx.Done():
-		var none T
-		return none, twirp.NewError(twirp.DeadlineExceeded, "not answered in time")
+		var zero T
+		return zero, twirp.NewError(twirp.DeadlineExceeded, "not answered in time")
 	case <-s.lifetime.Done():
-		var none T
-		return none, twirp.NewError(twirp.Unavailable, "the node stops")
+		var zero T
+		return zero, twirp.NewError(twirp.Unavailable, "the node stops")
 	}
 }
 
-// publishTable sends an update to each member on its own.
+// publishTable sends an update to each member independently.
 func (s *Control) publishTable(effect control.PublishTable) {
 	update, err := encodeUpdate(effect.Update)
 	if err != nil {
@@ -41,9 +41,9 @@
 	update.From = string(s.dependencies.Self.Name)
 	for _, member := range effect.To {
 		go func() {
-			ctx, cancel := s.bounded(peerCallTimeout)
+			ctx, cancel := s.withTimeout(peerCallTimeout)
 			defer cancel()
-			// A lost update is repaired by the receiver's pull.
+			// If an update is lost, the receiver's next pull repairs it.
 			_, _ = s.dependencies.Peers.To(member.Addresses.Peer).Control.Publish(ctx, update)
 		}()
 	}
@@ -62,8 +62,8 @@
 		Leader:   string(update.Table.Leader),
 		Table:    table,
 	}
-	for _, news := range update.Reports {
-		encoded.Reports = append(encoded.Reports, encodeReport(news))
+	for _, report := range update.Reports {
+		encoded.Reports = append(encoded.Reports, encodeReport(report))
 	}
 	for _, name := range update.Removed {
 		encoded.Removed = append(encoded.Removed, string(name))
@@ -76,8 +76,8 @@
 	if err := json.Unmarshal(encoded.GetTable(), &update.Table); err != nil {
 		return update, fmt.Errorf("table of zone %s: %w", encoded.GetZone(), err)
 	}
-	for _, news := range encoded.GetReports() {
-		update.Reports = append(update.Reports, decodeReport(news))
+	for _, report := range encoded.GetReports() {
+		update.Reports = append(update.Reports, decodeReport(report))
 	}
 	for _, name := range encoded.GetRemoved() {
 		update.Removed = append(update.Removed, fleet.BackendName(name))
@@ -86,7 +86,7 @@
 }
 
 func (s *Control) pullTables(effect control.PullTables) {
-	ctx, cancel := s.bounded(peerCallTimeout)
+	ctx, cancel := s.withTimeout(peerCallTimeout)
 	defer cancel()
 	request := &peerpb.TablesRequest{From: string(s.dependencies.Self.Name)}
 	for _, stamp := range effect.Held {
@@ -111,7 +111,7 @@
 }
 
 func (s *Control) forwardWants(effect control.ForwardWants) {
-	ctx, cancel := s.bounded(peerCallTimeout)
+	ctx, cancel := s.withTimeout(peerCallTimeout)
 	defer cancel()
 	response, err := s.dependencies.Peers.To(effect.To.Addresses.Peer).Control.Report(ctx, &peerpb.WantReport{
 		From:      string(s.dependencies.Self.Name),
@@ -174,16 +174,16 @@
 	}
 	for _, member := range effect.To {
 		go func() {
-			ctx, cancel := s.bounded(peerCallTimeout)
+			ctx, cancel := s.withTimeout(peerCallTimeout)
 			defer cancel()
-			// The table, which carries the mark too, repairs a lost notice.
+			// If a notice is lost, the route table repairs it: it carries the mark too.
 			_, _ = s.dependencies.Peers.To(member.Addresses.Peer).Control.Leaving(ctx, notice)
 		}()
 	}
 }
 
 func (s *Control) handOver(effect control.HandOver) {
-	ctx, cancel := s.bounded(peerCallTimeout)
+	ctx, cancel := s.withTimeout(peerCallTimeout)
 	defer cancel()
 	_, err := s.dependencies.Peers.To(effect.To.Addresses.Peer).Control.HandOver(ctx, &peerpb.HandOverRequest{
 		From:  string(s.dependencies.Self.Name),
@@ -194,8 +194,8 @@
 	}
 }
 
-// ControlService offers the control core to peers. It is a type of its own
-// since the node's Report and the peers' have the same name.
+// ControlService serves the peers' calls to the control core. It is a type of its own
+// because fleet.DemandReporter and peerpb.Control both have a method Report.
 type ControlService struct{ *Control }
 
 var _ peerpb.Control = ControlService{}
@@ -204,7 +204,7 @@
 func (s ControlService) Report(ctx context.Context, report *peerpb.WantReport) (*peerpb.WantReportResponse, error) {
 	from := fleet.NodeName(report.GetFrom())
 	message := control.WantsReported{From: from, Wants: decodeWants(report.GetWants()), Forwarded: report.GetForwarded()}
-	return ask(s.Control, ctx, func(shell *Control) *peerpb.WantReportResponse {
+	return queryActor(s.Control, ctx, func(shell *Control) *peerpb.WantReportResponse {
 		refusals := shell.step(message)
 		leading, _ := shell.core.Leading()
 		response := &peerpb.WantReportResponse{Leader: leading, LeaderName: string(shell.core.Candidate())}
@@ -250,7 +250,7 @@
 			Zone: fleet.Zone(stamp.GetZone()), Fence: fleet.Fence(stamp.GetFence()), Sequence: stamp.GetSequence(),
 		})
 	}
-	tables, err := ask(s.Control, ctx, func(shell *Control) map[fleet.Zone]fleet.RouteTable {
+	tables, err := queryActor(s.Control, ctx, func(shell *Control) map[fleet.Zone]fleet.RouteTable {
 		return shell.core.TablesNewerThan(held)
 	})
 	if err != nil {
@@ -272,7 +272,7 @@
 
 // Allotments implements peerpb.Control.
 func (s ControlService) Allotments(ctx context.Context, _ *peerpb.AllotmentsRequest) (*peerpb.AllotmentsResponse, error) {
-	record, err := ask(s.Control, ctx, func(shell *Control) control.VersionedRecord { return shell.vouchedRecord() })
+	record, err := queryActor(s.Control, ctx, func(shell *Control) control.VersionedRecord { return shell.authoritativeRecord() })
 	if err != nil || record.Record.Generation == 0 {
 		return &peerpb.AllotmentsResponse{}, err
 	}
@@ -285,11 +285,11 @@
 
 // Leaving implements peerpb.Control.
 func (s ControlService) Leaving(_ context.Context, notice *peerpb.LeavingNotice) (*peerpb.LeavingAck, error) {
-	heard := control.LeavingNoticeReceived{From: fleet.NodeName(notice.GetFrom())}
+	message := control.LeavingNoticeReceived{From: fleet.NodeName(notice.GetFrom())}
 	for _, name := range notice.GetBackends() {
-		heard.Backends = append(heard.Backends, fleet.BackendName(name))
+		message.Backends = append(message.Backends, fleet.BackendName(name))
 	}
-	s.send(heard)
+	s.send(message)
 	return &peerpb.LeavingAck{}, nil
 }
 
--- a/internal/node/control_peers_test.go
+++ b/internal/node/control_peers_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// TestRefusalsAreThoseOfTheWant: a demand bound to regions is refused apart.
+// TestRefusalsAreThoseOfTheWant guards against mixing refusals of wants for the same model
+// that differ in their regions.
 func TestRefusalsAreThoseOfTheWant(t *testing.T) {
 	model := fleet.ModelVersion{Model: "m", Version: "v"}
 	refusals := []fleet.LoadRefusal{
--- a/internal/node/control_reports.go
+++ b/internal/node/control_reports.go
@@ -8,10 +8,10 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-func encodeReport(news control.EngineReport) *peerpb.EngineReport {
-	report := news.Report
+func encodeReport(engineReport control.EngineReport) *peerpb.EngineReport {
+	report := engineReport.Report
 	encoded := &peerpb.EngineReport{
-		Engine:          string(news.Engine),
+		Engine:          string(engineReport.Engine),
 		Running:         int64(report.Running),
 		Waiting:         int64(report.Waiting),
 		QueuedTokens:    report.QueuedTokens,
--- a/internal/node/control_timing.go
+++ b/internal/node/control_timing.go
@@ -6,8 +6,8 @@
 	"github.com/spanlanding/spanlanding/internal/control"
 )
 
-// logLoad writes what the time of a load was spent on, in milliseconds. The
-// part to_ready ends by the engine's clock, the others by this node's.
+// logLoad logs how the time of a load was spent, in milliseconds. The end of to_ready is
+// taken from the engine's clock; all other times are from this node's clock.
 func (s *Control) logLoad(load control.LoadFinished) {
 	between := func(from, to time.Time) int64 {
 		if from.IsZero() || to.IsZero() {
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -16,8 +16,8 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// FuzzSettings holds that each finding points into the content, and that
-// settings without findings are complete: completed again they are the same.
+// FuzzSettings checks that each finding points into the content, and that settings without
+// findings are complete: completing them again changes nothing.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(validSettings))
 	for _, file := range []string{
@@ -31,11 +31,11 @@
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		draft := Draft{}
-		draft.places, draft.findings = spec.DecodeDocument("fuzz.yaml", content, &draft.Settings)
+		draft.positions, draft.findings = spec.DecodeDocument("fuzz.yaml", content, &draft.Settings)
 		settings, findings := draft.Complete()
 		for _, finding := range findings {
 			if finding.Line < 1 || finding.Column < 1 || finding.Problem == "" || finding.Remedy == "" {
-				t.Errorf("finding without place or text: %#v", finding)
+				t.Errorf("finding without position or text: %#v", finding)
 			}
 		}
 		if len(findings) > 0 {
@@ -46,56 +46,57 @@
 			t.Fatal(err)
 		}
 		if difference := cmp.Diff(settings, again); difference != "" {
-			t.Fatalf("(-once +twice):\n%s", difference)
+			t.Fatalf("completing again changed the settings (-once +twice):\n%s", difference)
 		}
 	})
 }
 
-// received is one kind of message as it is read from a peer, and what holds of
-// what was read.
-type received struct {
+// peerMessageCase is one kind of message received from peers, and the check of what is
+// decoded from it.
+type peerMessageCase struct {
 	message proto.Message
 	check   func(t *testing.T, message proto.Message)
 }
 
-// same holds that what was read reads the same after it was written again.
-func same[T any](t *testing.T, first, second T) {
+// requireEqual fails the test unless a decoded value is unchanged after it was encoded and
+// decoded again.
+func requireEqual[T any](t *testing.T, first, second T) {
 	t.Helper()
 	if difference := cmp.Diff(first, second); difference != "" {
-		t.Fatalf("(-read +written and read):\n%s", difference)
+		t.Fatalf("decoded value changed (-decoded +encoded and decoded):\n%s", difference)
 	}
 }
 
-// receivedKinds are all messages of peers that are turned into others.
-var receivedKinds = []received{
+// peerMessageCases are all kinds of peer messages that this package decodes.
+var peerMessageCases = []peerMessageCase{
 	{&peerpb.GrantRequest{}, func(t *testing.T, message proto.Message) {
 		grant := decodeGrant(message.(*peerpb.GrantRequest))
 		millis := message.(*peerpb.GrantRequest).GetWindowMillis()
 		if grant.Window.Milliseconds() != millis && (millis > 0) != (grant.Window > 1<<62) {
 			t.Fatalf("a window of %d ms became %s", millis, grant.Window)
 		}
-		same(t, grant, decodeGrant(encodeGrant(grant)))
+		requireEqual(t, grant, decodeGrant(encodeGrant(grant)))
 	}},
 	{&peerpb.GrantResponse{}, func(t *testing.T, message proto.Message) {
 		reply := decodeGrantReply(message.(*peerpb.GrantResponse))
 		if reply.Vote == claim.VoteGranted && message.(*peerpb.GrantResponse).GetVerdict() != peerpb.GrantResponse_GRANTED {
-			t.Fatal("what is no grant was read as one")
+			t.Fatal("a verdict other than GRANTED was decoded as a grant")
 		}
-		same(t, reply, decodeGrantReply(encodeGrantReply(reply)))
+		requireEqual(t, reply, decodeGrantReply(encodeGrantReply(reply)))
 	}},
 	{&peerpb.CompleteRequest{}, func(t *testing.T, message proto.Message) {
 		complete := decodeComplete(message.(*peerpb.CompleteRequest))
-		same(t, complete, decodeComplete(encodeComplete(complete)))
+		requireEqual(t, complete, decodeComplete(encodeComplete(complete)))
 	}},
 	{&peerpb.TransferResponse{}, func(t *testing.T, message proto.Message) {
 		reply := decodeSealReply(message.(*peerpb.TransferResponse))
 		if reply.KnownFor < 0 {
 			t.Fatalf("known for %s", reply.KnownFor)
 		}
-		same(t, reply, decodeSealReply(encodeSealReply(1, reply)))
+		requireEqual(t, reply, decodeSealReply(encodeSealReply(1, reply)))
 	}},
 	{&peerpb.SeatsResponse{}, func(t *testing.T, message proto.Message) {
-		table, _ := claim.Table{}.Merge(usableSlots(decodeSlots(message.(*peerpb.SeatsResponse).GetSlots())))
+		table, _ := claim.Table{}.Merge(validSlots(decodeSlots(message.(*peerpb.SeatsResponse).GetSlots())))
 		if len(table.Slots) > maxSlotIndex+1 {
 			t.Fatalf("a table of %d slots", len(table.Slots))
 		}
@@ -113,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sameAsJSON(t, answer, again)
+		requireEqualJSON(t, answer, again)
 	}},
 	{&peerpb.RouteTableUpdate{}, func(t *testing.T, message proto.Message) {
 		update, err := decodeUpdate(message.(*peerpb.RouteTableUpdate))
@@ -128,16 +129,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sameAsJSON(t, update, again)
+		requireEqualJSON(t, update, again)
 	}},
 	{&peerpb.WantReport{}, func(t *testing.T, message proto.Message) {
 		wants := decodeWants(message.(*peerpb.WantReport).GetWants())
-		same(t, wants, decodeWants(encodeWants(wants)))
+		requireEqual(t, wants, decodeWants(encodeWants(wants)))
 	}},
 }
 
-// sameAsJSON compares what holds JSON inside, where white space is none.
-func sameAsJSON(t *testing.T, first, second any) {
+// requireEqualJSON compares values by their JSON encoding. They contain raw JSON, in which
+// white space is insignificant.
+func requireEqualJSON(t *testing.T, first, second any) {
 	t.Helper()
 	one, err := json.Marshal(first)
 	if err != nil {
@@ -147,11 +149,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, string(one), string(other))
+	requireEqual(t, string(one), string(other))
 }
 
-// FuzzPeerMessage holds that nothing a peer sends makes reading panic, is read
-// as more than it says, or changes on its way through.
+// FuzzPeerMessage checks that no message from a peer makes decoding panic, decodes to more
+// than it says, or changes when it is encoded and decoded again.
 func FuzzPeerMessage(f *testing.F) {
 	for kind, message := range peerSeeds(f) {
 		encoded, err := proto.Marshal(message)
@@ -168,7 +170,7 @@
 		f.Add(kind, encoded)
 	}
 	f.Fuzz(func(t *testing.T, kind uint8, data []byte) {
-		chosen := receivedKinds[int(kind)%len(receivedKinds)]
+		chosen := peerMessageCases[int(kind)%len(peerMessageCases)]
 		message := proto.Clone(chosen.message)
 		if proto.Unmarshal(data, message) == nil {
 			chosen.check(t, message)
@@ -176,7 +178,8 @@
 	})
 }
 
-// outOfRange are messages whose numbers no node sends, by their kind.
+// outOfRange holds messages with values that no node sends, by their index in
+// peerMessageCases.
 var outOfRange = map[uint8]proto.Message{
 	0: &peerpb.GrantRequest{Key: "k", WindowMillis: 1<<62 + 1},
 	1: &peerpb.GrantResponse{Verdict: 99, RetryAfterMillis: -1 << 63},
@@ -188,7 +191,7 @@
 	7: &peerpb.WantReport{Wants: []*peerpb.Want{{Waiting: -1 << 63, DeadlineUnixNano: -1 << 63}}},
 }
 
-// peerSeeds gives a whole message of each kind, in the order of receivedKinds.
+// peerSeeds returns a complete message of each kind, in the order of peerMessageCases.
 func peerSeeds(f *testing.F) []proto.Message {
 	slot := claim.Slot{Index: 3, Version: 2, Seats: []claim.Seat{{Name: "a", Boot: 1, Address: "10.0.0.1:3"}},
 		Previous: [][]claim.Seat{{{Name: "b", Boot: 2, Address: "10.0.0.2:3"}}}}
--- a/internal/node/labels.go
+++ b/internal/node/labels.go
@@ -11,14 +11,14 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// Labels of a processor profile: where several nodes share a process, a
-// profile tells them apart, and the parts of each.
+// Labels in CPU profiles. They tell apart the nodes that share a process, and
+// the components of each node.
 const (
 	ProfileNode = "spanlanding.node"
 	ProfilePart = "spanlanding.part"
 )
 
-// The parts of a node as a profile names them.
+// The values of ProfilePart: the components of a node.
 const (
 	partMembership = "membership"
 	partConfig     = "config"
@@ -26,23 +26,23 @@
 	partClaims     = "claims"
 	partPeers      = "peer"
 	partOperators  = "operator"
-	// PartCallers is the requests' path and all that is no control.
+	// PartCallers is the request path and everything that is in no other part.
 	PartCallers = "caller"
 )
 
-func partLabels(name fleet.NodeName, part string) pprof.LabelSet {
+func profileLabels(name fleet.NodeName, part string) pprof.LabelSet {
 	return pprof.Labels(ProfileNode, string(name), ProfilePart, part)
 }
 
-// throughput is how many messages an actor takes before it yields.
+// throughput is how many messages an actor processes before it yields.
 const throughput = 300
 
-// partDispatcher runs an actor's mailbox under the labels of its part; what
-// the actor starts inherits them.
-type partDispatcher struct{ labels context.Context }
+// labelingDispatcher runs an actor's mailbox under the profile labels of its part.
+// Goroutines that the actor starts inherit them.
+type labelingDispatcher struct{ labels context.Context }
 
 // Schedule implements actor.Dispatcher.
-func (d partDispatcher) Schedule(run func()) {
+func (d labelingDispatcher) Schedule(run func()) {
 	go func() {
 		pprof.SetGoroutineLabels(d.labels)
 		run()
@@ -50,14 +50,14 @@
 }
 
 // Throughput implements actor.Dispatcher.
-func (d partDispatcher) Throughput() int { return throughput }
+func (d labelingDispatcher) Throughput() int { return throughput }
 
-func inPart(name fleet.NodeName, part string) actor.PropsOption {
-	return actor.WithDispatcher(partDispatcher{labels: pprof.WithLabels(context.Background(), partLabels(name, part))})
+func withProfileLabels(name fleet.NodeName, part string) actor.PropsOption {
+	return actor.WithDispatcher(labelingDispatcher{labels: pprof.WithLabels(context.Background(), profileLabels(name, part))})
 }
 
-// Views are what the node's shells publish. Readers must not set them.
+// Views returns the views that the node's shells publish. Readers must not set them.
 func (n *Node) Views() *views.Views { return n.views }
 
-// Metrics are the node's own figures.
+// Metrics returns the node's own metrics.
 func (n *Node) Metrics() prometheus.Gatherer { return n.metrics }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -17,12 +17,12 @@
 	// headerTimeout bounds how long a client may take to send its headers.
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes bounds a request's headers.
-	maxHeaderBytes = 32 << 10
-	keepAliveTime  = 120 * time.Second
+	maxHeaderBytes   = 32 << 10
+	keepAliveTimeout = 120 * time.Second
 )
 
-// sockets are the bound addresses of a node. Binding all of them before
-// anything starts makes a second process at the same address fail at once.
+// sockets holds the bound sockets of a node. All are bound before anything starts, so that a
+// second process with the same addresses fails at once.
 type sockets struct {
 	caller   net.Listener
 	operator net.Listener
@@ -55,23 +55,23 @@
 	}
 }
 
-// servers are the HTTP servers of a node.
+// servers holds the HTTP servers of a node.
 type servers struct {
 	logger *log.Logger
 	node   fleet.NodeName
 	all    []*http.Server
 }
 
-// serve begins to serve the handler on the listener.
+// serve starts serving the handler on the listener.
 func (s *servers) serve(name string, listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		IdleTimeout:       keepAliveTime,
+		IdleTimeout:       keepAliveTimeout,
 	}
 	s.all = append(s.all, server)
-	go pprof.Do(context.Background(), partLabels(s.node, name), func(context.Context) {
+	go pprof.Do(context.Background(), profileLabels(s.node, name), func(context.Context) {
 		err := server.Serve(listener)
 		if err != nil && !errors.Is(err, http.ErrServerClosed) {
 			s.logger.Error().Str("server", name).Err(err).Msg("server_failed")
@@ -80,7 +80,7 @@
 	return server
 }
 
-// shutdown lets every server finish what it is doing, within the context.
+// shutdown lets each server finish its requests until the context ends, and then closes it.
 func (s *servers) shutdown(ctx context.Context) {
 	for _, server := range s.all {
 		if server.Shutdown(ctx) != nil {
--- a/internal/node/membership_actor.go
+++ b/internal/node/membership_actor.go
@@ -23,14 +23,13 @@
 	System *actor.ActorSystem
 	// Connection is the bound UDP socket; the shell closes it at Stop.
 	Connection net.PacketConn
-	// Core sets up the core: Self with its addresses, seeds and timings.
+	// Core configures the core: Self with its addresses, seeds and timings.
 	Core   membership.Options
 	Views  *views.Views
 	Logger *log.Logger
 }
 
-// Membership runs the failure detector of this node over UDP and publishes
-// views.Members.
+// Membership runs this node's failure detector over UDP and publishes views.Members.
 type Membership struct {
 	dependencies MembershipDependencies
 	core         *membership.Core
@@ -43,49 +42,51 @@
 }
 
 const (
-	// maxPendingPackets bounds the packets that wait in the mailbox; UDP may
-	// lose what is above it.
+	// maxPendingPackets bounds the packets waiting in the mailbox. Packets beyond it are
+	// dropped, as UDP permits.
 	maxPendingPackets = 4096
 	maxDatagramBytes  = 2048
 )
 
-// leaveRequest asks the actor to leave and to say when the notices are sent.
+// leaveRequest asks the actor to leave the fleet and closes done once the notices are sent.
 type leaveRequest struct{ done chan struct{} }
 
-// StartMembership spawns the actor and begins to read the socket.
+// StartMembership spawns the actor and starts reading the socket.
 func StartMembership(dependencies MembershipDependencies) *Membership {
 	shell := &Membership{
 		dependencies: dependencies,
 		core:         membership.New(dependencies.Core),
 		stopped:      make(chan struct{}),
 	}
-	props := actor.PropsFromFunc(shell.receive, inPart(dependencies.Core.Self.Name, partMembership))
+	props := actor.PropsFromFunc(shell.receive, withProfileLabels(dependencies.Core.Self.Name, partMembership))
 	spawn(dependencies.System, props, func(pid *actor.PID) { shell.pid = pid })
 	shell.readers.Add(1)
-	go pprof.Do(context.Background(), partLabels(dependencies.Core.Self.Name, partMembership), func(context.Context) {
+	go pprof.Do(context.Background(), profileLabels(dependencies.Core.Self.Name, partMembership), func(context.Context) {
 		shell.readPackets()
 	})
 	dependencies.Views.Machines.Watch(func(list objectstore.MachineList) {
-		shell.tell(membership.NodesListed{Nodes: hintsOf(list)})
+		shell.send(membership.NodesListed{Nodes: listedNodes(list)})
 	})
 	return shell
 }
 
-// SetDraining tells the other members whether this node takes new work.
+// SetDraining announces to the other members whether this node is draining and takes no new
+// work.
 func (m *Membership) SetDraining(draining bool) {
-	m.tell(membership.SetDraining{Draining: draining})
+	m.send(membership.SetDraining{Draining: draining})
 }
 
-// SetConfigVersion tells the others the store revision in force here.
+// SetConfigVersion announces to the other members the store revision of the configuration in
+// force here.
 func (m *Membership) SetConfigVersion(version uint64) {
-	m.tell(membership.SetConfigVersion{Version: version})
+	m.send(membership.SetConfigVersion{Version: version})
 }
 
-// Leave tells other members that this node goes; it returns once the notices
-// are sent or the context ends.
+// Leave announces to other members that this node leaves. It returns once the notices are
+// sent or the context ends.
 func (m *Membership) Leave(ctx context.Context) {
 	request := leaveRequest{done: make(chan struct{})}
-	m.tell(request)
+	m.send(request)
 	select {
 	case <-request.done:
 	case <-ctx.Done():
@@ -93,7 +94,7 @@
 	}
 }
 
-// Stop ends the actor and closes the socket, without leaving.
+// Stop ends the actor and closes the socket without announcing that the node leaves.
 func (m *Membership) Stop() {
 	m.stopOnce.Do(func() {
 		close(m.stopped)
@@ -103,7 +104,7 @@
 	})
 }
 
-func (m *Membership) tell(message any) {
+func (m *Membership) send(message any) {
 	select {
 	case <-m.stopped:
 	default:
@@ -130,8 +131,8 @@
 	}
 }
 
-// step feeds the core and carries out its effects. Writing a datagram hands it
-// to the kernel and does not wait for the network.
+// step feeds the core one message and performs its effects. Writing a datagram only hands it
+// to the kernel, so it does not wait for the network.
 func (m *Membership) step(message membership.Message) {
 	for _, effect := range m.core.Step(time.Now(), message) {
 		switch effect := effect.(type) {
@@ -160,7 +161,7 @@
 	m.dependencies.Views.Members.Set(members)
 }
 
-// logChanges writes one line for each member whose state is another.
+// logChanges logs one line for each member whose state has changed.
 func (m *Membership) logChanges(members []fleet.Member) {
 	before := make(map[fleet.NodeName]fleet.MemberState)
 	if earlier, found := m.dependencies.Views.Members.Get(); found {
@@ -182,7 +183,7 @@
 	if m.timer != nil {
 		m.timer.Stop()
 	}
-	m.timer = time.AfterFunc(delay, func() { m.tell(membership.Tick{}) })
+	m.timer = time.AfterFunc(delay, func() { m.send(membership.Tick{}) })
 }
 
 func (m *Membership) readPackets() {
@@ -200,22 +201,22 @@
 			m.pending.Add(-1)
 			continue
 		}
-		m.tell(membership.Receive{From: from.String(), Packet: append([]byte(nil), buffer[:count]...)})
+		m.send(membership.Receive{From: from.String(), Packet: append([]byte(nil), buffer[:count]...)})
 	}
 }
 
-// hintsOf takes the fleet's nodes from the machine list.
-func hintsOf(list objectstore.MachineList) []membership.ListedNode {
-	var hints []membership.ListedNode
+// listedNodes returns the nodes on the machine list.
+func listedNodes(list objectstore.MachineList) []membership.ListedNode {
+	var nodes []membership.ListedNode
 	for _, machine := range list.Machines {
 		if machine.Role != "node" || machine.Node.Gossip == "" {
 			continue
 		}
-		hints = append(hints, membership.ListedNode{
+		nodes = append(nodes, membership.ListedNode{
 			Name:          machine.Name,
 			GossipAddress: machine.Node.Gossip,
 			Leaving:       machine.State != objectstore.MachineLive,
 		})
 	}
-	return hints
+	return nodes
 }
--- a/internal/node/membership_actor_test.go
+++ b/internal/node/membership_actor_test.go
@@ -17,7 +17,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// waitForMember returns once the view holds the member as wanted.
+// waitForMember returns once the condition holds for the member in the view.
 func waitForMember(t *testing.T, published *views.Views, name string, holds func(fleet.Member) bool) {
 	t.Helper()
 	found := make(chan struct{}, 1)
@@ -34,7 +34,7 @@
 	select {
 	case <-found:
 	case <-time.After(time.Minute):
-		t.Fatalf("%s was not seen as wanted", name)
+		t.Fatalf("member %s did not reach the expected state within a minute", name)
 	}
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,11 +14,11 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// metricPrefix begins the names of a node's own figures; the gateway and the
-// counters of traffic have theirs.
+// metricPrefix starts the names of the node's own metrics. The gateway and the traffic
+// counters have prefixes of their own.
 const metricPrefix = "spanlanding_node_"
 
-// controlMetrics count what the control shell does. Units are in the names.
+// controlMetrics counts what the control shell does. Units are part of the metric names.
 type controlMetrics struct {
 	claims            *prometheus.CounterVec
 	leadershipChanges prometheus.Counter
@@ -77,27 +77,27 @@
 	m.leadershipChanges.Inc()
 }
 
-// catalogAge follows when the catalog in force was published.
+// catalogAge records when the catalog in force was published.
 type catalogAge struct {
 	changes prometheus.Counter
-	// since is in Unix nanoseconds; 0 before the first.
-	since atomic.Int64
+	// updatedAt is in Unix nanoseconds; 0 before the first catalog.
+	updatedAt atomic.Int64
 }
 
-func followCatalog(published *views.Views, registerer prometheus.Registerer) *catalogAge {
-	followed := &catalogAge{
+func watchCatalog(published *views.Views, registerer prometheus.Registerer) *catalogAge {
+	age := &catalogAge{
 		changes: prometheus.NewCounter(prometheus.CounterOpts{Name: metricPrefix + "config_changes_total",
 			Help: "Configurations that this node put in force."}),
 	}
-	register(registerer, followed.changes)
+	register(registerer, age.changes)
 	published.Catalog.Watch(func(*catalog.Snapshot) {
-		followed.changes.Inc()
-		followed.since.Store(time.Now().UnixNano())
+		age.changes.Inc()
+		age.updatedAt.Store(time.Now().UnixNano())
 	})
-	return followed
+	return age
 }
 
-// viewCollector reads what the shells published, at each scrape.
+// viewCollector reads the views that the shells publish at each scrape.
 type viewCollector struct {
 	node *Node
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// gauges sends values of gauges.
+// gauges is a metrics channel with helpers for gauge values.
 type gauges chan<- prometheus.Metric
 
 func (g gauges) set(desc *prometheus.Desc, value float64, labels ...string) {
@@ -150,21 +150,21 @@
 	g.set(desc, 0)
 }
 
-// Collect implements prometheus.Collector. It takes no lock that a shell holds
-// for long, and asks no mailbox.
+// Collect implements prometheus.Collector. It takes no lock that a shell holds for long, and
+// waits for no mailbox.
 func (c viewCollector) Collect(metrics chan<- prometheus.Metric) {
 	node, gauges, now := c.node, gauges(metrics), time.Now()
-	gauges.flag(readyDesc, source{node: node}.Ready() == nil)
+	gauges.flag(readyDesc, operatorSource{node: node}.Ready() == nil)
 	gauges.flag(drainingDesc, node.draining.Load())
 	gauges.flag(leadingDesc, node.control.metrics.leading.Load())
 	gauges.set(versionDesc, float64(node.configVersion()))
 	gauges.set(barredDesc, float64(node.suspects.Barred()))
 	gauges.set(evacuatedDesc, float64(len(node.evacuatedZones())))
-	if since := node.catalogAge.since.Load(); since > 0 {
+	if since := node.catalogAge.updatedAt.Load(); since > 0 {
 		gauges.set(ageDesc, now.Sub(time.Unix(0, since)).Seconds())
 	}
-	gauges.set(recordsDesc, float64(node.claims.records.Load()))
-	gauges.set(seatsDesc, float64(len(node.claims.seatedSlots())))
+	gauges.set(recordsDesc, float64(node.claims.recordCount.Load()))
+	gauges.set(seatsDesc, float64(len(node.claims.ownSlots())))
 	c.collectMembers(gauges)
 	c.collectTables(gauges, now)
 }
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -8,17 +8,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestFiguresOfARealNode looks at the figures once a node leads its zone and
-// has loaded what is wanted.
+// TestFiguresOfARealNode checks the metrics of a node that leads its zone and has loaded a
+// model.
 func TestFiguresOfARealNode(t *testing.T) {
 	running := startRealFleet(t)
 	eventually(t, "an answer", func() bool { return running.ask(t, chatBody).status == 200 })
-	t.Run("each says what holds", func(t *testing.T) { checkFigures(t, running) })
-	t.Run("the page lists each", func(t *testing.T) { checkFiguresOnPage(t, running) })
+	t.Run("values", func(t *testing.T) { checkMetrics(t, running) })
+	t.Run("documented", func(t *testing.T) { checkMetricsInDocs(t, running) })
 }
 
-func checkFigures(t *testing.T, running *realFleet) {
-	gathered := func() map[string]float64 { return valuesOf(t, running.node.metrics) }
+func checkMetrics(t *testing.T, running *realFleet) {
+	gathered := func() map[string]float64 { return metricValues(t, running.node.metrics) }
 	eventually(t, "the table shows the load", func() bool { return gathered()["spanlanding_node_replicas{ready}"] == 1 })
 	values := gathered()
 	for name, want := range map[string]float64{
@@ -45,7 +45,7 @@
 			t.Errorf("%s is %v, want %v", name, got, want)
 		}
 	}
-	// A slow machine may take several turns to these.
+	// On a slow machine these can take several attempts.
 	for _, name := range []string{
 		"spanlanding_node_leadership_changes_total{}", "spanlanding_node_engine_claims_total{granted}",
 		"spanlanding_node_orders_total{load,accepted}", "spanlanding_node_config_changes_total{}",
@@ -61,9 +61,9 @@
 	}
 }
 
-// checkFiguresOnPage holds the page against what the node offers, in both
-// directions.
-func checkFiguresOnPage(t *testing.T, running *realFleet) {
+// checkMetricsInDocs checks that the documented metrics and those that the node exports are
+// the same.
+func checkMetricsInDocs(t *testing.T, running *realFleet) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	_, section, _ := strings.Cut(string(page), "### Metrics")
 	section, _, _ = strings.Cut(section, "\n### ")
 	offered := make(map[string]bool)
-	for name := range valuesOf(t, running.node.metrics) {
+	for name := range metricValues(t, running.node.metrics) {
 		name, _, _ = strings.Cut(name, "{")
 		offered[name] = true
 	}
@@ -82,13 +82,13 @@
 	}
 	for _, word := range strings.Split(section, "`") {
 		if strings.HasPrefix(word, "spanlanding_") && !offered[word] {
-			t.Errorf("docs/OPERATIONS.md lists %s, which a node does not offer", word)
+			t.Errorf("docs/OPERATIONS.md lists %s, which a node does not export", word)
 		}
 	}
 }
 
-// valuesOf returns the project's figures as name{label values}.
-func valuesOf(t *testing.T, gatherer prometheus.Gatherer) map[string]float64 {
+// metricValues returns the values of the project's metrics by name{label values}.
+func metricValues(t *testing.T, gatherer prometheus.Gatherer) map[string]float64 {
 	t.Helper()
 	families, err := gatherer.Gather()
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,7 +29,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// Node is one running process of the fleet.
+// Node is one running node: its settings, its components and its listeners.
 type Node struct {
 	settings Settings
 	self     fleet.Member
@@ -54,20 +54,20 @@
 	tableAges  tableAges
 	catalogAge *catalogAge
 
-	drainOnce sync.Once
-	draining  atomic.Bool
-	drained   chan struct{}
-	cut       []string
+	drainOnce   sync.Once
+	draining    atomic.Bool
+	drained     chan struct{}
+	cutRequests []string
 }
 
-// Start binds the node's addresses and starts everything that it runs.
+// Start binds the node's addresses and starts all components and servers.
 func Start(settings Settings, logger *log.Logger) (*Node, error) {
 	bound, err := bind(settings.Listen)
 	if err != nil {
 		return nil, err
 	}
 	node := newNode(settings, logger)
-	pprof.Do(context.Background(), partLabels(settings.Name, PartCallers), func(context.Context) {
+	pprof.Do(context.Background(), profileLabels(settings.Name, PartCallers), func(context.Context) {
 		node.startShells(bound)
 		node.startServers(bound)
 	})
@@ -109,10 +109,10 @@
 	return func(*actor.ActorSystem) *slog.Logger { return logging.NewActorLogger(logger) }
 }
 
-// startShells starts the actors, those first that the others listen to.
+// startShells starts the shells. A shell that others depend on is started before them.
 func (n *Node) startShells(bound sockets) {
-	n.tableAges.follow(n.views)
-	n.catalogAge = followCatalog(n.views, n.metrics)
+	n.tableAges.watch(n.views)
+	n.catalogAge = watchCatalog(n.views, n.metrics)
 	n.membership = StartMembership(MembershipDependencies{
 		System:     n.system,
 		Connection: n.traffic.Channel("gossip").InstrumentPacketConn(bound.gossip),
@@ -172,14 +172,14 @@
 		Suspects: n.suspects.Server(),
 		Quotas:   n.quotas.Server(),
 	})))
-	n.servers.serve(partOperators, bound.operator, operator.NewHandler(source{node: n}, n.metrics))
+	n.servers.serve(partOperators, bound.operator, operator.NewHandler(operatorSource{node: n}, n.metrics))
 	n.servers.serve(PartCallers, bound.caller, n.gateway)
 }
 
-// Drain begins a planned stop: the peers are told, new requests are refused,
-// leadership and keepers' records are handed over and what runs is finished.
-// It returns once all is done or the drain limit has passed; Cut then names
-// what was cut. A second call waits for the first.
+// Drain performs a planned stop: it announces the drain to the peers, refuses new requests,
+// hands over the leadership and the keeper's records, and lets running requests finish. It
+// returns when that is done or the drain limit has passed; Cut then lists the requests that
+// were cut off. A second call waits for the first.
 func (n *Node) Drain(ctx context.Context) {
 	n.drainOnce.Do(func() {
 		defer close(n.drained)
@@ -203,26 +203,26 @@
 			n.logger.Warn().Err(err).Msg("keeper_records_not_handed_over")
 		}
 	})
-	n.cut = n.gateway.Drain(limit).Cut
+	n.cutRequests = n.gateway.Drain(limit).Cut
 	handOvers.Wait()
 	n.membership.Leave(limit)
-	n.logger.Info().Dur("took", time.Since(started)).Int("cut", len(n.cut)).Msg("drain_finished")
+	n.logger.Info().Dur("took", time.Since(started)).Int("cut", len(n.cutRequests)).Msg("drain_finished")
 }
 
-// Drained is closed once a planned stop is over.
+// Drained returns a channel that is closed when a planned stop is over.
 func (n *Node) Drained() <-chan struct{} {
 	return n.drained
 }
 
-// Cut names the requests that the drain limit cut.
+// Cut returns the requests that were cut off at the drain limit.
 func (n *Node) Cut() []string {
-	return n.cut
+	return n.cutRequests
 }
 
-// stopTimeout bounds the end of the servers after a drain.
+// stopTimeout bounds the shutdown of the servers.
 const stopTimeout = 2 * time.Second
 
-// Stop ends everything at once. Drain goes before it at a planned stop.
+// Stop ends all components at once. At a planned stop, call Drain first.
 func (n *Node) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -19,28 +19,32 @@
 )
 
 const (
-	// quotaWindow is the window over which a tenant's sum is bounded.
+	// quotaWindow is the window over which a tenant's total use is bounded.
 	quotaWindow = 8 * time.Second
-	// quotaOverage is by how much that sum may pass the quota through failures.
+	// quotaOverage is the fraction by which failures may let that total exceed the quota.
 	quotaOverage = 0.1
-	// quotaCallTimeout bounds one question: a few ways between zones.
+	// quotaCallTimeout bounds one call to a coordinator: it leaves room for a few crossings
+	// between zones.
 	quotaCallTimeout = 100 * time.Millisecond
-	// quotaGivesAfter is how long a node listens after its start before it gives: by
-	// then it knows who goes before it. Where all nodes start at once each would give.
-	quotaGivesAfter = time.Second
-	// useInterval is the time between two reports of what was used without asking.
-	useInterval = 100 * time.Millisecond
-	// admitPatience is how long a request waits for its quota: its caller would come back
-	// for it no sooner.
-	admitPatience = 700 * time.Millisecond
-	// keepInterval is the time between two looks at which tenants there are: the accounts
-	// of those that have not asked yet are to be full when they come.
-	keepInterval = time.Second
-	// unknownRetry is told where nobody could say what a tenant has left.
-	unknownRetry = time.Second
+	// quotaGrantStartDelay is how long after its start a node grants nothing, until it has
+	// learned which members come before it as coordinators. Without the delay, each of
+	// several nodes that start together would act as a coordinator.
+	quotaGrantStartDelay = time.Second
+	// useReportInterval is the time between two reports of what was granted without asking.
+	useReportInterval = 100 * time.Millisecond
+	// maxQuotaWait is how long a request is held until its quota allows it. A refused caller
+	// would not retry any sooner.
+	maxQuotaWait = 700 * time.Millisecond
+	// accountRefreshInterval is the time between two comparisons of the accounts with the
+	// declared tenants. Accounts are opened ahead of a tenant's first request, so that they
+	// are full by then.
+	accountRefreshInterval = time.Second
+	// noCoordinatorRetry is the retry delay when no coordinator could say what a tenant has
+	// left.
+	noCoordinatorRetry = time.Second
 )
 
-// QuotasDependencies are what the shell of quotas works with.
+// QuotasDependencies is what the quotas shell needs.
 type QuotasDependencies struct {
 	Self   fleet.Member
 	Views  *views.Views
@@ -48,58 +52,58 @@
 	Logger *log.Logger
 }
 
-// Quotas keeps tenants below their quotas over all nodes: what the node's share of a
-// quota holds is granted at once and told afterwards, for the rest the first judge that
-// answers is asked. It is safe for concurrent use.
+// Quotas enforces tenants' quotas over all nodes together. A request that the node's share
+// of a quota covers is granted at once and reported afterwards; for any other, the first
+// coordinator that answers decides. It is safe for concurrent use.
 type Quotas struct {
 	dependencies QuotasDependencies
 	started      time.Time
 	lifetime     context.Context
-	end          context.CancelFunc
-	reports      sync.WaitGroup
+	cancel       context.CancelFunc
+	background   sync.WaitGroup
 
 	mutex       sync.Mutex
 	coordinator *quota.Coordinator
 	share       *quota.Share
 	fleet       quota.FleetSize
 	limits      backendLimits
-	// used is what was granted without asking and is still to be told, by tenant.
-	used map[string]float64
+	// unreportedUse is, by tenant, what was granted without asking and not yet reported.
+	unreportedUse map[string]float64
 }
 
 var _ gateway.Quotas = (*Quotas)(nil)
 
-// StartQuotas starts the reports; Stop ends them.
+// StartQuotas starts the background reports; Stop ends them.
 func StartQuotas(dependencies QuotasDependencies) *Quotas {
-	lifetime, end := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	tolerance := quota.Tolerance{Window: quotaWindow, Overage: quotaOverage}
 	started := &Quotas{
-		dependencies: dependencies,
-		started:      time.Now(),
-		lifetime:     lifetime,
-		end:          end,
-		coordinator:  quota.NewCoordinator(tolerance),
-		share:        quota.NewShare(tolerance, false),
-		limits:       newBackendLimits(dependencies.Self),
-		used:         make(map[string]float64),
+		dependencies:  dependencies,
+		started:       time.Now(),
+		lifetime:      lifetime,
+		cancel:        cancel,
+		coordinator:   quota.NewCoordinator(tolerance),
+		share:         quota.NewShare(tolerance, false),
+		limits:        newBackendLimits(dependencies.Self),
+		unreportedUse: make(map[string]float64),
 	}
-	started.reports.Go(started.reportUntilStopped)
+	started.background.Go(started.reportUntilStopped)
 	return started
 }
 
 // Stop ends the reports.
 func (q *Quotas) Stop() {
-	q.end()
-	q.reports.Wait()
+	q.cancel()
+	q.background.Wait()
 }
 
-// Admit implements gateway.Quotas. A request that is to be granted within admitPatience
-// is kept until then.
+// Admit implements gateway.Quotas. A request that can be granted within maxQuotaWait is held
+// until then.
 func (q *Quotas) Admit(ctx context.Context, tenant routetable.Tenant, cost float64) gateway.QuotaVerdict {
-	until := time.Now().Add(admitPatience)
+	deadline := time.Now().Add(maxQuotaWait)
 	for {
-		verdict := q.admitNow(ctx, tenant, cost)
-		if verdict.Granted || verdict.IsUnknown || time.Now().Add(verdict.RetryIn).After(until) {
+		verdict := q.tryAdmit(ctx, tenant, cost)
+		if verdict.Granted || verdict.IsUnknown || time.Now().Add(verdict.RetryIn).After(deadline) {
 			return verdict
 		}
 		timer := time.NewTimer(verdict.RetryIn)
@@ -112,21 +116,21 @@
 	}
 }
 
-// admitNow asks once.
-func (q *Quotas) admitNow(ctx context.Context, tenant routetable.Tenant, cost float64) gateway.QuotaVerdict {
-	if q.takeShare(tenant, cost) {
+// tryAdmit makes one attempt to admit a request.
+func (q *Quotas) tryAdmit(ctx context.Context, tenant routetable.Tenant, cost float64) gateway.QuotaVerdict {
+	if q.takeFromShare(tenant, cost) {
 		return gateway.QuotaVerdict{Granted: true}
 	}
-	for _, judge := range judges(q.dependencies.Self, q.dependencies.Views) {
-		if answer := q.ask(ctx, judge, tenant.Name, cost); answer != nil && !answer.GetDeclined() {
-			return q.answered(tenant, cost, answer)
+	for _, coordinator := range coordinators(q.dependencies.Self, q.dependencies.Views) {
+		if answer := q.askTenantQuota(ctx, coordinator, tenant.Name, cost); answer != nil && !answer.GetDeclined() {
+			return q.acceptAnswer(tenant, cost, answer)
 		}
 	}
-	return q.admitAlone(tenant, cost)
+	return q.admitWithoutCoordinator(tenant, cost)
 }
 
-// takeShare grants what the node's share holds.
-func (q *Quotas) takeShare(tenant routetable.Tenant, cost float64) bool {
+// takeFromShare grants the cost if the node's share covers it.
+func (q *Quotas) takeFromShare(tenant routetable.Tenant, cost float64) bool {
 	now := time.Now()
 	nodes, _ := q.fleetSize(now)
 	q.mutex.Lock()
@@ -134,30 +138,30 @@
 	if !q.share.Take(now, tenant.Name, tenant.Quota, nodes, cost) {
 		return false
 	}
-	q.used[tenant.Name] += cost
+	q.unreportedUse[tenant.Name] += cost
 	return true
 }
 
-func (q *Quotas) ask(ctx context.Context, judge fleet.Member, tenant string, cost float64) *peerpb.QuotaAnswer {
-	return q.askQuestion(ctx, judge, &peerpb.QuotaQuestion{Tenant: tenant, Cost: cost})
+func (q *Quotas) askTenantQuota(ctx context.Context, coordinator fleet.Member, tenant string, cost float64) *peerpb.QuotaAnswer {
+	return q.sendQuestion(ctx, coordinator, &peerpb.QuotaQuestion{Tenant: tenant, Cost: cost})
 }
 
-func (q *Quotas) askQuestion(ctx context.Context, judge fleet.Member, question *peerpb.QuotaQuestion) *peerpb.QuotaAnswer {
-	if judge.Name == q.dependencies.Self.Name {
+func (q *Quotas) sendQuestion(ctx context.Context, coordinator fleet.Member, question *peerpb.QuotaQuestion) *peerpb.QuotaAnswer {
+	if coordinator.Name == q.dependencies.Self.Name {
 		return q.decide(question)
 	}
 	call, cancel := context.WithTimeout(ctx, quotaCallTimeout)
 	defer cancel()
-	answer, err := q.dependencies.Peers.To(judge.Addresses.Peer).Quotas.Ask(call, question)
+	answer, err := q.dependencies.Peers.To(coordinator.Addresses.Peer).Quotas.Ask(call, question)
 	if err != nil {
 		return nil
 	}
 	return answer
 }
 
-// answered takes a judge's answer. What it grants lies on the share, too: a node that
-// then loses its judge does not grant as much once more.
-func (q *Quotas) answered(tenant routetable.Tenant, cost float64, answer *peerpb.QuotaAnswer) gateway.QuotaVerdict {
+// acceptAnswer converts a coordinator's answer. A grant is recorded in the share too, so
+// that a node that then loses its coordinator does not grant the same amount again.
+func (q *Quotas) acceptAnswer(tenant routetable.Tenant, cost float64, answer *peerpb.QuotaAnswer) gateway.QuotaVerdict {
 	verdict := gateway.QuotaVerdict{Granted: answer.GetGranted(), RetryIn: time.Duration(answer.GetRetryMillis()) * time.Millisecond}
 	if !verdict.Granted {
 		return verdict
@@ -170,16 +174,16 @@
 	return verdict
 }
 
-// admitAlone decides where no judge answers.
-func (q *Quotas) admitAlone(tenant routetable.Tenant, cost float64) gateway.QuotaVerdict {
+// admitWithoutCoordinator decides from the node's share when no coordinator answers.
+func (q *Quotas) admitWithoutCoordinator(tenant routetable.Tenant, cost float64) gateway.QuotaVerdict {
 	now := time.Now()
 	nodes, _ := q.fleetSize(now)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if !q.share.TakeWithoutCoordinator(now, tenant.Name, tenant.Quota, nodes, cost) {
-		return gateway.QuotaVerdict{IsUnknown: true, RetryIn: unknownRetry}
+		return gateway.QuotaVerdict{IsUnknown: true, RetryIn: noCoordinatorRetry}
 	}
-	q.used[tenant.Name] += cost
+	q.unreportedUse[tenant.Name] += cost
 	return gateway.QuotaVerdict{Granted: true}
 }
 
@@ -190,48 +194,49 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.share.RecordGrant(now, tenant.Name, tenant.Quota, nodes, -cost)
-	q.used[tenant.Name] -= cost
+	q.unreportedUse[tenant.Name] -= cost
 }
 
-// fleetSize is the number of nodes that quotas are shared by, and the part of it that
-// this node hears from: all listed nodes of each zone that it knows a usable member of.
+// fleetSize returns the number of nodes that share the quotas, and the fraction of them that
+// this node can reach. In its own zone it counts the usable members that it knows; of
+// another zone it counts all listed nodes if it knows a usable member there.
 func (q *Quotas) fleetSize(now time.Time) (nodes int, reach float64) {
 	self := q.dependencies.Self
-	heard := map[fleet.Zone]int{self.Zone: 1}
+	reachableByZone := map[fleet.Zone]int{self.Zone: 1}
 	for _, member := range usablePeers(self, q.dependencies.Views) {
-		heard[member.Zone]++
+		reachableByZone[member.Zone]++
 	}
 	machines, _ := q.dependencies.Views.Machines.Get()
-	listed, listedIn := 0, make(map[fleet.Zone]int)
+	listed, listedByZone := 0, make(map[fleet.Zone]int)
 	for _, machine := range machines.Machines {
 		if machine.Role == roleNode && machine.State == objectstore.MachineLive {
 			listed++
-			listedIn[machine.Zone]++
+			listedByZone[machine.Zone]++
 		}
 	}
-	fresh := 0
-	for zone, count := range heard {
+	reachable := 0
+	for zone, count := range reachableByZone {
 		if zone != self.Zone {
-			// Of other zones delegates alone are known.
-			count = max(count, listedIn[zone])
+			// Only the delegates of other zones are known.
+			count = max(count, listedByZone[zone])
 		}
-		fresh += count
+		reachable += count
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.fleet.Observe(now, listed, fresh)
+	return q.fleet.Observe(now, listed, reachable)
 }
 
 // roleNode is the role of nodes on the machine list.
 const roleNode = "node"
 
-// decide answers a question as the coordinator.
+// decide answers a request as the coordinator.
 func (q *Quotas) decide(question *peerpb.QuotaQuestion) *peerpb.QuotaAnswer {
 	now := time.Now()
 	if question.GetBackend() != "" {
 		return q.decideBackend(now, question)
 	}
-	tenant, reach, ok := q.mayGive(now, question.GetTenant())
+	tenant, reach, ok := q.mayGrantTenant(now, question.GetTenant())
 	if !ok {
 		return &peerpb.QuotaAnswer{Declined: true}
 	}
@@ -241,15 +246,16 @@
 	return &peerpb.QuotaAnswer{Granted: verdict.Granted, RetryMillis: verdict.RetryAfter.Milliseconds()}
 }
 
-// mayCoordinate reports whether this node may grant now: it has listened, and hears from enough of
-// the fleet.
+// mayCoordinate reports whether this node may grant requests as a coordinator now:
+// quotaGrantStartDelay has passed since its start, and it reaches enough of the fleet.
 func (q *Quotas) mayCoordinate(now time.Time) (reach float64, ok bool) {
 	_, reach = q.fleetSize(now)
-	return reach, now.Sub(q.started) >= quotaGivesAfter && reach >= quota.MinReach
+	return reach, now.Sub(q.started) >= quotaGrantStartDelay && reach >= quota.MinReach
 }
 
-// mayGive reports whether this node may keep a tenant's quota now, and knows the tenant.
-func (q *Quotas) mayGive(now time.Time, name string) (tenant routetable.Tenant, reach float64, ok bool) {
+// mayGrantTenant reports whether this node may coordinate a tenant's quota now, and returns
+// the tenant. It may not if the catalog does not contain the tenant.
+func (q *Quotas) mayGrantTenant(now time.Time, name string) (tenant routetable.Tenant, reach float64, ok bool) {
 	if reach, ok = q.mayCoordinate(now); !ok {
 		return tenant, reach, false
 	}
@@ -265,25 +271,26 @@
 }
 
 func (q *Quotas) reportUntilStopped() {
-	ticker := time.NewTicker(useInterval)
+	ticker := time.NewTicker(useReportInterval)
 	defer ticker.Stop()
-	var kept time.Time
+	var lastRefresh time.Time
 	for {
 		select {
 		case <-q.lifetime.Done():
 			return
 		case now := <-ticker.C:
-			if now.Sub(kept) >= keepInterval {
-				kept = now
-				q.keep()
+			if now.Sub(lastRefresh) >= accountRefreshInterval {
+				lastRefresh = now
+				q.refreshAccounts()
 			}
 			q.observe()
-			q.report()
+			q.reportUse()
 		}
 	}
 }
 
-// observe tells the coordinator that the process goes on.
+// observe records that this process is running. A coordinator that was paused discards its
+// accounts, as another may have granted requests in the meantime.
 func (q *Quotas) observe() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -292,9 +299,9 @@
 	q.limits.coordinator.Observe(now)
 }
 
-// keep opens the accounts of all tenants at a node that may be asked for them, and closes
-// those of tenants that are gone.
-func (q *Quotas) keep() {
+// refreshAccounts opens the accounts of all tenants with a quota if this node may be asked
+// as a coordinator, and closes the accounts of tenants that are no longer declared.
+func (q *Quotas) refreshAccounts() {
 	snapshot, found := q.dependencies.Views.Catalog.Get()
 	if !found {
 		return
@@ -302,11 +309,11 @@
 	now := time.Now()
 	_, reach := q.fleetSize(now)
 	self := q.dependencies.Self
-	isJudge := slices.ContainsFunc(judges(self, q.dependencies.Views), func(judge fleet.Member) bool { return judge.Name == self.Name })
+	isCoordinator := slices.ContainsFunc(coordinators(self, q.dependencies.Views), func(coordinator fleet.Member) bool { return coordinator.Name == self.Name })
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, tenant := range snapshot.Tenants() {
-		if isJudge && tenant.Quota.IsLimited() {
+		if isCoordinator && tenant.Quota.IsLimited() {
 			q.coordinator.OpenAccount(now, tenant.Name, tenant.Quota, reach)
 		}
 	}
@@ -316,18 +323,19 @@
 	}
 	q.coordinator.Prune(isDeclared)
 	q.share.Prune(isDeclared)
-	if isJudge {
+	if isCoordinator {
 		q.pruneLimits(now)
 	} else {
 		q.limits.coordinator.Forget()
 	}
 }
 
-// report tells the first judge that takes it what was used without asking.
-func (q *Quotas) report() {
+// reportUse reports what was granted without asking to the first coordinator that accepts
+// the report. If none does, the report is dropped.
+func (q *Quotas) reportUse() {
 	q.mutex.Lock()
-	used := q.used
-	q.used = make(map[string]float64, len(used))
+	used := q.unreportedUse
+	q.unreportedUse = make(map[string]float64, len(used))
 	q.mutex.Unlock()
 	if len(used) == 0 {
 		return
@@ -336,27 +344,28 @@
 	for tenant, cost := range used {
 		uses.Uses = append(uses.Uses, &peerpb.QuotaUse{Tenant: tenant, Cost: cost})
 	}
-	for _, judge := range judges(q.dependencies.Self, q.dependencies.Views) {
-		if judge.Name == q.dependencies.Self.Name {
-			if q.takeUses(uses) {
+	for _, coordinator := range coordinators(q.dependencies.Self, q.dependencies.Views) {
+		if coordinator.Name == q.dependencies.Self.Name {
+			if q.recordUses(uses) {
 				return
 			}
 			continue
 		}
 		call, cancel := context.WithTimeout(q.lifetime, quotaCallTimeout)
-		taken, err := q.dependencies.Peers.To(judge.Addresses.Peer).Quotas.Use(call, uses)
+		response, err := q.dependencies.Peers.To(coordinator.Addresses.Peer).Quotas.Use(call, uses)
 		cancel()
-		if err == nil && !taken.GetDeclined() {
+		if err == nil && !response.GetDeclined() {
 			return
 		}
 	}
 }
 
-// takeUses counts what others used; it returns false where this node does not keep quotas.
-func (q *Quotas) takeUses(uses *peerpb.QuotaUses) bool {
+// recordUses records the use that another node or this one reports. It returns false if this
+// node may not coordinate.
+func (q *Quotas) recordUses(uses *peerpb.QuotaUses) bool {
 	now := time.Now()
 	for _, use := range uses.GetUses() {
-		tenant, reach, ok := q.mayGive(now, use.GetTenant())
+		tenant, reach, ok := q.mayGrantTenant(now, use.GetTenant())
 		if !ok {
 			return false
 		}
@@ -370,7 +379,7 @@
 // Server returns the handlers for the peers' calls.
 func (q *Quotas) Server() peerpb.Quotas { return quotasServer{q} }
 
-// quotasServer serves the peers' calls.
+// quotasServer serves the peers' quota calls.
 type quotasServer struct{ quotas *Quotas }
 
 // Ask implements peerpb.Quotas.
@@ -380,5 +389,5 @@
 
 // Use implements peerpb.Quotas.
 func (s quotasServer) Use(_ context.Context, uses *peerpb.QuotaUses) (*peerpb.QuotaUsesTaken, error) {
-	return &peerpb.QuotaUsesTaken{Declined: !s.quotas.takeUses(uses)}, nil
+	return &peerpb.QuotaUsesTaken{Declined: !s.quotas.recordUses(uses)}, nil
 }
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -21,7 +21,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// The quota of the tests: 40 requests a second, and 40 at once.
+// The tenant's quota in the tests: 40 requests a second with a burst of 40.
 const (
 	testRate  = 40
 	testBurst = 40
@@ -40,7 +40,7 @@
 	tenant routetable.Tenant
 }
 
-// startQuotasFleet starts nodes named zone-number that have listened long enough.
+// startQuotasFleet starts nodes named zone-number. Their quotaGrantStartDelay has passed.
 func startQuotasFleet(t *testing.T, names ...string) *quotasFleet {
 	t.Helper()
 	object := objectstore.Object{Kind: string(spec.KindTenant), Name: "anna", Version: 1,
@@ -74,13 +74,12 @@
 		node.views.Machines.Set(machines)
 		node.views.Catalog.Set(snapshot)
 	}
-	f.meet(func(_, _ fleet.Member) bool { return true })
+	f.publishMembers(func(_, _ fleet.Member) bool { return true })
 	return f
 }
 
-// meet lets each node know the members of its zone and the delegates of the others that
-// it hears.
-func (f *quotasFleet) meet(hears func(node, other fleet.Member) bool) {
+// publishMembers gives each node the member list of the nodes that it hears.
+func (f *quotasFleet) publishMembers(hears func(node, other fleet.Member) bool) {
 	for _, node := range f.nodes {
 		var known []fleet.Member
 		for _, other := range f.nodes {
@@ -93,7 +92,8 @@
 	}
 }
 
-// ask lets nodes ask as fast as they can for a time and counts what is granted.
+// ask lets nodes ask as fast as they can for the given time and returns the number of
+// grants.
 func (f *quotasFleet) ask(length time.Duration, nodes ...*quotasNode) int {
 	f.t.Helper()
 	var mutex sync.Mutex
@@ -116,35 +116,37 @@
 	return granted
 }
 
-const asked = 2 * time.Second
+const testDuration = 2 * time.Second
 
-// most is what may be granted of a quota in the time asked: by the rate, the burst, and
-// the overage; the coordinator itself gives a fifth of the overage on purpose.
-func most() int {
-	return int((testRate*asked.Seconds() + testBurst) * (1 + quotaOverage))
+// maxGranted is the most that a quota may grant in the time asked: rate, burst and overage.
+// The coordinator itself uses a fifth of the overage by design.
+func maxGranted() int {
+	return int((testRate*testDuration.Seconds() + testBurst) * (1 + quotaOverage))
 }
 
 func TestAllNodesTogetherKeepAQuota(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "b-1", "c-0", "c-1")
-	granted := f.ask(asked, f.nodes...)
-	t.Logf("%d granted, %d at the most", granted, most())
-	if granted > most() || granted < testRate {
-		t.Errorf("%d granted in %s, the rate is %d a second, the burst %d", granted, asked, testRate, testBurst)
+	granted := f.ask(testDuration, f.nodes...)
+	t.Logf("%d granted, %d at the most", granted, maxGranted())
+	if granted > maxGranted() || granted < testRate {
+		t.Errorf("%d granted in %s, the rate is %d a second, the burst %d", granted, testDuration, testRate, testBurst)
 	}
 }
 
-// TestOneNodeMayUseTheWholeQuota: callers need not spread over nodes.
+// TestOneNodeMayUseTheWholeQuota guards against limiting a tenant whose callers all use one
+// node to that node's share.
 func TestOneNodeMayUseTheWholeQuota(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "b-1", "c-0", "c-1")
-	if granted := f.ask(asked, f.nodes[5]); granted > most() || granted < testRate {
-		t.Errorf("%d granted in %s through one node", granted, asked)
+	if granted := f.ask(testDuration, f.nodes[5]); granted > maxGranted() || granted < testRate {
+		t.Errorf("%d granted in %s through one node", granted, testDuration)
 	}
 }
 
-// TestQuotaHoldsWithoutItsFirstJudge and goes on.
+// TestQuotaHoldsWithoutItsFirstJudge checks that without the first coordinator the quota is
+// neither exceeded nor unusable.
 func TestQuotaHoldsWithoutItsFirstJudge(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "b-1")
-	first := judges(f.nodes[3].member, f.nodes[3].views)[0].Name
+	first := coordinators(f.nodes[3].member, f.nodes[3].views)[0].Name
 	var rest []*quotasNode
 	for _, node := range f.nodes {
 		if node.member.Name == first {
@@ -153,28 +155,30 @@
 		}
 		rest = append(rest, node)
 	}
-	if granted := f.ask(asked, rest...); granted > most() || granted < testRate/2 {
-		t.Errorf("%d granted in %s", granted, asked)
+	if granted := f.ask(testDuration, rest...); granted > maxGranted() || granted < testRate/2 {
+		t.Errorf("%d granted in %s", granted, testDuration)
 	}
 }
 
-// TestZonesCutFromEachOtherKeepAQuota: each gives its part.
+// TestZonesCutFromEachOtherKeepAQuota checks that the zones of a partitioned fleet, each
+// with a coordinator of its own, together keep the quota.
 func TestZonesCutFromEachOtherKeepAQuota(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "b-1")
 	f.nodes[0].Admit(t.Context(), f.tenant, 1)
-	f.meet(func(node, other fleet.Member) bool { return node.Zone == other.Zone })
-	if granted := f.ask(asked, f.nodes...); granted > most()*11/10 || granted < testRate/2 {
-		t.Errorf("%d granted in %s, %d at the most", granted, asked, most()*11/10)
+	f.publishMembers(func(node, other fleet.Member) bool { return node.Zone == other.Zone })
+	if granted := f.ask(testDuration, f.nodes...); granted > maxGranted()*11/10 || granted < testRate/2 {
+		t.Errorf("%d granted in %s, %d at the most", granted, testDuration, maxGranted()*11/10)
 	}
 }
 
-// TestNodeAloneLivesOnItsShare: what it cannot tell is unknown, not used up.
+// TestNodeAloneLivesOnItsShare checks that an isolated node grants its share only, and
+// reports an unknown quota afterwards instead of an exhausted one.
 func TestNodeAloneLivesOnItsShare(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "b-0", "c-0", "d-0", "e-0", "g-0")
-	f.meet(func(node, other fleet.Member) bool { return node.Name == other.Name })
-	granted := f.ask(asked, f.nodes[0])
-	if granted > most()/6+2 {
-		t.Errorf("%d granted alone by one of six", granted)
+	f.publishMembers(func(node, other fleet.Member) bool { return node.Name == other.Name })
+	granted := f.ask(testDuration, f.nodes[0])
+	if granted > maxGranted()/6+2 {
+		t.Errorf("%d granted by one isolated node of six", granted)
 	}
 	var verdict = f.nodes[0].Admit(t.Context(), f.tenant, 1)
 	for range 20 {
@@ -183,27 +187,28 @@
 		}
 	}
 	if verdict.Granted || !verdict.IsUnknown {
-		t.Errorf("%+v", verdict)
+		t.Errorf("verdict %+v, want unknown", verdict)
 	}
 }
 
-// TestYoungNodeDoesNotGive: it does not know yet who goes before it.
+// TestYoungNodeDoesNotGive guards against grants by a node that has just started and does
+// not know yet which members come before it as coordinators.
 func TestYoungNodeDoesNotGive(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1")
-	first := judges(f.nodes[0].member, f.nodes[0].views)[0].Name
+	first := coordinators(f.nodes[0].member, f.nodes[0].views)[0].Name
 	for _, node := range f.nodes {
 		if node.member.Name == first {
 			node.Quotas.started = time.Now()
-			if answer := node.ask(t.Context(), node.member, "anna", 1); !answer.GetDeclined() {
-				t.Errorf("it answered %v", answer)
+			if answer := node.askTenantQuota(t.Context(), node.member, "anna", 1); !answer.GetDeclined() {
+				t.Errorf("a node that just started answered %v, want declined", answer)
 			}
 		}
 	}
 }
 
-// TestWithinTheQuotaNothingIsRefused: a tenant that asks for three quarters of its rate,
-// through all nodes in turn, and at first for most of its burst at once; also after a time
-// in which it asked for nothing.
+// TestWithinTheQuotaNothingIsRefused sends a tenant's requests through all nodes in turn:
+// first most of its burst at once, then three quarters of its rate, and the same again after
+// an idle period. None may be refused.
 func TestWithinTheQuotaNothingIsRefused(t *testing.T) {
 	f := startQuotasFleet(t, "a-0", "a-1", "b-0", "c-0")
 	time.Sleep(2 * time.Second)
--- a/internal/node/real_callers_test.go
+++ b/internal/node/real_callers_test.go
@@ -12,7 +12,7 @@
 
 const chatBody = `{"model":"notes","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"now"}]}`
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	status  int
 	text    string
@@ -25,7 +25,7 @@
 
 func (r *realFleet) url(path string) string { return "http://" + r.settings.Listen.Caller + path }
 
-// ask sends a completion request with the labels of the selector.
+// ask sends a completion request with the labels that the selector matches.
 func (r *realFleet) ask(t *testing.T, body string) reply {
 	t.Helper()
 	return r.send(t, body, "X-Spanlanding-Labels", "job=notes")
--- a/internal/node/real_test.go
+++ b/internal/node/real_test.go
@@ -43,22 +43,22 @@
   deadline: 20s
 `
 
-// realFleet is one node, an engine and the platform, all over real sockets.
+// realFleet is one node, an engine and the platform, connected over real sockets.
 type realFleet struct {
 	node     *Node
 	engine   *httpdriver.Engine
 	settings Settings
 }
 
-// hosts gives each fleet a loopback address of its own, so that runs side by
-// side have their ports.
+// hosts numbers the fleets: each gets a loopback address of its own, so that concurrent runs
+// do not share ports.
 var hosts atomic.Int32
 
 func startRealFleet(t *testing.T) *realFleet {
 	t.Helper()
 	ctx := t.Context()
-	outside := httpdriver.NewPlatform(ctx, httpdriver.PlatformOptions{Machines: machines.Options{Lag: 100 * time.Millisecond}})
-	platformServer := httptest.NewServer(outside.Handler())
+	platform := httpdriver.NewPlatform(ctx, httpdriver.PlatformOptions{Machines: machines.Options{Lag: 100 * time.Millisecond}})
+	platformServer := httptest.NewServer(platform.Handler())
 	t.Cleanup(platformServer.Close)
 	client := httpdriver.PlatformClient{URL: platformServer.URL, HTTP: platformServer.Client()}
 	created := &realFleet{}
@@ -92,7 +92,7 @@
 	}
 	r.engine = httpdriver.NewEngine(t.Context(), engine.Options{
 		Backend: fleet.Backend{Name: "engine-1", Kind: fleet.KindEngine, Zone: "real", Address: listener.Addr().String()},
-		// An engine starts once in this process.
+		// The engine is started only once in this process.
 		Incarnation: 1, MemoryBytes: 8 * engine.GiB, KVReserveBytes: engine.GiB,
 		Timing: engine.Timing{IterationBase: 10 * time.Millisecond, RemoteLoad: time.Second},
 	}, weights)
@@ -101,7 +101,7 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// declare writes declarations as apply does.
+// declare writes declarations as the apply command does.
 func declare(t *testing.T, url, text string) {
 	t.Helper()
 	set, findings := spec.Options{}.Parse("real.yaml", []byte(text))
@@ -119,8 +119,7 @@
 	}
 }
 
-// eventually polls until the condition holds; the bound only ends a test that
-// has failed.
+// eventually polls until the condition holds. The timeout only ends a test that has failed.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	limit, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/internal/node/record_store.go
+++ b/internal/node/record_store.go
@@ -9,7 +9,7 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// recordStore keeps the record of allotments in the platform's store.
+// recordStore implements RecordStore on the platform's object API.
 type recordStore struct {
 	client *objectstore.Client
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -14,12 +14,11 @@
 // Errors of the settings.
 var (
 	settingsErrors = errorx.NewNamespace("settings")
-	// ErrInvalidSettings collects every finding of one settings file.
+	// ErrInvalidSettings contains every finding of one settings file.
 	ErrInvalidSettings = settingsErrors.NewType("invalid")
 )
 
-// Defaults of the settings; a node needs only its addresses, its zone and the
-// platform.
+// Default settings. Only the name, the zone, the addresses and the platform have no default.
 const (
 	defaultDrainLimit      = spec.Duration(60 * time.Second)
 	defaultMaxWaiting      = 2000
@@ -32,11 +31,12 @@
 	defaultProbeInterval   = spec.Duration(500 * time.Millisecond)
 )
 
-// Settings are what one process is told at its start.
+// Settings is the start-up configuration of one process.
 type Settings struct {
 	Name fleet.NodeName `yaml:"name" json:"name"`
 	Zone fleet.Zone     `yaml:"zone" json:"zone"`
-	// Listen holds the IP:port pairs; peers and callers use the same ones.
+	// Listen holds IP:port pairs. The node listens on them, and callers and peers connect to
+	// the same ones.
 	Listen ListenSettings `yaml:"listen" json:"listen"`
 	// Platform is the base URL of the object API and the machine list.
 	Platform string `yaml:"platform" json:"platform"`
@@ -46,9 +46,9 @@
 	RemoteSeeds []string            `yaml:"remoteSeeds,omitempty" json:"remoteSeeds,omitempty"`
 	Limits      LimitSettings       `yaml:"limits,omitempty" json:"limits"`
 	WeightStore WeightStoreSettings `yaml:"weightStore,omitempty" json:"weightStore"`
-	// ProbeInterval is the failure detector's period.
+	// ProbeInterval is the failure detector's probe interval.
 	ProbeInterval spec.Duration `yaml:"probeInterval,omitempty" json:"probeInterval"`
-	// DrainLimit bounds a planned stop; what still runs then is cut and named.
+	// DrainLimit bounds a planned stop. Requests that still run then are cut off and listed.
 	DrainLimit spec.Duration `yaml:"drainLimit,omitempty" json:"drainLimit"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"logLevel,omitempty" json:"logLevel"`
@@ -62,18 +62,18 @@
 	Gossip   string `yaml:"gossip" json:"gossip"`
 }
 
-// LimitSettings bound what callers may use of one node.
+// LimitSettings bounds the resources of one node that callers may use.
 type LimitSettings struct {
 	MaxWaiting      int        `yaml:"maxWaiting,omitempty" json:"maxWaiting"`
 	MaxWaitingBytes spec.Bytes `yaml:"maxWaitingBytes,omitempty" json:"maxWaitingBytes"`
 	MaxBodyBytes    spec.Bytes `yaml:"maxBodyBytes,omitempty" json:"maxBodyBytes"`
 	MaxStreams      int        `yaml:"maxStreams,omitempty" json:"maxStreams"`
-	// HedgeAfter is how long a model request waits for its first token until a
-	// second engine is asked as well; zero is never.
+	// HedgeAfter is how long a model request waits for its first token before it is also
+	// sent to a second engine; zero disables hedging.
 	HedgeAfter spec.Duration `yaml:"hedgeAfter,omitempty" json:"hedgeAfter"`
 }
 
-// WeightStoreSettings are what the weight store allows the whole fleet.
+// WeightStoreSettings is the load that the weight store allows the whole fleet.
 type WeightStoreSettings struct {
 	LoadsPerSecond  float64 `yaml:"loadsPerSecond,omitempty" json:"loadsPerSecond"`
 	ConcurrentLoads int     `yaml:"concurrentLoads,omitempty" json:"concurrentLoads"`
@@ -91,7 +91,7 @@
 	s.LogLevel = cmp.Or(s.LogLevel, defaultLogLevel)
 }
 
-// addresses are the listen addresses as peers are told them.
+// addresses returns the listen addresses in the form announced to peers.
 func (s Settings) addresses() fleet.Addresses {
 	return fleet.Addresses{
 		Caller:   s.Listen.Caller,
@@ -101,7 +101,7 @@
 	}
 }
 
-// gatewayLimits are the limits as the gateway takes them.
+// gatewayLimits converts the limits for the gateway.
 func (s Settings) gatewayLimits() gateway.Limits {
 	return gateway.Limits{
 		MaxBodyBytes: int64(s.Limits.MaxBodyBytes),
--- a/internal/node/settings_check.go
+++ b/internal/node/settings_check.go
@@ -10,52 +10,52 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// Least values that are of use.
+// Minimum values.
 const (
-	leastDrainLimit    = spec.Duration(time.Second)
-	leastProbeInterval = spec.Duration(10 * time.Millisecond)
+	minDrainLimit    = spec.Duration(time.Second)
+	minProbeInterval = spec.Duration(10 * time.Millisecond)
 )
 
-// Draft is settings as they were given, with the place of each, before they
-// are checked.
+// Draft is settings as they were read, with the position of each field, before they are
+// checked.
 type Draft struct {
-	Settings Settings
-	places   spec.Places
-	findings spec.Findings
+	Settings  Settings
+	positions spec.Places
+	findings  spec.Findings
 }
 
-// ReadSettings reads a settings file. What is wrong with it is kept until the
-// draft is completed, so that all findings come together.
+// ReadSettings reads a settings file. Errors in it are kept until Complete, which returns
+// them together with all other findings.
 func ReadSettings(path string) *Draft {
 	draft := &Draft{}
-	draft.places, draft.findings = spec.DecodeFile(path, &draft.Settings)
+	draft.positions, draft.findings = spec.DecodeFile(path, &draft.Settings)
 	return draft
 }
 
-// Override says that a field was set after reading, and by what. What the file
-// has wrong there stays a finding: the file needs mending all the same.
+// Override records that a field was set after reading, and by what. A finding about the
+// field in the file remains, as the file needs a correction anyway.
 func (d *Draft) Override(field, by string) {
-	d.places.Move(field, spec.Position{File: by})
+	d.positions.Move(field, spec.Position{File: by})
 }
 
-// Complete fills in the defaults and returns every finding.
+// Complete fills in the defaults, checks the settings and returns every finding.
 func (d *Draft) Complete() (Settings, spec.Findings) {
 	settings := d.Settings
 	settings.fillDefaults()
 	settings.check(func(field, problem, remedy string) {
-		if d.places.Unread(field) {
+		if d.positions.Unread(field) {
 			return
 		}
-		place := d.places.Of(field)
-		if place.File == "" {
-			place.File = "settings"
+		position := d.positions.Of(field)
+		if position.File == "" {
+			position.File = "settings"
 		}
-		d.findings = append(d.findings, spec.Finding{Position: place, Problem: field + " " + problem, Remedy: remedy})
+		d.findings = append(d.findings, spec.Finding{Position: position, Problem: field + " " + problem, Remedy: remedy})
 	})
 	return settings, d.findings.Sorted()
 }
 
-// Complete fills in the defaults of settings that a program made; the error
+// Complete fills in the defaults of settings built by a program and checks them. The error
 // lists every finding.
 func (s Settings) Complete() (Settings, error) {
 	draft := Draft{Settings: s}
@@ -66,7 +66,8 @@
 	return completed, nil
 }
 
-// settingsReport takes a field's finding: what is wrong, what would be right.
+// settingsReport receives a finding: the field, what is wrong with it, and how to correct
+// it.
 type settingsReport func(field, problem, remedy string)
 
 func (s Settings) check(report settingsReport) {
@@ -78,17 +79,17 @@
 	}
 	checkSeeds(report, "seeds", s.Seeds)
 	checkSeeds(report, "remoteSeeds", s.RemoteSeeds)
-	checkLeast(report, "limits.maxWaiting", s.Limits.MaxWaiting, 1)
-	checkLeast(report, "limits.maxWaitingBytes", s.Limits.MaxWaitingBytes, 1)
-	checkLeast(report, "limits.maxBodyBytes", s.Limits.MaxBodyBytes, 1)
-	checkLeast(report, "limits.maxStreams", s.Limits.MaxStreams, 1)
-	checkLeast(report, "limits.hedgeAfter", s.Limits.HedgeAfter, 0)
+	checkMinimum(report, "limits.maxWaiting", s.Limits.MaxWaiting, 1)
+	checkMinimum(report, "limits.maxWaitingBytes", s.Limits.MaxWaitingBytes, 1)
+	checkMinimum(report, "limits.maxBodyBytes", s.Limits.MaxBodyBytes, 1)
+	checkMinimum(report, "limits.maxStreams", s.Limits.MaxStreams, 1)
+	checkMinimum(report, "limits.hedgeAfter", s.Limits.HedgeAfter, 0)
 	if !(s.WeightStore.LoadsPerSecond > 0) {
 		report("weightStore.loadsPerSecond", fmt.Sprintf("is %v", s.WeightStore.LoadsPerSecond), "give more than 0")
 	}
-	checkLeast(report, "weightStore.concurrentLoads", s.WeightStore.ConcurrentLoads, 1)
-	checkLeast(report, "probeInterval", s.ProbeInterval, leastProbeInterval)
-	checkLeast(report, "drainLimit", s.DrainLimit, leastDrainLimit)
+	checkMinimum(report, "weightStore.concurrentLoads", s.WeightStore.ConcurrentLoads, 1)
+	checkMinimum(report, "probeInterval", s.ProbeInterval, minProbeInterval)
+	checkMinimum(report, "drainLimit", s.DrainLimit, minDrainLimit)
 	if _, known := logging.Levels[s.LogLevel]; !known {
 		report("logLevel", fmt.Sprintf("is %q", s.LogLevel), "give debug, info, warn or error")
 	}
@@ -103,16 +104,16 @@
 	}
 }
 
-func checkLeast[T int | spec.Bytes | spec.Duration](report settingsReport, field string, value, least T) {
-	if value < least {
-		report(field, fmt.Sprintf("is %v", value), fmt.Sprintf("give at least %v", least))
+func checkMinimum[T int | spec.Bytes | spec.Duration](report settingsReport, field string, value, minimum T) {
+	if value < minimum {
+		report(field, fmt.Sprintf("is %v", value), fmt.Sprintf("give at least %v", minimum))
 	}
 }
 
-// check holds that each address can be told to others as it is, and that no
-// two of the same protocol are one.
+// check requires that other nodes can connect to each address as it is written, and that no
+// two TCP listeners have the same address.
 func (l ListenSettings) check(report settingsReport) {
-	earlier := make(map[string]string)
+	fieldByAddress := make(map[string]string)
 	for _, entry := range []struct{ field, address string }{
 		{"listen.caller", l.Caller},
 		{"listen.operator", l.Operator},
@@ -122,10 +123,10 @@
 		if !checkAddress(report, entry.field, entry.address) || entry.field == "listen.gossip" {
 			continue
 		}
-		if first, taken := earlier[entry.address]; taken {
+		if first, taken := fieldByAddress[entry.address]; taken {
 			report(entry.field, "is the address of "+first, "give each its own port")
 		}
-		earlier[entry.address] = entry.field
+		fieldByAddress[entry.address] = entry.field
 	}
 }
 
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestBrokenSettingsYieldEveryFinding holds each line of the broken file
-// against the findings: none may be missing, misplaced or added.
+// TestBrokenSettingsYieldEveryFinding compares the findings for the broken file with the
+// expected list: none may be missing, misplaced or added.
 func TestBrokenSettingsYieldEveryFinding(t *testing.T) {
 	_, findings := ReadSettings("testdata/broken-settings.yaml").Complete()
 	want, err := os.ReadFile("testdata/broken-settings.txt")
@@ -70,7 +70,7 @@
 		}
 	}
 	if _, findings := ReadSettings(filepath.Join(t.TempDir(), "none.yaml")).Complete(); len(findings) != 1 {
-		t.Errorf("a file that is not there: %v", findings)
+		t.Errorf("a missing file: %v", findings)
 	}
 	if _, findings := readText(t, ""); len(findings) != 7 {
 		t.Errorf("an empty file lacks name, zone, four addresses and the platform; got:\n%v", findings)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestAFlagStandsForTheFile holds that a flag gives what the file lacks, and
-// that a wrong flag is named.
+// TestAFlagStandsForTheFile checks that a flag supplies a field that the file lacks, and
+// that the finding for a wrong flag names the flag.
 func TestAFlagStandsForTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(strings.Replace(validSettings, "zone: oslo-a", "", 1)), 0o600); err != nil {
--- a/internal/node/shells.go
+++ b/internal/node/shells.go
@@ -12,7 +12,7 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// Configuration is the configuration shell as the node holds it.
+// Configuration is the node's handle on the configuration shell.
 type Configuration struct {
 	system  *actor.ActorSystem
 	process *actor.PID
@@ -24,24 +24,24 @@
 	return c.service
 }
 
-// Stop ends the shell's actor and its reading of the store.
+// Stop ends the shell's actor and its reads of the store.
 func (c *Configuration) Stop() {
 	_ = c.system.Root.StopFuture(c.process).Wait()
 }
 
 func (n *Node) startConfiguration() *Configuration {
 	process, service := spawnConfig(n.system, configDependencies{
-		Self:     n.self,
-		Platform: n.platform,
-		Peers:    n.peers,
-		Views:    n.views,
-		Logger:   n.logger,
-		Changed:  n.objectsChanged,
+		Self:      n.self,
+		Platform:  n.platform,
+		Peers:     n.peers,
+		Views:     n.views,
+		Logger:    n.logger,
+		OnChanged: n.objectsChanged,
 	})
 	return &Configuration{system: n.system, process: process, service: service}
 }
 
-// objectsChanged passes the system's own records on to the control shell.
+// objectsChanged passes changes of the record of allotments to the control shell.
 func (n *Node) objectsChanged(_ uint64, changed []objectstore.Object) {
 	for _, object := range changed {
 		if object.Kind == objectstore.KindAllotments {
@@ -57,21 +57,21 @@
 	settings.Placement.StoreLoadsPerSecond = n.settings.WeightStore.LoadsPerSecond
 	settings.Placement.StoreConcurrency = n.settings.WeightStore.ConcurrentLoads
 	return StartControl(ControlDependencies{
-		System:     n.system,
-		Self:       n.self,
-		Views:      n.views,
-		Peers:      n.peers,
-		Engines:    engines,
-		Store:      recordStore{client: n.platform},
-		Logger:     n.logger,
-		Registerer: n.metrics,
-		Core:       control.Options{Seed: rand.Uint64(), Settings: settings},
-		Facts:      controlFacts,
+		System:         n.system,
+		Self:           n.self,
+		Views:          n.views,
+		Peers:          n.peers,
+		Engines:        engines,
+		Store:          recordStore{client: n.platform},
+		Logger:         n.logger,
+		Registerer:     n.metrics,
+		Core:           control.Options{Seed: rand.Uint64(), Settings: settings},
+		CatalogMessage: catalogMessage,
 	})
 }
 
-// controlFacts takes from a catalog what decisions need.
-func controlFacts(snapshot *catalog.Snapshot) control.CatalogChanged {
+// catalogMessage selects the parts of a catalog that the control core decides by.
+func catalogMessage(snapshot *catalog.Snapshot) control.CatalogChanged {
 	return control.CatalogChanged{
 		Models:          snapshot.Models(),
 		Adapters:        snapshot.Adapters(),
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -19,46 +19,46 @@
 	errDraining  = errors.New("the node is draining")
 )
 
-// tableAges remembers when each zone's route table last changed here.
+// tableAges records when each zone's route table last changed on this node.
 type tableAges struct {
-	mutex    sync.Mutex
-	received map[fleet.Zone]time.Time
-	seen     map[fleet.Zone]uint64
+	mutex     sync.Mutex
+	changedAt map[fleet.Zone]time.Time
+	sequences map[fleet.Zone]uint64
 }
 
-func (t *tableAges) follow(published *views.Views) {
-	t.received = make(map[fleet.Zone]time.Time)
-	t.seen = make(map[fleet.Zone]uint64)
-	published.RouteTables.Watch(t.note)
+func (t *tableAges) watch(published *views.Views) {
+	t.changedAt = make(map[fleet.Zone]time.Time)
+	t.sequences = make(map[fleet.Zone]uint64)
+	published.RouteTables.Watch(t.update)
 }
 
-func (t *tableAges) note(tables views.RouteTables) {
+func (t *tableAges) update(tables views.RouteTables) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for zone, table := range tables {
-		if sequence, known := t.seen[zone]; known && sequence == table.Sequence {
+		if sequence, known := t.sequences[zone]; known && sequence == table.Sequence {
 			continue
 		}
-		t.seen[zone] = table.Sequence
-		t.received[zone] = time.Now()
+		t.sequences[zone] = table.Sequence
+		t.changedAt[zone] = time.Now()
 	}
 }
 
 func (t *tableAges) snapshot() map[fleet.Zone]time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return maps.Clone(t.received)
+	return maps.Clone(t.changedAt)
 }
 
-// source answers the operators' port from what the shells publish.
-type source struct {
+// operatorSource answers the operator API from the views that the shells publish.
+type operatorSource struct {
 	node *Node
 }
 
-var _ operator.Source = source{}
+var _ operator.Source = operatorSource{}
 
 // Status implements operator.Source.
-func (s source) Status() operator.Status {
+func (s operatorSource) Status() operator.Status {
 	node := s.node
 	now := time.Now()
 	tables, _ := node.views.RouteTables.Get()
@@ -78,7 +78,7 @@
 	}
 }
 
-// queuesTimeout bounds the wait for the gateway's account of its queues.
+// queuesTimeout bounds the wait for the gateway's queue status.
 const queuesTimeout = time.Second
 
 func (n *Node) queues() []operator.QueueStatus {
@@ -94,7 +94,7 @@
 }
 
 // Versions implements operator.Source.
-func (s source) Versions() operator.VersionReport {
+func (s operatorSource) Versions() operator.VersionReport {
 	members, _ := s.node.views.Members.Get()
 	report := operator.VersionReport{Node: s.node.self.Name, Zone: s.node.self.Zone, Members: members}
 	machines, _ := s.node.views.Machines.Get()
@@ -107,7 +107,7 @@
 }
 
 // Ready implements operator.Source.
-func (s source) Ready() error {
+func (s operatorSource) Ready() error {
 	if s.node.draining.Load() {
 		return errDraining
 	}
@@ -118,7 +118,7 @@
 }
 
 // Drain implements operator.Source.
-func (s source) Drain(context.Context) error {
+func (s operatorSource) Drain(context.Context) error {
 	go s.node.Drain(context.Background())
 	return nil
 }
