--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// exchangeInterval is the time between two exchanges of what is barred with a
-	// member drawn at random, for what a call that was lost had told.
+	// exchangeInterval is the time between two exchanges of barred requests with a random
+	// member. The exchange repairs broadcasts that were lost.
 	exchangeInterval = 2 * time.Second
-	// startExchanges is for how long a node that has started asks although it knows
-	// of nothing that is barred.
-	startExchanges = 10 * time.Second
-	// suspectCallTimeout bounds a call; a trial waits for up to mostJudges of them.
+	// startupExchangePeriod is how long after its start a node takes part in exchanges even
+	// if it knows of no suspects.
+	startupExchangePeriod = 10 * time.Second
+	// suspectCallTimeout bounds one call. Claiming a trial takes up to maxCoordinators
+	// calls.
 	suspectCallTimeout = 300 * time.Millisecond
-	// mostExchanged bounds the reports of one call, to about 4 KB.
-	mostExchanged = 64
+	// maxExchangedReports bounds the reports in one call, to about 4 KB.
+	maxExchangedReports = 64
 )
 
-// SuspectsDependencies are what the shell of suspects works with.
+// SuspectsDependencies is what the suspects shell needs.
 type SuspectsDependencies struct {
 	Self   fleet.Member
 	Views  *views.Views
@@ -38,74 +39,76 @@
 	Logger *log.Logger
 }
 
-// Suspects are the requests under which servers ended, as all nodes report them. It
-// feeds one poison.Tally from callers' requests and peers' calls, under a lock: a look
-// at it takes less time than a mailbox would. It is safe for concurrent use.
+// Suspects tracks the requests during which servers crashed, as reported by all nodes. It
+// feeds one poison.Tracker from callers' requests and peers' calls. It uses a lock, since a
+// lookup takes less time than a trip through an actor's mailbox. It is safe for concurrent
+// use.
 type Suspects struct {
 	dependencies SuspectsDependencies
 	lifetime     context.Context
-	end          context.CancelFunc
+	cancel       context.CancelFunc
 	calls        sync.WaitGroup
-	// any is set while something is remembered: without, no request is looked up.
-	any atomic.Bool
+	// hasReports is set while the tracker holds entries. While it is not set, requests skip
+	// the lookup.
+	hasReports atomic.Bool
 
-	mutex sync.Mutex
-	tally *poison.Tracker
-	good  poison.RecentSuccesses
+	mutex     sync.Mutex
+	tracker   *poison.Tracker
+	successes poison.RecentSuccesses
 }
 
 var _ gateway.Suspects = (*Suspects)(nil)
 
 // StartSuspects starts the exchange with peers; Stop ends it.
 func StartSuspects(dependencies SuspectsDependencies) *Suspects {
-	lifetime, end := context.WithCancel(context.Background())
-	started := &Suspects{dependencies: dependencies, lifetime: lifetime, end: end, tally: poison.NewTracker()}
-	met := make(chan struct{}, 1)
+	lifetime, cancel := context.WithCancel(context.Background())
+	started := &Suspects{dependencies: dependencies, lifetime: lifetime, cancel: cancel, tracker: poison.NewTracker()}
+	membersChanged := make(chan struct{}, 1)
 	dependencies.Views.Members.Watch(func([]fleet.Member) {
 		select {
-		case met <- struct{}{}:
+		case membersChanged <- struct{}{}:
 		default:
 		}
 	})
-	started.calls.Go(func() { started.exchangeUntilStopped(met) })
+	started.calls.Go(func() { started.exchangeUntilStopped(membersChanged) })
 	return started
 }
 
-// Stop ends the exchange and the calls under way.
+// Stop ends the exchange and cancels the running calls.
 func (s *Suspects) Stop() {
-	s.end()
+	s.cancel()
 	s.calls.Wait()
 }
 
 // Standing implements gateway.Suspects.
 func (s *Suspects) Standing(fingerprint poison.Fingerprint) poison.Status {
-	if !s.any.Load() {
+	if !s.hasReports.Load() {
 		return poison.StatusClear
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.tally.Status(time.Now(), fingerprint)
+	return s.tracker.Status(time.Now(), fingerprint)
 }
 
-// Blame implements gateway.Suspects. Where such a request ended well here lately, that
-// is told in place of the server's end.
+// Blame implements gateway.Suspects. If the same request recently succeeded on this node and
+// no acquittal is known yet, the acquittal is reported instead of the crash.
 func (s *Suspects) Blame(fingerprint poison.Fingerprint, serverID string) {
 	reports := []poison.Report{{Fingerprint: fingerprint, ServerID: serverID}}
-	if vouched := s.vouch(reports); len(vouched) > 0 {
-		reports = vouched
+	if acquittals := s.acquittalsFor(reports); len(acquittals) > 0 {
+		reports = acquittals
 	}
-	s.tell(s.take(s.dependencies.Self.Name, reports))
+	s.broadcast(s.recordReports(s.dependencies.Self.Name, reports))
 }
 
 // EndedWell implements gateway.Suspects.
 func (s *Suspects) EndedWell(fingerprint poison.Fingerprint) {
 	now := time.Now()
 	s.mutex.Lock()
-	s.good.Add(now, fingerprint)
-	isSound := s.tally.Status(now, fingerprint) == poison.StatusClear
+	s.successes.Add(now, fingerprint)
+	isClear := s.tracker.Status(now, fingerprint) == poison.StatusClear
 	s.mutex.Unlock()
-	if !isSound {
-		s.tell(s.take(s.dependencies.Self.Name, []poison.Report{{Fingerprint: fingerprint, Acquitted: true}}))
+	if !isClear {
+		s.broadcast(s.recordReports(s.dependencies.Self.Name, []poison.Report{{Fingerprint: fingerprint, Acquitted: true}}))
 	}
 }
 
@@ -113,18 +116,18 @@
 func (s *Suspects) Refused(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.RecordRefusal(fingerprint)
+	s.tracker.RecordRefusal(fingerprint)
 }
 
-// ClaimTrial implements gateway.Suspects: the first of the judges that answers decides
-// for all nodes. Where none does the request stays barred.
+// ClaimTrial implements gateway.Suspects. The first coordinator that answers decides for all
+// nodes; if none answers, the request stays barred.
 func (s *Suspects) ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool {
-	for _, judge := range judges(s.dependencies.Self, s.dependencies.Views) {
-		if judge.Name == s.dependencies.Self.Name {
+	for _, coordinator := range coordinators(s.dependencies.Self, s.dependencies.Views) {
+		if coordinator.Name == s.dependencies.Self.Name {
 			return s.grantTrial(fingerprint)
 		}
 		call, cancel := context.WithTimeout(ctx, suspectCallTimeout)
-		answer, err := s.dependencies.Peers.To(judge.Addresses.Peer).Suspects.Try(call, &peerpb.SuspectTrial{
+		answer, err := s.dependencies.Peers.To(coordinator.Addresses.Peer).Suspects.Try(call, &peerpb.SuspectTrial{
 			From: string(s.dependencies.Self.Name), Fingerprint: fingerprint[:],
 		})
 		cancel()
@@ -132,149 +135,153 @@
 			continue
 		}
 		if answer.GetGranted() {
-			// What becomes of the trial is judged here, too.
-			s.claimHere(fingerprint)
+			// Record the trial in the local tracker, which sees its outcome.
+			s.claimLocalTrial(fingerprint)
 		}
 		return answer.GetGranted()
 	}
 	return false
 }
 
-// grantTrial grants one trial and tells all nodes that the request is barred beside it.
+// grantTrial decides on one trial as the coordinator. If it grants the trial, it tells all
+// nodes that other copies of the request stay barred.
 func (s *Suspects) grantTrial(fingerprint poison.Fingerprint) bool {
-	granted, left := s.claimHere(fingerprint)
+	granted, remaining := s.claimLocalTrial(fingerprint)
 	s.dependencies.Logger.Info().Str("fingerprint", fingerprint.String()).Bool("granted", granted).
-		Dur("barred", left).Msg("request_trial_asked")
-	if granted && left > 0 {
-		s.tell([]poison.Report{{Fingerprint: fingerprint, BarredFor: left}})
+		Dur("barred", remaining).Msg("request_trial_asked")
+	if granted && remaining > 0 {
+		s.broadcast([]poison.Report{{Fingerprint: fingerprint, BarredFor: remaining}})
 	}
 	return granted
 }
 
-func (s *Suspects) claimHere(fingerprint poison.Fingerprint) (granted bool, left time.Duration) {
+// claimLocalTrial claims a trial from the local tracker and returns how long the request
+// stays barred.
+func (s *Suspects) claimLocalTrial(fingerprint poison.Fingerprint) (granted bool, remaining time.Duration) {
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	granted = s.tally.ClaimTrial(now, fingerprint)
-	s.any.Store(s.tally.Size() > 0)
-	return granted, s.tally.BarRemaining(now, fingerprint)
+	granted = s.tracker.ClaimTrial(now, fingerprint)
+	s.hasReports.Store(s.tracker.Size() > 0)
+	return granted, s.tracker.BarRemaining(now, fingerprint)
 }
 
-// vouch returns a word for each of the requests that are reported and that ended well
-// here lately, where nobody has said so.
-func (s *Suspects) vouch(reports []poison.Report) []poison.Report {
+// acquittalsFor returns an acquittal for each reported request that recently succeeded on
+// this node and has not been acquitted yet.
+func (s *Suspects) acquittalsFor(reports []poison.Report) []poison.Report {
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.good.Acquittals(now, s.tally, reports)
+	return s.successes.Acquittals(now, s.tracker, reports)
 }
 
-// take takes reports and returns those that were news.
-func (s *Suspects) take(from fleet.NodeName, reports []poison.Report) []poison.Report {
+// recordReports records reports and returns those that were new.
+func (s *Suspects) recordReports(from fleet.NodeName, reports []poison.Report) []poison.Report {
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var news []poison.Report
+	var newReports []poison.Report
 	for _, report := range reports {
-		if !s.tally.Record(now, report) {
+		if !s.tracker.Record(now, report) {
 			continue
 		}
-		report.BarredFor = max(report.BarredFor, s.tally.BarRemaining(now, report.Fingerprint))
-		news = append(news, report)
-		s.log(report, from, s.tally.Status(now, report.Fingerprint), s.tally.CrashCount(report.Fingerprint))
+		report.BarredFor = max(report.BarredFor, s.tracker.BarRemaining(now, report.Fingerprint))
+		newReports = append(newReports, report)
+		s.logReport(report, from, s.tracker.Status(now, report.Fingerprint), s.tracker.CrashCount(report.Fingerprint))
 	}
-	s.any.Store(s.tally.Size() > 0)
-	return news
+	s.hasReports.Store(s.tracker.Size() > 0)
+	return newReports
 }
 
-func (s *Suspects) log(report poison.Report, from fleet.NodeName, standing poison.Status, ended int) {
+func (s *Suspects) logReport(report poison.Report, from fleet.NodeName, status poison.Status, crashCount int) {
 	entry := s.dependencies.Logger.Info().Str("fingerprint", report.Fingerprint.String()).Str("server", report.ServerID).
-		Str("from", string(from)).Int("servers_ended", ended)
+		Str("from", string(from)).Int("servers_ended", crashCount)
 	switch {
 	case report.Acquitted:
 		entry.Msg("request_acquitted")
-	case standing == poison.StatusBarred:
+	case status == poison.StatusBarred:
 		entry.Dur("barred", report.BarredFor).Msg("request_barred")
 	default:
 		entry.Msg("request_suspected")
 	}
 }
 
-// Barred is the number of requests that are barred now.
+// Barred returns the number of requests that are barred now.
 func (s *Suspects) Barred() int {
-	return len(s.barred())
+	return len(s.barredReports())
 }
 
-// barred are reports that bar at another node what is barred here.
-func (s *Suspects) barred() []poison.Report {
-	if !s.any.Load() {
+// barredReports returns reports of the requests barred here, from which another node bars
+// them too.
+func (s *Suspects) barredReports() []poison.Report {
+	if !s.hasReports.Load() {
 		return nil
 	}
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Sweep(now)
-	s.any.Store(s.tally.Size() > 0)
+	s.tracker.Sweep(now)
+	s.hasReports.Store(s.tracker.Size() > 0)
 	var reports []poison.Report
-	for _, fingerprint := range s.tally.Barred(now) {
-		reports = append(reports, s.tally.LastReport(now, fingerprint))
+	for _, fingerprint := range s.tracker.Barred(now) {
+		reports = append(reports, s.tracker.LastReport(now, fingerprint))
 	}
 	return reports
 }
 
-// peers are the usable members that this node knows.
+// peers returns the usable members that this node knows.
 func (s *Suspects) peers() []fleet.Member {
 	return usablePeers(s.dependencies.Self, s.dependencies.Views)
 }
 
-// tell hands reports to all peers. What gets lost matters where the request is barred,
-// and is then repaired by the exchange.
-func (s *Suspects) tell(reports []poison.Report) {
+// broadcast sends reports to all peers. A lost report matters only if the request is barred,
+// and the exchange then repairs it.
+func (s *Suspects) broadcast(reports []poison.Report) {
 	s.send(s.peers(), reports, false)
 }
 
-func (s *Suspects) send(to []fleet.Member, reports []poison.Report, passedOn bool) {
+func (s *Suspects) send(to []fleet.Member, reports []poison.Report, forwarded bool) {
 	if len(reports) == 0 || s.lifetime.Err() != nil {
 		return
 	}
 	for _, member := range to {
-		s.calls.Go(func() { s.sendTo(member, reports, passedOn) })
+		s.calls.Go(func() { s.sendTo(member, reports, forwarded) })
 	}
 }
 
-// sendTo tells one peer and takes what it answers.
-func (s *Suspects) sendTo(member fleet.Member, reports []poison.Report, passedOn bool) {
+// sendTo sends reports to one peer and records the reports in its answer.
+func (s *Suspects) sendTo(member fleet.Member, reports []poison.Report, forwarded bool) {
 	ctx, cancel := context.WithTimeout(s.lifetime, suspectCallTimeout)
 	defer cancel()
 	answer, err := s.dependencies.Peers.To(member.Addresses.Peer).Suspects.Tell(ctx, &peerpb.SuspectReports{
 		From: string(s.dependencies.Self.Name), Zone: string(s.dependencies.Self.Zone),
-		PassedOn: passedOn, Reports: peer.EncodeCrashReports(reports),
+		PassedOn: forwarded, Reports: peer.EncodeCrashReports(reports),
 	})
 	if err == nil {
-		s.take(member.Name, peer.CrashReportsOf(answer.GetReports()))
+		s.recordReports(member.Name, peer.CrashReportsOf(answer.GetReports()))
 	}
 }
 
-func (s *Suspects) exchangeUntilStopped(met <-chan struct{}) {
+func (s *Suspects) exchangeUntilStopped(membersChanged <-chan struct{}) {
 	started := time.Now()
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
-	alone := true
+	awaitingFirstPeer := true
 	for {
 		select {
 		case <-s.lifetime.Done():
 			return
-		case <-met:
-			// A node that starts asks the first peer that it meets at once.
-			if !alone || len(s.peers()) == 0 {
+		case <-membersChanged:
+			// After its start a node exchanges with the first peer at once.
+			if !awaitingFirstPeer || len(s.peers()) == 0 {
 				continue
 			}
-			alone = false
+			awaitingFirstPeer = false
 		case <-ticker.C:
 		}
-		if peers := s.peers(); len(peers) > 0 && (s.any.Load() || time.Since(started) < startExchanges) {
-			reports := s.barred()
-			s.sendTo(peers[rand.IntN(len(peers))], reports[:min(mostExchanged, len(reports))], true)
+		if peers := s.peers(); len(peers) > 0 && (s.hasReports.Load() || time.Since(started) < startupExchangePeriod) {
+			reports := s.barredReports()
+			s.sendTo(peers[rand.IntN(len(peers))], reports[:min(maxExchangedReports, len(reports))], true)
 		}
 	}
 }
--- a/internal/node/suspects_server.go
+++ b/internal/node/suspects_server.go
@@ -15,24 +15,24 @@
 // Server returns the handlers for the peers' calls.
 func (s *Suspects) Server() peerpb.Suspects { return suspectsServer{s} }
 
-// suspectsServer serves the peers' calls.
+// suspectsServer serves the peers' calls about suspects.
 type suspectsServer struct{ suspects *Suspects }
 
-// Tell implements peerpb.Suspects. What comes from another zone, and is news, is passed
-// on within this one; what was passed on goes no further.
-func (s suspectsServer) Tell(_ context.Context, told *peerpb.SuspectReports) (*peerpb.SuspectReports, error) {
+// Tell implements peerpb.Suspects. New reports from another zone are forwarded within this
+// zone; forwarded reports are not forwarded again.
+func (s suspectsServer) Tell(_ context.Context, request *peerpb.SuspectReports) (*peerpb.SuspectReports, error) {
 	suspects := s.suspects
-	heard := peer.CrashReportsOf(told.GetReports())
-	news := suspects.take(fleet.NodeName(told.GetFrom()), heard)
-	own := suspects.dependencies.Self
-	if !told.GetPassedOn() && told.GetZone() != string(own.Zone) {
-		zone := slices.DeleteFunc(suspects.peers(), func(member fleet.Member) bool { return member.Zone != own.Zone })
-		suspects.send(zone, news, true)
+	reports := peer.CrashReportsOf(request.GetReports())
+	newReports := suspects.recordReports(fleet.NodeName(request.GetFrom()), reports)
+	self := suspects.dependencies.Self
+	if !request.GetPassedOn() && request.GetZone() != string(self.Zone) {
+		zonePeers := slices.DeleteFunc(suspects.peers(), func(member fleet.Member) bool { return member.Zone != self.Zone })
+		suspects.send(zonePeers, newReports, true)
 	}
-	suspects.tell(suspects.take(own.Name, suspects.vouch(heard)))
-	barred := suspects.barred()
-	return &peerpb.SuspectReports{From: string(own.Name), Zone: string(own.Zone),
-		Reports: peer.EncodeCrashReports(barred[:min(mostExchanged, len(barred))])}, nil
+	suspects.broadcast(suspects.recordReports(self.Name, suspects.acquittalsFor(reports)))
+	barred := suspects.barredReports()
+	return &peerpb.SuspectReports{From: string(self.Name), Zone: string(self.Zone),
+		Reports: peer.EncodeCrashReports(barred[:min(maxExchangedReports, len(barred))])}, nil
 }
 
 // Try implements peerpb.Suspects.
--- a/internal/node/suspects_test.go
+++ b/internal/node/suspects_test.go
@@ -18,7 +18,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// suspectsNode is one node's memory of suspects, with its peers' port.
+// suspectsNode is one node's suspects shell and its peer server.
 type suspectsNode struct {
 	*Suspects
 	member fleet.Member
@@ -26,11 +26,11 @@
 	server *httptest.Server
 }
 
-// delegates is how many members of a zone the others know.
+// delegates is how many members of a zone the nodes of other zones know.
 const delegates = 3
 
-// suspectsFleet starts nodes named zone-number. As in a fleet, each knows all members of
-// its zone and the delegates of the others.
+// suspectsFleet is a set of nodes named zone-number. Each knows all members of its zone and
+// the delegates of the others, as in production.
 type suspectsFleet struct {
 	t     *testing.T
 	nodes map[string]*suspectsNode
@@ -42,7 +42,7 @@
 	for _, name := range names {
 		f.start(name)
 	}
-	f.meet()
+	f.publishMembers()
 	return f
 }
 
@@ -63,7 +63,7 @@
 	f.nodes[name] = node
 }
 
-func (f *suspectsFleet) meet() {
+func (f *suspectsFleet) publishMembers() {
 	zones := make(map[fleet.Zone][]fleet.Member)
 	for _, node := range f.nodes {
 		zones[node.member.Zone] = append(zones[node.member.Zone], node.member)
@@ -81,14 +81,14 @@
 	}
 }
 
-// await waits until the request stands so at all nodes.
+// await waits until the request has the status on all nodes.
 func (f *suspectsFleet) await(fingerprint poison.Fingerprint, want poison.Status) {
 	f.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for name, node := range f.nodes {
 		for node.Standing(fingerprint) != want {
 			if time.Now().After(deadline) {
-				f.t.Fatalf("%s: standing %d, want %d", name, node.Standing(fingerprint), want)
+				f.t.Fatalf("%s: status %d, want %d", name, node.Standing(fingerprint), want)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -99,9 +99,9 @@
 	return poison.NewFingerprint(poison.Identity{Body: []byte(name)})
 }
 
-// endUnder lets servers end under the request, each blamed at another node, apart from
-// each other.
-func (f *suspectsFleet) endUnder(fingerprint poison.Fingerprint, nodes ...string) {
+// reportCrashes reports one server crash during the request to each of the nodes, with pauses
+// between them.
+func (f *suspectsFleet) reportCrashes(fingerprint poison.Fingerprint, nodes ...string) {
 	for index, name := range nodes {
 		f.nodes[name].Blame(fingerprint, fmt.Sprint("server-", index))
 		time.Sleep(30 * time.Millisecond)
@@ -110,9 +110,9 @@
 
 func TestThreeServersAtThreeNodesBarARequestEverywhere(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "a-1", "b-0", "b-1", "b-2", "b-3", "c-0", "c-1")
-	f.endUnder(fingerprintOf("p"), "a-1", "b-3")
+	f.reportCrashes(fingerprintOf("p"), "a-1", "b-3")
 	f.await(fingerprintOf("p"), poison.StatusSuspect)
-	f.endUnder(fingerprintOf("q"), "b-1")
+	f.reportCrashes(fingerprintOf("q"), "b-1")
 	f.nodes["c-1"].Blame(fingerprintOf("p"), "server-2")
 	f.await(fingerprintOf("p"), poison.StatusBarred)
 	f.await(fingerprintOf("q"), poison.StatusSuspect)
@@ -120,16 +120,17 @@
 	f.await(fingerprintOf("q"), poison.StatusClear)
 }
 
-// TestNodeThatStartsHearsWhatIsBarred at once, from the first peer that it meets.
+// TestNodeThatStartsHearsWhatIsBarred checks that a node that starts learns of barred
+// requests from the first peer at once, not only at the next exchange.
 func TestNodeThatStartsHearsWhatIsBarred(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "a-1")
-	f.endUnder(fingerprintOf("p"), "a-0", "a-1", "a-0")
+	f.reportCrashes(fingerprintOf("p"), "a-0", "a-1", "a-0")
 	f.await(fingerprintOf("p"), poison.StatusBarred)
 	f.start("a-2")
-	begun := time.Now()
-	f.meet()
+	startedAt := time.Now()
+	f.publishMembers()
 	f.await(fingerprintOf("p"), poison.StatusBarred)
-	if took := time.Since(begun); took >= exchangeInterval {
+	if took := time.Since(startedAt); took >= exchangeInterval {
 		t.Errorf("it took %v", took)
 	}
 	if barred := f.nodes["a-2"].Barred(); barred != 1 {
@@ -137,24 +138,25 @@
 	}
 }
 
-// TestGoodEndElsewhereVouches: what ends well at one node is not barred by what others saw.
+// TestGoodEndElsewhereVouches checks that a request that succeeded on one node is not barred
+// because of crashes that another saw.
 func TestGoodEndElsewhereVouches(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "b-0", "b-1")
 	f.nodes["b-1"].EndedWell(fingerprintOf("ping"))
-	f.endUnder(fingerprintOf("ping"), "a-0", "a-0", "a-0")
+	f.reportCrashes(fingerprintOf("ping"), "a-0", "a-0", "a-0")
 	f.await(fingerprintOf("ping"), poison.StatusClear)
 }
 
-// TestTrialIsGrantedOnce although nodes of all zones ask at the same moment, and one of
-// those that decide is gone.
+// TestTrialIsGrantedOnce checks that exactly one trial is granted when nodes of all zones
+// ask at the same time, also when one of the coordinators is down.
 func TestTrialIsGrantedOnce(t *testing.T) {
 	f := startSuspectsFleet(t, "a-0", "a-1", "b-0", "b-1", "c-0", "c-1")
-	for _, gone := range []string{"", "a-0"} {
-		if gone != "" {
-			f.nodes[gone].server.Close()
-			delete(f.nodes, gone)
+	for _, downNode := range []string{"", "a-0"} {
+		if downNode != "" {
+			f.nodes[downNode].server.Close()
+			delete(f.nodes, downNode)
 		}
-		fingerprint := fingerprintOf("on trial without " + gone)
+		fingerprint := fingerprintOf("on trial without " + downNode)
 		var mutex sync.Mutex
 		granted := 0
 		var asking sync.WaitGroup
@@ -169,7 +171,7 @@
 		}
 		asking.Wait()
 		if granted != 1 {
-			t.Errorf("%d trials granted where %q is gone", granted, gone)
+			t.Errorf("%d trials granted with node %q down", granted, downNode)
 		}
 		f.await(fingerprint, poison.StatusBarred)
 	}
