--- a/internal/node/claim_outcome.go
+++ b/internal/node/claim_outcome.go
@@ -9,7 +9,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// outcomeReporter delivers the outcome of one attempt to keepers, to each at most once.
+// outcomeReporter delivers the outcome of one attempt to keepers. It starts one delivery per
+// keeper.
 type outcomeReporter struct {
 	claims   *Claims
 	complete claim.Complete
@@ -39,7 +40,7 @@
 	}
 }
 
-// markReported returns false if the outcome was already being reported to the seat.
+// markReported returns false if a delivery to the seat has been started before.
 func (o *outcomeReporter) markReported(seat claim.Seat) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/node/control_peers.go
+++ b/internal/node/control_peers.go
@@ -15,7 +15,8 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// queryActor runs a function in the actor and returns its result.
+// queryActor runs a function in the actor and returns its result, or an error if the context
+// or the shell ends first.
 func queryActor[T any](s *Control, ctx context.Context, question func(*Control) T) (T, error) {
 	answer := make(chan T, 1)
 	s.send(query{run: func(shell *Control) { answer <- question(shell) }})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -18,7 +18,8 @@
 	ErrInvalidSettings = settingsErrors.NewType("invalid")
 )
 
-// Default settings. Only the name, the zone, the addresses and the platform have no default.
+// Defaults of optional settings. The name, the zone, the addresses and the platform are
+// required.
 const (
 	defaultDrainLimit      = spec.Duration(60 * time.Second)
 	defaultMaxWaiting      = 2000
