--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,15 +11,15 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// grants admits as many requests to limited back ends, and says of others when to come back.
-type grants struct {
-	left, asked atomic.Int64
-	retryIn     time.Duration
+// fakeAdmission admits as many requests to limited back ends, and says of others when to come back.
+type fakeAdmission struct {
+	remaining, asked atomic.Int64
+	retryIn          time.Duration
 }
 
-func (g *grants) AdmitBackend(context.Context, fleet.BackendName, uint64, float64) (granted bool, retryIn time.Duration) {
+func (g *fakeAdmission) AdmitBackend(context.Context, fleet.BackendName, uint64, float64) (granted bool, retryIn time.Duration) {
 	g.asked.Add(1)
-	return g.left.Add(-1) >= 0, g.retryIn
+	return g.remaining.Add(-1) >= 0, g.retryIn
 }
 
 // limitingEngine counts its requests, and names a limit while it is to.
@@ -29,57 +29,57 @@
 		if isLimited.Load() {
 			writer.Header().Set(backend.HeaderRateLimit, "1")
 		}
-		wholeEngine(writer, request)
+		completeEngine(writer, request)
 	}
 }
 
 // An engine names a rate limit in its answers. The header was not read, so that ten requests of ten
 // reached it; now what follows the first answer takes a grant, or is refused at once.
 func TestEngineThatNamesARateLimitGetsWhatIsGranted(t *testing.T) {
-	var came atomic.Int64
+	var received atomic.Int64
 	var isLimited atomic.Bool
 	isLimited.Store(true)
-	admission := &grants{retryIn: 3 * time.Second}
-	admission.left.Store(2)
+	admission := &fakeAdmission{retryIn: 3 * time.Second}
+	admission.remaining.Store(2)
 	h := newHarness(t, func(options *Options) { options.Admission = admission })
 	h.catalog.model.Deadline = time.Second
-	h.addEngine("e1", h.backend(limitingEngine(&came, &isLimited)))
+	h.addEngine("e1", h.backend(limitingEngine(&received, &isLimited)))
 	for number := range 10 {
 		started := time.Now()
 		got := h.do(http.MethodPost, backend.PathCompletions, streamBody)
 		if number < 3 {
-			h.wantWhole(got)
+			h.wantComplete(got)
 		} else if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || time.Since(started) > h.catalog.model.Deadline {
 			t.Errorf("request %d: %d after %v", number, got.status, time.Since(started))
 		}
 	}
-	if came.Load() != 3 {
-		t.Errorf("%d requests came, one of which was told, and 2 were granted", came.Load())
+	if received.Load() != 3 {
+		t.Errorf("%d requests came, one of which was told, and 2 were granted", received.Load())
 	}
 }
 
 // TestRateLimitEndsWithTheAnswerThatNamesNone, and with another incarnation.
 func TestRateLimitEndsWithTheAnswerThatNamesNone(t *testing.T) {
-	var came atomic.Int64
+	var received atomic.Int64
 	var isLimited atomic.Bool
 	isLimited.Store(true)
-	admission := &grants{retryIn: 10 * time.Millisecond}
-	admission.left.Store(1)
+	admission := &fakeAdmission{retryIn: 10 * time.Millisecond}
+	admission.remaining.Store(1)
 	h := newHarness(t, func(options *Options) { options.Admission = admission })
-	h.addEngine("e1", h.backend(limitingEngine(&came, &isLimited)))
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.addEngine("e1", h.backend(limitingEngine(&received, &isLimited)))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	isLimited.Store(false)
 	for range 5 {
-		h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+		h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	}
 	if admission.asked.Load() != 1 {
 		t.Errorf("asked for %d of six requests: the first names a limit, the second none", admission.asked.Load())
 	}
 	isLimited.Store(true)
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	h.table.Engines[0].Incarnation++
 	h.publish()
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if admission.asked.Load() != 1 {
 		t.Error("the limit of an incarnation binds the next one")
 	}
@@ -88,7 +88,7 @@
 // TestOtherBackEndsGoOnWhereOneIsLimited: of a service, commands go to the one that names no limit.
 func TestOtherBackEndsGoOnWhereOneIsLimited(t *testing.T) {
 	var limited, others atomic.Int64
-	h := newHarness(t, func(options *Options) { options.Admission = &grants{retryIn: 3 * time.Second} })
+	h := newHarness(t, func(options *Options) { options.Admission = &fakeAdmission{retryIn: 3 * time.Second} })
 	h.addService("s1", h.backend(func(writer http.ResponseWriter, _ *http.Request) {
 		limited.Add(1)
 		writer.Header().Set(backend.HeaderRateLimit, "0")
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -14,57 +14,57 @@
 
 var errAnswerTooLarge = errors.New("the answer is larger than a node holds")
 
-// answer writes a model's answer in the OpenAI form, as a stream or whole.
-type answer struct {
+// completionWriter writes a model's output in the OpenAI format, streamed or as one body.
+type completionWriter struct {
 	call   *call
 	stream bool
 	chat   bool
 	model  string
-	// begun is set once the status line is out.
-	begun    bool
-	created  int64
-	prefix   []byte
-	buffer   []byte
-	text     []byte
-	extended time.Time
-	// more tells whether the engine's next token is already there, so that
+	// headerSent is set once the status line has been written.
+	headerSent    bool
+	created       int64
+	eventPrefix   []byte
+	eventBuffer   []byte
+	bufferedText  []byte
+	deadlineSetAt time.Time
+	// hasMore reports whether the engine's next token is already buffered, so that
 	// the flush can wait for it.
-	more func() bool
+	hasMore func() bool
 }
 
-func newAnswer(c *call, header backend.CompletionRequest, chat bool) *answer {
-	return &answer{call: c, stream: header.Stream, chat: chat, model: header.Model, created: c.arrived.Unix()}
+func newCompletionWriter(c *call, header backend.CompletionRequest, chat bool) *completionWriter {
+	return &completionWriter{call: c, stream: header.Stream, chat: chat, model: header.Model, created: c.arrived.Unix()}
 }
 
-// token takes the next piece of the answer.
-func (a *answer) token(text string) error {
+// writeToken handles the next piece of the output.
+func (a *completionWriter) writeToken(text string) error {
 	if a.call.record.firstToken == 0 {
 		a.call.record.firstToken = a.call.gateway.now().Sub(a.call.arrived)
 	}
 	if !a.stream {
-		if len(a.text)+len(text) > a.call.gateway.limits.MaxAnswerBytes {
+		if len(a.bufferedText)+len(text) > a.call.gateway.limits.MaxAnswerBytes {
 			return errAnswerTooLarge
 		}
-		a.text = append(a.text, text...)
+		a.bufferedText = append(a.bufferedText, text...)
 		return nil
 	}
-	if !a.begun {
-		a.begin("text/event-stream")
+	if !a.headerSent {
+		a.sendHeader("text/event-stream")
 	}
-	a.buffer = append(a.buffer[:0], a.prefix...)
-	a.buffer = appendJSONString(a.buffer, text)
-	a.buffer = append(a.buffer, a.suffix()...)
-	return a.write(a.buffer)
+	a.eventBuffer = append(a.eventBuffer[:0], a.eventPrefix...)
+	a.eventBuffer = appendJSONString(a.eventBuffer, text)
+	a.eventBuffer = append(a.eventBuffer, a.eventSuffix()...)
+	return a.writeEvent(a.eventBuffer)
 }
 
-// begin sends the header.
-func (a *answer) begin(contentType string) {
-	a.begun = true
+// sendHeader writes the status line and the headers.
+func (a *completionWriter) sendHeader(contentType string) {
+	a.headerSent = true
 	header := a.call.writer.Header()
 	header.Set("Content-Type", contentType)
 	header.Set("Cache-Control", "no-store")
 	a.call.setAttemptHeaders()
-	a.prefix = a.newPrefix()
+	a.eventPrefix = a.newEventPrefix()
 	a.call.writer.WriteHeader(http.StatusOK)
 }
 
@@ -76,8 +76,8 @@
 	header.Set(headerAttempts, strconv.Itoa(max(1, c.record.attempts)))
 }
 
-// newPrefix is what each event of this answer begins with.
-func (a *answer) newPrefix() []byte {
+// newEventPrefix returns the constant start of each event of this response.
+func (a *completionWriter) newEventPrefix() []byte {
 	object, choice := "text_completion", `"text":`
 	if a.chat {
 		object, choice = "chat.completion.chunk", `"delta":{"content":`
@@ -87,41 +87,41 @@
 	return append(prefix, `,"choices":[{"index":0,"finish_reason":null,`+choice...)
 }
 
-func (a *answer) suffix() string {
+func (a *completionWriter) eventSuffix() string {
 	if a.chat {
 		return "}}]}\n\n"
 	}
 	return "}]}\n\n"
 }
 
-// write sends an event on, flushed unless more follows at once.
-func (a *answer) write(event []byte) error {
-	if now := time.Now(); now.Sub(a.extended) > a.call.gateway.limits.WriteTimeout/4 {
+// writeEvent writes an event and flushes it unless the next one is already buffered.
+func (a *completionWriter) writeEvent(event []byte) error {
+	if now := time.Now(); now.Sub(a.deadlineSetAt) > a.call.gateway.limits.WriteTimeout/4 {
 		a.call.extendWrite()
-		a.extended = now
+		a.deadlineSetAt = now
 	}
 	if _, err := a.call.writer.Write(event); err != nil {
 		return err
 	}
-	if a.more != nil && a.more() {
+	if a.hasMore != nil && a.hasMore() {
 		return nil
 	}
 	return a.call.control.Flush()
 }
 
-// finish ends a whole answer.
-func (a *answer) finish(finish attempt.Finish) error {
+// finish ends a complete response.
+func (a *completionWriter) finish(finish attempt.Finish) error {
 	if !a.stream {
-		return a.finishWhole(finish)
+		return a.finishBuffered(finish)
 	}
-	if !a.begun {
-		a.begin("text/event-stream")
+	if !a.headerSent {
+		a.sendHeader("text/event-stream")
 	}
-	a.more = nil
-	return a.write(a.lastEvents(finish.Reason))
+	a.hasMore = nil
+	return a.writeEvent(a.finalEvents(finish.Reason))
 }
 
-func (a *answer) lastEvents(reason string) []byte {
+func (a *completionWriter) finalEvents(reason string) []byte {
 	object, choice := "text_completion", `"text":""`
 	if a.chat {
 		object, choice = "chat.completion.chunk", `"delta":{}`
@@ -135,23 +135,23 @@
 	return append(event, "}]}\n\ndata: [DONE]\n\n"...)
 }
 
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usage         `json:"usage"`
+type completionResponse struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   usage              `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         *string       `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completionChoice struct {
+	Index        int                `json:"index"`
+	Text         *string            `json:"text,omitempty"`
+	Message      *completionMessage `json:"message,omitempty"`
+	FinishReason string             `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -160,32 +160,32 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (a *answer) finishWhole(finish attempt.Finish) error {
-	text := string(a.text)
-	whole := wholeAnswer{ID: a.call.id, Object: "text_completion", Created: a.created, Model: a.model,
-		Choices: []wholeChoice{{FinishReason: finish.Reason}}, Usage: usage{CompletionTokens: finish.Delivered}}
+func (a *completionWriter) finishBuffered(finish attempt.Finish) error {
+	text := string(a.bufferedText)
+	response := completionResponse{ID: a.call.id, Object: "text_completion", Created: a.created, Model: a.model,
+		Choices: []completionChoice{{FinishReason: finish.Reason}}, Usage: usage{CompletionTokens: finish.Delivered}}
 	if a.chat {
-		whole.Object = "chat.completion"
-		whole.Choices[0].Message = &wholeMessage{Role: "assistant", Content: text}
+		response.Object = "chat.completion"
+		response.Choices[0].Message = &completionMessage{Role: "assistant", Content: text}
 	} else {
-		whole.Choices[0].Text = &text
+		response.Choices[0].Text = &text
 	}
-	body, err := json.Marshal(whole)
+	body, err := json.Marshal(response)
 	if err != nil {
 		return err
 	}
 	a.call.record.attempts = finish.Attempts
 	a.call.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	a.begin("application/json")
+	a.sendHeader("application/json")
 	a.call.extendWrite()
 	_, err = a.call.writer.Write(body)
 	return err
 }
 
-// fail ends an answer that is not whole: by status where nothing is out yet,
-// else by an error event.
-func (a *answer) fail(failure failure) {
-	if !a.begun {
+// fail ends an incomplete response: with an error status if nothing has been
+// written yet, otherwise with an error event.
+func (a *completionWriter) fail(failure failure) {
+	if !a.headerSent {
 		a.call.setAttemptHeaders()
 		a.call.fail(failure)
 		return
@@ -197,33 +197,33 @@
 	}
 	body, _ := json.Marshal(failure.problem(a.call.id))
 	event := append([]byte("event: error\ndata: "), body...)
-	a.more = nil
-	_ = a.write(append(event, "\n\n"...))
+	a.hasMore = nil
+	_ = a.writeEvent(append(event, "\n\n"...))
 }
 
 const hexDigits = "0123456789abcdef"
 
-// appendJSONString appends the text as a JSON string. Text comes from decoded
+// appendJSONString appends the text as a JSON string. The text comes from decoded
 // JSON, so it is valid UTF-8.
-func appendJSONString(buffer []byte, text string) []byte {
-	buffer = append(buffer, '"')
+func appendJSONString(destination []byte, text string) []byte {
+	destination = append(destination, '"')
 	start := 0
 	for index := 0; index < len(text); index++ {
-		letter := text[index]
-		if letter >= ' ' && letter != '"' && letter != '\\' {
+		char := text[index]
+		if char >= ' ' && char != '"' && char != '\\' {
 			continue
 		}
-		buffer = append(buffer, text[start:index]...)
-		switch letter {
+		destination = append(destination, text[start:index]...)
+		switch char {
 		case '"', '\\':
-			buffer = append(buffer, '\\', letter)
+			destination = append(destination, '\\', char)
 		case '\n':
-			buffer = append(buffer, '\\', 'n')
+			destination = append(destination, '\\', 'n')
 		default:
-			buffer = append(buffer, '\\', 'u', '0', '0', hexDigits[letter>>4], hexDigits[letter&0xf])
+			destination = append(destination, '\\', 'u', '0', '0', hexDigits[char>>4], hexDigits[char&0xf])
 		}
 		start = index + 1
 	}
-	buffer = append(buffer, text[start:]...)
-	return append(buffer, '"')
+	destination = append(destination, text[start:]...)
+	return append(destination, '"')
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -26,23 +26,23 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// discard is a ResponseWriter that counts flushes, so that only the gateway's
+// discardWriter is a ResponseWriter that counts flushes, so that only the gateway's
 // own side is measured.
-type discard struct {
+type discardWriter struct {
 	header  http.Header
 	flushes int
 }
 
-func (d *discard) Header() http.Header            { return d.header }
-func (d *discard) Write(data []byte) (int, error) { return len(data), nil }
-func (d *discard) WriteHeader(int)                {}
-func (d *discard) Flush()                         { d.flushes++ }
+func (d *discardWriter) Header() http.Header            { return d.header }
+func (d *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (d *discardWriter) WriteHeader(int)                {}
+func (d *discardWriter) Flush()                         { d.flushes++ }
 
 // tokenBlock is one write of an engine: in the worst case one token each.
 func benchmarkRelay(b *testing.B, perWrite int) {
 	h := newHarness(b, nil)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		id, attempt := engine.header().RequestID, engine.header().Attempt
 		var block []byte
 		for sequence := range b.N {
@@ -60,7 +60,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	before := cpuTime()
-	h.gateway.ServeHTTP(&discard{header: http.Header{}}, request)
+	h.gateway.ServeHTTP(&discardWriter{header: http.Header{}}, request)
 	b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/token")
 }
 
@@ -75,7 +75,7 @@
 			b.ReportAllocs()
 			before := cpuTime()
 			for b.Loop() {
-				h.gateway.ServeHTTP(&discard{header: http.Header{}}, httptest.NewRequest(method, "/turbines/7/ping", nil))
+				h.gateway.ServeHTTP(&discardWriter{header: http.Header{}}, httptest.NewRequest(method, "/turbines/7/ping", nil))
 			}
 			b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/call")
 		})
@@ -97,7 +97,7 @@
 		for range requests {
 			go func() {
 				request := httptest.NewRequest(http.MethodPost, backend.PathCompletions, strings.NewReader(body))
-				h.gateway.ServeHTTP(&discard{header: http.Header{}}, request)
+				h.gateway.ServeHTTP(&discardWriter{header: http.Header{}}, request)
 				done <- struct{}{}
 			}()
 		}
@@ -108,7 +108,7 @@
 		runtime.ReadMemStats(&after)
 		used := int64(after.HeapAlloc+after.StackInuse) - int64(before.HeapAlloc+before.StackInuse)
 		b.ReportMetric(float64(used)/requests, "B/waiting")
-		h.gateway.running.cutAll(errCut)
+		h.gateway.running.cancelAll(errDrainLimit)
 		for range requests {
 			<-done
 		}
@@ -127,19 +127,19 @@
 // directly and through the gateway, in turns of one run.
 func BenchmarkFirstToken(b *testing.B) {
 	h := newHarness(b, nil)
-	address := h.backend(wholeEngine)
+	address := h.backend(completeEngine)
 	h.addEngine("e1", address)
-	var direct, through []time.Duration
+	var direct, proxied []time.Duration
 	for b.Loop() {
 		direct = append(direct, firstToken(b, "http://"+address+backend.PathCompletions))
-		through = append(through, firstToken(b, h.server.URL+backend.PathCompletions))
+		proxied = append(proxied, firstToken(b, h.server.URL+backend.PathCompletions))
 	}
 	slices.Sort(direct)
-	slices.Sort(through)
+	slices.Sort(proxied)
 	for _, share := range []int{50, 99} {
 		at := (len(direct) - 1) * share / 100
 		b.ReportMetric(float64(direct[at].Microseconds()), fmt.Sprintf("p%d-direct-us", share))
-		b.ReportMetric(float64(through[at].Microseconds()), fmt.Sprintf("p%d-through-us", share))
+		b.ReportMetric(float64(proxied[at].Microseconds()), fmt.Sprintf("p%d-through-us", share))
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // pacedEngine brings a token every few milliseconds, as a busy engine does.
 func pacedEngine(writer http.ResponseWriter, request *http.Request) {
-	engine := scripted{writer, request}
+	engine := scriptedEngine{writer, request}
 	for sequence := range 20 {
 		time.Sleep(10 * time.Millisecond)
 		engine.tokens(sequence, sequence+1)
@@ -179,7 +179,7 @@
 		addresses[index] = h.backend(pacedEngine)
 		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), addresses[index])
 	}
-	direct, through := new(timings), new(timings)
+	direct, proxied := new(streamTimings), new(streamTimings)
 	for b.Loop() {
 		var group sync.WaitGroup
 		for index := range streams {
@@ -191,32 +191,32 @@
 			})
 			group.Go(func() {
 				time.Sleep(begins)
-				through.read(b, h.server.URL+backend.PathCompletions)
+				proxied.read(b, h.server.URL+backend.PathCompletions)
 			})
 		}
 		group.Wait()
 	}
 	for _, share := range []int{50, 99} {
-		b.ReportMetric(at(through.first, share)-at(direct.first, share), fmt.Sprintf("p%d-first-added-us", share))
-		b.ReportMetric(at(through.first, share)/at(direct.first, share), fmt.Sprintf("p%d-first-ratio", share))
-		b.ReportMetric(at(through.gaps, share)-at(direct.gaps, share), fmt.Sprintf("p%d-gap-added-us", share))
-		b.ReportMetric(at(through.gaps, share)/at(direct.gaps, share), fmt.Sprintf("p%d-gap-ratio", share))
+		b.ReportMetric(percentile(proxied.first, share)-percentile(direct.first, share), fmt.Sprintf("p%d-first-added-us", share))
+		b.ReportMetric(percentile(proxied.first, share)/percentile(direct.first, share), fmt.Sprintf("p%d-first-ratio", share))
+		b.ReportMetric(percentile(proxied.gaps, share)-percentile(direct.gaps, share), fmt.Sprintf("p%d-gap-added-us", share))
+		b.ReportMetric(percentile(proxied.gaps, share)/percentile(direct.gaps, share), fmt.Sprintf("p%d-gap-ratio", share))
 	}
 }
 
-// at is a quantile in microseconds.
-func at(samples []time.Duration, percent int) float64 {
+// percentile is a quantile in microseconds.
+func percentile(samples []time.Duration, percent int) float64 {
 	slices.Sort(samples)
 	return float64(samples[(len(samples)-1)*percent/100].Nanoseconds()) / 1000
 }
 
-// timings are those of many streams.
-type timings struct {
+// streamTimings are those of many streams.
+type streamTimings struct {
 	mutex       sync.Mutex
 	first, gaps []time.Duration
 }
 
-func (t *timings) read(b *testing.B, url string) {
+func (t *streamTimings) read(b *testing.B, url string) {
 	last := time.Now()
 	answer, err := http.Post(url, "application/json", strings.NewReader(streamBody))
 	if err != nil {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -16,7 +16,7 @@
 	"github.com/spanlanding/spanlanding/internal/routetable"
 )
 
-// Headers between callers and nodes.
+// Headers of the API between callers and nodes.
 const (
 	headerLabels   = "X-Spanlanding-Labels"
 	headerDeadline = "X-Spanlanding-Deadline"
@@ -34,20 +34,20 @@
 	control *http.ResponseController
 	ticket  uint64
 	id      string
-	// ownID is set where the caller gave no identity.
-	ownID   bool
-	arrived time.Time
-	held    int64
-	// counter is the count of requests at a time that the call is part of.
-	counter *atomic.Int64
-	// tenant is who asks, nil where none is declared; admitted is what was drawn from its
-	// quota.
-	tenant   *routetable.Tenant
-	admitted float64
-	record   record
-	// aborted is set where no proper end can be written: the connection is
-	// then broken off, since net/http would else end the answer as if it were
-	// whole.
+	// generatedID is set if the caller sent no valid request ID.
+	generatedID bool
+	arrived     time.Time
+	bodyBytes   int64
+	// inProgress is the counter of concurrent requests that includes this call.
+	inProgress *atomic.Int64
+	// tenant is the authenticated tenant, nil if none is declared; quotaCost is what was
+	// charged to its quota.
+	tenant    *routetable.Tenant
+	quotaCost float64
+	record    requestRecord
+	// aborted is set if no proper end can be written. The connection is then closed
+	// without one, since net/http would otherwise terminate the response as if it
+	// were complete.
 	aborted bool
 }
 
@@ -63,7 +63,7 @@
 	}
 	if !validRequestID(created.id) {
 		created.id = fmt.Sprintf("%016x%08x", g.nextRandom(), uint32(created.ticket))
-		created.ownID = true
+		created.generatedID = true
 	}
 	created.record.kind = "other"
 	created.extendWrite()
@@ -71,21 +71,21 @@
 	return created
 }
 
-// validRequestID takes letters, digits, "-", "_" and ".".
+// validRequestID accepts letters, digits, "-", "_" and ".".
 func validRequestID(id string) bool {
 	if id == "" || len(id) > maxRequestIDBytes {
 		return false
 	}
-	return strings.IndexFunc(id, func(letter rune) bool {
+	return strings.IndexFunc(id, func(char rune) bool {
 		switch {
-		case letter >= 'a' && letter <= 'z', letter >= 'A' && letter <= 'Z', letter >= '0' && letter <= '9':
+		case char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char >= '0' && char <= '9':
 			return false
 		}
-		return letter != '-' && letter != '_' && letter != '.'
+		return char != '-' && char != '_' && char != '.'
 	}) < 0
 }
 
-// fail answers with a problem.
+// fail responds with a problem document.
 func (c *call) fail(failure failure) {
 	c.record.outcome = failure.outcome
 	c.record.code = failure.code
@@ -98,12 +98,12 @@
 	failure.write(c.writer, c.id)
 }
 
-// extendWrite gives the next write its time.
+// extendWrite moves the write deadline on for the next write.
 func (c *call) extendWrite() {
 	_ = c.control.SetWriteDeadline(time.Now().Add(c.gateway.limits.WriteTimeout))
 }
 
-// readBody reads the body within the bounds of bytes and time.
+// readBody reads the body within the limits on size and time.
 func (c *call) readBody() ([]byte, *failure) {
 	limits := c.gateway.limits
 	_ = c.control.SetReadDeadline(time.Now().Add(limits.BodyTimeout))
@@ -113,9 +113,9 @@
 		return nil, &failure
 	}
 	_ = c.control.SetReadDeadline(time.Time{})
-	c.held = int64(len(body))
-	if c.gateway.bodyBytes.Add(c.held) > limits.MaxBodyBytesTotal {
-		failure := refuse(http.StatusServiceUnavailable, codeOverloaded, "this node holds too many bytes of requests").after(time.Second)
+	c.bodyBytes = int64(len(body))
+	if c.gateway.bodyBytes.Add(c.bodyBytes) > limits.MaxBodyBytesTotal {
+		failure := newRefusal(http.StatusServiceUnavailable, codeOverloaded, "this node holds too many bytes of requests").withRetryAfter(time.Second)
 		return nil, &failure
 	}
 	return body, nil
@@ -125,21 +125,21 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return refuse(http.StatusRequestEntityTooLarge, codeBodyTooLarge,
+		return newRefusal(http.StatusRequestEntityTooLarge, codeBodyTooLarge,
 			fmt.Sprintf("the body has more than %d bytes", limits.MaxBodyBytes))
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(http.StatusRequestTimeout, codeBodyTimeout,
+		return newRefusal(http.StatusRequestTimeout, codeBodyTimeout,
 			fmt.Sprintf("the body did not end within %s", limits.BodyTimeout))
 	}
-	return refuse(http.StatusBadRequest, codeMalformed, "the body cannot be read: "+err.Error())
+	return newRefusal(http.StatusBadRequest, codeMalformed, "the body cannot be read: "+err.Error())
 }
 
-// labels reads the labels header, "key=value,key=value".
+// labels parses the labels header, "key=value,key=value".
 func (c *call) labels() (map[string]string, *failure) {
 	labels := make(map[string]string)
 	header := c.request.Header.Get(headerLabels)
 	if len(header) > c.gateway.limits.MaxLabelBytes {
-		failure := refuse(http.StatusRequestHeaderFieldsTooLarge, codeMalformed, headerLabels+" is too long")
+		failure := newRefusal(http.StatusRequestHeaderFieldsTooLarge, codeMalformed, headerLabels+" is too long")
 		return nil, &failure
 	}
 	if strings.TrimSpace(header) == "" {
@@ -148,7 +148,7 @@
 	for pair := range strings.SplitSeq(header, ",") {
 		key, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		if !found || key == "" {
-			failure := refuse(http.StatusBadRequest, codeMalformed,
+			failure := newRefusal(http.StatusBadRequest, codeMalformed,
 				fmt.Sprintf("%s has %q where key=value is wanted", headerLabels, pair))
 			return nil, &failure
 		}
@@ -157,33 +157,34 @@
 	return labels, nil
 }
 
-// answerMargin is kept of every deadline for the way of the answer, so that a
-// refusal at the deadline is not late at the caller; of short deadlines a tenth.
+// responseMargin is subtracted from every deadline to leave time for sending the
+// response, so that a refusal at the deadline is not late at the caller. For short
+// deadlines it is a tenth of the deadline.
 const (
-	answerMargin      = 25 * time.Millisecond
-	answerMarginShare = 10
+	responseMargin        = 25 * time.Millisecond
+	responseMarginDivisor = 10
 )
 
-func withMargin(deadline time.Duration) time.Duration {
-	return deadline - min(answerMargin, deadline/answerMarginShare)
+func withResponseMargin(deadline time.Duration) time.Duration {
+	return deadline - min(responseMargin, deadline/responseMarginDivisor)
 }
 
-// deadline is the route's, or the caller's where that is tighter. The caller
-// gives a duration such as 1.5s, or seconds.
-func (c *call) deadline(route, fallback time.Duration) (time.Time, *failure) {
-	if route <= 0 {
-		route = fallback
+// deadline returns the route's deadline, or the caller's if that is earlier. The
+// caller gives a duration such as 1.5s, or a number of seconds.
+func (c *call) deadline(routeDeadline, fallback time.Duration) (time.Time, *failure) {
+	if routeDeadline <= 0 {
+		routeDeadline = fallback
 	}
 	if header := c.request.Header.Get(headerDeadline); header != "" {
-		wanted, err := parseDeadline(header)
+		requested, err := parseDeadline(header)
 		if err != nil {
-			failure := refuse(http.StatusBadRequest, codeMalformed,
+			failure := newRefusal(http.StatusBadRequest, codeMalformed,
 				fmt.Sprintf("%s is %q where a duration such as 1.5s is wanted", headerDeadline, header))
 			return time.Time{}, &failure
 		}
-		route = min(route, wanted)
+		routeDeadline = min(routeDeadline, requested)
 	}
-	return c.arrived.Add(withMargin(route)), nil
+	return c.arrived.Add(withResponseMargin(routeDeadline)), nil
 }
 
 // maxDeadline bounds a deadline given as a number of seconds.
@@ -196,29 +197,29 @@
 		}
 		return time.Duration(number * float64(time.Second)), nil
 	}
-	wanted, err := time.ParseDuration(text)
-	if err == nil && wanted <= 0 {
+	requested, err := time.ParseDuration(text)
+	if err == nil && requested <= 0 {
 		return 0, strconv.ErrRange
 	}
-	return wanted, err
+	return requested, err
 }
 
-// admit counts the call in, within the bound of requests at a time.
-func (c *call) admit(running *atomic.Int64) *failure {
-	c.counter = running
-	if running.Add(1) <= int64(c.gateway.limits.MaxRequests) {
+// admit counts the call, within the limit on concurrent requests.
+func (c *call) admit(inProgress *atomic.Int64) *failure {
+	c.inProgress = inProgress
+	if inProgress.Add(1) <= int64(c.gateway.limits.MaxRequests) {
 		return nil
 	}
-	refused := refuse(http.StatusServiceUnavailable, codeOverloaded, "this node has too many requests in progress").after(time.Second)
+	refused := newRefusal(http.StatusServiceUnavailable, codeOverloaded, "this node has too many requests in progress").withRetryAfter(time.Second)
 	return &refused
 }
 
-// finished releases what the call held, and logs and counts it.
-func (c *call) finished() {
-	c.gateway.bodyBytes.Add(-c.held)
-	if c.counter != nil {
-		c.counter.Add(-1)
+// finish releases what the call holds, then logs and counts it.
+func (c *call) finish() {
+	c.gateway.bodyBytes.Add(-c.bodyBytes)
+	if c.inProgress != nil {
+		c.inProgress.Add(-1)
 	}
-	c.giveBack()
+	c.refundQuota()
 	c.report()
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -15,28 +15,28 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-func (s *dispatcherState) submit(now time.Time, submit submit) {
-	refusal := s.admit(now, submit.retry, submit.unspent, submit.route.Selector, submit.route.Limits)
+func (s *dispatcherState) handleSubmit(now time.Time, submit submitModel) {
+	refusal := s.admit(now, submit.retry, submit.budgetExempt, submit.route.Selector, submit.route.Limits)
 	regions := s.gateway.modelRegions(submit.route)
 	if refusal == nil {
-		refusal = s.refuseRegions(regions)
+		refusal = s.checkRegions(regions)
 	}
 	if refusal != nil {
-		submit.reply <- reply{refusal: refusal}
+		submit.reply <- dispatchReply{refusal: refusal}
 		return
 	}
 	model := submit.model
 	if model.IsZero() {
-		model = s.routing.ChooseVersion(weighted(submit.route.Versions))
+		model = s.routing.ChooseVersion(weightedVersions(submit.route.Versions))
 	}
 	if until, backsOff := s.routing.BackoffEnds(now, model, regions); backsOff && !until.Before(submit.deadline) {
-		refused := refuse(http.StatusServiceUnavailable, codeNoBackend, "all replicas of the model want nothing for now").after(until.Sub(now))
-		submit.reply <- reply{refusal: &refused}
+		refused := newRefusal(http.StatusServiceUnavailable, codeNoBackend, "all replicas of the model want nothing for now").withRetryAfter(until.Sub(now))
+		submit.reply <- dispatchReply{refusal: &refused}
 		return
 	}
-	s.follow(model, regions)
-	s.pending[submit.ticket] = &pending{submit: submit, model: model, regions: fleet.RegionsOf(regions)}
-	s.offer(now, model)
+	s.trackRegions(model, regions)
+	s.pending[submit.ticket] = &pendingRequest{submit: submit, model: model, regions: fleet.RegionsOf(regions)}
+	s.updateCapacity(now, model)
 	s.stepQueue(now, queue.Arrive{Item: queue.Item{
 		Ticket:    queue.Ticket(submit.ticket),
 		Model:     model,
@@ -51,21 +51,21 @@
 }
 
 // admit counts a first attempt against the route's limits, and a retry against
-// the budget of the node.
-func (s *dispatcherState) admit(now time.Time, retry, unspent bool, route string, limits spec.Limits) *failure {
+// the retry budget of the node.
+func (s *dispatcherState) admit(now time.Time, retry, budgetExempt bool, route string, limits spec.Limits) *failure {
 	if !retry {
 		s.budget.Earn()
-		return s.shares.take(now, route, limits)
+		return s.routeLimiter.admit(now, route, limits)
 	}
-	if !unspent && !s.budget.Spend() {
-		refused := refuse(http.StatusServiceUnavailable, codeRetryBudget, "too many requests are being retried").after(time.Second)
+	if !budgetExempt && !s.budget.Spend() {
+		refused := newRefusal(http.StatusServiceUnavailable, codeRetryBudget, "too many requests are being retried").withRetryAfter(time.Second)
 		return &refused
 	}
 	s.gateway.metrics.retries.Inc()
 	return nil
 }
 
-func weighted(versions []catalog.WeightedModel) []routing.WeightedVersion {
+func weightedVersions(versions []catalog.WeightedModel) []routing.WeightedVersion {
 	weighted := make([]routing.WeightedVersion, 0, len(versions))
 	for _, version := range versions {
 		weighted = append(weighted, routing.WeightedVersion{Model: version.Model, Weight: version.Weight})
@@ -73,19 +73,19 @@
 	return weighted
 }
 
-// noHedge is told to no caller.
-var noHedge = failure{code: codeNoBackend}
+// hedgeUnavailable is never shown to a caller.
+var hedgeUnavailable = failure{code: codeNoBackend}
 
-// submitHedge finds a second back end for a request that waits for its first
-// token, unless others wait for the room or the retry budget is spent.
-func (s *dispatcherState) submitHedge(now time.Time, hedge submitHedge) {
-	waiting := slices.ContainsFunc(s.queue.Queues(), func(line queue.QueueInfo) bool { return line.Model == hedge.model })
+// handleSubmitHedge picks a second back end for a request that waits for its first
+// token, unless other requests wait for the capacity or the retry budget is spent.
+func (s *dispatcherState) handleSubmitHedge(now time.Time, hedge submitHedge) {
+	othersWaiting := slices.ContainsFunc(s.queue.Queues(), func(info queue.QueueInfo) bool { return info.Model == hedge.model })
 	regions := s.gateway.modelRegions(hedge.route)
-	free := slices.ContainsFunc(s.routing.CapacityIn(now, hedge.model, regions).Replicas, func(room routing.ReplicaCapacity) bool {
-		return room.FreeSlots > 0 && !slices.Contains(hedge.exclude, room.Name)
+	hasFreeReplica := slices.ContainsFunc(s.routing.CapacityIn(now, hedge.model, regions).Replicas, func(replica routing.ReplicaCapacity) bool {
+		return replica.FreeSlots > 0 && !slices.Contains(hedge.exclude, replica.Name)
 	})
-	if waiting || !free || !s.budget.Spend() {
-		hedge.reply <- reply{refusal: &noHedge}
+	if othersWaiting || !hasFreeReplica || !s.budget.Spend() {
+		hedge.reply <- dispatchReply{refusal: &hedgeUnavailable}
 		return
 	}
 	s.gateway.metrics.retries.Inc()
@@ -94,50 +94,50 @@
 		Prefix: hedge.prefix, Exclude: hedge.exclude, Regions: regions})
 }
 
-func (s *dispatcherState) submitCall(now time.Time, submit submitCall) {
-	refusal := s.admit(now, submit.retry, submit.unspent, submit.route.Service, submit.route.Limits)
+func (s *dispatcherState) handleSubmitCall(now time.Time, submit submitCall) {
+	refusal := s.admit(now, submit.retry, submit.budgetExempt, submit.route.Service, submit.route.Limits)
 	if refusal != nil {
-		submit.reply <- reply{refusal: refusal}
+		submit.reply <- dispatchReply{refusal: refusal}
 		return
 	}
 	regions := s.gateway.serviceRegions(submit.route)
-	if refusal := s.refuseRegions(regions); refusal != nil {
-		submit.reply <- reply{refusal: refusal}
+	if refusal := s.checkRegions(regions); refusal != nil {
+		submit.reply <- dispatchReply{refusal: refusal}
 		return
 	}
 	s.calls[submit.ticket] = submit.reply
-	s.assigned[submit.ticket] = assigned{since: now}
+	s.assigned[submit.ticket] = assignedRequest{assignedAt: now}
 	s.stepRouting(now, routing.PickService{Ticket: routing.Ticket(submit.ticket), Service: submit.route.Service,
-		Exclude: submit.exclude, Regions: regions, ColocationKey: submit.together})
+		Exclude: submit.exclude, Regions: regions, ColocationKey: submit.colocationKey})
 }
 
-// offer tells the queue the present room for a model, in whichever regions.
-func (s *dispatcherState) offer(now time.Time, model fleet.ModelVersion) {
-	s.offerLine(now, model, locality.Regions{})
-	for regions := range s.bounds[model] {
-		s.offerLine(now, model, regions)
+// updateCapacity passes the current capacity for a model to the queue, for each set of regions in use.
+func (s *dispatcherState) updateCapacity(now time.Time, model fleet.ModelVersion) {
+	s.updateQueueCapacity(now, model, locality.Regions{})
+	for regions := range s.regionsByModel[model] {
+		s.updateQueueCapacity(now, model, regions)
 	}
 }
 
-func (s *dispatcherState) offerLine(now time.Time, model fleet.ModelVersion, regions locality.Regions) {
-	rooms := s.routing.CapacityIn(now, model, regions)
-	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
-	for _, room := range rooms.Replicas {
-		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots, Adapters: room.Adapters})
+func (s *dispatcherState) updateQueueCapacity(now time.Time, model fleet.ModelVersion, regions locality.Regions) {
+	capacity := s.routing.CapacityIn(now, model, regions)
+	replicas := make([]queue.Replica, 0, len(capacity.Replicas))
+	for _, replica := range capacity.Replicas {
+		replicas = append(replicas, queue.Replica{Name: replica.Name, FreeSlots: replica.FreeSlots, Adapters: replica.Adapters})
 	}
-	s.stepQueue(now, queue.CapacityChanged{Model: model, Regions: fleet.RegionsOf(regions), Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
+	s.stepQueue(now, queue.CapacityChanged{Model: model, Regions: fleet.RegionsOf(regions), Ready: capacity.Ready, Replicas: replicas, Slots: capacity.Slots})
 }
 
 func (s *dispatcherState) stepQueue(now time.Time, message queue.Message) {
-	// The effects are valid until the next step, which carrying them out may
-	// bring about.
+	// The effects are valid only until the next step, which carrying them out may
+	// cause.
 	effects := append([]queue.Effect(nil), s.queue.Step(now, message)...)
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case queue.Release:
-			s.release(now, effect)
+			s.handleRelease(now, effect)
 		case queue.Refuse:
-			s.refuse(effect)
+			s.handleRefuse(effect)
 		case queue.ReportWants:
 			if s.gateway.options.Demand != nil {
 				s.gateway.options.Demand.Report(effect.Wants)
@@ -151,48 +151,48 @@
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case routing.Picked:
-			s.picked(now, effect)
+			s.handlePicked(now, effect)
 		case routing.NonePicked:
-			s.nonePicked(now, effect)
+			s.handleNonePicked(now, effect)
 		case routing.CapacityChanged:
-			s.offer(now, effect.Model)
+			s.updateCapacity(now, effect.Model)
 		}
 	}
 }
 
-func (s *dispatcherState) release(now time.Time, release queue.Release) {
-	waiting, found := s.pending[uint64(release.Item.Ticket)]
+func (s *dispatcherState) handleRelease(now time.Time, release queue.Release) {
+	request, found := s.pending[uint64(release.Item.Ticket)]
 	if !found {
 		return
 	}
-	waiting.cold, waiting.waited = release.ColdStart, release.Waited
+	request.cold, request.waited = release.ColdStart, release.Waited
 	s.stepRouting(now, routing.Pick{
 		Ticket:  routing.Ticket(release.Item.Ticket),
-		Model:   waiting.model,
+		Model:   request.model,
 		Adapter: release.Item.Adapter,
-		Prefix:  waiting.submit.prefix,
-		Exclude: waiting.submit.exclude,
+		Prefix:  request.submit.prefix,
+		Exclude: request.submit.exclude,
 
-		Regions:       s.gateway.modelRegions(waiting.submit.route),
-		ColocationKey: waiting.submit.together,
+		Regions:       s.gateway.modelRegions(request.submit.route),
+		ColocationKey: request.submit.colocationKey,
 	})
 }
 
-func (s *dispatcherState) picked(now time.Time, picked routing.Picked) {
+func (s *dispatcherState) handlePicked(now time.Time, picked routing.Picked) {
 	ticket := uint64(picked.Ticket)
-	answer := reply{backend: picked.Backend, limit: picked.Limit, incarnation: picked.Incarnation}
+	answer := dispatchReply{backend: picked.Backend, limit: picked.Limit, incarnation: picked.Incarnation}
 	if hedge, found := s.hedges[ticket]; found {
 		delete(s.hedges, ticket)
-		s.assigned[ticket] = assigned{model: hedge.model, regions: fleet.RegionsOf(s.gateway.modelRegions(hedge.route)), since: now}
+		s.assigned[ticket] = assignedRequest{model: hedge.model, regions: fleet.RegionsOf(s.gateway.modelRegions(hedge.route)), assignedAt: now}
 		answer.model = hedge.model
 		hedge.reply <- answer
 		return
 	}
-	if waiting, found := s.pending[ticket]; found {
+	if request, found := s.pending[ticket]; found {
 		delete(s.pending, ticket)
-		s.assigned[ticket] = assigned{model: waiting.model, regions: waiting.regions, since: now}
-		answer.model, answer.cold, answer.waited = waiting.model, waiting.cold, waiting.waited
-		waiting.submit.reply <- answer
+		s.assigned[ticket] = assignedRequest{model: request.model, regions: request.regions, assignedAt: now}
+		answer.model, answer.cold, answer.waited = request.model, request.cold, request.waited
+		request.submit.reply <- answer
 		return
 	}
 	if call, found := s.calls[ticket]; found {
@@ -201,66 +201,66 @@
 	}
 }
 
-// nonePicked puts a model request back into the queue; a call is refused.
-func (s *dispatcherState) nonePicked(now time.Time, none routing.NonePicked) {
+// handleNonePicked requeues a model request; a service call is refused.
+func (s *dispatcherState) handleNonePicked(now time.Time, none routing.NonePicked) {
 	ticket := uint64(none.Ticket)
 	if hedge, found := s.hedges[ticket]; found {
 		delete(s.hedges, ticket)
-		hedge.reply <- reply{refusal: &noHedge}
+		hedge.reply <- dispatchReply{refusal: &hedgeUnavailable}
 		return
 	}
-	if waiting, found := s.pending[ticket]; found {
-		waiting.misses++
-		if waiting.misses > maxMisses {
+	if request, found := s.pending[ticket]; found {
+		request.failedPicks++
+		if request.failedPicks > maxFailedPicks {
 			delete(s.pending, ticket)
-			waiting.submit.reply <- reply{refusal: &failure{code: codeNoBackend, detail: "no replica of the model can be reached now",
+			request.submit.reply <- dispatchReply{refusal: &failure{code: codeNoBackend, detail: "no replica of the model can be reached now",
 				outcome: attempt.OutcomeNotRun, retryAfter: time.Second}}
 			return
 		}
-		s.waitAgain(now, ticket, waiting)
+		s.requeue(now, ticket, request)
 		return
 	}
 	if answer, found := s.calls[ticket]; found {
 		delete(s.calls, ticket)
 		delete(s.assigned, ticket)
-		answer <- reply{refusal: s.noService()}
+		answer <- dispatchReply{refusal: s.noServiceBackend()}
 	}
 }
 
-// waitAgain puts a request back at its place. Its regions may have changed meanwhile.
-func (s *dispatcherState) waitAgain(now time.Time, ticket uint64, waiting *pending) {
-	submit := waiting.submit
+// requeue puts a request back at its place in the queue. Its regions may have changed meanwhile.
+func (s *dispatcherState) requeue(now time.Time, ticket uint64, request *pendingRequest) {
+	submit := request.submit
 	regions := s.gateway.modelRegions(submit.route)
-	if refusal := s.refuseRegions(regions); refusal != nil {
+	if refusal := s.checkRegions(regions); refusal != nil {
 		delete(s.pending, ticket)
-		submit.reply <- reply{refusal: refusal}
+		submit.reply <- dispatchReply{refusal: refusal}
 		return
 	}
-	s.follow(waiting.model, regions)
-	waiting.regions = fleet.RegionsOf(regions)
-	s.offer(now, waiting.model)
+	s.trackRegions(request.model, regions)
+	request.regions = fleet.RegionsOf(regions)
+	s.updateCapacity(now, request.model)
 	s.stepQueue(now, queue.Arrive{Item: queue.Item{
-		Ticket: queue.Ticket(ticket), Model: waiting.model, Regions: waiting.regions, Adapter: submit.route.Adapter,
+		Ticket: queue.Ticket(ticket), Model: request.model, Regions: request.regions, Adapter: submit.route.Adapter,
 		Priority: submit.route.Priority, Deadline: submit.deadline,
 		ArrivedAt: submit.arrived, Bytes: submit.bytes, Requeued: true,
 	}})
 }
 
-func (s *dispatcherState) refuse(refuse queue.Refuse) {
-	waiting, found := s.pending[uint64(refuse.Item.Ticket)]
+func (s *dispatcherState) handleRefuse(refuse queue.Refuse) {
+	request, found := s.pending[uint64(refuse.Item.Ticket)]
 	if !found {
 		return
 	}
 	delete(s.pending, uint64(refuse.Item.Ticket))
 	detail := refuse.Detail
 	if detail == "" {
-		detail = detailOf(refuse.Reason)
+		detail = refusalDetail(refuse.Reason)
 	}
-	waiting.submit.reply <- reply{refusal: &failure{code: string(refuse.Reason), detail: detail,
+	request.submit.reply <- dispatchReply{refusal: &failure{code: string(refuse.Reason), detail: detail,
 		outcome: attempt.OutcomeNotRun, retryAfter: refuse.RetryAfter}}
 }
 
-func detailOf(reason queue.Reason) string {
+func refusalDetail(reason queue.Reason) string {
 	switch reason {
 	case queue.ReasonFull:
 		return "the queue is full"
@@ -278,54 +278,54 @@
 	return "the node is stopping"
 }
 
-func (s *dispatcherState) abandon(now time.Time, ticket uint64) {
+func (s *dispatcherState) handleAbandon(now time.Time, ticket uint64) {
 	if _, found := s.pending[ticket]; found {
 		delete(s.pending, ticket)
 		s.stepQueue(now, queue.Cancel{Ticket: queue.Ticket(ticket)})
 		return
 	}
-	s.ended(now, attemptEnded{ticket: ticket, result: routing.ResultAbandoned})
+	s.handleAttemptEnded(now, attemptEnded{ticket: ticket, result: routing.ResultAbandoned})
 }
 
-func (s *dispatcherState) ended(now time.Time, ended attemptEnded) {
-	known, found := s.assigned[ended.ticket]
+func (s *dispatcherState) handleAttemptEnded(now time.Time, ended attemptEnded) {
+	request, found := s.assigned[ended.ticket]
 	if !found {
 		return
 	}
 	delete(s.assigned, ended.ticket)
-	if !known.model.IsZero() && ended.result == routing.ResultOK {
-		s.stepQueue(now, queue.Completed{Model: known.model, Regions: known.regions, ServiceTime: now.Sub(known.since)})
+	if !request.model.IsZero() && ended.result == routing.ResultOK {
+		s.stepQueue(now, queue.Completed{Model: request.model, Regions: request.regions, ServiceTime: now.Sub(request.assignedAt)})
 	}
 	s.stepRouting(now, routing.Ended{Ticket: routing.Ticket(ended.ticket), Result: ended.result})
 }
 
-// began tells of an attempt's first token.
-func (s *dispatcherState) began(now time.Time, began attemptBegan) {
-	if known, found := s.assigned[began.ticket]; found {
-		s.stepQueue(now, queue.FirstTokenReceived{Model: known.model, Regions: known.regions, Latency: began.after})
+// handleFirstToken records an attempt's time to first token.
+func (s *dispatcherState) handleFirstToken(now time.Time, first firstTokenReceived) {
+	if request, found := s.assigned[first.ticket]; found {
+		s.stepQueue(now, queue.FirstTokenReceived{Model: request.model, Regions: request.regions, Latency: first.latency})
 	}
-	s.stepRouting(now, routing.FirstToken{Ticket: routing.Ticket(began.ticket), After: began.after})
+	s.stepRouting(now, routing.FirstToken{Ticket: routing.Ticket(first.ticket), After: first.latency})
 }
 
-// takeConfiguration has what waits go by the zones and regions in force.
-func (s *dispatcherState) takeConfiguration(now time.Time, changed configurationChanged) {
-	s.stepRouting(now, routing.Topology{Map: changed.places})
+// applyConfiguration applies the evacuated zones and regions in force, also to requests that wait.
+func (s *dispatcherState) applyConfiguration(now time.Time, changed configurationChanged) {
+	s.stepRouting(now, routing.Topology{Map: changed.topology})
 	s.stepRouting(now, routing.Evacuations{Snapshot: changed.evacuations})
-	s.followEvacuations(now)
-	s.followRegions(now)
+	s.applyEvacuations(now)
+	s.requeueChangedRegions(now)
 }
 
-func (s *dispatcherState) takeTables(now time.Time, tables views.RouteTables) {
+func (s *dispatcherState) applyRouteTables(now time.Time, tables views.RouteTables) {
 	list := make([]fleet.RouteTable, 0, len(tables))
 	for _, table := range tables {
 		list = append(list, table)
 	}
 	s.stepRouting(now, routing.Tables{Tables: list})
-	s.followEvacuations(now)
+	s.applyEvacuations(now)
 }
 
-// stopping refuses what still waits, so that no handler waits for ever.
-func (s *dispatcherState) stopping(now time.Time) {
+// handleStopping refuses the requests that still wait, so that no handler waits forever.
+func (s *dispatcherState) handleStopping(now time.Time) {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -16,54 +16,55 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// dispatcher is the actor that owns a queue core and a routing core. Models
-// and services have one each, so that a command never waits behind a report.
+// dispatcher is the actor that owns a queue core and a routing core. Model
+// requests and service calls have one each, so that a service call never waits
+// behind model requests or reports about them.
 type dispatcher struct {
 	system *actor.ActorSystem
 	pid    *actor.PID
-	// gone is closed once the actor takes no more messages.
-	gone chan struct{}
+	// stopped is closed once the actor takes no more messages.
+	stopped chan struct{}
 }
 
 // Messages to the dispatcher.
 type (
-	// submit asks for a back end. The answer is sent to reply, which must
-	// have room for it.
-	submit struct {
+	// submitModel asks for a back end for a model request. The result is sent to
+	// reply, which must have buffer space for it.
+	submitModel struct {
 		ticket uint64
 		route  catalog.ModelRoute
-		// model is set on a retry, which stays at its version.
+		// model is set on a retry, which keeps its model version.
 		model    fleet.ModelVersion
 		prefix   []uint64
 		deadline time.Time
 		arrived  time.Time
 		bytes    int64
 		retry    bool
-		// unspent retries do not count against the budget.
-		unspent bool
-		exclude []fleet.BackendName
-		// together is set for suspects, which go to one back end.
-		together uint64
-		reply    chan reply
+		// budgetExempt retries do not count against the retry budget.
+		budgetExempt bool
+		exclude      []fleet.BackendName
+		// colocationKey is set for requests suspected of crashing servers; equal keys go to the same back end.
+		colocationKey uint64
+		reply         chan dispatchReply
 	}
 	// submitCall asks for a back end of a service.
 	submitCall struct {
-		ticket  uint64
-		route   catalog.ServiceRoute
-		retry   bool
-		unspent bool
-		exclude []fleet.BackendName
-		// together is as in submit.
-		together uint64
-		reply    chan reply
+		ticket       uint64
+		route        catalog.ServiceRoute
+		retry        bool
+		budgetExempt bool
+		exclude      []fleet.BackendName
+		// colocationKey is as in submitModel.
+		colocationKey uint64
+		reply         chan dispatchReply
 	}
-	// abandon takes a submitted request out; its reply may already be there.
-	abandon      struct{ ticket uint64 }
-	attemptBegan struct {
-		ticket uint64
-		after  time.Duration
+	// abandon withdraws a submitted request; its reply may already have been sent.
+	abandon            struct{ ticket uint64 }
+	firstTokenReceived struct {
+		ticket  uint64
+		latency time.Duration
 	}
-	// hintReceived is what an attempt's back end told of its own future.
+	// hintReceived is what a back end reported about its own draining, backoff or rate limit.
 	hintReceived struct {
 		ticket uint64
 		hint   inventory.Hint
@@ -73,103 +74,103 @@
 		result routing.Result
 	}
 	tablesChanged struct{ tables views.RouteTables }
-	// configurationChanged brings the zones that are out of service, and the regions.
+	// configurationChanged carries the evacuated zones and the regions.
 	configurationChanged struct {
 		evacuations evacuation.Snapshot
-		places      locality.Map
+		topology    locality.Map
 	}
 	nodesChanged struct{ nodes int }
-	// routeDone tells that a request that took a share of its route is over.
+	// routeDone reports the end of a request that counts against its route's limits.
 	routeDone      struct{ route string }
 	leavingChanged struct{ backends []fleet.BackendName }
 	loadRefused    struct{ refusals []fleet.LoadRefusal }
-	// linesAsked asks for the lines of the queue; reply must have room.
-	linesAsked struct{ reply chan []QueueInfo }
-	wake       struct{}
+	// queuesRequested asks for the state of the queues; reply must have buffer space.
+	queuesRequested struct{ reply chan []QueueInfo }
+	wake            struct{}
 )
 
-// reply answers a submit: a back end, or the final refusal.
-type reply struct {
+// dispatchReply is the result of a submission: a back end, or the final refusal.
+type dispatchReply struct {
 	backend fleet.Backend
 	model   fleet.ModelVersion
 	cold    bool
 	waited  time.Duration
 	refusal *failure
-	// limit is the rate limit that the back end names in its incarnation.
+	// limit is the rate limit that this incarnation of the back end reported.
 	limit       inventory.RateLimit
 	incarnation uint64
 }
 
-// pending is a submitted request that has no back end yet.
-type pending struct {
-	submit submit
+// pendingRequest is a submitted request that has no back end yet.
+type pendingRequest struct {
+	submit submitModel
 	model  fleet.ModelVersion
-	// regions are those by which it waits.
+	// regions are the regions that the request is queued for.
 	regions fleet.Regions
 	cold    bool
 	waited  time.Duration
-	// misses counts releases for which routing had no back end.
-	misses int
+	// failedPicks counts releases for which routing had no back end.
+	failedPicks int
 }
 
-// maxMisses bounds how often a released request is put back.
-const maxMisses = 5
+// maxFailedPicks bounds how often a released request is requeued.
+const maxFailedPicks = 5
 
-// assigned is a request that has a back end.
-type assigned struct {
-	model   fleet.ModelVersion
-	regions fleet.Regions
-	since   time.Time
+// assignedRequest is a request that has a back end.
+type assignedRequest struct {
+	model      fleet.ModelVersion
+	regions    fleet.Regions
+	assignedAt time.Time
 }
 
-// dispatcherState is what the actor owns.
+// dispatcherState is the state that the actor owns.
 type dispatcherState struct {
-	gateway  *Gateway
-	self     *dispatcher
-	queue    *queue.Core
-	routing  *routing.Core
-	budget   *attempt.Budget
-	shares   *shares
-	pending  map[uint64]*pending
-	hedges   map[uint64]submitHedge
-	calls    map[uint64]chan reply
-	assigned map[uint64]assigned
-	timer    *time.Timer
-	timerAt  time.Time
-	// bounds are the regions that requests for a model were bound to.
-	bounds map[fleet.ModelVersion]map[locality.Regions]bool
-	// evacuated is set while the queue is closed since no zone is left.
-	evacuated bool
-	// waiting is the number of requests that the gauge shows.
-	waiting int
+	gateway      *Gateway
+	self         *dispatcher
+	queue        *queue.Core
+	routing      *routing.Core
+	budget       *attempt.Budget
+	routeLimiter *routeLimiter
+	pending      map[uint64]*pendingRequest
+	hedges       map[uint64]submitHedge
+	calls        map[uint64]chan dispatchReply
+	assigned     map[uint64]assignedRequest
+	timer        *time.Timer
+	timerAt      time.Time
+	// regionsByModel holds the sets of regions that requests for a model were bound to.
+	regionsByModel map[fleet.ModelVersion]map[locality.Regions]bool
+	// allEvacuated is set while the queue is closed because all zones are evacuated.
+	allEvacuated bool
+	// gaugedWaiting is the number of waiting requests that the gauge shows.
+	gaugedWaiting int
 }
 
 func startDispatcher(gateway *Gateway) *dispatcher {
-	created := &dispatcher{system: gateway.system, gone: make(chan struct{})}
+	created := &dispatcher{system: gateway.system, stopped: make(chan struct{})}
 	state := &dispatcherState{
-		gateway:  gateway,
-		self:     created,
-		queue:    queue.New(gateway.options.Queue),
-		routing:  routing.New(gateway.options.Routing),
-		budget:   attempt.NewBudget(gateway.limits.RetryShare, gateway.limits.RetryBurst),
-		shares:   newShares(),
-		pending:  make(map[uint64]*pending),
-		hedges:   make(map[uint64]submitHedge),
-		calls:    make(map[uint64]chan reply),
-		assigned: make(map[uint64]assigned),
-		bounds:   make(map[fleet.ModelVersion]map[locality.Regions]bool),
+		gateway:        gateway,
+		self:           created,
+		queue:          queue.New(gateway.options.Queue),
+		routing:        routing.New(gateway.options.Routing),
+		budget:         attempt.NewBudget(gateway.limits.RetryShare, gateway.limits.RetryBurst),
+		routeLimiter:   newRouteLimiter(),
+		pending:        make(map[uint64]*pendingRequest),
+		hedges:         make(map[uint64]submitHedge),
+		calls:          make(map[uint64]chan dispatchReply),
+		assigned:       make(map[uint64]assignedRequest),
+		regionsByModel: make(map[fleet.ModelVersion]map[locality.Regions]bool),
 	}
 	created.spawn(actor.PropsFromFunc(state.receive))
 	return created
 }
 
-// spawn stores the actor's identity before its first message, which may set
-// timers that send to it.
+// spawn stores the actor's PID before its first message, which may set timers
+// that send to it.
 func (d *dispatcher) spawn(props *actor.Props) {
 	name := d.system.ProcessRegistry.NextId()
 	d.pid = d.system.NewLocalPID(name)
 	if _, err := d.system.Root.SpawnNamed(props, name); err != nil {
-		// The registry never gives a name twice.
+		// The registry never returns the same name twice.
 		panic(err)
 	}
 }
@@ -180,75 +181,75 @@
 
 func (d *dispatcher) stop() {
 	_ = d.system.Root.StopFuture(d.pid).Wait()
-	close(d.gone)
+	close(d.stopped)
 }
 
 func (s *dispatcherState) receive(context actor.Context) {
 	now := s.gateway.now()
 	switch message := context.Message().(type) {
-	case submit:
-		s.submit(now, message)
+	case submitModel:
+		s.handleSubmit(now, message)
 	case submitHedge:
-		s.submitHedge(now, message)
+		s.handleSubmitHedge(now, message)
 	case submitCall:
-		s.submitCall(now, message)
+		s.handleSubmitCall(now, message)
 	case abandon:
-		s.abandon(now, message.ticket)
-	case attemptBegan:
-		s.began(now, message)
+		s.handleAbandon(now, message.ticket)
+	case firstTokenReceived:
+		s.handleFirstToken(now, message)
 	case hintReceived:
 		s.stepRouting(now, routing.HintReceived{Ticket: routing.Ticket(message.ticket), Hint: message.hint})
 	case attemptEnded:
-		s.ended(now, message)
+		s.handleAttemptEnded(now, message)
 	case tablesChanged:
-		s.takeTables(now, message.tables)
+		s.applyRouteTables(now, message.tables)
 	case configurationChanged:
-		s.takeConfiguration(now, message)
+		s.applyConfiguration(now, message)
 	case nodesChanged:
-		s.shares.setNodes(message.nodes)
+		s.routeLimiter.setNodes(message.nodes)
 	case leavingChanged:
 		s.stepRouting(now, routing.Leaving{Backends: message.backends})
 	case routeDone:
-		s.shares.done(message.route)
+		s.routeLimiter.release(message.route)
 	case loadRefused:
 		s.stepQueue(now, queue.LoadRefused{Refusals: message.refusals})
 	case wake:
-		s.wake(now)
-	case linesAsked:
-		message.reply <- s.lines(now)
+		s.handleWake(now)
+	case queuesRequested:
+		message.reply <- s.queueInfos(now)
 		return
 	case *actor.Stopping:
-		s.stopping(now)
+		s.handleStopping(now)
 		return
 	default:
 		return
 	}
-	s.gauge()
-	s.arm(now)
+	s.updateGauges()
+	s.armTimer(now)
 }
 
-// wake does what is due.
-func (s *dispatcherState) wake(now time.Time) {
+// handleWake runs the timers of both cores that are due.
+func (s *dispatcherState) handleWake(now time.Time) {
 	s.timerAt = time.Time{}
 	s.stepRouting(now, routing.Tick{})
 	s.stepQueue(now, queue.Tick{})
-	// Reports grow stale and ejections end without a message of their own.
-	for _, line := range s.queue.Queues() {
-		s.offerLine(now, line.Model, line.Regions.Set())
+	// Reports expire and ejections end without a message of their own.
+	for _, info := range s.queue.Queues() {
+		s.updateQueueCapacity(now, info.Model, info.Regions.Set())
 	}
 }
 
-// gauge shows the queue; only the models' dispatcher has one in use.
-func (s *dispatcherState) gauge() {
-	if items, bytes := s.queue.Waiting(); items != s.waiting {
-		s.waiting = items
+// updateGauges updates the queue gauges; only the dispatcher of model requests uses its queue.
+func (s *dispatcherState) updateGauges() {
+	if items, bytes := s.queue.Waiting(); items != s.gaugedWaiting {
+		s.gaugedWaiting = items
 		s.gateway.metrics.waiting.Set(float64(items))
 		s.gateway.metrics.waitingBytes.Set(float64(bytes))
 	}
 }
 
-// arm sets the timer to the earliest wake of the cores.
-func (s *dispatcherState) arm(now time.Time) {
+// armTimer sets the timer to the earliest wake time of the cores.
+func (s *dispatcherState) armTimer(now time.Time) {
 	at := earliest(s.queue.NextWake(), s.routing.NextWake())
 	if at.IsZero() || at.Equal(s.timerAt) {
 		return
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -5,18 +5,18 @@
 	"errors"
 )
 
-// DrainReport says how a planned stop went.
+// DrainReport is the result of a drain.
 type DrainReport struct {
-	// Cut names the requests that were still in progress at the limit.
+	// Cut lists the IDs of the requests that were still in progress at the time limit.
 	Cut []string
 }
 
-// errCut is the cause of requests that the drain limit cut.
-var errCut = errors.New("the drain limit of the node cut the request")
+// errDrainLimit is the cancellation cause of requests that the drain limit ended.
+var errDrainLimit = errors.New("the drain limit of the node cut the request")
 
-// Drain refuses new requests and waits for those in progress, also for those
-// that wait in the queue. At the context's end it cuts what is left, and says
-// what that was.
+// Drain refuses new requests and waits for those in progress, including those
+// that wait in the queue. When the context ends it cancels the remaining ones and
+// reports their IDs.
 func (g *Gateway) Drain(ctx context.Context) DrainReport {
 	idle := g.running.startDrain()
 	select {
@@ -24,7 +24,7 @@
 		return DrainReport{}
 	case <-ctx.Done():
 	}
-	cut := g.running.cutAll(errCut)
+	cut := g.running.cancelAll(errDrainLimit)
 	if len(cut) > 0 {
 		<-idle
 	}
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// evacuatedRetryAfter is told to callers while no zone is left. An operator
-	// empties zones for minutes; callers that come back every second would only
+	// evacuatedRetryAfter is the Retry-After while all zones are evacuated. An
+	// operator evacuates zones for minutes; callers that retry every second would only
 	// be refused again.
 	evacuatedRetryAfter = 10 * time.Second
 
 	detailEvacuated = "all zones are evacuated"
 )
 
-// followEvacuations closes the queue while all zones are evacuated: what waits
-// there would be refused at its deadline, and its caller may have another way.
-func (s *dispatcherState) followEvacuations(now time.Time) {
+// applyEvacuations closes the queue while all zones are evacuated: waiting
+// requests would be refused at their deadline, and their callers may have an
+// alternative.
+func (s *dispatcherState) applyEvacuations(now time.Time) {
 	evacuated := s.routing.AllEvacuated()
-	if evacuated == s.evacuated {
+	if evacuated == s.allEvacuated {
 		return
 	}
-	s.evacuated = evacuated
+	s.allEvacuated = evacuated
 	if evacuated {
 		s.stepQueue(now, queue.Close{Reason: queue.ReasonEvacuated, RetryAfter: evacuatedRetryAfter})
 		return
@@ -31,9 +32,9 @@
 	s.stepQueue(now, queue.Open{})
 }
 
-// noService is why a call has no back end.
-func (s *dispatcherState) noService() *failure {
-	if s.evacuated {
+// noServiceBackend is the refusal of a service call for which there is no back end.
+func (s *dispatcherState) noServiceBackend() *failure {
+	if s.allEvacuated {
 		return &failure{code: string(queue.ReasonEvacuated), detail: detailEvacuated,
 			outcome: attempt.OutcomeNotRun, retryAfter: evacuatedRetryAfter}
 	}
--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -22,12 +22,12 @@
 	for _, zone := range zones {
 		objects = append(objects, objectstore.Object{Kind: string(spec.KindEvacuation), Name: zone, Version: version, Spec: []byte(`{}`)})
 	}
-	h.declare(version, objects)
+	h.setConfiguration(version, objects)
 }
 
-// declare puts a configuration in force; routes are the fake catalog's, but for their
+// setConfiguration puts a configuration in force; routes are the fake catalog's, but for their
 // regions.
-func (h *harness) declare(version uint64, objects []objectstore.Object) {
+func (h *harness) setConfiguration(version uint64, objects []objectstore.Object) {
 	h.t.Helper()
 	snapshot, problems := catalog.Compile(version, objects)
 	if len(problems) > 0 {
@@ -36,15 +36,15 @@
 	h.views.Catalog.Set(snapshot)
 }
 
-// zoneOf is a zone with one engine and one service, which count what they get.
-type zoneOf struct {
+// testZone is a zone with one engine and one service, which count what they get.
+type testZone struct {
 	name            fleet.Zone
 	models, calls   atomic.Int64
 	engine, service string
 }
 
-func (h *harness) addZone(name fleet.Zone, engine http.HandlerFunc) *zoneOf {
-	zone := &zoneOf{name: name}
+func (h *harness) addZone(name fleet.Zone, engine http.HandlerFunc) *testZone {
+	zone := &testZone{name: name}
 	zone.engine = h.backend(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == backend.PathCompletions {
 			zone.models.Add(1)
@@ -58,7 +58,7 @@
 	return zone
 }
 
-func (h *harness) publishZones(zones ...*zoneOf) {
+func (h *harness) publishZones(zones ...*testZone) {
 	h.table.Sequence++
 	tables := make(views.RouteTables)
 	for _, zone := range zones {
@@ -77,7 +77,7 @@
 
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	h.evacuate(1, "a")
 	const requests = 8
@@ -113,11 +113,11 @@
 		case isCancel(request):
 			return
 		}
-		scripted{writer, request}.tokens(0, 3)
+		scriptedEngine{writer, request}.tokens(0, 3)
 		h.evacuate(1, "a")
-		breakOff()
+		abortConnection()
 	})
-	other := h.addZone("b", wholeEngine)
+	other := h.addZone("b", completeEngine)
 	h.publishZones(home)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
@@ -125,7 +125,7 @@
 		runtime.Gosched()
 	}
 	h.publishZones(home, other)
-	h.wantWhole(<-done)
+	h.wantComplete(<-done)
 	if home.models.Load() != 1 || resumes.Load() != 0 || other.models.Load() != 1 {
 		t.Errorf("the evacuated zone got %d requests and %d resumes, the other %d",
 			home.models.Load(), resumes.Load(), other.models.Load())
@@ -134,7 +134,7 @@
 
 func TestAllZonesEvacuatedIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	empty := fleet.RouteTable{Zone: "a", Fence: 1, Sequence: 1}
 	h.views.RouteTables.Set(views.RouteTables{"a": empty})
 	waiting := make(chan response, 1)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,59 +24,58 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// Catalog is what the gateway asks of the declarations in force.
+// Catalog looks up routes in the declarations in force.
 type Catalog interface {
-	// ModelRoute finds the route of a request with the given labels.
+	// ModelRoute finds the route of a model request with the given labels.
 	ModelRoute(labels map[string]string) (catalog.ModelRoute, bool)
-	// ServiceRoute finds the route of a plain call.
+	// ServiceRoute finds the route of a service call.
 	ServiceRoute(method, path string) (catalog.ServiceRoute, bool)
-	// ModelNames lists, in order, what callers may name as model.
+	// ModelNames lists, in order, the names that callers may use as model.
 	ModelNames() []string
 }
 
-// Options are what a gateway is built from.
+// Options configure a Gateway.
 type Options struct {
 	Views *views.Views
-	// Catalog returns the declarations in force, and false while there are
-	// none.
+	// Catalog returns the declarations in force, and false while there are none.
 	Catalog func() (Catalog, bool)
 	Demand  fleet.DemandReporter
 	Guard   claim.Guard
-	// Leaving hears of a back end that refuses because it goes away; it must not
-	// block. Nil tells nobody.
+	// Leaving is called with a back end that refuses requests because it is shutting
+	// down. It must not block. Nil ignores the event.
 	Leaving func(fleet.BackendName)
-	// Suspects remembers requests under which servers ended; nil remembers none.
+	// Suspects tracks requests that crash servers; nil tracks none.
 	Suspects Suspects
-	// Quotas keeps tenants below their quotas; nil bounds none.
+	// Quotas enforces the quotas of tenants; nil enforces none.
 	Quotas Quotas
-	// Admission keeps back ends that name a rate limit below it; nil bounds none.
+	// Admission enforces the rate limits of back ends; nil enforces none.
 	Admission Admission
 	// Self names the node and its zone.
 	Self   fleet.Member
 	Logger *log.Logger
-	// System runs the gateway's actors; nil takes one of its own.
+	// System runs the gateway's actors; nil creates a system of its own.
 	System     *actor.ActorSystem
 	Registerer prometheus.Registerer
 	Limits     Limits
 	Queue      queue.Options
 	Routing    routing.Options
 	Seed       uint64
-	// Now is the clock; nil takes time.Now.
+	// Now is the clock; nil uses time.Now.
 	Now func() time.Time
 }
 
 // Gateway serves callers. It is an http.Handler.
 type Gateway struct {
-	options   Options
-	limits    Limits
-	now       func() time.Time
-	catalog   func() (Catalog, bool)
-	system    *actor.ActorSystem
-	models    *dispatcher
-	services  *dispatcher
-	generator *backend.Generator
-	calls     *backend.Services
-	// probes tells servers that ended from ways that broke.
+	options       Options
+	limits        Limits
+	now           func() time.Time
+	catalog       func() (Catalog, bool)
+	system        *actor.ActorSystem
+	models        *dispatcher
+	services      *dispatcher
+	engineClient  *backend.Generator
+	serviceClient *backend.Services
+	// probes tells crashed servers from broken connections.
 	probes    *backendconn.Pool
 	metrics   *metrics
 	tickets   atomic.Uint64
@@ -87,12 +86,12 @@
 	randomMutex sync.Mutex
 	random      *rand.Rand
 
-	running running
-	// background counts cancels and reports to keepers under way.
+	running requestTracker
+	// background tracks cancels, hedged attempts and reports to key keepers in progress.
 	background sync.WaitGroup
 }
 
-// New starts a gateway. Close ends it.
+// New starts a gateway. Close stops it.
 func New(options Options) *Gateway {
 	now := options.Now
 	if now == nil {
@@ -109,20 +108,20 @@
 	options.Routing.Zone = options.Self.Zone
 	options.Routing.Seed = options.Seed
 	gateway := &Gateway{
-		options:   options,
-		limits:    options.Limits.withDefaults(),
-		now:       now,
-		catalog:   options.Catalog,
-		generator: backend.NewGenerator(options.Self.Zone),
-		calls:     backend.NewServices(options.Self.Zone),
-		probes:    backendconn.New(backendconn.Options{}),
-		metrics:   newMetrics(options.Registerer),
-		random:    rand.New(rand.NewPCG(options.Seed, seedStream)),
+		options:       options,
+		limits:        options.Limits.withDefaults(),
+		now:           now,
+		catalog:       options.Catalog,
+		engineClient:  backend.NewGenerator(options.Self.Zone),
+		serviceClient: backend.NewServices(options.Self.Zone),
+		probes:        backendconn.New(backendconn.Options{}),
+		metrics:       newMetrics(options.Registerer),
+		random:        rand.New(rand.NewPCG(options.Seed, seedStream)),
 	}
 	gateway.running.active = make(map[uint64]*activeRequest)
 	gateway.system = options.System
 	if gateway.system == nil {
-		gateway.system = ownSystem()
+		gateway.system = newActorSystem()
 	}
 	gateway.models = startDispatcher(gateway)
 	gateway.services = startDispatcher(gateway)
@@ -130,21 +129,21 @@
 	return gateway
 }
 
-// ownSystem is for gateways without a node around them.
-func ownSystem() *actor.ActorSystem {
-	quiet := func(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
-	return actor.NewActorSystem(actor.WithLoggerFactory(quiet))
+// newActorSystem creates an actor system for gateways that are used without a node.
+func newActorSystem() *actor.ActorSystem {
+	discardLogs := func(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
+	return actor.NewActorSystem(actor.WithLoggerFactory(discardLogs))
 }
 
-// seedStream keeps the gateway's random numbers apart from the cores'.
+// seedStream separates the gateway's random numbers from those of the cores.
 const seedStream = 0x676174657761790a
 
-// watch feeds what other shells publish to both dispatchers.
+// watch forwards published views to both dispatchers.
 func (g *Gateway) watch() {
 	for _, dispatcher := range []*dispatcher{g.models, g.services} {
 		g.options.Views.RouteTables.Watch(func(tables views.RouteTables) { dispatcher.send(tablesChanged{tables: tables}) })
 		g.options.Views.Catalog.Watch(func(snapshot *catalog.Snapshot) {
-			dispatcher.send(configurationChanged{evacuations: snapshot.Evacuations(), places: snapshot.Topology()})
+			dispatcher.send(configurationChanged{evacuations: snapshot.Evacuations(), topology: snapshot.Topology()})
 		})
 		g.options.Views.Members.Watch(func([]fleet.Member) { dispatcher.send(nodesChanged{nodes: g.usableNodes()}) })
 		g.options.Views.Machines.Watch(func(machines objectstore.MachineList) {
@@ -157,7 +156,7 @@
 	}
 }
 
-// Close ends the gateway's actors and idle connections; call Drain first.
+// Close stops the gateway's actors and closes idle connections; call Drain first.
 func (g *Gateway) Close() {
 	g.models.stop()
 	g.services.stop()
@@ -165,8 +164,8 @@
 		g.system.Shutdown()
 	}
 	g.background.Wait()
-	g.generator.Close()
-	g.calls.Close()
+	g.engineClient.Close()
+	g.serviceClient.Close()
 }
 
 // ServeHTTP implements http.Handler.
@@ -179,13 +178,13 @@
 }
 
 func (g *Gateway) serve(call *call) {
-	defer call.finished()
-	if !g.running.enter(call) {
+	defer call.finish()
+	if !g.running.add(call) {
 		call.writer.Header().Set("Connection", "close")
 		call.fail(problemStopping(g.limits.DrainRetryAfter))
 		return
 	}
-	defer g.running.leave(call)
+	defer g.running.remove(call)
 	g.metrics.running.Inc()
 	defer g.metrics.running.Dec()
 	current, found := g.catalog()
@@ -193,7 +192,7 @@
 		call.fail(problemNoCatalog)
 		return
 	}
-	if failed := call.identify(); failed != nil {
+	if failed := call.authenticate(); failed != nil {
 		call.fail(*failed)
 		return
 	}
@@ -201,7 +200,7 @@
 	case path == backend.PathChat || path == backend.PathCompletions:
 		call.serveModel(current)
 	case path == pathModels:
-		call.serveModels(current)
+		call.serveModelList(current)
 	case strings.HasPrefix(path, pathModels+"/"):
 		call.serveModelName(current, strings.TrimPrefix(path, pathModels+"/"))
 	default:
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -175,9 +175,9 @@
 	return result
 }
 
-// textOf joins the tokens of a streamed text completion; whole tells whether
+// streamText joins the tokens of a streamed text completion; whole tells whether
 // the terminator came.
-func textOf(stream string) (text string, whole bool) {
+func streamText(stream string) (text string, whole bool) {
 	for line := range strings.Lines(stream) {
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !found {
@@ -194,26 +194,26 @@
 	return text, false
 }
 
-// scripted answers like an engine, token by token.
-type scripted struct {
+// scriptedEngine answers like an engine, token by token.
+type scriptedEngine struct {
 	writer  http.ResponseWriter
 	request *http.Request
 }
 
-func (s scripted) header() backend.Chunk {
+func (s scriptedEngine) header() backend.Chunk {
 	chunk := backend.Chunk{RequestID: fleet.RequestID(s.request.Header.Get(backend.HeaderRequestID))}
 	_, _ = fmt.Sscan(s.request.Header.Get(backend.HeaderAttempt), &chunk.Attempt)
 	return chunk
 }
 
-func (s scripted) send(chunk backend.Chunk) {
+func (s scriptedEngine) send(chunk backend.Chunk) {
 	body, _ := json.Marshal(chunk)
 	_, _ = fmt.Fprintf(s.writer, "data: %s\n\n", body)
 	s.writer.(http.Flusher).Flush()
 }
 
 // tokens sends the tokens from..to-1 as "<n> ".
-func (s scripted) tokens(from, to int) {
+func (s scriptedEngine) tokens(from, to int) {
 	for sequence := from; sequence < to; sequence++ {
 		chunk := s.header()
 		chunk.Sequence, chunk.Text = sequence, fmt.Sprintf("%d ", sequence)
@@ -221,26 +221,26 @@
 	}
 }
 
-func (s scripted) end(sequence int) {
+func (s scriptedEngine) end(sequence int) {
 	chunk := s.header()
 	chunk.Sequence, chunk.Finish = sequence, "stop"
 	s.send(chunk)
 	_, _ = io.WriteString(s.writer, "data: [DONE]\n\n")
 }
 
-func (s scripted) body() backend.CompletionRequest {
+func (s scriptedEngine) body() backend.CompletionRequest {
 	var request backend.CompletionRequest
 	text, _ := io.ReadAll(s.request.Body)
 	_ = json.NewDecoder(bytes.NewReader(text)).Decode(&request)
 	return request
 }
 
-const wholeText = "0 1 2 3 4 5 "
+const completeText = "0 1 2 3 4 5 "
 
 const streamBody = `{"model":"notes","stream":true,"prompt":"x"}`
 
-func wholeEngine(writer http.ResponseWriter, request *http.Request) {
-	engine := scripted{writer, request}
+func completeEngine(writer http.ResponseWriter, request *http.Request) {
+	engine := scriptedEngine{writer, request}
 	engine.tokens(len(engine.body().ContinueFrom), 6)
 	engine.end(6)
 }
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -11,89 +11,90 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// leg is one back end's part in a request.
-type leg struct {
+// assignment is a back end that was assigned to a request under a ticket.
+type assignment struct {
 	ticket uint64
-	// engine is the back end of the attempt; isLimited is set where it names a rate limit.
-	engine    fleet.Backend
-	isLimited bool
-	opened    time.Time
-	link      *link
+	// engine is the back end; isLimited is set if it reports a rate limit.
+	engine     fleet.Backend
+	isLimited  bool
+	openedAt   time.Time
+	connection *connection
 }
 
-// race is the wait for the first token where a second back end may be asked.
-// Each leg is opened and read by a goroutine of its own until its first chunk;
-// from then on the request's own goroutine reads the winner.
+// race is the wait for the first token of a request that may be hedged. Each
+// attempt is opened and read by its own goroutine until its first chunk; from then
+// on the request's own goroutine reads the winner.
 type race struct {
-	legs   []*racer
-	events chan raceEvent
-	// hedge is the answer to the search for a second back end, nil while there
-	// is none; spare is a back end that the core was told of.
-	hedge chan reply
-	asked uint64
-	spare *leg
-	// decided is set once a first chunk is there.
+	attempts []*raceAttempt
+	events   chan raceEvent
+	// hedgeReply receives the result of the search for a second back end, nil while
+	// there is none in progress; spare is a second back end that was reported to the
+	// core and not yet opened.
+	hedgeReply  chan dispatchReply
+	hedgeTicket uint64
+	spare       *assignment
+	// decided is set once a first chunk has arrived.
 	decided bool
 }
 
-type racer struct {
-	leg
+type raceAttempt struct {
+	assignment
 	attempt int
 }
 
-// raceEvent is what a leg brought. Its stream, where there is one, is read on
-// by whoever takes the event.
+// raceEvent is a message from one attempt of a race. Its stream, if any, is read
+// further by the receiver of the event.
 type raceEvent struct {
-	racer   *racer
+	attempt *raceAttempt
 	message attempt.Message
 	stream  *backend.Stream
-	// first is set for a chunk that belongs to the leg.
+	// first is set for a chunk that belongs to the attempt.
 	first bool
 }
 
-// mayRace: the core waits for less than its deadline before it hedges.
-func (r *modelRun) mayRace(open attempt.Open) bool {
+// shouldRace reports whether the core would hedge before its deadline.
+func (r *modelRun) shouldRace(open attempt.Open) bool {
 	return r.gateway.limits.HedgeAfter > 0 && len(open.ContinueFrom) == 0 && r.core.NextWake().Before(r.deadline)
 }
 
-// startLeg opens one connection of a race.
-func (r *modelRun) startLeg(leg leg, open attempt.Open) {
-	started := &racer{leg: leg, attempt: open.Attempt}
-	started.opened = r.gateway.now()
-	// The race has a timer of its own.
-	started.link = newLink(r.request.Context(), open.Connection, r.deadline.Add(time.Second), r.gateway.now)
-	r.race.legs = append(r.race.legs, started)
+// startRaceAttempt opens one connection of a race.
+func (r *modelRun) startRaceAttempt(target assignment, open attempt.Open) {
+	started := &raceAttempt{assignment: target, attempt: open.Attempt}
+	started.openedAt = r.gateway.now()
+	// The race has its own timer.
+	started.connection = newConnection(r.request.Context(), open.Connection, r.deadline.Add(time.Second), r.gateway.now)
+	r.race.attempts = append(r.race.attempts, started)
 	request := r.generateRequest(open)
 	events := r.race.events
-	r.gateway.background.Go(func() { r.runLeg(started, request, events) })
+	r.gateway.background.Go(func() { r.runRaceAttempt(started, request, events) })
 }
 
-// runLeg opens a leg and reads it until its first chunk.
-func (r *modelRun) runLeg(leg *racer, request backend.GenerateRequest, events chan<- raceEvent) {
-	send := func(event raceEvent) (taken bool) {
-		event.racer = leg
+// runRaceAttempt opens an attempt and reads it until its first chunk.
+func (r *modelRun) runRaceAttempt(started *raceAttempt, request backend.GenerateRequest, events chan<- raceEvent) {
+	send := func(event raceEvent) (delivered bool) {
+		event.attempt = started
 		select {
 		case events <- event:
 			return true
-		case <-leg.link.ctx.Done():
+		case <-started.connection.ctx.Done():
 			return false
 		}
 	}
-	stream, err := r.gateway.generator.Open(leg.link.ctx, leg.engine.Address, request)
-	r.gateway.receiveHint(r.gateway.models, leg.leg, backend.HintOf(stream, err), leg.opened)
+	stream, err := r.gateway.engineClient.Open(started.connection.ctx, started.engine.Address, request)
+	r.gateway.forwardHint(r.gateway.models, started.assignment, backend.HintOf(stream, err), started.openedAt)
 	if err != nil {
-		send(raceEvent{message: brokenBy(leg.link.number, err)})
+		send(raceEvent{message: failureFromError(started.connection.number, err)})
 		return
 	}
 	for {
 		chunk := backend.Chunk{RequestID: request.RequestID}
-		message, more := nextMessage(stream, leg.link.number, &chunk)
-		first := more && chunk.RequestID == request.RequestID && chunk.Attempt == leg.attempt
-		taken := send(raceEvent{message: message, stream: stream, first: first})
-		if !taken {
+		message, more := nextMessage(stream, started.connection.number, &chunk)
+		first := more && chunk.RequestID == request.RequestID && chunk.Attempt == started.attempt
+		delivered := send(raceEvent{message: message, stream: stream, first: first})
+		if !delivered {
 			stream.Close()
 		}
-		if !taken || first || !more {
+		if !delivered || first || !more {
 			return
 		}
 	}
@@ -109,28 +110,28 @@
 	case backend.ErrDone:
 		return attempt.Ended{Connection: connection, Terminated: true}, false
 	}
-	return brokenBy(connection, err), false
+	return failureFromError(connection, err), false
 }
 
-// wait returns the next message of a race.
-func (r *modelRun) wait() attempt.Message {
-	r.giveSpareBack()
+// awaitRace returns the next message of a race.
+func (r *modelRun) awaitRace() attempt.Message {
+	r.releaseSpare()
 	timer := time.NewTimer(max(0, r.core.NextWake().Sub(r.gateway.now())))
 	defer timer.Stop()
 	for {
 		select {
 		case event := <-r.race.events:
-			if slices.Contains(r.race.legs, event.racer) {
-				return r.took(event)
+			if slices.Contains(r.race.attempts, event.attempt) {
+				return r.handleRaceEvent(event)
 			}
 			event.close()
-		case reply := <-r.race.hedge:
-			r.race.hedge = nil
+		case reply := <-r.race.hedgeReply:
+			r.race.hedgeReply = nil
 			if reply.refusal == nil && reply.limit.IsSet() {
-				// A second send is not worth what such a back end takes.
-				r.gateway.models.send(attemptEnded{ticket: r.race.asked, result: routing.ResultAbandoned})
+				// A hedge is not worth the rate limit that it would use up at this back end.
+				r.gateway.models.send(attemptEnded{ticket: r.race.hedgeTicket, result: routing.ResultAbandoned})
 			} else if reply.refusal == nil {
-				r.race.spare = &leg{ticket: r.race.asked, engine: reply.backend}
+				r.race.spare = &assignment{ticket: r.race.hedgeTicket, engine: reply.backend}
 				return attempt.HedgeAssigned{Backend: reply.backend.Name}
 			}
 		case <-timer.C:
@@ -147,101 +148,101 @@
 	}
 }
 
-// took lets the leg that decides the race, or the only one, be the request's.
-func (r *modelRun) took(event raceEvent) attempt.Message {
-	if broken, isBroken := event.message.(attempt.Failure); isBroken {
-		r.suspicion.brokeOff(event.racer.engine, broken)
+// handleRaceEvent makes the attempt that decides the race, or the only one left, the request's attempt.
+func (r *modelRun) handleRaceEvent(event raceEvent) attempt.Message {
+	if cause, isBroken := event.message.(attempt.Failure); isBroken {
+		r.poisonCheck.recordBreak(event.attempt.engine, cause)
 	}
 	_, isChunk := event.message.(*attempt.Chunk)
 	if event.first || !isChunk {
-		event.racer.link.stream = event.stream
+		event.attempt.connection.stream = event.stream
 	}
-	if event.first || !isChunk && len(r.race.legs) == 1 {
-		r.adopt(event.racer)
+	if event.first || !isChunk && len(r.race.attempts) == 1 {
+		r.adopt(event.attempt)
 		r.race.decided = event.first
 	}
 	return event.message
 }
 
-func (r *modelRun) adopt(winner *racer) {
-	r.ticket, r.engine, r.opened, r.link = winner.ticket, winner.engine, winner.opened, winner.link
+func (r *modelRun) adopt(winner *raceAttempt) {
+	r.ticket, r.engine, r.openedAt, r.connection = winner.ticket, winner.engine, winner.openedAt, winner.connection
 	r.isLimited = winner.isLimited
 	r.record.backend, r.record.attempts = winner.engine.Name, max(r.record.attempts, winner.attempt)
-	if winner.link.stream != nil {
-		r.answer.more = winner.link.stream.Buffered
+	if winner.connection.stream != nil {
+		r.response.hasMore = winner.connection.stream.Buffered
 	}
 }
 
-// hedge asks for a second back end; the answer is awaited beside the first.
+// hedge asks for a second back end; the reply is awaited while the first attempt goes on.
 func (r *modelRun) hedge(hedge attempt.Hedge) {
 	if r.race == nil {
 		return
 	}
-	r.race.hedge = make(chan reply, 1)
-	r.race.asked = r.gateway.tickets.Add(1)
-	r.gateway.models.send(submitHedge{ticket: r.race.asked, model: r.model, route: r.route, prefix: r.prefix,
-		exclude: hedge.Exclude, reply: r.race.hedge})
+	r.race.hedgeReply = make(chan dispatchReply, 1)
+	r.race.hedgeTicket = r.gateway.tickets.Add(1)
+	r.gateway.models.send(submitHedge{ticket: r.race.hedgeTicket, model: r.model, route: r.route, prefix: r.prefix,
+		exclude: hedge.Exclude, reply: r.race.hedgeReply})
 }
 
-// drop ends the leg that lost.
+// drop ends the attempt that lost the race.
 func (r *modelRun) drop(drop attempt.Drop) {
-	for index, racer := range r.race.legs {
-		if racer.link.number != drop.Connection {
+	for index, candidate := range r.race.attempts {
+		if candidate.connection.number != drop.Connection {
 			continue
 		}
-		r.race.legs = append(r.race.legs[:index:index], r.race.legs[index+1:]...)
-		racer.link.close()
+		r.race.attempts = append(r.race.attempts[:index:index], r.race.attempts[index+1:]...)
+		candidate.connection.close()
 		result := routing.ResultAbandoned
 		if drop.Failure.Evidence != 0 {
-			result = resultOf(drop.Failure, false)
+			result = routingResult(drop.Failure, false)
 		}
-		r.gateway.models.send(attemptEnded{ticket: racer.ticket, result: result})
+		r.gateway.models.send(attemptEnded{ticket: candidate.ticket, result: result})
 		return
 	}
 }
 
-// leaveRace ends the race: the leg that is left is the request's.
-func (r *modelRun) leaveRace() {
+// endRace ends the race: the remaining attempt becomes the request's attempt.
+func (r *modelRun) endRace() {
 	if r.race == nil {
 		return
 	}
-	r.giveSpareBack()
-	if r.race.hedge != nil {
-		r.gateway.models.send(abandon{ticket: r.race.asked})
+	r.releaseSpare()
+	if r.race.hedgeReply != nil {
+		r.gateway.models.send(abandon{ticket: r.race.hedgeTicket})
 	}
-	for _, racer := range r.race.legs {
-		r.adopt(racer)
+	for _, remaining := range r.race.attempts {
+		r.adopt(remaining)
 	}
 	r.race = nil
 }
 
-// giveSpareBack returns a back end that the core did not open.
-func (r *modelRun) giveSpareBack() {
+// releaseSpare gives up a second back end that the core did not open.
+func (r *modelRun) releaseSpare() {
 	if r.race.spare != nil {
 		r.gateway.models.send(attemptEnded{ticket: r.race.spare.ticket, result: routing.ResultAbandoned})
 		r.race.spare = nil
 	}
 }
 
-// addressOf finds the engine of a cancel, which may be a leg's.
+// addressOf returns the address of the engine to cancel at, which may be one of a race.
 func (r *modelRun) addressOf(name fleet.BackendName) string {
 	if r.race != nil {
-		for _, racer := range r.race.legs {
-			if racer.engine.Name == name {
-				return racer.engine.Address
+		for _, candidate := range r.race.attempts {
+			if candidate.engine.Name == name {
+				return candidate.engine.Address
 			}
 		}
 	}
 	return r.engine.Address
 }
 
-// submitHedge asks for a second back end, which is had only where no other
-// request waits for the room, and within the retry budget.
+// submitHedge asks for a second back end. It is granted only if no other request
+// waits for the capacity, and within the retry budget.
 type submitHedge struct {
 	ticket  uint64
 	model   fleet.ModelVersion
 	route   catalog.ModelRoute
 	prefix  []uint64
 	exclude []fleet.BackendName
-	reply   chan reply
+	reply   chan dispatchReply
 }
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -33,7 +33,7 @@
 		}
 		number, _ := strconv.Atoi(request.Header.Get(backend.HeaderAttempt))
 		if answers(number, request) {
-			wholeEngine(writer, request)
+			completeEngine(writer, request)
 			return
 		}
 		hang(request)
@@ -47,7 +47,7 @@
 func TestSilentEngineIsHedgedAndCancelled(t *testing.T) {
 	h := newHarness(t, hedging)
 	cancels := hedgedEngines(h, func(attempt int, _ *http.Request) bool { return attempt == 2 })
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if got := <-cancels; got != "1" {
 		t.Errorf("attempt %q was cancelled", got)
 	}
@@ -64,7 +64,7 @@
 		<-second
 		return true
 	})
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if got := <-cancels; got != "2" {
 		t.Errorf("attempt %q was cancelled", got)
 	}
@@ -110,18 +110,18 @@
 	})
 	for index := range 3 {
 		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.backend(func(writer http.ResponseWriter, request *http.Request) {
-			engine := scripted{writer, request}
+			engine := scriptedEngine{writer, request}
 			switch number := engine.header().Attempt; {
 			case isCancel(request):
 			case isResume(request):
 				http.NotFound(writer, request)
 			case number == 1 && index == 1:
-				breakOff()
+				abortConnection()
 			case number == 2 && index == 2:
 				engine.tokens(len(engine.body().ContinueFrom), 3)
-				breakOff()
+				abortConnection()
 			default:
-				wholeEngine(writer, request)
+				completeEngine(writer, request)
 			}
 		}))
 	}
@@ -130,6 +130,6 @@
 		go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody, headerDeadline, "9s") }()
 	}
 	for range cap(done) {
-		h.wantWhole(<-done)
+		h.wantComplete(<-done)
 	}
 }
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -6,17 +6,17 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// receiveHint takes what a back end told of its own future with the answer to a request that left at sentAt,
-// before the answer goes on: choices that are made from now on go by it. An answer that tells nothing
-// may end a rate limit. The zone is told of one that leaves, since its leader may not have
-// been able to read that, and commands' servers are not polled.
-func (g *Gateway) receiveHint(from *dispatcher, at leg, hint inventory.Hint, sentAt time.Time) {
-	if hint.IsEmpty() && !at.isLimited {
+// forwardHint passes what a back end reported about itself, in the response to a request sent at sentAt, to
+// the dispatcher before the response goes on, so that later picks respect it. A response without a hint may
+// end a rate limit. A back end that is draining is also reported through Options.Leaving: the zone's leader
+// may not have been able to read that, and command servers are not polled.
+func (g *Gateway) forwardHint(owner *dispatcher, target assignment, hint inventory.Hint, sentAt time.Time) {
+	if hint.IsEmpty() && !target.isLimited {
 		return
 	}
 	hint.SentAt = sentAt
-	from.send(hintReceived{ticket: at.ticket, hint: hint})
+	owner.send(hintReceived{ticket: target.ticket, hint: hint})
 	if hint.Draining && g.options.Leaving != nil {
-		g.options.Leaving(at.engine.Name)
+		g.options.Leaving(target.engine.Name)
 	}
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -8,36 +8,36 @@
 // Limits bound what callers may use of a node. Zero values are replaced by the
 // defaults.
 type Limits struct {
-	// MaxBodyBytes bounds one request body, MaxBodyBytesTotal all bodies that
-	// are held at a time.
+	// MaxBodyBytes limits one request body, MaxBodyBytesTotal all bodies held at
+	// the same time.
 	MaxBodyBytes      int64
 	MaxBodyBytesTotal int64
-	// BodyTimeout bounds the reading of a body.
+	// BodyTimeout limits the time for reading a body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds one write to a caller that reads slowly.
+	// WriteTimeout limits one write to a caller that reads slowly.
 	WriteTimeout time.Duration
-	// MaxRequests bounds the requests at a time, services apart from models.
+	// MaxRequests limits the concurrent requests, for services and models separately.
 	MaxRequests int
-	// MaxAnswerBytes bounds an answer that is given whole.
+	// MaxAnswerBytes limits a response that is sent as one body.
 	MaxAnswerBytes int
-	// MaxStoredAnswerBytes bounds an answer kept for an Idempotency-Key.
+	// MaxStoredAnswerBytes limits a response stored for an Idempotency-Key.
 	MaxStoredAnswerBytes int
-	// MaxKeyBytes bounds an Idempotency-Key, MaxLabelBytes the labels header.
+	// MaxKeyBytes limits an Idempotency-Key, MaxLabelBytes the labels header.
 	MaxKeyBytes   int
 	MaxLabelBytes int
-	// DefaultDeadline stands in where a route has none.
+	// DefaultDeadline and DefaultServiceDeadline apply to routes without a deadline.
 	DefaultDeadline        time.Duration
 	DefaultServiceDeadline time.Duration
-	// StallTimeout bounds the time between two tokens of an engine.
+	// StallTimeout limits the time between two tokens of an engine.
 	StallTimeout time.Duration
-	// HedgeAfter is how long a model request waits for its first token until a
-	// second back end is asked as well; zero is never.
+	// HedgeAfter is how long a model request waits for its first token before a
+	// second back end is asked as well; zero disables hedging.
 	HedgeAfter time.Duration
-	// RetryShare is the share of the traffic that may be retries; RetryBurst
-	// is how many may be saved up.
+	// RetryShare is the fraction of the traffic that may be retries; RetryBurst is
+	// the number of retries that the budget can accumulate.
 	RetryShare float64
 	RetryBurst float64
-	// DrainRetryAfter is told to callers while the node stops.
+	// DrainRetryAfter is the Retry-After while the node is stopping.
 	DrainRetryAfter time.Duration
 }
 
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -12,55 +12,55 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// link is one connection of an attempt, bounded by the core's wake time.
-type link struct {
+// connection is one connection of an attempt, ended at the core's wake time.
+type connection struct {
 	number int
 	stream *backend.Stream
 	ctx    context.Context
 	stop   context.CancelFunc
-	// wake is when the next chunk must be there, in Unix nanoseconds. It is
-	// moved on with each chunk without touching the timer, which looks again
-	// when it fires.
-	wake atomic.Int64
+	// deadline is when the next chunk must have arrived, in Unix nanoseconds. Each
+	// chunk moves it without resetting the timer, which checks it again when it
+	// fires.
+	deadline atomic.Int64
 	// timerAt is when the timer fires, in Unix nanoseconds.
-	timerAt atomic.Int64
-	late    atomic.Bool
-	timer   *time.Timer
-	now     func() time.Time
+	timerAt  atomic.Int64
+	timedOut atomic.Bool
+	timer    *time.Timer
+	now      func() time.Time
 }
 
-func newLink(ctx context.Context, number int, wake time.Time, now func() time.Time) *link {
-	created := &link{number: number, now: now}
+func newConnection(ctx context.Context, number int, deadline time.Time, now func() time.Time) *connection {
+	created := &connection{number: number, now: now}
 	created.ctx, created.stop = context.WithCancel(ctx)
-	created.wake.Store(wake.UnixNano())
-	created.timerAt.Store(wake.UnixNano())
-	created.timer = time.AfterFunc(max(0, wake.Sub(now())), created.expire)
+	created.deadline.Store(deadline.UnixNano())
+	created.timerAt.Store(deadline.UnixNano())
+	created.timer = time.AfterFunc(max(0, deadline.Sub(now())), created.expire)
 	return created
 }
 
-// setWake bounds the next chunk. Only a time before the timer's needs the timer:
-// the first token's deadline may be far beyond the bound of the second.
-func (l *link) setWake(at time.Time) {
-	l.wake.Store(at.UnixNano())
-	if at.UnixNano() < l.timerAt.Load() {
-		l.timerAt.Store(at.UnixNano())
-		l.timer.Reset(at.Sub(l.now()))
+// setDeadline sets the deadline of the next chunk. The timer is reset only for an
+// earlier time: the first token's deadline may be much later than the second's.
+func (l *connection) setDeadline(deadline time.Time) {
+	l.deadline.Store(deadline.UnixNano())
+	if deadline.UnixNano() < l.timerAt.Load() {
+		l.timerAt.Store(deadline.UnixNano())
+		l.timer.Reset(deadline.Sub(l.now()))
 	}
 }
 
-// expire ends the connection once the wake time has truly come.
-func (l *link) expire() {
-	left := time.Unix(0, l.wake.Load()).Sub(l.now())
-	if left > 0 {
-		l.timerAt.Store(l.wake.Load())
-		l.timer.Reset(left)
+// expire ends the connection if the deadline has passed, otherwise it rearms the timer.
+func (l *connection) expire() {
+	remaining := time.Unix(0, l.deadline.Load()).Sub(l.now())
+	if remaining > 0 {
+		l.timerAt.Store(l.deadline.Load())
+		l.timer.Reset(remaining)
 		return
 	}
-	l.late.Store(true)
+	l.timedOut.Store(true)
 	l.stop()
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	l.timer.Stop()
 	l.stop()
 	if l.stream != nil {
@@ -68,73 +68,76 @@
 	}
 }
 
-func (r *modelRun) closeLink() {
-	if r.link != nil {
-		r.link.close()
-		r.link = nil
+func (r *modelRun) closeConnection() {
+	if r.connection != nil {
+		r.connection.close()
+		r.connection = nil
 	}
 }
 
 // open sends the request to the engine.
 func (r *modelRun) open(open attempt.Open) attempt.Message {
-	r.opened = r.gateway.now()
-	r.began = false
+	r.openedAt = r.gateway.now()
+	r.firstTokenSent = false
 	r.record.attempts = open.Attempt
 	if r.race != nil && r.race.spare != nil {
 		second := *r.race.spare
 		r.race.spare = nil
-		r.startLeg(second, open)
+		r.startRaceAttempt(second, open)
 		return nil
 	}
-	if r.mayRace(open) {
+	if r.shouldRace(open) {
 		r.race = &race{events: make(chan raceEvent)}
-		r.startLeg(r.leg(), open)
+		r.startRaceAttempt(r.currentAssignment(), open)
 		return nil
 	}
 	return r.connect(open.Connection, func(ctx context.Context) (*backend.Stream, error) {
-		return r.gateway.generator.Open(ctx, r.engine.Address, r.generateRequest(open))
+		return r.gateway.engineClient.Open(ctx, r.engine.Address, r.generateRequest(open))
 	})
 }
 
-// leg is the back end of the present attempt.
-func (r *modelRun) leg() leg { return leg{ticket: r.ticket, engine: r.engine, isLimited: r.isLimited} }
+// currentAssignment returns the back end of the current attempt.
+func (r *modelRun) currentAssignment() assignment {
+	return assignment{ticket: r.ticket, engine: r.engine, isLimited: r.isLimited}
+}
 
 func (r *modelRun) generateRequest(open attempt.Open) backend.GenerateRequest {
 	return backend.GenerateRequest{
-		RequestID: r.engineID, Attempt: open.Attempt, Priority: r.route.Priority, Model: r.model,
+		RequestID: r.engineRequestID, Attempt: open.Attempt, Priority: r.route.Priority, Model: r.model,
 		Adapter: r.route.Adapter, Path: r.request.URL.Path, Body: r.body, ContinueFrom: open.ContinueFrom,
 	}
 }
 
-// resume asks the engine for the rest, unless its zone was evacuated meanwhile, or lies
-// no more in the regions allowed.
+// resume asks the engine for the rest of the stream, unless its zone has been
+// evacuated since or no longer lies in the allowed regions.
 func (r *modelRun) resume(resume attempt.Resume) attempt.Message {
-	if !r.gateway.mayAsk(r.engine.Zone, r.gateway.modelRegions(r.route)) {
+	if !r.gateway.mayUseZone(r.engine.Zone, r.gateway.modelRegions(r.route)) {
 		return attempt.Failure{Connection: resume.Connection, Evidence: attempt.MaybeSent, NoResume: true,
 			Detail: "the stream broke and its engine's zone may not be asked any more"}
 	}
 	r.record.resumes++
 	r.gateway.metrics.resumes.Inc()
 	return r.connect(resume.Connection, func(ctx context.Context) (*backend.Stream, error) {
-		return r.gateway.generator.Resume(ctx, r.engine.Address, r.engineID, resume.Attempt, resume.From)
+		return r.gateway.engineClient.Resume(ctx, r.engine.Address, r.engineRequestID, resume.Attempt, resume.From)
 	})
 }
 
-// connect replaces the link. It returns nil once the stream is open. The former
-// link is closed only then: to an engine, a reader that leaves is a cancel.
+// connect replaces the connection. It returns nil once the stream is open. The
+// previous connection is closed only then, since an engine treats a reader that
+// disconnects as a cancel.
 func (r *modelRun) connect(number int, open func(context.Context) (*backend.Stream, error)) attempt.Message {
-	if former := r.link; former != nil {
-		defer former.close()
+	if previous := r.connection; previous != nil {
+		defer previous.close()
 	}
-	r.link = newLink(r.request.Context(), number, r.core.NextWake(), r.gateway.now)
+	r.connection = newConnection(r.request.Context(), number, r.core.NextWake(), r.gateway.now)
 	sentAt := r.gateway.now()
-	stream, err := open(r.link.ctx)
-	r.gateway.receiveHint(r.gateway.models, r.leg(), backend.HintOf(stream, err), sentAt)
+	stream, err := open(r.connection.ctx)
+	r.gateway.forwardHint(r.gateway.models, r.currentAssignment(), backend.HintOf(stream, err), sentAt)
 	if err != nil {
-		return r.lost(err)
+		return r.connectionLost(err)
 	}
-	r.link.stream = stream
-	r.answer.more = stream.Buffered
+	r.connection.stream = stream
+	r.response.hasMore = stream.Buffered
 	return nil
 }
 
@@ -142,58 +145,58 @@
 func (r *modelRun) read() attempt.Message {
 	if r.race != nil {
 		if !r.race.decided {
-			return r.wait()
+			return r.awaitRace()
 		}
-		r.leaveRace()
+		r.endRace()
 	}
-	r.link.setWake(r.core.NextWake())
-	err := r.link.stream.Next(&r.chunk)
+	r.connection.setDeadline(r.core.NextWake())
+	err := r.connection.stream.Next(&r.chunk)
 	if err == nil {
-		r.piece = attempt.Chunk{Connection: r.link.number, RequestID: r.chunk.RequestID, Attempt: r.chunk.Attempt,
+		r.attemptChunk = attempt.Chunk{Connection: r.connection.number, RequestID: r.chunk.RequestID, Attempt: r.chunk.Attempt,
 			Sequence: r.chunk.Sequence, Text: r.chunk.Text, FinishReason: r.chunk.Finish}
-		return &r.piece
+		return &r.attemptChunk
 	}
 	if errors.Is(err, backend.ErrDone) {
-		return attempt.Ended{Connection: r.link.number, Terminated: true}
+		return attempt.Ended{Connection: r.connection.number, Terminated: true}
 	}
-	return r.lost(err)
+	return r.connectionLost(err)
 }
 
-// lost says how a connection ended.
-func (r *modelRun) lost(err error) attempt.Message {
+// connectionLost returns the message for the end of a connection.
+func (r *modelRun) connectionLost(err error) attempt.Message {
 	switch {
 	case r.request.Context().Err() != nil:
 		return attempt.CallerGone{}
-	case r.link.late.Load():
+	case r.connection.timedOut.Load():
 		return attempt.Tick{}
 	}
-	broken := brokenBy(r.link.number, err)
-	r.suspicion.brokeOff(r.engine, broken)
-	return broken
+	cause := failureFromError(r.connection.number, err)
+	r.poisonCheck.recordBreak(r.engine, cause)
+	return cause
 }
 
-// brokenBy turns an error of the back end's client into evidence.
-func brokenBy(connection int, err error) attempt.Failure {
-	broken := attempt.Failure{Connection: connection, Evidence: attempt.MaybeSent, Detail: err.Error()}
+// failureFromError turns an error of the back end's client into an attempt.Failure.
+func failureFromError(connection int, err error) attempt.Failure {
+	result := attempt.Failure{Connection: connection, Evidence: attempt.MaybeSent, Detail: err.Error()}
 	var refusal *backend.Refusal
 	var send *backend.SendError
 	switch {
 	case errors.As(err, &refusal):
-		broken.Evidence = attempt.ErrorStatus
+		result.Evidence = attempt.ErrorStatus
 		if refusal.NotRun {
-			broken.Evidence = attempt.RefusedBeforeRun
+			result.Evidence = attempt.RefusedBeforeRun
 		}
-		broken.Status = refusal.Status
-		broken.RetryAfter = refusal.RetryAfter
-		broken.Permanent = isCallersFault(refusal.Status)
+		result.Status = refusal.Status
+		result.RetryAfter = refusal.RetryAfter
+		result.Permanent = isCallerError(refusal.Status)
 	case errors.As(err, &send) && send.NeverSent:
-		broken.Evidence = attempt.NeverSent
+		result.Evidence = attempt.NeverSent
 	}
-	return broken
+	return result
 }
 
-// isCallersFault tells the statuses that every back end would answer.
-func isCallersFault(status int) bool {
+// isCallerError reports statuses that every back end would return for the request.
+func isCallerError(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return true
@@ -201,10 +204,10 @@
 	return false
 }
 
-// endAttempt tells the dispatcher that the back end is free again.
+// endAttempt reports to the dispatcher that the back end is free again.
 func (r *modelRun) endAttempt() {
-	r.leaveRace()
-	r.closeLink()
+	r.endRace()
+	r.closeConnection()
 	if r.ticket == 0 {
 		return
 	}
@@ -213,10 +216,10 @@
 }
 
 func (r *modelRun) result() routing.Result {
-	return resultOf(r.core.LastFailure(), r.request.Context().Err() != nil)
+	return routingResult(r.core.LastFailure(), r.request.Context().Err() != nil)
 }
 
-func resultOf(last attempt.Failure, abandoned bool) routing.Result {
+func routingResult(last attempt.Failure, abandoned bool) routing.Result {
 	switch {
 	case abandoned:
 		return routing.ResultAbandoned
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -20,15 +20,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun := time.Now()
-				link := newLink(t.Context(), 1, begun.Add(30*time.Second), time.Now)
-				defer link.close()
+				start := time.Now()
+				connection := newConnection(t.Context(), 1, start.Add(30*time.Second), time.Now)
+				defer connection.close()
 				for _, wake := range test.wakes {
-					link.setWake(begun.Add(wake))
+					connection.setDeadline(start.Add(wake))
 				}
-				<-link.ctx.Done()
-				if got := time.Since(begun); got != test.want || !link.late.Load() {
-					t.Errorf("ended after %v, late %t, want %v", got, link.late.Load(), test.want)
+				<-connection.ctx.Done()
+				if got := time.Since(start); got != test.want || !connection.timedOut.Load() {
+					t.Errorf("ended after %v, late %t, want %v", got, connection.timedOut.Load(), test.want)
 				}
 			})
 		})
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -2,24 +2,24 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the gateway's figures. Units are in the names.
+// metrics are the Prometheus metrics of the gateway.
 type metrics struct {
-	requests     *prometheus.CounterVec
-	firstToken   *prometheus.HistogramVec
-	duration     *prometheus.HistogramVec
-	tokens       prometheus.Counter
-	waiting      prometheus.Gauge
-	waitingBytes prometheus.Gauge
-	queueWait    prometheus.Histogram
-	coldStarts   prometheus.Counter
-	retries      prometheus.Counter
-	resumes      prometheus.Counter
-	dropped      *prometheus.CounterVec
-	running      prometheus.Gauge
-	limitedHeld  prometheus.Counter
+	requests      *prometheus.CounterVec
+	firstToken    *prometheus.HistogramVec
+	duration      *prometheus.HistogramVec
+	tokens        prometheus.Counter
+	waiting       prometheus.Gauge
+	waitingBytes  prometheus.Gauge
+	queueWait     prometheus.Histogram
+	coldStarts    prometheus.Counter
+	retries       prometheus.Counter
+	resumes       prometheus.Counter
+	dropped       *prometheus.CounterVec
+	running       prometheus.Gauge
+	rateLimitHeld prometheus.Counter
 }
 
-// secondsBuckets reach from a millisecond to ten minutes.
+// secondsBuckets range from a millisecond to ten minutes.
 var secondsBuckets = prometheus.ExponentialBuckets(0.001, 2, 20)
 
 const metricPrefix = "spanlanding_gateway_"
@@ -50,10 +50,10 @@
 			Help: "Chunks not taken: crossed, late or duplicated."}, []string{"reason"}),
 		running: prometheus.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + "running_requests",
 			Help: "Requests in progress, those in the queue included."}),
-		limitedHeld: prometheus.NewCounter(prometheus.CounterOpts{Name: metricPrefix + "limited_held_total",
+		rateLimitHeld: prometheus.NewCounter(prometheus.CounterOpts{Name: metricPrefix + "limited_held_total",
 			Help: "Times that a send was held back at a back end that names a rate limit."}),
 	}
 	registerer.MustRegister(created.requests, created.firstToken, created.duration, created.tokens, created.waiting,
-		created.waitingBytes, created.queueWait, created.coldStarts, created.retries, created.resumes, created.dropped, created.running, created.limitedHeld)
+		created.waitingBytes, created.queueWait, created.coldStarts, created.retries, created.resumes, created.dropped, created.running, created.rateLimitHeld)
 	return created
 }
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -12,7 +12,7 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// labelModel is the label that the body's model member gives.
+// labelModel is the label set from the model member of the body.
 const labelModel = "model"
 
 // serveModel serves a chat or text completion.
@@ -20,7 +20,7 @@
 	c.record.kind = "model"
 	if c.request.Method != http.MethodPost {
 		c.writer.Header().Set("Allow", http.MethodPost)
-		c.fail(refuse(http.StatusMethodNotAllowed, codeMethod, "only POST is served here"))
+		c.fail(newRefusal(http.StatusMethodNotAllowed, codeMethod, "only POST is served here"))
 		return
 	}
 	if refused := c.admit(&c.gateway.modelCalls); refused != nil {
@@ -35,17 +35,17 @@
 	run.serve()
 }
 
-// prepareModel reads all of the request that can be refused without a back end.
+// prepareModel does all checks that need no back end.
 func (c *call) prepareModel(current Catalog) (*modelRun, *failure) {
 	labels, failed := c.labels()
 	if failed != nil {
 		return nil, failed
 	}
-	text, failed := c.readBody()
+	raw, failed := c.readBody()
 	if failed != nil {
 		return nil, failed
 	}
-	body, header, failed := parseCompletion(text)
+	body, header, failed := parseCompletion(raw)
 	if failed != nil {
 		return nil, failed
 	}
@@ -54,91 +54,91 @@
 	}
 	route, found := current.ModelRoute(labels)
 	if !found {
-		failure := noRoute(current, header.Model)
+		failure := routeNotFound(current, header.Model)
 		return nil, &failure
 	}
 	deadline, failed := c.deadline(route.Deadline, c.gateway.limits.DefaultDeadline)
 	if failed != nil {
 		return nil, failed
 	}
-	prompt := backend.PromptText(text)
+	prompt := backend.PromptText(raw)
 	promptTokens := backend.PromptTokens(prompt)
 	if failed := checkLength(route, promptTokens, header.MaxTokens); failed != nil {
 		return nil, failed
 	}
-	if failed := c.withinQuota(promptTokens+max(0, header.MaxTokens), true); failed != nil {
+	if failed := c.chargeQuota(promptTokens+max(0, header.MaxTokens), true); failed != nil {
 		return nil, failed
 	}
 	route.Tenant = c.tenantName()
 	c.record.route = route.Selector
-	run := newModelRun(c, route, body, header, deadline, int64(len(text)))
+	run := newModelRun(c, route, body, header, deadline, int64(len(raw)))
 	run.prefix = backend.PrefixHashes(prompt)
-	run.suspicion = c.gateway.suspicionOf(poison.Identity{
+	run.poisonCheck = c.gateway.newPoisonCheck(poison.Identity{
 		Method: c.request.Method, Host: c.request.Host, Target: c.request.URL.RequestURI(),
-		Caller: c.tenantName(), Model: string(route.Deployment), Adapter: string(route.Adapter), Body: text,
+		Caller: c.tenantName(), Model: string(route.Deployment), Adapter: string(route.Adapter), Body: raw,
 	})
 	return run, nil
 }
 
-func parseCompletion(text []byte) (backend.Body, backend.CompletionRequest, *failure) {
+func parseCompletion(raw []byte) (backend.Body, backend.CompletionRequest, *failure) {
 	var header backend.CompletionRequest
-	if err := json.Unmarshal(text, &header); err != nil {
-		failed := refuse(http.StatusBadRequest, codeMalformed, "the body is not a completion request: "+err.Error())
+	if err := json.Unmarshal(raw, &header); err != nil {
+		failed := newRefusal(http.StatusBadRequest, codeMalformed, "the body is not a completion request: "+err.Error())
 		return nil, header, &failed
 	}
-	body, err := backend.ParseBody(text)
+	body, err := backend.ParseBody(raw)
 	if err != nil {
-		failed := refuse(http.StatusBadRequest, codeMalformed, "the body is not a JSON object: "+err.Error())
+		failed := newRefusal(http.StatusBadRequest, codeMalformed, "the body is not a JSON object: "+err.Error())
 		return nil, header, &failed
 	}
 	return body, header, nil
 }
 
-func noRoute(current Catalog, model string) failure {
+func routeNotFound(current Catalog, model string) failure {
 	if model == "" {
-		return refuse(http.StatusNotFound, codeNoRoute, "no selector matches these labels, and the body names no model")
+		return newRefusal(http.StatusNotFound, codeNoRoute, "no selector matches these labels, and the body names no model")
 	}
 	if !slices.Contains(current.ModelNames(), model) {
-		return refuse(http.StatusNotFound, codeUnknownModel, fmt.Sprintf("no model or deployment is named %q", model))
+		return newRefusal(http.StatusNotFound, codeUnknownModel, fmt.Sprintf("no model or deployment is named %q", model))
 	}
-	return refuse(http.StatusNotFound, codeNoRoute, fmt.Sprintf("no selector matches these labels and model %q", model))
+	return newRefusal(http.StatusNotFound, codeNoRoute, fmt.Sprintf("no selector matches these labels and model %q", model))
 }
 
-// checkLength refuses what is too long for the model.
+// checkLength refuses requests that do not fit the model's context.
 func checkLength(route catalog.ModelRoute, promptTokens, answerTokens int) *failure {
-	// Compared by difference: a caller may ask for any number of tokens.
+	// Compared by subtraction, since a sum could overflow: a caller may ask for any number of tokens.
 	if route.ContextTokens <= 0 || max(0, answerTokens) <= route.ContextTokens-promptTokens {
 		return nil
 	}
-	failed := refuse(http.StatusBadRequest, codeTooLong,
+	failed := newRefusal(http.StatusBadRequest, codeTooLong,
 		fmt.Sprintf("a prompt of about %d tokens and an answer of %d do not fit; the model has %d",
 			promptTokens, max(0, answerTokens), route.ContextTokens))
 	return &failed
 }
 
-// serveModels lists the models in the OpenAI form.
-func (c *call) serveModels(current Catalog) {
+// serveModelList lists the models in the OpenAI format.
+func (c *call) serveModelList(current Catalog) {
 	c.record.kind = "models"
 	if c.request.Method != http.MethodGet && c.request.Method != http.MethodHead {
 		c.writer.Header().Set("Allow", "GET, HEAD")
-		c.fail(refuse(http.StatusMethodNotAllowed, codeMethod, "only GET is served here"))
+		c.fail(newRefusal(http.StatusMethodNotAllowed, codeMethod, "only GET is served here"))
 		return
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, name := range current.ModelNames() {
 		list.Data = append(list.Data, newModelEntry(name))
 	}
-	c.answerJSON(list)
+	c.writeJSON(list)
 }
 
-// serveModelName shows one model.
+// serveModelName describes one model.
 func (c *call) serveModelName(current Catalog, name string) {
 	c.record.kind = "models"
 	if !slices.Contains(current.ModelNames(), name) {
-		c.fail(noRoute(current, name))
+		c.fail(routeNotFound(current, name))
 		return
 	}
-	c.answerJSON(newModelEntry(name))
+	c.writeJSON(newModelEntry(name))
 }
 
 type modelList struct {
@@ -157,7 +157,7 @@
 	return modelEntry{ID: name, Object: "model", OwnedBy: "spanlanding"}
 }
 
-func (c *call) answerJSON(value any) {
+func (c *call) writeJSON(value any) {
 	c.record.outcome = attempt.OutcomeOK
 	c.record.status = http.StatusOK
 	body, _ := json.Marshal(value)
--- a/internal/gateway/model_run.go
+++ b/internal/gateway/model_run.go
@@ -15,50 +15,50 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// modelRun is a model request on its way.
+// modelRun is the state of a model request.
 type modelRun struct {
 	*call
-	route     catalog.ModelRoute
-	header    backend.CompletionRequest
-	body      backend.Body
-	bytes     int64
-	deadline  time.Time
-	engineID  fleet.RequestID
-	core      *attempt.Core
-	answer    *answer
-	prefix    []uint64
-	suspicion suspicion
+	route           catalog.ModelRoute
+	header          backend.CompletionRequest
+	body            backend.Body
+	bytes           int64
+	deadline        time.Time
+	engineRequestID fleet.RequestID
+	core            *attempt.Core
+	response        *completionWriter
+	prefix          []uint64
+	poisonCheck     poisonCheck
 
-	ticket  uint64
-	counted bool
-	// undeliverable is why the answer could not be handed on.
-	undeliverable error
-	// model and engine are those of the present attempt.
+	ticket       uint64
+	limitCounted bool
+	// deliveryErr is why the response could not be written.
+	deliveryErr error
+	// model and engine are those of the current attempt.
 	model  fleet.ModelVersion
 	engine fleet.Backend
-	// isLimited is set where the engine names a rate limit.
+	// isLimited is set if the engine reports a rate limit.
 	isLimited bool
-	opened    time.Time
-	// began is set once the present attempt has brought a token.
-	began bool
-	link  *link
+	openedAt  time.Time
+	// firstTokenSent is set once the current attempt has produced a token.
+	firstTokenSent bool
+	connection     *connection
 	// race is set while a hedged request waits for its first token.
-	race  *race
-	chunk backend.Chunk
-	piece attempt.Chunk
+	race         *race
+	chunk        backend.Chunk
+	attemptChunk attempt.Chunk
 }
 
 func newModelRun(c *call, route catalog.ModelRoute, body backend.Body, header backend.CompletionRequest,
 	deadline time.Time, bytes int64) *modelRun {
 	run := &modelRun{call: c, route: route, header: header, body: body, bytes: bytes, deadline: deadline}
-	run.engineID = fleet.RequestID(c.id)
-	if !c.ownID {
-		// Callers may use an identity twice at a time; engines must not mix
-		// up the two.
-		run.engineID = fleet.RequestID(fmt.Sprintf("%s~%08x", c.id, uint32(c.gateway.nextRandom())))
+	run.engineRequestID = fleet.RequestID(c.id)
+	if !c.generatedID {
+		// Callers may use one ID for two concurrent requests, which engines must
+		// not confuse.
+		run.engineRequestID = fleet.RequestID(fmt.Sprintf("%s~%08x", c.id, uint32(c.gateway.nextRandom())))
 	}
 	run.core = attempt.New(attempt.Options{
-		RequestID:    run.engineID,
+		RequestID:    run.engineRequestID,
 		Deadline:     deadline,
 		Repeatable:   true,
 		Resumable:    true,
@@ -66,7 +66,7 @@
 		HedgeAfter:   c.gateway.limits.HedgeAfter,
 		Seed:         c.gateway.nextRandom(),
 	})
-	run.answer = newAnswer(c, header, c.request.URL.Path == backend.PathChat)
+	run.response = newCompletionWriter(c, header, c.request.URL.Path == backend.PathChat)
 	return run
 }
 
@@ -87,15 +87,15 @@
 	}
 }
 
-// perform carries out the effects of one step. It returns the answer of the
-// effect that waits for something, if there was one.
+// perform carries out the effects of one step. It returns the message that
+// results from the blocking effect, if there was one.
 func (r *modelRun) perform(effects []attempt.Effect) (next attempt.Message, finish *attempt.Finish) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case *attempt.Deliver:
-			r.reportBegan()
-			if err := r.answer.token(effect.Text); err != nil {
-				next = r.undelivered(err)
+			r.reportFirstToken()
+			if err := r.response.writeToken(effect.Text); err != nil {
+				next = r.deliveryFailed(err)
 			}
 		case attempt.Open:
 			next = r.open(effect)
@@ -118,26 +118,26 @@
 	return next, finish
 }
 
-// reportBegan tells the dispatcher once of each attempt's first token.
-func (r *modelRun) reportBegan() {
-	if r.began {
+// reportFirstToken reports each attempt's first token to the dispatcher once.
+func (r *modelRun) reportFirstToken() {
+	if r.firstTokenSent {
 		return
 	}
-	r.began = true
-	r.gateway.models.send(attemptBegan{ticket: r.ticket, after: r.gateway.now().Sub(r.opened)})
+	r.firstTokenSent = true
+	r.gateway.models.send(firstTokenReceived{ticket: r.ticket, latency: r.gateway.now().Sub(r.openedAt)})
 }
 
-// undelivered tells the core that the caller takes no more.
-func (r *modelRun) undelivered(err error) attempt.Message {
-	r.undeliverable = err
+// deliveryFailed tells the core that the caller no longer receives the response.
+func (r *modelRun) deliveryFailed(err error) attempt.Message {
+	r.deliveryErr = err
 	return attempt.CallerGone{}
 }
 
-// cancel tells the engine, without making the caller wait.
+// cancel cancels the attempt at the engine in the background.
 func (r *modelRun) cancel(cancel attempt.Cancel) {
 	address := r.addressOf(cancel.Backend)
 	r.gateway.background.Go(func() {
-		_ = r.gateway.generator.Cancel(address, r.engineID, cancel.Attempt)
+		_ = r.gateway.engineClient.Cancel(address, r.engineRequestID, cancel.Attempt)
 	})
 }
 
@@ -146,20 +146,20 @@
 	if !r.pause(reassign.After) {
 		return attempt.CallerGone{}
 	}
-	if r.suspicion.isBarred() {
-		return r.suspicion.refuse()
+	if r.poisonCheck.isBarred() {
+		return r.poisonCheck.refuseBarred()
 	}
 	retry := reassign.Exclude != nil
-	answer := make(chan reply, 1)
+	replies := make(chan dispatchReply, 1)
 	r.ticket = r.gateway.tickets.Add(1)
-	r.gateway.models.send(submit{
+	r.gateway.models.send(submitModel{
 		ticket: r.ticket, route: r.route, model: r.model, prefix: r.prefix, deadline: r.core.NextWake(), arrived: r.arrived,
-		bytes: r.bytes, retry: retry, unspent: reassign.BudgetExempt, exclude: slices.Clone(reassign.Exclude),
-		together: r.suspicion.together(), reply: answer,
+		bytes: r.bytes, retry: retry, budgetExempt: reassign.BudgetExempt, exclude: slices.Clone(reassign.Exclude),
+		colocationKey: r.poisonCheck.colocationKey(), reply: replies,
 	})
 	select {
-	case reply := <-answer:
-		return r.assigned(reply, reassign)
+	case reply := <-replies:
+		return r.handleAssignment(reply, reassign)
 	case <-r.request.Context().Done():
 		r.gateway.models.send(abandon{ticket: r.ticket})
 		r.ticket = 0
@@ -167,20 +167,20 @@
 	}
 }
 
-func (r *modelRun) assigned(reply reply, reassign attempt.Reassign) attempt.Message {
+func (r *modelRun) handleAssignment(reply dispatchReply, reassign attempt.Reassign) attempt.Message {
 	if reply.refusal != nil {
 		r.ticket = 0
-		r.counted = r.counted || reply.refusal.code != codeRateLimited && reply.refusal.code != codeConcurrency
+		r.limitCounted = r.limitCounted || reply.refusal.code != codeRateLimited && reply.refusal.code != codeConcurrency
 		return attempt.Unassigned{Code: reply.refusal.code, Detail: reply.refusal.detail, RetryAfter: reply.refusal.retryAfter}
 	}
-	r.counted = true
-	if retryIn, ok := r.gateway.admits(r.request.Context(), r.gateway.models, r.ticket, reply); !ok {
-		return r.assignAgain(reply.model, reassign, retryIn)
+	r.limitCounted = true
+	if retryIn, ok := r.gateway.admitToBackend(r.request.Context(), r.gateway.models, r.ticket, reply); !ok {
+		return r.assignAnother(reply.model, reassign, retryIn)
 	}
-	if !r.suspicion.mayBeSent(r.request.Context()) {
+	if !r.poisonCheck.claimSend(r.request.Context()) {
 		r.gateway.models.send(attemptEnded{ticket: r.ticket, result: routing.ResultAbandoned})
 		r.ticket = 0
-		return refusalBarred
+		return unassignedBarred
 	}
 	r.model, r.engine, r.isLimited = reply.model, reply.backend, reply.limit.IsSet()
 	r.record.model, r.record.backend = reply.model, reply.backend.Name
@@ -192,19 +192,19 @@
 	return attempt.Assigned{Backend: reply.backend.Name}
 }
 
-// assignAgain waits for a back end anew, as the one that was found takes no more for now: another one,
-// or that one once it does. Who would have to wait beyond the deadline is refused at once.
-func (r *modelRun) assignAgain(model fleet.ModelVersion, reassign attempt.Reassign, retryIn time.Duration) attempt.Message {
+// assignAnother waits for a back end again, since the one that was picked is at its rate limit: another one, or
+// the same one later. If the wait would exceed the deadline the request is refused at once.
+func (r *modelRun) assignAnother(model fleet.ModelVersion, reassign attempt.Reassign, retryIn time.Duration) attempt.Message {
 	r.ticket = 0
 	if !r.gateway.now().Add(retryIn).Before(r.core.NextWake()) {
 		return rateLimited(retryIn)
 	}
 	r.model = model
-	// It is counted already, as an attempt and against its route.
+	// The request already counts as an attempt and against its route's limits.
 	return r.assign(attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), BudgetExempt: true})
 }
 
-// pause waits before a retry; it reports false when the caller went away.
+// pause waits before a retry; it reports false if the caller disconnected.
 func (r *modelRun) pause(wait time.Duration) bool {
 	if wait <= 0 {
 		return true
@@ -220,37 +220,37 @@
 }
 
 func (r *modelRun) release() {
-	r.closeLink()
-	if r.counted {
+	r.closeConnection()
+	if r.limitCounted {
 		r.gateway.models.send(routeDone{route: r.route.Selector})
 	}
 }
 
-// conclude ends the caller's answer: whole, or with an explicit error.
+// conclude ends the response: complete, or with an explicit error.
 func (r *modelRun) conclude(finish attempt.Finish) {
 	r.record.tokens = finish.Delivered
 	r.record.attempts = finish.Attempts
 	r.record.dropped = r.core.Dropped()
 	r.gateway.metrics.tokens.Add(float64(finish.Delivered))
 	if finish.Outcome == attempt.OutcomeOK {
-		r.suspicion.endedWell()
+		r.poisonCheck.recordSuccess()
 		r.record.outcome, r.record.status = finish.Outcome, http.StatusOK
-		if err := r.answer.finish(finish); err != nil {
-			r.undeliverable = err
-			r.answer.fail(failure{status: statusCallerGone, code: attempt.CodeCallerGone, outcome: attempt.OutcomeFailed})
+		if err := r.response.finish(finish); err != nil {
+			r.deliveryErr = err
+			r.response.fail(failure{status: statusCallerGone, code: attempt.CodeCallerGone, outcome: attempt.OutcomeFailed})
 			r.record.detail = err.Error()
 		}
 		return
 	}
-	failure := failureOf(finish)
+	failure := newFailure(finish)
 	switch {
-	case context.Cause(r.request.Context()) == errCut:
-		failure.code, failure.status, failure.detail = codeStopping, http.StatusServiceUnavailable, errCut.Error()
-	case errors.Is(r.undeliverable, errAnswerTooLarge):
+	case context.Cause(r.request.Context()) == errDrainLimit:
+		failure.code, failure.status, failure.detail = codeStopping, http.StatusServiceUnavailable, errDrainLimit.Error()
+	case errors.Is(r.deliveryErr, errAnswerTooLarge):
 		failure.code, failure.status, failure.detail = codeAnswerLarge, http.StatusBadGateway, errAnswerTooLarge.Error()
-	case r.undeliverable != nil:
-		failure.detail = r.undeliverable.Error()
+	case r.deliveryErr != nil:
+		failure.detail = r.deliveryErr.Error()
 	}
 	r.record.detail = failure.detail
-	r.answer.fail(failure)
+	r.response.fail(failure)
 }
--- a/internal/gateway/model_test.go
+++ b/internal/gateway/model_test.go
@@ -10,10 +10,10 @@
 
 func TestStreamedAnswerIsWhole(t *testing.T) {
 	h := newHarness(t, nil)
-	h.addEngine("e1", h.backend(wholeEngine))
+	h.addEngine("e1", h.backend(completeEngine))
 	got := h.do(http.MethodPost, backend.PathCompletions, streamBody)
-	text, whole := textOf(got.body)
-	if got.status != http.StatusOK || text != wholeText || !whole {
+	text, whole := streamText(got.body)
+	if got.status != http.StatusOK || text != completeText || !whole {
 		t.Fatalf("status %d body %q", got.status, got.body)
 	}
 	if got.header.Get(headerAttempts) != "1" || got.header.Get(backend.HeaderRequestID) == "" {
@@ -23,7 +23,7 @@
 
 func TestRequestWaitsForALoadAndReportsIt(t *testing.T) {
 	h := newHarness(t, nil)
-	address := h.backend(wholeEngine)
+	address := h.backend(completeEngine)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
 	select {
@@ -33,7 +33,7 @@
 	}
 	h.addEngine("e1", address)
 	got := <-done
-	if text, whole := textOf(got.body); text != wholeText || !whole || got.header.Get(headerCold) != "true" {
+	if text, whole := streamText(got.body); text != completeText || !whole || got.header.Get(headerCold) != "true" {
 		t.Fatalf("%+v", got)
 	}
 	if want := h.demand.reported()[0]; want.Model != testModel || want.Waiting != 1 || want.Arrivals != 1 {
@@ -43,10 +43,10 @@
 
 func TestLabelsAloneSelectADeployment(t *testing.T) {
 	h := newHarness(t, nil)
-	h.addEngine("e1", h.backend(wholeEngine))
+	h.addEngine("e1", h.backend(completeEngine))
 	const noModel = `{"stream":true,"prompt":"p"}`
 	chosen := h.do(http.MethodPost, backend.PathCompletions, noModel, headerLabels, "site=chosen-by-label")
-	if text, whole := textOf(chosen.body); chosen.status != http.StatusOK || text != wholeText || !whole {
+	if text, whole := streamText(chosen.body); chosen.status != http.StatusOK || text != completeText || !whole {
 		t.Errorf("status %d body %q", chosen.status, chosen.body)
 	}
 	other := h.do(http.MethodPost, backend.PathCompletions, noModel)
--- a/internal/gateway/nodes.go
+++ b/internal/gateway/nodes.go
@@ -5,12 +5,12 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// roleNode is the role of nodes on the machine list.
+// roleNode is the role of nodes in the machine list.
 const roleNode = "node"
 
-// usableNodes estimates the nodes that share the limits of a route. The
-// members known here may be those of one zone only and the machine list lags,
-// so the larger count is taken.
+// usableNodes estimates the number of nodes that share the limits of a route. The
+// known members may be those of one zone only and the machine list lags behind,
+// so the larger count is used.
 func (g *Gateway) usableNodes() int {
 	members, _ := g.options.Views.Members.Get()
 	usable := 0
@@ -29,7 +29,7 @@
 	return max(1, usable, listed)
 }
 
-// leavingBackends names the back ends that the machine list shows as leaving
+// leavingBackends returns the back ends that the machine list shows as leaving
 // or gone.
 func leavingBackends(machines objectstore.MachineList) []fleet.BackendName {
 	var leaving []fleet.BackendName
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -10,66 +10,66 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// Suspects remembers requests under which servers ended, at whatever node, so that one
-// that ends each server that runs it is sent to no more of them.
+// Suspects tracks, across all nodes, requests that were running when servers crashed, so
+// that a request that crashes every server is not sent to more of them.
 type Suspects interface {
-	// Standing is what is known of a request.
+	// Standing returns the status of a request.
 	Standing(fingerprint poison.Fingerprint) poison.Status
-	// Blame takes that a server ended as it had the request.
+	// Blame records that a server ended while it ran the request.
 	Blame(fingerprint poison.Fingerprint, serverID string)
-	// EndedWell takes that a request ended well.
+	// EndedWell records that a request completed normally.
 	EndedWell(fingerprint poison.Fingerprint)
-	// ClaimTrial asks whether this node may send a request on trial once, for all nodes.
+	// ClaimTrial asks for the right to send a request on trial, granted to one send across all nodes.
 	ClaimTrial(ctx context.Context, fingerprint poison.Fingerprint) bool
-	// Refused takes that a copy of a barred request was refused.
+	// Refused records that a copy of a barred request was refused.
 	Refused(fingerprint poison.Fingerprint)
 }
 
-// suspicion is what may be held against one request.
-type suspicion struct {
+// poisonCheck checks one request against the suspects.
+type poisonCheck struct {
 	gateway     *Gateway
 	fingerprint poison.Fingerprint
-	// isTrial is set from the claim of a trial until a send that may have left.
+	// isTrial is set from the claim of a trial until an attempt whose request may have been sent.
 	isTrial bool
 }
 
-// refusalBarred is final: a time to come back at would bring the request back.
-var refusalBarred = attempt.Unassigned{Code: codePoison, Detail: "servers ended under requests like this one"}
+// unassignedBarred has no Retry-After: it would make the caller send the request again.
+var unassignedBarred = attempt.Unassigned{Code: codePoison, Detail: "servers ended under requests like this one"}
 
-func (g *Gateway) suspicionOf(identity poison.Identity) suspicion {
+func (g *Gateway) newPoisonCheck(identity poison.Identity) poisonCheck {
 	if g.options.Suspects == nil {
-		return suspicion{}
+		return poisonCheck{}
 	}
-	return suspicion{gateway: g, fingerprint: poison.NewFingerprint(identity)}
+	return poisonCheck{gateway: g, fingerprint: poison.NewFingerprint(identity)}
 }
 
-func (s *suspicion) standing() poison.Status {
+func (s *poisonCheck) status() poison.Status {
 	if s.gateway == nil {
 		return poison.StatusClear
 	}
 	return s.gateway.options.Suspects.Standing(s.fingerprint)
 }
 
-// refuse ends the request as a barred one.
-func (s *suspicion) refuse() attempt.Unassigned {
+// refuseBarred records the refusal and returns it.
+func (s *poisonCheck) refuseBarred() attempt.Unassigned {
 	s.gateway.options.Suspects.Refused(s.fingerprint)
-	return refusalBarred
+	return unassignedBarred
 }
 
-// isBarred reports whether the request is to be sent to no server.
-func (s *suspicion) isBarred() bool {
-	return !s.isTrial && s.standing() == poison.StatusBarred
+// isBarred reports whether the request must not be sent to any server.
+func (s *poisonCheck) isBarred() bool {
+	return !s.isTrial && s.status() == poison.StatusBarred
 }
 
-// mayBeSent is asked last before a send. A request on trial is sent where this node
-// claims that, and is barred from then on: for copies that waited for their model, here
-// or at other nodes, and for a second send of its own. The claim holds until something may
-// have left: a server that is not reached is no trial.
-func (s *suspicion) mayBeSent(ctx context.Context) bool {
+// claimSend is the last check before a send. A request on trial is sent if this node claims
+// the trial, and is barred from then on: for copies that waited for their model, here or at
+// other nodes, and for a second send of its own. The claim holds until something may have
+// been sent: an attempt that reaches no server is not a trial.
+func (s *poisonCheck) claimSend(ctx context.Context) bool {
 	if s.isTrial {
 		return true
 	}
-	switch s.standing() {
+	switch s.status() {
 	case poison.StatusBarred:
 		return false
 	case poison.StatusOnTrial:
@@ -80,42 +80,42 @@
 	}
 }
 
-// together is a number by which copies of a suspect find the same server, so that
-// several of them at once end one server; 0 for others.
-func (s *suspicion) together() uint64 {
-	if standing := s.standing(); standing == poison.StatusClear {
+// colocationKey is a key by which copies of a suspect go to the same server, so that
+// concurrent copies crash one server only; 0 for requests that are not suspected.
+func (s *poisonCheck) colocationKey() uint64 {
+	if status := s.status(); status == poison.StatusClear {
 		return 0
 	}
 	return s.fingerprint.Key()
 }
 
-// brokeOff looks what became of a server that had the request and did not answer to the
-// end: a connection that was reset and a way that was cut look the same. Where the server
-// ended, and had not said that it would, the request is suspected.
-func (s *suspicion) brokeOff(target fleet.Backend, broken attempt.Failure) {
-	if s.gateway == nil || broken.Evidence != attempt.MaybeSent {
+// recordBreak checks whether a server that had the request and broke the connection has
+// crashed: a reset connection and a network fault look the same to the client. If the server
+// ended without having announced that it leaves, the request is blamed.
+func (s *poisonCheck) recordBreak(target fleet.Backend, cause attempt.Failure) {
+	if s.gateway == nil || cause.Evidence != attempt.MaybeSent {
 		return
 	}
 	s.isTrial = false
 	if s.gateway.probes.Probe(target.Address) != backendconn.LivenessEnded {
 		return
 	}
-	if serverID, stays := s.gateway.processOf(target); stays {
+	if serverID, isStaying := s.gateway.serverProcess(target); isStaying {
 		s.gateway.options.Suspects.Blame(s.fingerprint, serverID)
 	}
 }
 
-// endedWell remembers that the request ended well: it does not end each server that runs
-// it.
-func (s *suspicion) endedWell() {
+// recordSuccess records that the request completed normally: it does not crash every
+// server that runs it.
+func (s *poisonCheck) recordSuccess() {
 	if s.gateway != nil {
 		s.gateway.options.Suspects.EndedWell(s.fingerprint)
 	}
 }
 
-// processOf names the process of a back end by the newest tables, and reports false where
-// it had said that it leaves. One that starts anew under its name is another process.
-func (g *Gateway) processOf(target fleet.Backend) (serverID string, stays bool) {
+// serverProcess identifies the process of a back end by the newest route tables; isStaying is
+// false if it had announced that it leaves. A restart under the same name is another process.
+func (g *Gateway) serverProcess(target fleet.Backend) (serverID string, isStaying bool) {
 	tables, _ := g.options.Views.RouteTables.Get()
 	table := tables[target.Zone]
 	for index := range table.Engines {
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -20,57 +20,57 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// tallied is the memory of one node alone.
-type tallied struct {
-	mutex sync.Mutex
-	tally *poison.Tracker
-	// ahead is by how much its clock is ahead.
-	ahead time.Duration
+// localSuspects is the memory of one node alone.
+type localSuspects struct {
+	mutex   sync.Mutex
+	tracker *poison.Tracker
+	// clockOffset is by how much its clock is clockOffset.
+	clockOffset time.Duration
 	// trials counts those granted.
 	trials int
 }
 
-func (s *tallied) now() time.Time { return time.Now().Add(s.ahead) }
+func (s *localSuspects) now() time.Time { return time.Now().Add(s.clockOffset) }
 
-func (s *tallied) Standing(fingerprint poison.Fingerprint) poison.Status {
+func (s *localSuspects) Standing(fingerprint poison.Fingerprint) poison.Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.tally.Status(s.now(), fingerprint)
+	return s.tracker.Status(s.now(), fingerprint)
 }
 
-func (s *tallied) Blame(fingerprint poison.Fingerprint, serverID string) {
+func (s *localSuspects) Blame(fingerprint poison.Fingerprint, serverID string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Record(s.now(), poison.Report{Fingerprint: fingerprint, ServerID: serverID})
+	s.tracker.Record(s.now(), poison.Report{Fingerprint: fingerprint, ServerID: serverID})
 }
 
-func (s *tallied) EndedWell(fingerprint poison.Fingerprint) {
+func (s *localSuspects) EndedWell(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.Record(s.now(), poison.Report{Fingerprint: fingerprint, Acquitted: true})
+	s.tracker.Record(s.now(), poison.Report{Fingerprint: fingerprint, Acquitted: true})
 }
 
-func (s *tallied) ClaimTrial(_ context.Context, fingerprint poison.Fingerprint) bool {
+func (s *localSuspects) ClaimTrial(_ context.Context, fingerprint poison.Fingerprint) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	granted := s.tally.ClaimTrial(s.now(), fingerprint)
+	granted := s.tracker.ClaimTrial(s.now(), fingerprint)
 	if granted {
 		s.trials++
 	}
 	return granted
 }
 
-func (s *tallied) Refused(fingerprint poison.Fingerprint) {
+func (s *localSuspects) Refused(fingerprint poison.Fingerprint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tally.RecordRefusal(fingerprint)
+	s.tracker.RecordRefusal(fingerprint)
 }
 
-// later moves the clock on.
-func (s *tallied) later(by time.Duration) {
+// advance moves the clock on.
+func (s *localSuspects) advance(by time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ahead += by
+	s.clockOffset += by
 }
 
 const poisonBody = `{"model":"notes","stream":true,"prompt":"poison"}`
@@ -79,27 +79,27 @@
 // as one fault.
 const crashTime = 30 * time.Millisecond
 
-// mortal is a back end that ends, with all its connections, when the handler says so.
-func (h *harness) mortal(ended *atomic.Int64, isDeadly func(body string) bool, otherwise http.HandlerFunc) string {
+// crashingBackend is a back end that ends, with all its connections, when the handler says so.
+func (h *harness) crashingBackend(ended *atomic.Int64, isDeadly func(body string) bool, fallback http.HandlerFunc) string {
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		if !isDeadly(string(body)) {
-			otherwise(writer, request)
+			fallback(writer, request)
 			return
 		}
 		time.Sleep(crashTime)
 		ended.Add(1)
 		_ = server.Listener.Close()
-		breakOff()
+		abortConnection()
 	}))
 	h.t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// dropEnded takes the engines that have ended out of the table, as their zone's leader
+// removeCrashedEngines takes the engines that have ended out of the table, as their zone's leader
 // does.
-func (h *harness) dropEnded() {
+func (h *harness) removeCrashedEngines() {
 	h.table.Engines = slices.DeleteFunc(h.table.Engines, func(engine fleet.EngineState) bool {
 		connection, err := net.Dial("tcp", engine.Address)
 		if err != nil {
@@ -115,23 +115,23 @@
 
 // plainEngine answers like an engine, whatever the body.
 func plainEngine(writer http.ResponseWriter, request *http.Request) {
-	engine := scripted{writer, request}
+	engine := scriptedEngine{writer, request}
 	engine.tokens(0, 6)
 	engine.end(6)
 }
 
 // TestPoisonRequestEndsThreeServers: its caller sends it again and again. Others go on.
 func TestPoisonRequestEndsThreeServers(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTracker()}
+	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	for index := range 12 {
-		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.mortal(&ended, isPoison, plainEngine))
+		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.crashingBackend(&ended, isPoison, plainEngine))
 	}
 	var last response
 	for range 8 {
 		last = h.do(http.MethodPost, backend.PathCompletions, poisonBody)
-		h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+		h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	}
 	if ended.Load() != poison.CrashLimit {
 		t.Errorf("%d servers ended, want %d", ended.Load(), poison.CrashLimit)
@@ -144,17 +144,17 @@
 
 // TestTrialOfAPoisonRequestIsOneSend: copies come at once when the bar is over.
 func TestTrialOfAPoisonRequestIsOneSend(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTracker()}
+	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	for index := range 12 {
-		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.mortal(&ended, isPoison, plainEngine))
+		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.crashingBackend(&ended, isPoison, plainEngine))
 	}
 	for range 4 {
 		h.do(http.MethodPost, backend.PathCompletions, poisonBody)
 	}
-	h.dropEnded()
-	suspects.later(time.Minute)
+	h.removeCrashedEngines()
+	suspects.advance(time.Minute)
 	var copies sync.WaitGroup
 	for range 6 {
 		copies.Go(func() { h.do(http.MethodPost, backend.PathCompletions, poisonBody) })
@@ -167,25 +167,25 @@
 
 // TestConnectionThatBreaksIsNoPoison: the servers are still there.
 func TestConnectionThatBreaksIsNoPoison(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTracker()}
+	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	for index := range 5 {
 		h.addEngine(fleet.BackendName(fmt.Sprint("e", index)), h.backend(func(writer http.ResponseWriter, request *http.Request) {
 			time.Sleep(crashTime)
-			breakOff()
+			abortConnection()
 		}))
 	}
 	for range 4 {
 		h.do(http.MethodPost, backend.PathCompletions, poisonBody)
 	}
-	if size := suspects.tally.Size(); size != 0 {
+	if size := suspects.tracker.Size(); size != 0 {
 		t.Errorf("%d requests are suspected", size)
 	}
 }
 
 // TestServerThatLeavesIsNobodysFault: it had said that it goes.
 func TestServerThatLeavesIsNobodysFault(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTracker()}
+	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	leave := func(body string) bool {
@@ -195,21 +195,21 @@
 		}
 		return isPoison(body)
 	}
-	h.addEngine("e0", h.mortal(&ended, leave, plainEngine))
+	h.addEngine("e0", h.crashingBackend(&ended, leave, plainEngine))
 	h.do(http.MethodPost, backend.PathCompletions, poisonBody, headerDeadline, "500ms")
-	if ended.Load() != 1 || suspects.tally.Size() != 0 {
-		t.Errorf("%d servers ended, %d requests are suspected", ended.Load(), suspects.tally.Size())
+	if ended.Load() != 1 || suspects.tracker.Size() != 0 {
+		t.Errorf("%d servers ended, %d requests are suspected", ended.Load(), suspects.tracker.Size())
 	}
 }
 
 // TestPoisonCallEndsThreeServers: a call that may be repeated is sent again at once.
 func TestPoisonCallEndsThreeServers(t *testing.T) {
-	suspects := &tallied{tally: poison.NewTracker()}
+	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
 	var ended atomic.Int64
 	always := func(string) bool { return true }
 	for index := range 12 {
-		h.addService(fleet.BackendName(fmt.Sprint("s", index)), h.mortal(&ended, always, nil))
+		h.addService(fleet.BackendName(fmt.Sprint("s", index)), h.crashingBackend(&ended, always, nil))
 	}
 	var last response
 	for range 6 {
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -10,25 +10,24 @@
 	"github.com/spanlanding/spanlanding/internal/attempt"
 )
 
-// Problem is the body of every answer that is not the caller's own (RFC 9457).
+// Problem is the body of every response that the gateway produces for a failed request (RFC 9457).
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome says whether the request ran: not-run is only said where it is
-	// proved.
+	// Outcome says whether the request ran; not-run is given only if that is certain.
 	Outcome   attempt.Outcome `json:"outcome"`
 	Code      string          `json:"code"`
 	RequestID string          `json:"requestId"`
-	// RetryAfterSeconds repeats the Retry-After header; 0 for none.
+	// RetryAfterSeconds repeats the Retry-After header; 0 if there is none.
 	RetryAfterSeconds int `json:"retryAfterSeconds,omitempty"`
 }
 
 const (
 	problemTypePrefix  = "urn:spanlanding:problem:"
 	contentTypeProblem = "application/problem+json"
-	// statusCallerGone is logged for callers that went away.
+	// statusCallerGone is logged for callers that disconnected.
 	statusCallerGone = 499
 )
 
@@ -47,7 +46,7 @@
 	codeOverloaded   = "node-overloaded"
 	codeRetryBudget  = "retry-budget-spent"
 	codeNoBackend    = "no-backend"
-	// codeBackendLimited is told where the back ends take fewer requests than come.
+	// codeBackendLimited is used when the back ends accept fewer requests than arrive.
 	codeBackendLimited = "backend-rate-limited"
 	codeTooLong        = "prompt-too-long"
 	codeKeyInProgress  = "key-in-progress"
@@ -63,7 +62,7 @@
 	codeQuotaUnknown   = "quota-unknown"
 )
 
-// failure is a Problem before it has a request identity.
+// failure is a Problem without a request ID.
 type failure struct {
 	status     int
 	code       string
@@ -72,20 +71,20 @@
 	retryAfter time.Duration
 }
 
-func refuse(status int, code, detail string) failure {
+func newRefusal(status int, code, detail string) failure {
 	return failure{status: status, code: code, detail: detail, outcome: attempt.OutcomeNotRun}
 }
 
-func (f failure) after(retryAfter time.Duration) failure {
+func (f failure) withRetryAfter(retryAfter time.Duration) failure {
 	f.retryAfter = retryAfter
 	return f
 }
 
-var problemNoCatalog = refuse(http.StatusServiceUnavailable, codeNoCatalog,
-	"this node has no declarations yet").after(time.Second)
+var problemNoCatalog = newRefusal(http.StatusServiceUnavailable, codeNoCatalog,
+	"this node has no declarations yet").withRetryAfter(time.Second)
 
 func problemStopping(retryAfter time.Duration) failure {
-	return refuse(http.StatusServiceUnavailable, codeStopping, "this node is stopping; ask another one").after(retryAfter)
+	return newRefusal(http.StatusServiceUnavailable, codeStopping, "this node is stopping; ask another one").withRetryAfter(retryAfter)
 }
 
 func (f failure) problem(requestID string) Problem {
@@ -97,7 +96,7 @@
 		Outcome:           f.outcome,
 		Code:              f.code,
 		RequestID:         requestID,
-		RetryAfterSeconds: seconds(f.retryAfter),
+		RetryAfterSeconds: ceilSeconds(f.retryAfter),
 	}
 }
 
@@ -108,17 +107,17 @@
 	return "Request failed"
 }
 
-func seconds(wait time.Duration) int {
+func ceilSeconds(wait time.Duration) int {
 	return int(math.Ceil(wait.Seconds()))
 }
 
-// write answers with the problem, where no byte of an answer is out yet.
+// write sends the problem as the response; nothing may have been written before.
 func (f failure) write(writer http.ResponseWriter, requestID string) {
 	header := writer.Header()
 	header.Set("Content-Type", contentTypeProblem)
 	header.Set("Cache-Control", "no-store")
 	if f.retryAfter > 0 {
-		header.Set("Retry-After", strconv.Itoa(seconds(f.retryAfter)))
+		header.Set("Retry-After", strconv.Itoa(ceilSeconds(f.retryAfter)))
 	}
 	body, _ := json.Marshal(f.problem(requestID))
 	header.Set("Content-Length", strconv.Itoa(len(body)))
@@ -126,8 +125,8 @@
 	_, _ = writer.Write(body)
 }
 
-// statusOf maps the codes of queue and attempt to HTTP.
-func statusOf(code string) int {
+// httpStatus maps the codes of packages queue and attempt to HTTP statuses.
+func httpStatus(code string) int {
 	switch code {
 	case codeRateLimited, codeConcurrency:
 		return http.StatusTooManyRequests
@@ -141,10 +140,10 @@
 	return http.StatusServiceUnavailable
 }
 
-// failureOf turns the end of a request without a whole answer into a problem.
-func failureOf(finish attempt.Finish) failure {
+// newFailure converts the result of a request without a complete response.
+func newFailure(finish attempt.Finish) failure {
 	result := failure{
-		status:     statusOf(finish.Code),
+		status:     httpStatus(finish.Code),
 		code:       finish.Code,
 		detail:     finish.Detail,
 		outcome:    finish.Outcome,
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -7,7 +7,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// QueueInfo is one model's queue at this node.
+// QueueInfo describes one model's queue at this node.
 type QueueInfo struct {
 	Model   fleet.ModelVersion
 	Waiting int
@@ -15,25 +15,25 @@
 	Oldest time.Duration
 }
 
-// Queues lists the models for which requests wait, in order. It is empty where
-// the answer does not come before the context's end.
+// Queues lists the models for which requests wait, in order. It returns nil if
+// the dispatcher does not reply before the context ends.
 func (g *Gateway) Queues(ctx context.Context) []QueueInfo {
-	answer := make(chan []QueueInfo, 1)
-	g.models.send(linesAsked{reply: answer})
+	reply := make(chan []QueueInfo, 1)
+	g.models.send(queuesRequested{reply: reply})
 	select {
-	case lines := <-answer:
-		return lines
-	case <-g.models.gone:
+	case infos := <-reply:
+		return infos
+	case <-g.models.stopped:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-func (s *dispatcherState) lines(now time.Time) []QueueInfo {
-	lines := s.queue.Queues()
-	infos := make([]QueueInfo, 0, len(lines))
-	for _, line := range lines {
-		infos = append(infos, QueueInfo{Model: line.Model, Waiting: line.Waiting, Oldest: now.Sub(line.Oldest)})
+func (s *dispatcherState) queueInfos(now time.Time) []QueueInfo {
+	queues := s.queue.Queues()
+	infos := make([]QueueInfo, 0, len(queues))
+	for _, info := range queues {
+		infos = append(infos, QueueInfo{Model: info.Model, Waiting: info.Waiting, Oldest: now.Sub(info.Oldest)})
 	}
 	return infos
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -10,8 +10,8 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// record is what is logged and counted of one request.
-type record struct {
+// requestRecord holds what is logged and counted for one request.
+type requestRecord struct {
 	kind       string
 	route      string
 	model      fleet.ModelVersion
@@ -35,10 +35,10 @@
 // report logs and counts a request once, at its end.
 func (c *call) report() {
 	record := &c.record
-	took := c.gateway.now().Sub(c.arrived)
+	duration := c.gateway.now().Sub(c.arrived)
 	metrics := c.gateway.metrics
 	metrics.requests.WithLabelValues(record.kind, string(record.outcome), record.code).Inc()
-	metrics.duration.WithLabelValues(record.kind).Observe(took.Seconds())
+	metrics.duration.WithLabelValues(record.kind).Observe(duration.Seconds())
 	if record.firstToken > 0 {
 		metrics.firstToken.WithLabelValues(strconv.FormatBool(record.cold)).Observe(record.firstToken.Seconds())
 	}
@@ -46,7 +46,7 @@
 		metrics.coldStarts.Inc()
 	}
 	countDropped(metrics, record.dropped)
-	c.log(took)
+	c.log(duration)
 }
 
 func countDropped(metrics *metrics, dropped attempt.Dropped) {
@@ -55,19 +55,19 @@
 	metrics.dropped.WithLabelValues("duplicated").Add(float64(dropped.Duplicated))
 }
 
-func (c *call) log(took time.Duration) {
+func (c *call) log(duration time.Duration) {
 	record := &c.record
 	entry := c.gateway.options.Logger.Info()
 	if record.outcome == attempt.OutcomeUnknown || record.outcome == attempt.OutcomeFailed {
 		entry = c.gateway.options.Logger.Warn()
 	}
-	c.logFields(entry, took).Msg(eventFinished)
+	c.logFields(entry, duration).Msg(eventFinished)
 }
 
-func (c *call) logFields(entry *log.Entry, took time.Duration) *log.Entry {
+func (c *call) logFields(entry *log.Entry, duration time.Duration) *log.Entry {
 	record := &c.record
 	entry = entry.Str("request", c.id).Str("kind", record.kind).
-		Str("outcome", string(record.outcome)).Int("status", record.status).Dur("took", took)
+		Str("outcome", string(record.outcome)).Int("status", record.status).Dur("took", duration)
 	if record.code != "" {
 		entry = entry.Str("code", record.code).Str("detail", record.detail)
 	}
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -109,12 +109,12 @@
 func TestLimitsAreSharedByTheUsableNodes(t *testing.T) {
 	h := newHarness(t, nil)
 	h.catalog.model.Limits = spec.Limits{RequestsPerSecond: 0.02}
-	h.addEngine("e1", h.backend(wholeEngine))
+	h.addEngine("e1", h.backend(completeEngine))
 	h.views.Machines.Set(objectstore.MachineList{Machines: []objectstore.Machine{
 		{Role: roleNode, Name: "n1", State: objectstore.MachineLive}, {Role: roleNode, Name: "n2", State: objectstore.MachineLive},
 		{Role: roleNode, Name: "n3", State: objectstore.MachineGone},
 	}})
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	got := h.do(http.MethodPost, backend.PathCompletions, streamBody)
 	if got.status != http.StatusTooManyRequests || got.problem.Code != codeRateLimited || got.header.Get("Retry-After") != "100" {
 		t.Errorf("%d %v %+v", got.status, got.header, got.problem)
@@ -124,8 +124,8 @@
 func TestLeavingMachineGetsNothingNew(t *testing.T) {
 	h := newHarness(t, nil)
 	h.catalog.model.Deadline = 50 * time.Millisecond
-	h.addEngine("e1", h.backend(wholeEngine))
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.addEngine("e1", h.backend(completeEngine))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	h.views.Machines.Set(objectstore.MachineList{Machines: []objectstore.Machine{{Role: "engine", Name: "e1", State: objectstore.MachineLeaving}}})
 	if got := h.do(http.MethodPost, backend.PathCompletions, streamBody); got.status != http.StatusGatewayTimeout {
 		t.Errorf("%d %s", got.status, got.body)
@@ -144,10 +144,10 @@
 
 func TestDeadlinesLeaveTimeForTheAnswer(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{
-		30 * time.Second:       30*time.Second - answerMargin,
+		30 * time.Second:       30*time.Second - responseMargin,
 		100 * time.Millisecond: 90 * time.Millisecond,
 	} {
-		if got := withMargin(deadline); got != want {
+		if got := withResponseMargin(deadline); got != want {
 			t.Errorf("%v: %v, want %v", deadline, got, want)
 		}
 	}
@@ -167,8 +167,8 @@
 	if got := h.do(http.MethodPost, "/turbines/7/stop", ""); got.status != http.StatusNoContent {
 		t.Errorf("%d %s", got.status, got.body)
 	}
-	h.addEngine("e1", h.backend(wholeEngine))
-	h.wantWhole(<-first)
+	h.addEngine("e1", h.backend(completeEngine))
+	h.wantComplete(<-first)
 }
 
 // TestEngineThatHasUnloadedTheModel: the table lags, the engine declines, and
@@ -188,15 +188,15 @@
 	}
 	<-declined
 	h.table.Engines = nil
-	h.addEngine("e2", h.backend(wholeEngine))
+	h.addEngine("e2", h.backend(completeEngine))
 	for range requests {
-		h.wantWhole(<-answers)
+		h.wantComplete(<-answers)
 	}
 }
 
 func TestAnswerTooLargeToHoldIsNoEmptyAnswer(t *testing.T) {
 	h := newHarness(t, func(options *Options) { options.Limits.MaxAnswerBytes = 5 })
-	h.addEngine("e1", h.backend(wholeEngine))
+	h.addEngine("e1", h.backend(completeEngine))
 	got := h.do(http.MethodPost, backend.PathCompletions, `{"model":"notes","prompt":"x"}`)
 	if got.status != http.StatusBadGateway || got.problem.Code != codeAnswerLarge || got.problem.Outcome != attempt.OutcomeFailed {
 		t.Errorf("%d %+v", got.status, got.problem)
@@ -215,8 +215,8 @@
 	if len(queues) != 1 || queues[0].Model != testModel || queues[0].Waiting != 1 || queues[0].Oldest <= 0 {
 		t.Errorf("queues with one waiting request: %+v", queues)
 	}
-	h.addEngine("e1", h.backend(wholeEngine))
-	h.wantWhole(<-done)
+	h.addEngine("e1", h.backend(completeEngine))
+	h.wantComplete(<-done)
 	if queues := h.gateway.Queues(t.Context()); len(queues) != 0 {
 		t.Errorf("queues after the request: %+v", queues)
 	}
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -12,9 +12,9 @@
 	"github.com/spanlanding/spanlanding/internal/queue"
 )
 
-// mayAsk reports whether what is under way in the zone may be asked for by the
-// configuration in force: the zone is in service and lies in the regions.
-func (g *Gateway) mayAsk(zone fleet.Zone, regions locality.Regions) bool {
+// mayUseZone reports whether the configuration in force allows requests to the
+// zone: it is not evacuated and lies in the allowed regions.
+func (g *Gateway) mayUseZone(zone fleet.Zone, regions locality.Regions) bool {
 	snapshot, found := g.options.Views.Catalog.Get()
 	if !found {
 		return true
@@ -22,62 +22,63 @@
 	return !snapshot.IsEvacuated(zone) && regions.Allows(snapshot.Topology().Region(string(zone)))
 }
 
-// modelRegions are the regions of a route, and of its tenant, by the configuration in
-// force: they may have changed since the request came. A selector that is gone leaves them as they were.
+// modelRegions returns the allowed regions of a route and its tenant by the configuration in
+// force, which may have changed since the request arrived. If the selector was deleted, its
+// former regions stay in use.
 func (g *Gateway) modelRegions(route catalog.ModelRoute) locality.Regions {
 	regions := route.Regions
 	if snapshot, found := g.options.Views.Catalog.Get(); found {
-		if newest, known := snapshot.SelectorRegions(route.Selector); known {
-			regions = newest
+		if current, known := snapshot.SelectorRegions(route.Selector); known {
+			regions = current
 		}
 	}
 	return regions.Intersect(g.tenantRegions(route.Tenant))
 }
 
-// serviceRegions are as modelRegions, of a service's route.
+// serviceRegions is modelRegions for the route of a service.
 func (g *Gateway) serviceRegions(route catalog.ServiceRoute) locality.Regions {
 	regions := route.Regions
 	if snapshot, found := g.options.Views.Catalog.Get(); found {
-		if newest, known := snapshot.ServiceRegions(route.Service); known {
-			regions = newest
+		if current, known := snapshot.ServiceRegions(route.Service); known {
+			regions = current
 		}
 	}
 	return regions.Intersect(g.tenantRegions(route.Tenant))
 }
 
-// refuseRegions refuses what may run in no zone that is known.
-func (s *dispatcherState) refuseRegions(regions locality.Regions) *failure {
-	if !regions.IsBounded() || s.evacuated || s.routing.HasZone(regions) {
+// checkRegions refuses requests that no known zone in service may run.
+func (s *dispatcherState) checkRegions(regions locality.Regions) *failure {
+	if !regions.IsBounded() || s.allEvacuated || s.routing.HasZone(regions) {
 		return nil
 	}
-	refused := refuse(http.StatusServiceUnavailable, codeNoRegion,
-		"no zone in service lies in the regions allowed: "+regions.String()).after(evacuatedRetryAfter)
+	refused := newRefusal(http.StatusServiceUnavailable, codeNoRegion,
+		"no zone in service lies in the regions allowed: "+regions.String()).withRetryAfter(evacuatedRetryAfter)
 	return &refused
 }
 
-// followRegions lets what waits do so by the regions in force: for another load, or no
-// longer where it may run nowhere.
-func (s *dispatcherState) followRegions(now time.Time) {
-	moved := make(map[uint64]*pending)
-	for ticket, waiting := range s.pending {
-		if fleet.RegionsOf(s.gateway.modelRegions(waiting.submit.route)) != waiting.regions {
-			moved[ticket] = waiting
+// requeueChangedRegions requeues waiting requests whose allowed regions changed, and refuses
+// those that may no longer run anywhere.
+func (s *dispatcherState) requeueChangedRegions(now time.Time) {
+	changed := make(map[uint64]*pendingRequest)
+	for ticket, request := range s.pending {
+		if fleet.RegionsOf(s.gateway.modelRegions(request.submit.route)) != request.regions {
+			changed[ticket] = request
 		}
 	}
-	for _, ticket := range slices.Sorted(maps.Keys(moved)) {
+	for _, ticket := range slices.Sorted(maps.Keys(changed)) {
 		s.stepQueue(now, queue.Cancel{Ticket: queue.Ticket(ticket)})
-		s.waitAgain(now, ticket, moved[ticket])
+		s.requeue(now, ticket, changed[ticket])
 	}
 }
 
-// follow keeps the regions that requests for a model are bound to, so that their
-// lines hear of room.
-func (s *dispatcherState) follow(model fleet.ModelVersion, regions locality.Regions) {
+// trackRegions remembers the regions that requests for a model are bound to, so that their
+// queues are told of capacity.
+func (s *dispatcherState) trackRegions(model fleet.ModelVersion, regions locality.Regions) {
 	if !regions.IsBounded() {
 		return
 	}
-	if s.bounds[model] == nil {
-		s.bounds[model] = make(map[locality.Regions]bool)
+	if s.regionsByModel[model] == nil {
+		s.regionsByModel[model] = make(map[locality.Regions]bool)
 	}
-	s.bounds[model][regions] = true
+	s.regionsByModel[model][regions] = true
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -25,7 +25,7 @@
 	object := func(kind spec.Kind, name, text string) objectstore.Object {
 		return objectstore.Object{Kind: string(kind), Name: name, Version: version, Spec: json.RawMessage(text)}
 	}
-	h.declare(version, []objectstore.Object{
+	h.setConfiguration(version, []objectstore.Object{
 		object(spec.KindRegion, "north", `{"zones":["a"]}`),
 		object(spec.KindRegion, "south", `{"zones":["b"]}`),
 		object(spec.KindSelector, "all", fmt.Sprintf(`{"match":{},"deployments":{},"regions":%s}`, bound)),
@@ -35,7 +35,7 @@
 
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	for version, test := range []struct {
 		regions     []string
@@ -73,7 +73,7 @@
 // south is allowed; another is refused once nothing is.
 func TestWaitingRequestFollowsItsRegions(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	loading := func() {
 		h.publishZones(home, other)
 		tables, _ := h.views.RouteTables.Get()
@@ -121,14 +121,14 @@
 		case isCancel(request):
 			return
 		}
-		scripted{writer, request}.tokens(0, 3)
+		scriptedEngine{writer, request}.tokens(0, 3)
 		h.bind(2, "south")
-		breakOff()
+		abortConnection()
 	})
-	other := h.addZone("b", wholeEngine)
+	other := h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	h.bind(1, "north")
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if resumed || home.models.Load() != 1 || other.models.Load() != 1 {
 		t.Errorf("resumed %v, the north got %d, the south %d", resumed, home.models.Load(), other.models.Load())
 	}
@@ -138,7 +138,7 @@
 func TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed(t *testing.T) {
 	h := newHarness(t, nil)
 	h.views.RouteTables.Set(views.RouteTables{"a": {Zone: "a", Fence: 1, Sequence: 1}})
-	h.declare(1, nil)
+	h.setConfiguration(1, nil)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
 	<-h.demand.first
--- a/internal/gateway/running.go
+++ b/internal/gateway/running.go
@@ -8,43 +8,43 @@
 
 // activeRequest is a request in progress.
 type activeRequest struct {
-	id  string
-	cut context.CancelCauseFunc
+	id     string
+	cancel context.CancelCauseFunc
 }
 
-// running counts what is in progress, so that a planned stop can wait for it.
-type running struct {
+// requestTracker tracks the requests in progress, so that a drain can wait for them.
+type requestTracker struct {
 	mutex    sync.Mutex
 	draining bool
 	active   map[uint64]*activeRequest
-	// idle is closed once draining and nothing is active.
+	// idle is closed once the tracker is draining and no request is active.
 	idle chan struct{}
 }
 
-// enter takes a request in, unless the node stops.
-func (r *running) enter(call *call) bool {
+// add registers a request, unless the node is draining.
+func (r *requestTracker) add(call *call) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.draining {
 		return false
 	}
-	ctx, cut := context.WithCancelCause(call.request.Context())
+	ctx, cancel := context.WithCancelCause(call.request.Context())
 	call.request = call.request.WithContext(ctx)
-	r.active[call.ticket] = &activeRequest{id: call.id, cut: cut}
+	r.active[call.ticket] = &activeRequest{id: call.id, cancel: cancel}
 	return true
 }
 
-func (r *running) leave(call *call) {
+func (r *requestTracker) remove(call *call) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.active[call.ticket].cut(nil)
+	r.active[call.ticket].cancel(nil)
 	delete(r.active, call.ticket)
 	if r.draining && len(r.active) == 0 {
 		close(r.idle)
 	}
 }
 
-func (r *running) startDrain() <-chan struct{} {
+func (r *requestTracker) startDrain() <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.draining {
@@ -57,15 +57,15 @@
 	return r.idle
 }
 
-// cutAll cancels what is left and returns the identities.
-func (r *running) cutAll(cause error) []string {
+// cancelAll cancels the remaining requests and returns their IDs.
+func (r *requestTracker) cancelAll(cause error) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var cut []string
+	var cancelled []string
 	for _, request := range r.active {
-		request.cut(cause)
-		cut = append(cut, request.id)
+		request.cancel(cause)
+		cancelled = append(cancelled, request.id)
 	}
-	slices.Sort(cut)
-	return cut
+	slices.Sort(cancelled)
+	return cancelled
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -18,12 +18,12 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// serveService serves a plain call.
+// serveService serves a service call.
 func (c *call) serveService(current Catalog) {
 	c.record.kind = "service"
 	route, found := current.ServiceRoute(c.request.Method, c.request.URL.Path)
 	if !found {
-		c.fail(refuse(http.StatusNotFound, codeNoRoute, fmt.Sprintf("nothing is served at %s", c.request.URL.Path)))
+		c.fail(newRefusal(http.StatusNotFound, codeNoRoute, fmt.Sprintf("nothing is served at %s", c.request.URL.Path)))
 		return
 	}
 	c.record.route = route.Service
@@ -40,13 +40,13 @@
 		run.serveKeyed()
 		return
 	}
-	run.answer(run.call())
+	run.respond(run.call())
 }
 
 func (c *call) prepareService(route catalog.ServiceRoute) (*serviceRun, *failure) {
 	key := c.request.Header.Get(backend.HeaderIdempotencyKey)
 	if len(key) > c.gateway.limits.MaxKeyBytes {
-		failed := refuse(http.StatusBadRequest, codeMalformed, "the Idempotency-Key is too long")
+		failed := newRefusal(http.StatusBadRequest, codeMalformed, "the Idempotency-Key is too long")
 		return nil, &failed
 	}
 	deadline, failed := c.deadline(route.Deadline, c.gateway.limits.DefaultServiceDeadline)
@@ -57,18 +57,18 @@
 	if failed != nil {
 		return nil, failed
 	}
-	if failed := c.withinQuota(0, false); failed != nil {
+	if failed := c.chargeQuota(0, false); failed != nil {
 		return nil, failed
 	}
 	route.Tenant = c.tenantName()
 	run := &serviceRun{caller: c, route: route, key: key, body: body, deadline: deadline}
-	run.suspicion = c.gateway.suspicionOf(poison.Identity{
+	run.poisonCheck = c.gateway.newPoisonCheck(poison.Identity{
 		Method: c.request.Method, Host: c.request.Host, Target: c.request.URL.RequestURI(), Caller: c.tenantName(), Body: body,
 	})
 	return run, nil
 }
 
-// serviceRun is a plain call on its way.
+// serviceRun is the state of a service call.
 type serviceRun struct {
 	caller   *call
 	route    catalog.ServiceRoute
@@ -76,87 +76,87 @@
 	body     []byte
 	deadline time.Time
 
-	suspicion suspicion
+	poisonCheck poisonCheck
 
-	// claimed is when the keepers of the key were asked; zero without a key.
-	claimed time.Time
+	// claimedAt is when the key was claimed from its keepers; zero without a key.
+	claimedAt time.Time
 
-	core    *attempt.Core
-	ticket  uint64
-	counted bool
-	target  fleet.Backend
-	// isLimited is set where the target names a rate limit, and retryIn is when one takes a request
-	// again that did not take this one.
+	core         *attempt.Core
+	ticket       uint64
+	limitCounted bool
+	target       fleet.Backend
+	// isLimited is set if the target reports a rate limit. retryIn is set once a back end was at its rate
+	// limit: the time until it accepts a request.
 	isLimited bool
 	retryIn   time.Duration
 	result    *backend.ServiceAnswer
 }
 
-// serveKeyed makes the call only once the key's keepers have granted it.
+// serveKeyed makes the call only if the keepers of the Idempotency-Key grant it.
 func (r *serviceRun) serveKeyed() {
 	gateway := r.caller.gateway
 	if gateway.options.Guard == nil {
-		r.caller.fail(refuse(http.StatusServiceUnavailable, codeKeyNoMajority, "no keepers of keys are there").after(time.Second))
+		r.caller.fail(newRefusal(http.StatusServiceUnavailable, codeKeyNoMajority, "no keepers of keys are there").withRetryAfter(time.Second))
 		return
 	}
 	ctx, stop := r.callContext()
 	defer stop()
 	// Two tenants may choose the same key.
 	key := path.Join(r.route.Tenant, r.route.Service) + "/" + r.key
-	r.claimed = gateway.now()
+	r.claimedAt = gateway.now()
 	decision := gateway.options.Guard.Acquire(ctx, claim.Request{Key: key, Fingerprint: r.fingerprint(), Window: r.window()})
 	if decision.Verdict != claim.Granted {
-		r.answerVerdict(decision)
+		r.respondVerdict(decision)
 		return
 	}
 	finish := r.call()
 	r.complete(key, decision.Attempt, finish)
-	r.answer(finish)
+	r.respond(finish)
 }
 
-// window is how long the key is kept. A call may still run when the route's
-// window is over; its key is kept until then.
+// window returns how long the key is kept. A call may still run when the route's
+// window has passed; its key is kept until then.
 func (r *serviceRun) window() time.Duration {
-	return max(r.route.KeyWindow, r.deadline.Sub(r.claimed))
+	return max(r.route.KeyWindow, r.deadline.Sub(r.claimedAt))
 }
 
 // mayStart reports whether the grant still covers a call that is sent now. The
 // process may have been paused since the keepers answered, and they keep the
 // key only for calls that start in time. The monotonic clock stands still while
-// a machine is suspended, and the wall clock can be set: both must agree.
+// a machine is suspended, and the wall clock can be set, so both are checked.
 func (r *serviceRun) mayStart() bool {
-	if r.claimed.IsZero() {
+	if r.claimedAt.IsZero() {
 		return true
 	}
 	now := r.caller.gateway.now()
-	since := max(now.Sub(r.claimed), now.Round(0).Sub(r.claimed.Round(0)))
-	return since < claim.StartTimeout
+	elapsed := max(now.Sub(r.claimedAt), now.Round(0).Sub(r.claimedAt.Round(0)))
+	return elapsed < claim.StartTimeout
 }
 
 const (
-	// completeTimeout bounds telling the keepers how an attempt ended.
+	// completeTimeout limits reporting the end of an attempt to the keepers.
 	completeTimeout = 2 * time.Second
-	// completeGrace is how long the caller's answer waits for that, so that a
-	// repeat soon after finds the answer; keepers that are slow do not delay
-	// it further.
+	// completeGrace is how long the caller's response waits for that report, so that
+	// a repeat shortly afterwards finds the stored response. Slower keepers do not
+	// delay the response further.
 	completeGrace = 100 * time.Millisecond
 )
 
-// complete tells the keepers how the attempt ended.
-func (r *serviceRun) complete(key, granted string, finish attempt.Finish) {
+// complete reports the result of the attempt to the keepers.
+func (r *serviceRun) complete(key, claimAttempt string, finish attempt.Finish) {
 	gateway := r.caller.gateway
 	outcome, stored := r.outcome(finish)
-	told := make(chan struct{})
+	done := make(chan struct{})
 	gateway.background.Go(func() {
-		defer close(told)
+		defer close(done)
 		ctx, stop := context.WithTimeout(context.Background(), completeTimeout)
 		defer stop()
-		gateway.options.Guard.Complete(ctx, key, granted, outcome, stored)
+		gateway.options.Guard.Complete(ctx, key, claimAttempt, outcome, stored)
 	})
 	grace := time.NewTimer(completeGrace)
 	defer grace.Stop()
 	select {
-	case <-told:
+	case <-done:
 	case <-grace.C:
 	}
 }
@@ -168,7 +168,7 @@
 	return hash.Sum(nil)
 }
 
-// outcome is what the keepers are told.
+// outcome returns what is reported to the keepers.
 func (r *serviceRun) outcome(finish attempt.Finish) (claim.Outcome, *claim.Answer) {
 	switch {
 	case finish.Outcome == attempt.OutcomeOK:
@@ -183,28 +183,28 @@
 	return claim.Uncertain, nil
 }
 
-// answerVerdict answers a call that was not granted.
-func (r *serviceRun) answerVerdict(decision claim.Decision) {
+// respondVerdict responds to a call that was not granted.
+func (r *serviceRun) respondVerdict(decision claim.Decision) {
 	wait := max(decision.RetryAfter, time.Second)
 	switch decision.Verdict {
 	case claim.Done:
-		r.answerStored(decision.Answer)
+		r.respondStored(decision.Answer)
 	case claim.InProgress:
 		r.caller.fail(failure{status: http.StatusConflict, code: codeKeyInProgress,
 			detail: "another call with this Idempotency-Key is in progress", outcome: attempt.OutcomeUnknown, retryAfter: wait})
 	case claim.Mismatch:
-		r.caller.fail(refuse(http.StatusUnprocessableEntity, codeKeyMismatch,
+		r.caller.fail(newRefusal(http.StatusUnprocessableEntity, codeKeyMismatch,
 			"this Idempotency-Key was used with another request"))
 	case claim.Unknown:
 		r.caller.fail(failure{status: http.StatusConflict, code: codeKeyUnknown,
 			detail: "a call with this Idempotency-Key was made and its outcome is not known", outcome: attempt.OutcomeUnknown})
 	default:
-		r.caller.fail(refuse(http.StatusServiceUnavailable, codeKeyNoMajority,
-			"too few keepers of the key can be reached; nothing was sent").after(wait))
+		r.caller.fail(newRefusal(http.StatusServiceUnavailable, codeKeyNoMajority,
+			"too few keepers of the key can be reached; nothing was sent").withRetryAfter(wait))
 	}
 }
 
-func (r *serviceRun) answerStored(stored *claim.Answer) {
+func (r *serviceRun) respondStored(stored *claim.Answer) {
 	if stored == nil || stored.BodyOmitted {
 		r.caller.fail(failure{status: http.StatusConflict, code: codeKeyBodyGone, outcome: attempt.OutcomeOK,
 			detail: "the call with this Idempotency-Key ran; its answer was too large to keep"})
@@ -213,15 +213,15 @@
 	r.write(stored.Status, stored.ContentType, stored.Body)
 }
 
-// callContext bounds the call. A call that may not be repeated is not given up
-// when its caller goes away: what became of it must still be learnt.
+// callContext limits the duration of the call. A non-repeatable call goes on when
+// its caller disconnects, since its outcome must still be recorded.
 func (r *serviceRun) callContext() (context.Context, context.CancelFunc) {
 	ctx := r.caller.request.Context()
 	if !r.route.Repeatable {
 		ctx = context.WithoutCancel(ctx)
 	}
-	left := r.deadline.Sub(r.caller.gateway.now())
-	return context.WithTimeout(ctx, left)
+	remaining := r.deadline.Sub(r.caller.gateway.now())
+	return context.WithTimeout(ctx, remaining)
 }
 
 // call drives the attempt core until the call is over.
@@ -266,37 +266,37 @@
 // send makes one attempt.
 func (r *serviceRun) send(ctx context.Context, open attempt.Open) attempt.Message {
 	request, sentAt := r.caller.request, r.caller.gateway.now()
-	answer, err := r.caller.gateway.calls.Call(ctx, r.target.Address, backend.ServiceCall{
+	answer, err := r.caller.gateway.serviceClient.Call(ctx, r.target.Address, backend.ServiceCall{
 		RequestID: fleet.RequestID(r.caller.id), Attempt: open.Attempt, Method: request.Method, Target: request.URL.RequestURI(),
 		ContentType: request.Header.Get("Content-Type"), Accept: request.Header.Get("Accept"), Key: r.key, Body: r.body,
 		Repeatable: r.route.Repeatable, MayStart: r.mayStart,
 	})
 	if err != nil {
-		broken := brokenBy(open.Connection, err)
+		cause := failureFromError(open.Connection, err)
 		if ctx.Err() != nil || !r.mayStart() {
-			broken.Permanent = true
+			cause.Permanent = true
 		}
 		if ctx.Err() == nil {
-			r.suspicion.brokeOff(r.target, broken)
+			r.poisonCheck.recordBreak(r.target, cause)
 		}
-		return broken
+		return cause
 	}
-	r.caller.gateway.receiveHint(r.caller.gateway.services, leg{ticket: r.ticket, engine: r.target, isLimited: r.isLimited}, answer.Hint, sentAt)
+	r.caller.gateway.forwardHint(r.caller.gateway.services, assignment{ticket: r.ticket, engine: r.target, isLimited: r.isLimited}, answer.Hint, sentAt)
 	if answer.NotRun || isUnavailable(answer.Status) && r.route.Repeatable {
-		return refusedBy(open.Connection, answer)
+		return failureFromAnswer(open.Connection, answer)
 	}
-	r.suspicion.endedWell()
+	r.poisonCheck.recordSuccess()
 	r.result = answer
 	return attempt.Answered{Connection: open.Connection}
 }
 
-// isUnavailable tells the statuses with which a repeatable call is better made
-// elsewhere.
+// isUnavailable reports statuses after which a repeatable call is retried at
+// another back end.
 func isUnavailable(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable
 }
 
-func refusedBy(connection int, answer *backend.ServiceAnswer) attempt.Failure {
+func failureFromAnswer(connection int, answer *backend.ServiceAnswer) attempt.Failure {
 	evidence := attempt.ErrorStatus
 	if answer.NotRun {
 		evidence = attempt.RefusedBeforeRun
@@ -314,17 +314,17 @@
 	case <-ctx.Done():
 		return attempt.Unassigned{Code: attempt.CodeDeadline, Detail: "the deadline passed"}
 	}
-	if r.suspicion.isBarred() {
-		return r.suspicion.refuse()
+	if r.poisonCheck.isBarred() {
+		return r.poisonCheck.refuseBarred()
 	}
-	reply := make(chan reply, 1)
+	replies := make(chan dispatchReply, 1)
 	gateway := r.caller.gateway
 	r.ticket = gateway.tickets.Add(1)
-	gateway.services.send(submitCall{ticket: r.ticket, route: r.route, retry: reassign.Exclude != nil, unspent: reassign.BudgetExempt,
-		exclude: slices.Clone(reassign.Exclude), together: r.suspicion.together(), reply: reply})
+	gateway.services.send(submitCall{ticket: r.ticket, route: r.route, retry: reassign.Exclude != nil, budgetExempt: reassign.BudgetExempt,
+		exclude: slices.Clone(reassign.Exclude), colocationKey: r.poisonCheck.colocationKey(), reply: replies})
 	select {
-	case answer := <-reply:
-		return r.assigned(ctx, answer, reassign)
+	case answer := <-replies:
+		return r.handleAssignment(ctx, answer, reassign)
 	case <-ctx.Done():
 		gateway.services.send(abandon{ticket: r.ticket})
 		r.ticket = 0
@@ -332,25 +332,25 @@
 	}
 }
 
-func (r *serviceRun) assigned(ctx context.Context, reply reply, reassign attempt.Reassign) attempt.Message {
+func (r *serviceRun) handleAssignment(ctx context.Context, reply dispatchReply, reassign attempt.Reassign) attempt.Message {
 	if refusal := reply.refusal; refusal != nil && r.retryIn > 0 {
 		r.ticket = 0
 		return rateLimited(r.retryIn)
 	} else if refusal != nil {
 		r.ticket = 0
-		r.counted = r.counted || refusal.code != codeRateLimited && refusal.code != codeConcurrency
+		r.limitCounted = r.limitCounted || refusal.code != codeRateLimited && refusal.code != codeConcurrency
 		return attempt.Unassigned{Code: refusal.code, Detail: refusal.detail, RetryAfter: refusal.retryAfter}
 	}
-	r.counted = true
-	if retryIn, ok := r.caller.gateway.admits(ctx, r.caller.gateway.services, r.ticket, reply); !ok {
-		// Another back end may take it; this one is left alone until it does.
+	r.limitCounted = true
+	if retryIn, ok := r.caller.gateway.admitToBackend(ctx, r.caller.gateway.services, r.ticket, reply); !ok {
+		// Another back end may accept the call; this one is skipped until its rate limit allows a request.
 		r.retryIn = retryIn
 		return r.assign(ctx, attempt.Reassign{Exclude: append([]fleet.BackendName{}, reassign.Exclude...), BudgetExempt: true})
 	}
-	if !r.suspicion.mayBeSent(ctx) {
+	if !r.poisonCheck.claimSend(ctx) {
 		r.caller.gateway.services.send(attemptEnded{ticket: r.ticket, result: routing.ResultAbandoned})
 		r.ticket = 0
-		return refusalBarred
+		return unassignedBarred
 	}
 	r.target, r.isLimited = reply.backend, reply.limit.IsSet()
 	r.caller.record.backend = reply.backend.Name
@@ -361,7 +361,7 @@
 	if r.ticket == 0 {
 		return
 	}
-	result := resultOf(r.core.LastFailure(), r.caller.request.Context().Err() != nil && ctx.Err() != nil)
+	result := routingResult(r.core.LastFailure(), r.caller.request.Context().Err() != nil && ctx.Err() != nil)
 	if r.result != nil {
 		result = routing.ResultOK
 	}
@@ -370,17 +370,17 @@
 }
 
 func (r *serviceRun) release() {
-	if r.counted {
+	if r.limitCounted {
 		r.caller.gateway.services.send(routeDone{route: r.route.Service})
 	}
 }
 
-// answer gives the caller the back end's answer, or the problem.
-func (r *serviceRun) answer(finish attempt.Finish) {
+// respond writes the back end's response, or a problem.
+func (r *serviceRun) respond(finish attempt.Finish) {
 	if finish.Outcome != attempt.OutcomeOK {
 		r.caller.record.detail = finish.Detail
 		r.caller.setAttemptHeaders()
-		r.caller.fail(failureOf(finish))
+		r.caller.fail(newFailure(finish))
 		return
 	}
 	if r.result.Location != "" {
--- a/internal/gateway/service_test.go
+++ b/internal/gateway/service_test.go
@@ -90,14 +90,14 @@
 // a key: what the caller and the keepers are told, and how often it was sent.
 func TestOutcomesOfACallThatMayNotBeRepeated(t *testing.T) {
 	tests := map[string]struct {
-		handler http.HandlerFunc
-		status  int
-		outcome attempt.Outcome
-		told    claim.Outcome
+		handler  http.HandlerFunc
+		status   int
+		outcome  attempt.Outcome
+		reported claim.Outcome
 	}{
 		"answers":              {func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(204) }, 204, "", claim.Ran},
 		"fails after running":  {func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(500) }, 500, "", claim.Ran},
-		"closes after reading": {func(http.ResponseWriter, *http.Request) { breakOff() }, 502, attempt.OutcomeUnknown, claim.Uncertain},
+		"closes after reading": {func(http.ResponseWriter, *http.Request) { abortConnection() }, 502, attempt.OutcomeUnknown, claim.Uncertain},
 		"refuses before running": {func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(backend.HeaderNotRun, "true")
 			writer.WriteHeader(503)
@@ -116,7 +116,7 @@
 				})
 				want := int32(1)
 				if test.handler == nil {
-					address, want = deadAddress(t), 0
+					address, want = unreachableAddress(t), 0
 				}
 				h.addService("s1", address)
 				got := h.do(http.MethodPost, "/turbines/7/stop", "now", backend.HeaderIdempotencyKey, key)
@@ -126,7 +126,7 @@
 				if key == "" {
 					return
 				}
-				if told := <-guard.outcomes; told != test.told || guard.request.Key != "turbines/k" || guard.request.Window != time.Minute {
+				if told := <-guard.outcomes; told != test.reported || guard.request.Key != "turbines/k" || guard.request.Window != time.Minute {
 					t.Errorf("keepers were told %v of %+v", told, guard.request)
 				}
 			})
@@ -153,9 +153,9 @@
 // another that was granted the key since, whatever its own deadline is.
 func TestGrantDoesNotOutliveAPause(t *testing.T) {
 	tests := map[string]struct {
-		pause time.Duration
-		sent  int32
-		told  claim.Outcome
+		pause    time.Duration
+		sent     int32
+		reported claim.Outcome
 	}{
 		"short": {time.Second, 1, claim.Ran},
 		"long":  {claim.StartTimeout, 0, claim.NotRun},
@@ -175,7 +175,7 @@
 				writer.WriteHeader(http.StatusNoContent)
 			}))
 			got := h.do(http.MethodPost, "/turbines/7/stop", "now", backend.HeaderIdempotencyKey, "k")
-			if told := <-guard.outcomes; told != test.told || sent.Load() != test.sent {
+			if told := <-guard.outcomes; told != test.reported || sent.Load() != test.sent {
 				t.Errorf("keepers were told %v, sent %d times", told, sent.Load())
 			}
 			if test.sent == 0 && (got.status != http.StatusServiceUnavailable || got.problem.Outcome != attempt.OutcomeNotRun) {
@@ -188,7 +188,7 @@
 	}
 }
 
-func deadAddress(t *testing.T) string {
+func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -200,7 +200,7 @@
 
 func TestRepeatableCallIsMadeElsewhere(t *testing.T) {
 	h := newHarness(t, nil)
-	h.addService("s1", deadAddress(t))
+	h.addService("s1", unreachableAddress(t))
 	h.addService("s2", h.backend(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("slots")) }))
 	for range 4 {
 		if got := h.do(http.MethodGet, "/turbines/slots", ""); got.status != http.StatusOK || got.body != "slots" {
@@ -274,9 +274,9 @@
 		"leaving":             0,
 	} {
 		t.Run(body, func(t *testing.T) {
-			heard := make(chan fleet.BackendName, 9)
+			notified := make(chan fleet.BackendName, 9)
 			h := newHarness(t, func(options *Options) {
-				options.Leaving = func(name fleet.BackendName) { heard <- name }
+				options.Leaving = func(name fleet.BackendName) { notified <- name }
 			})
 			h.addService("s1", h.backend(func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set(backend.HeaderNotRun, "true")
@@ -284,7 +284,7 @@
 				_, _ = io.WriteString(writer, body)
 			}))
 			h.do(http.MethodPost, "/turbines/7/stop", "now")
-			if got := len(heard); got != want || want > 0 && <-heard != "s1" {
+			if got := len(notified); got != want || want > 0 && <-notified != "s1" {
 				t.Errorf("%d reports", got)
 			}
 		})
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -8,62 +8,62 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// shares keeps each route's limits by this node's share of them: the limit
-// divided by the usable nodes. No node asks another; callers that go to few
-// nodes get less than the limit.
-type shares struct {
-	nodes   int
-	byRoute map[string]*share
+// routeLimiter enforces this node's share of each route's limits: the limit divided
+// by the number of usable nodes. Nodes do not coordinate, so callers that use only
+// a few nodes get less than the limit.
+type routeLimiter struct {
+	nodes        int
+	usageByRoute map[string]*routeUsage
 }
 
-type share struct {
-	running int
-	tokens  float64
-	filled  time.Time
+type routeUsage struct {
+	running    int
+	tokens     float64
+	refilledAt time.Time
 }
 
-func newShares() *shares {
-	return &shares{nodes: 1, byRoute: make(map[string]*share)}
+func newRouteLimiter() *routeLimiter {
+	return &routeLimiter{nodes: 1, usageByRoute: make(map[string]*routeUsage)}
 }
 
-func (s *shares) setNodes(nodes int) {
+func (s *routeLimiter) setNodes(nodes int) {
 	s.nodes = max(1, nodes)
 }
 
-// take counts a request in, or refuses it.
-func (s *shares) take(now time.Time, route string, limits spec.Limits) *failure {
-	known, found := s.byRoute[route]
+// admit counts a request against the route's limits, or refuses it.
+func (s *routeLimiter) admit(now time.Time, route string, limits spec.Limits) *failure {
+	usage, found := s.usageByRoute[route]
 	if !found {
-		known = &share{tokens: s.burst(limits), filled: now}
-		s.byRoute[route] = known
+		usage = &routeUsage{tokens: s.burst(limits), refilledAt: now}
+		s.usageByRoute[route] = usage
 	}
-	if limits.Concurrency > 0 && known.running >= max(1, limits.Concurrency/s.nodes) {
-		refused := refuse(http.StatusTooManyRequests, codeConcurrency, "too many requests of this route are running").after(time.Second)
+	if limits.Concurrency > 0 && usage.running >= max(1, limits.Concurrency/s.nodes) {
+		refused := newRefusal(http.StatusTooManyRequests, codeConcurrency, "too many requests of this route are running").withRetryAfter(time.Second)
 		return &refused
 	}
 	if limits.RequestsPerSecond > 0 {
 		rate := limits.RequestsPerSecond / float64(s.nodes)
-		known.tokens = min(s.burst(limits), known.tokens+rate*now.Sub(known.filled).Seconds())
-		known.filled = now
-		if known.tokens < 1 {
-			wait := time.Duration((1 - known.tokens) / rate * float64(time.Second))
-			refused := refuse(http.StatusTooManyRequests, codeRateLimited, "too many requests of this route a second").after(wait)
+		usage.tokens = min(s.burst(limits), usage.tokens+rate*now.Sub(usage.refilledAt).Seconds())
+		usage.refilledAt = now
+		if usage.tokens < 1 {
+			wait := time.Duration((1 - usage.tokens) / rate * float64(time.Second))
+			refused := newRefusal(http.StatusTooManyRequests, codeRateLimited, "too many requests of this route a second").withRetryAfter(wait)
 			return &refused
 		}
-		known.tokens--
+		usage.tokens--
 	}
-	known.running++
+	usage.running++
 	return nil
 }
 
 // burst is one second's worth of requests, at least one.
-func (s *shares) burst(limits spec.Limits) float64 {
+func (s *routeLimiter) burst(limits spec.Limits) float64 {
 	return math.Max(1, limits.RequestsPerSecond/float64(s.nodes))
 }
 
-// done counts a request out.
-func (s *shares) done(route string) {
-	if known, found := s.byRoute[route]; found && known.running > 0 {
-		known.running--
+// release ends a request that admit counted.
+func (s *routeLimiter) release(route string) {
+	if usage, found := s.usageByRoute[route]; found && usage.running > 0 {
+		usage.running--
 	}
 }
