--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -21,16 +21,16 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// breakOff ends the connection without a terminator.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection ends the connection without a terminator.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 // isResume tells resumes from opens; isCancel tells cancels.
 func isResume(request *http.Request) bool { return request.Method == http.MethodGet }
 func isCancel(request *http.Request) bool { return request.Method == http.MethodDelete }
 
-func (h *harness) wantWhole(got response) {
+func (h *harness) wantComplete(got response) {
 	h.t.Helper()
-	if text, whole := textOf(got.body); got.status != http.StatusOK || text != wholeText || !whole {
+	if text, whole := streamText(got.body); got.status != http.StatusOK || text != completeText || !whole {
 		h.t.Fatalf("status %d, body %q", got.status, got.body)
 	}
 }
@@ -39,7 +39,7 @@
 	h := newHarness(t, nil)
 	var resumes atomic.Int32
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		if isResume(request) {
 			resumes.Add(1)
 			if !strings.HasSuffix(request.URL.Path, "/stream") || request.URL.Query().Get("from") != "3" {
@@ -51,7 +51,7 @@
 		}
 		engine.tokens(0, 3)
 	}))
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if resumes.Load() != 1 {
 		t.Errorf("%d resumes", resumes.Load())
 	}
@@ -59,7 +59,7 @@
 
 func TestDeadEngineIsContinuedElsewhere(t *testing.T) {
 	h := newHarness(t, nil)
-	var dies http.HandlerFunc = func(writer http.ResponseWriter, request *http.Request) {
+	var crashing http.HandlerFunc = func(writer http.ResponseWriter, request *http.Request) {
 		if isResume(request) {
 			http.NotFound(writer, request)
 			return
@@ -67,21 +67,21 @@
 		if isCancel(request) {
 			return
 		}
-		scripted{writer, request}.tokens(0, 2)
-		breakOff()
+		scriptedEngine{writer, request}.tokens(0, 2)
+		abortConnection()
 	}
-	h.addEngine("e1", h.backend(dies))
+	h.addEngine("e1", h.backend(crashing))
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
-	h.addEngine("e2", h.backend(wholeEngine))
-	h.wantWhole(<-done)
+	h.addEngine("e2", h.backend(completeEngine))
+	h.wantComplete(<-done)
 }
 
 func TestCrossedLateAndDoubledChunksAreDroppedAndCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	h := newHarness(t, func(options *Options) { options.Registerer = registry })
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		engine.tokens(0, 3)
 		engine.tokens(1, 3)
 		crossed := engine.header()
@@ -93,7 +93,7 @@
 		engine.tokens(3, 6)
 		engine.end(6)
 	}))
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	h.drain()
 	shown := httptest.NewRecorder()
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(shown, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -118,7 +118,7 @@
 func TestAnswerThatCannotBeCompletedIsNeverPassedOff(t *testing.T) {
 	h := newHarness(t, nil)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		switch {
 		case isCancel(request):
 		case isResume(request):
@@ -126,11 +126,11 @@
 		default:
 			from := len(engine.body().ContinueFrom)
 			engine.tokens(from, from+1)
-			breakOff()
+			abortConnection()
 		}
 	}))
 	streamed := h.do(http.MethodPost, backend.PathCompletions, streamBody)
-	if _, whole := textOf(streamed.body); whole || !strings.Contains(streamed.body, "event: error\ndata: {") ||
+	if _, whole := streamText(streamed.body); whole || !strings.Contains(streamed.body, "event: error\ndata: {") ||
 		!strings.Contains(streamed.body, `"outcome":"failed"`) {
 		t.Errorf("streamed: %q", streamed.body)
 	}
@@ -142,13 +142,13 @@
 
 func TestWholeAnswers(t *testing.T) {
 	h := newHarness(t, nil)
-	h.addEngine("e1", h.backend(wholeEngine))
+	h.addEngine("e1", h.backend(completeEngine))
 	text := h.do(http.MethodPost, backend.PathCompletions, `{"model":"notes","prompt":"x"}`)
-	if !strings.Contains(text.body, `"text":"`+wholeText+`"`) || !strings.Contains(text.body, `"completion_tokens":6`) {
+	if !strings.Contains(text.body, `"text":"`+completeText+`"`) || !strings.Contains(text.body, `"completion_tokens":6`) {
 		t.Errorf("completion: %s", text.body)
 	}
 	chat := h.do(http.MethodPost, backend.PathChat, `{"model":"notes","messages":[]}`)
-	if !strings.Contains(chat.body, `"message":{"role":"assistant","content":"`+wholeText+`"}`) {
+	if !strings.Contains(chat.body, `"message":{"role":"assistant","content":"`+completeText+`"}`) {
 		t.Errorf("chat: %s", chat.body)
 	}
 }
@@ -161,7 +161,7 @@
 			cancelled <- request.Header.Get(backend.HeaderAttempt)
 			return
 		}
-		scripted{writer, request}.tokens(0, 2)
+		scriptedEngine{writer, request}.tokens(0, 2)
 		<-request.Context().Done()
 	}))
 	h.wantGoroutinesBack(func() {
@@ -204,7 +204,7 @@
 	before := runtime.NumGoroutine()
 	action()
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	h.gateway.generator.Close()
+	h.gateway.engineClient.Close()
 	for limit := time.Now().Add(10 * time.Second); runtime.NumGoroutine() > before; runtime.Gosched() {
 		if time.Now().After(limit) {
 			h.t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
@@ -222,7 +222,7 @@
 			cancelled <- struct{}{}
 			return
 		}
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		for sequence := 0; request.Context().Err() == nil; sequence++ {
 			chunk := engine.header()
 			chunk.Sequence, chunk.Text = sequence, strings.Repeat("x", 64<<10)
@@ -246,7 +246,7 @@
 	release := make(chan struct{})
 	begun := make(chan struct{}, 1)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		engine := scripted{writer, request}
+		engine := scriptedEngine{writer, request}
 		engine.tokens(0, 3)
 		begun <- struct{}{}
 		<-release
@@ -267,7 +267,7 @@
 		t.Errorf("new request: %d %+v", refused.status, refused.problem)
 	}
 	close(release)
-	h.wantWhole(<-running)
+	h.wantComplete(<-running)
 	if report := <-drained; len(report.Cut) > 0 {
 		t.Errorf("cut %v", report.Cut)
 	}
@@ -279,7 +279,7 @@
 		if isCancel(request) {
 			return
 		}
-		scripted{writer, request}.tokens(0, 3)
+		scriptedEngine{writer, request}.tokens(0, 3)
 		<-request.Context().Done()
 	}))
 	request, _ := http.NewRequest(http.MethodPost, h.server.URL+backend.PathCompletions, strings.NewReader(streamBody))
@@ -306,12 +306,12 @@
 	h := newHarness(t, nil)
 	identities := make(chan fleet.RequestID, 2)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
-		identities <- scripted{writer, request}.header().RequestID
-		wholeEngine(writer, request)
+		identities <- scriptedEngine{writer, request}.header().RequestID
+		completeEngine(writer, request)
 	}))
 	for range 2 {
 		got := h.do(http.MethodPost, backend.PathCompletions, streamBody, backend.HeaderRequestID, "same")
-		h.wantWhole(got)
+		h.wantComplete(got)
 		if got.header.Get(backend.HeaderRequestID) != "same" {
 			t.Errorf("header %v", got.header)
 		}
@@ -331,15 +331,15 @@
 	})
 	var begun sync.WaitGroup
 	begun.Add(streams)
-	dead := make(chan struct{})
+	crash := make(chan struct{})
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
 		if isCancel(request) || isResume(request) {
-			breakOff()
+			abortConnection()
 		}
-		scripted{writer, request}.tokens(0, 2)
+		scriptedEngine{writer, request}.tokens(0, 2)
 		begun.Done()
-		<-dead
-		breakOff()
+		<-crash
+		abortConnection()
 	}))
 	answers := make(chan response, streams)
 	for range streams {
@@ -347,9 +347,9 @@
 	}
 	begun.Wait()
 	h.table.Engines = nil
-	h.addEngine("e2", h.backend(wholeEngine))
-	close(dead)
+	h.addEngine("e2", h.backend(completeEngine))
+	close(crash)
 	for range streams {
-		h.wantWhole(<-answers)
+		h.wantComplete(<-answers)
 	}
 }
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -17,32 +17,32 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// purse is a quota of so much in all.
-type purse struct {
+// fakeQuotas is a quota of so much in all.
+type fakeQuotas struct {
 	mutex     sync.Mutex
-	left      float64
+	remaining float64
 	isUnknown bool
 	costs     []float64
 }
 
-func (p *purse) Admit(_ context.Context, _ routetable.Tenant, cost float64) QuotaVerdict {
+func (p *fakeQuotas) Admit(_ context.Context, _ routetable.Tenant, cost float64) QuotaVerdict {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.isUnknown {
 		return QuotaVerdict{IsUnknown: true, RetryIn: time.Second}
 	}
-	if p.left < cost {
+	if p.remaining < cost {
 		return QuotaVerdict{RetryIn: 3 * time.Second}
 	}
-	p.left -= cost
+	p.remaining -= cost
 	p.costs = append(p.costs, cost)
 	return QuotaVerdict{Granted: true}
 }
 
-func (p *purse) GiveBack(_ routetable.Tenant, cost float64) {
+func (p *fakeQuotas) GiveBack(_ routetable.Tenant, cost float64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.left += cost
+	p.remaining += cost
 }
 
 func digest(key string) string {
@@ -57,7 +57,7 @@
 	object := func(kind spec.Kind, name, text string) objectstore.Object {
 		return objectstore.Object{Kind: string(kind), Name: name, Version: version, Spec: []byte(text)}
 	}
-	h.declare(version, []objectstore.Object{
+	h.setConfiguration(version, []objectstore.Object{
 		object(spec.KindRegion, "north", `{"zones":["a"]}`),
 		object(spec.KindRegion, "south", `{"zones":["b"]}`),
 		object(spec.KindTenant, "anna", fmt.Sprintf(`{"keys":[%q],"quota":{"requestsPerSecond":1,"burst":2}}`, digest("key-of-anna"))),
@@ -67,9 +67,9 @@
 
 func TestCallersNeedAKeyOfATenant(t *testing.T) {
 	h := newHarness(t, nil)
-	zone := h.addZone("a", wholeEngine)
+	zone := h.addZone("a", completeEngine)
 	h.publishZones(zone)
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	h.declareTenants(1)
 	before := zone.models.Load() + zone.calls.Load()
 	for _, header := range []string{"", "Bearer", "Bearer ", "Bearer wrong", "Basic key-of-anna", "key-of-anna", "Bearer " + digest("key-of-anna")} {
@@ -84,16 +84,16 @@
 	if sent := zone.models.Load() + zone.calls.Load() - before; sent != 0 {
 		t.Errorf("%d requests were sent without a key", sent)
 	}
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-anna"))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-anna"))
 }
 
 func TestQuotaIsDrawnByWhatARequestCosts(t *testing.T) {
-	purse := &purse{left: 3}
+	purse := &fakeQuotas{remaining: 3}
 	h := newHarness(t, func(options *Options) { options.Quotas = purse })
-	h.publishZones(h.addZone("a", wholeEngine), h.addZone("b", wholeEngine))
+	h.publishZones(h.addZone("a", completeEngine), h.addZone("b", completeEngine))
 	h.declareTenants(1)
 	anna, bo := "Bearer key-of-anna", "Bearer key-of-bo"
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", anna))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", anna))
 	if got := h.do(http.MethodGet, "/turbines/7", "", "Authorization", anna); got.status != http.StatusOK {
 		t.Fatalf("%d %+v", got.status, got.problem)
 	}
@@ -107,8 +107,8 @@
 	if got := h.do(http.MethodGet, "/turbines/7", "", "Authorization", bo); got.status != http.StatusOK {
 		t.Errorf("%d %+v", got.status, got.problem)
 	}
-	if purse.left != 1 || len(purse.costs) != 2 {
-		t.Errorf("drawn %v, %v left", purse.costs, purse.left)
+	if purse.remaining != 1 || len(purse.costs) != 2 {
+		t.Errorf("drawn %v, %v left", purse.costs, purse.remaining)
 	}
 	purse.isUnknown = true
 	got = h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", anna)
@@ -118,27 +118,27 @@
 }
 
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	purse := &purse{left: 1}
+	purse := &fakeQuotas{remaining: 1}
 	h := newHarness(t, func(options *Options) { options.Quotas = purse })
 	h.catalog.model.Deadline = 50 * time.Millisecond
 	h.declareTenants(1)
 	got := h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-anna")
-	if got.problem.Outcome != attempt.OutcomeNotRun || purse.left != 1 || len(purse.costs) != 1 {
-		t.Errorf("%+v: drawn %v, %v left", got.problem, purse.costs, purse.left)
+	if got.problem.Outcome != attempt.OutcomeNotRun || purse.remaining != 1 || len(purse.costs) != 1 {
+		t.Errorf("%+v: drawn %v, %v left", got.problem, purse.costs, purse.remaining)
 	}
 }
 
 // TestRegionsOfRouteAndTenantBothBind: where they do not meet the request is refused.
 func TestRegionsOfRouteAndTenantBothBind(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	h.declareTenants(1)
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-bo"))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-bo"))
 	if home.models.Load() != 0 || other.models.Load() != 1 {
 		t.Errorf("the north got %d, the south %d", home.models.Load(), other.models.Load())
 	}
-	h.declare(2, []objectstore.Object{
+	h.setConfiguration(2, []objectstore.Object{
 		{Kind: string(spec.KindRegion), Name: "north", Version: 2, Spec: []byte(`{"zones":["a"]}`)},
 		{Kind: string(spec.KindRegion), Name: "south", Version: 2, Spec: []byte(`{"zones":["b"]}`)},
 		{Kind: string(spec.KindSelector), Name: "all", Version: 2, Spec: []byte(`{"match":{},"deployments":{},"regions":["north"]}`)},
