--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// fakeAdmission admits as many requests to limited back ends, and says of others when to come back.
+// fakeAdmission admits the given number of requests to rate-limited back ends and refuses the others with retryIn.
 type fakeAdmission struct {
 	remaining, asked atomic.Int64
 	retryIn          time.Duration
@@ -22,7 +22,7 @@
 	return g.remaining.Add(-1) >= 0, g.retryIn
 }
 
-// limitingEngine counts its requests, and names a limit while it is to.
+// limitingEngine counts its requests and reports a rate limit while isLimited is set.
 func limitingEngine(count *atomic.Int64, isLimited *atomic.Bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		count.Add(1)
@@ -33,8 +33,8 @@
 	}
 }
 
-// An engine names a rate limit in its answers. The header was not read, so that ten requests of ten
-// reached it; now what follows the first answer takes a grant, or is refused at once.
+// Guards against ignoring the rate limit header of an engine, which let ten requests of ten reach it. Every
+// request after the response that reports the limit needs a grant or is refused at once.
 func TestEngineThatNamesARateLimitGetsWhatIsGranted(t *testing.T) {
 	var received atomic.Int64
 	var isLimited atomic.Bool
@@ -54,11 +54,12 @@
 		}
 	}
 	if received.Load() != 3 {
-		t.Errorf("%d requests came, one of which was told, and 2 were granted", received.Load())
+		t.Errorf("%d requests reached the engine, want 3: one before its limit was known, two granted", received.Load())
 	}
 }
 
-// TestRateLimitEndsWithTheAnswerThatNamesNone, and with another incarnation.
+// TestRateLimitEndsWithTheAnswerThatNamesNone checks that a response without the header, or another
+// incarnation, ends the rate limit.
 func TestRateLimitEndsWithTheAnswerThatNamesNone(t *testing.T) {
 	var received atomic.Int64
 	var isLimited atomic.Bool
@@ -73,7 +74,7 @@
 		h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	}
 	if admission.asked.Load() != 1 {
-		t.Errorf("asked for %d of six requests: the first names a limit, the second none", admission.asked.Load())
+		t.Errorf("asked for %d of six requests, want 1: the first response reports a limit, the second none", admission.asked.Load())
 	}
 	isLimited.Store(true)
 	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
@@ -81,11 +82,11 @@
 	h.publish()
 	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if admission.asked.Load() != 1 {
-		t.Error("the limit of an incarnation binds the next one")
+		t.Error("the limit of an incarnation was applied to the next one")
 	}
 }
 
-// TestOtherBackEndsGoOnWhereOneIsLimited: of a service, commands go to the one that names no limit.
+// TestOtherBackEndsGoOnWhereOneIsLimited checks that a service's commands go to the back end that reports no limit.
 func TestOtherBackEndsGoOnWhereOneIsLimited(t *testing.T) {
 	var limited, others atomic.Int64
 	h := newHarness(t, func(options *Options) { options.Admission = &fakeAdmission{retryIn: 3 * time.Second} })
@@ -100,7 +101,7 @@
 	}))
 	for range 20 {
 		if got := h.do(http.MethodPost, "/turbines/7/stop", "now"); got.status != http.StatusNoContent {
-			t.Fatalf("a command: %d, though another back end names no limit", got.status)
+			t.Fatalf("command: %d, although another back end has no limit", got.status)
 		}
 	}
 	if limited.Load() > 1 {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -19,15 +19,15 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// cpuTime is what the process has used, user and system.
+// cpuTime returns the user and system time that the process has used.
 func cpuTime() time.Duration {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// discardWriter is a ResponseWriter that counts flushes, so that only the gateway's
-// own side is measured.
+// discardWriter is a ResponseWriter that counts flushes and drops the data, so that
+// only the gateway's own work is measured.
 type discardWriter struct {
 	header  http.Header
 	flushes int
@@ -38,7 +38,7 @@
 func (d *discardWriter) WriteHeader(int)                {}
 func (d *discardWriter) Flush()                         { d.flushes++ }
 
-// tokenBlock is one write of an engine: in the worst case one token each.
+// benchmarkRelay has the engine write perWrite tokens at a time; the worst case is one.
 func benchmarkRelay(b *testing.B, perWrite int) {
 	h := newHarness(b, nil)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkWaitingRequest reports the memory that one waiting request holds in
-// the gateway, its connection left out.
+// BenchmarkWaitingRequest reports the memory that one waiting request uses in
+// the gateway, excluding its connection.
 func BenchmarkWaitingRequest(b *testing.B) {
 	const requests = 2000
 	h := newHarness(b, nil)
@@ -124,7 +124,7 @@
 }
 
 // BenchmarkFirstToken measures the time to the first token of an engine called
-// directly and through the gateway, in turns of one run.
+// directly and through the gateway, alternating in one run.
 func BenchmarkFirstToken(b *testing.B) {
 	h := newHarness(b, nil)
 	address := h.backend(completeEngine)
@@ -144,7 +144,7 @@
 }
 
 func firstToken(b *testing.B, url string) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	answer, err := http.Post(url, "application/json", strings.NewReader(streamBody))
 	if err != nil {
 		b.Fatal(err)
@@ -153,12 +153,12 @@
 	if _, err := answer.Body.Read(make([]byte, 1)); err != nil {
 		b.Fatal(err)
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	_, _ = io.Copy(io.Discard, answer.Body)
-	return took
+	return elapsed
 }
 
-// pacedEngine brings a token every few milliseconds, as a busy engine does.
+// pacedEngine sends a token every 10 ms, as a busy engine does.
 func pacedEngine(writer http.ResponseWriter, request *http.Request) {
 	engine := scriptedEngine{writer, request}
 	for sequence := range 20 {
@@ -169,8 +169,8 @@
 }
 
 // BenchmarkAddedTimes compares first tokens and gaps between tokens, read from
-// an engine directly and through the gateway, with as many streams of either
-// kind at a time: half of the slots of four engines.
+// an engine directly and through the gateway, with equally many concurrent streams
+// of either kind: half of the slots of four engines.
 func BenchmarkAddedTimes(b *testing.B) {
 	const streams = 32
 	h := newHarness(b, nil)
@@ -183,7 +183,7 @@
 	for b.Loop() {
 		var group sync.WaitGroup
 		for index := range streams {
-			// Each begins at its own time, as callers do.
+			// Start times are spread, as those of callers are.
 			begins := time.Duration(index) * 200 * time.Millisecond / streams
 			group.Go(func() {
 				time.Sleep(begins)
@@ -204,13 +204,13 @@
 	}
 }
 
-// percentile is a quantile in microseconds.
+// percentile returns a percentile in microseconds.
 func percentile(samples []time.Duration, percent int) float64 {
 	slices.Sort(samples)
 	return float64(samples[(len(samples)-1)*percent/100].Nanoseconds()) / 1000
 }
 
-// streamTimings are those of many streams.
+// streamTimings collects the timings of many streams.
 type streamTimings struct {
 	mutex       sync.Mutex
 	first, gaps []time.Duration
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -24,11 +24,11 @@
 		return DrainReport{}
 	case <-ctx.Done():
 	}
-	cut := g.running.cancelAll(errDrainLimit)
-	if len(cut) > 0 {
+	cancelled := g.running.cancelAll(errDrainLimit)
+	if len(cancelled) > 0 {
 		<-idle
 	}
-	return DrainReport{Cut: cut}
+	return DrainReport{Cut: cancelled}
 }
 
 // Draining reports whether the gateway refuses new requests.
--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -16,7 +16,7 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// evacuate puts a configuration in force in which just these zones are evacuated.
+// evacuate sets a configuration in which exactly these zones are evacuated.
 func (h *harness) evacuate(version uint64, zones ...string) {
 	var objects []objectstore.Object
 	for _, zone := range zones {
@@ -25,8 +25,8 @@
 	h.setConfiguration(version, objects)
 }
 
-// setConfiguration puts a configuration in force; routes are the fake catalog's, but for their
-// regions.
+// setConfiguration sets the configuration in force. Routes still come from the fake catalog,
+// except for their regions.
 func (h *harness) setConfiguration(version uint64, objects []objectstore.Object) {
 	h.t.Helper()
 	snapshot, problems := catalog.Compile(version, objects)
@@ -36,7 +36,7 @@
 	h.views.Catalog.Set(snapshot)
 }
 
-// testZone is a zone with one engine and one service, which count what they get.
+// testZone is a zone with one engine and one service, which count their requests.
 type testZone struct {
 	name            fleet.Zone
 	models, calls   atomic.Int64
@@ -96,12 +96,12 @@
 	h.evacuate(2)
 	h.do(http.MethodPost, backend.PathCompletions, streamBody)
 	if h.do(http.MethodGet, "/turbines/7", ""); home.calls.Load() != 1 {
-		t.Error("the zone got nothing after its evacuation was taken back")
+		t.Error("the zone got no call after its evacuation ended")
 	}
 }
 
-// TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone: the zone is evacuated
-// while the stream runs, and the engine would know the rest.
+// TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone evacuates the zone while the
+// stream runs, although its engine could resume the stream.
 func TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone(t *testing.T) {
 	h := newHarness(t, nil)
 	var resumes atomic.Int64
@@ -148,7 +148,7 @@
 			t.Errorf("%s: %d %v %+v", name, got.status, got.header, got.problem)
 		}
 	}
-	refused("what waited", <-waiting)
+	refused("the waiting request", <-waiting)
 	h.publishZones(home, other)
 	refused("a request", h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	refused("a call", h.do(http.MethodGet, "/turbines/7", ""))
@@ -157,6 +157,6 @@
 	}
 	h.evacuate(2, "a")
 	if got := h.do(http.MethodPost, backend.PathCompletions, streamBody); got.status != http.StatusOK || other.models.Load() != 1 {
-		t.Errorf("after an evacuation was taken back: %d %+v", got.status, got.problem)
+		t.Errorf("after an evacuation ended: %d %+v", got.status, got.problem)
 	}
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -11,14 +11,14 @@
 	"github.com/spanlanding/spanlanding/internal/catalog"
 )
 
-// headerCall is a call of which only the headers are looked at.
+// headerCall returns a call that is used only for its headers.
 func headerCall(name, value string) *call {
 	request := httptest.NewRequest(http.MethodPost, "/", nil)
 	request.Header.Set(name, value)
 	return &call{gateway: &Gateway{limits: Limits{}.withDefaults()}, request: request, arrived: time.Unix(1e9, 0)}
 }
 
-// FuzzDeadline holds that a caller can only tighten a deadline, and never to
+// FuzzDeadline checks that a caller can only shorten a deadline, and never to
 // before its arrival.
 func FuzzDeadline(f *testing.F) {
 	for _, seed := range []string{"1.5s", "2", "0", "-1s", "1e9", "NaN", "Inf", "9223372036854775807ns", "1h1h", "0.0000000001", "soon", ""} {
@@ -39,7 +39,7 @@
 	})
 }
 
-// FuzzLabels holds that labels are read as they were written, or refused.
+// FuzzLabels checks that labels are parsed as they were written, or refused.
 func FuzzLabels(f *testing.F) {
 	for _, seed := range []string{"job=chat", "a=1, b=2 ,c=", "a", "=a", "a=b=c", ",", "a=1,a=2", "  ", "é=ü", strings.Repeat("k=v,", 2000)} {
 		f.Add(seed)
@@ -66,7 +66,7 @@
 	})
 }
 
-// FuzzCompletion holds that a body is refused clearly or has a length within
+// FuzzCompletion checks that a body is refused with a reason or has a length within
 // the model's context.
 func FuzzCompletion(f *testing.F) {
 	for _, seed := range []string{
@@ -84,15 +84,15 @@
 			return
 		}
 		if body == nil {
-			t.Fatalf("%q was taken for an object", text)
+			t.Fatalf("%q was accepted as an object", text)
 		}
 		const context = 100
 		route := catalog.ModelRoute{ContextTokens: context}
 		if checkLength(route, context/2, header.MaxTokens) == nil && header.MaxTokens > context/2 {
-			t.Fatalf("%d tokens are within %d", header.MaxTokens, context)
+			t.Fatalf("%d tokens were accepted for a context of %d", header.MaxTokens, context)
 		}
 		if failed := checkLength(route, 1, math.MinInt); failed != nil {
-			t.Fatalf("no answer is too long: %+v", failed)
+			t.Fatalf("a request without output is too long: %+v", failed)
 		}
 	})
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -20,7 +20,7 @@
 
 var testModel = fleet.ModelVersion{Model: "notes", Version: "v1"}
 
-// fakeCatalog has one model and one service with each kind of method.
+// fakeCatalog has one model and one service, whose GET calls are repeatable.
 type fakeCatalog struct {
 	model   catalog.ModelRoute
 	service catalog.ServiceRoute
@@ -40,7 +40,7 @@
 
 func (f *fakeCatalog) ModelNames() []string { return []string{testModel.Model} }
 
-// fakeDemand records wants and can refuse.
+// fakeDemand records wants and can report load refusals.
 type fakeDemand struct {
 	mutex  sync.Mutex
 	wants  []fleet.Want
@@ -60,7 +60,7 @@
 	f.wants = append(f.wants, wants...)
 }
 
-func (f *fakeDemand) OnRefusal(told func([]fleet.LoadRefusal)) { f.refuse = told }
+func (f *fakeDemand) OnRefusal(listener func([]fleet.LoadRefusal)) { f.refuse = listener }
 
 func (f *fakeDemand) reported() []fleet.Want {
 	f.mutex.Lock()
@@ -68,7 +68,7 @@
 	return append([]fleet.Want(nil), f.wants...)
 }
 
-// harness is a gateway with back ends made of handlers, all over real sockets.
+// harness is a gateway whose back ends are HTTP handlers, all over real sockets.
 type harness struct {
 	t       testing.TB
 	views   *views.Views
@@ -175,8 +175,8 @@
 	return result
 }
 
-// streamText joins the tokens of a streamed text completion; whole tells whether
-// the terminator came.
+// streamText joins the tokens of a streamed text completion; whole reports whether
+// the terminator arrived.
 func streamText(stream string) (text string, whole bool) {
 	for line := range strings.Lines(stream) {
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
@@ -194,7 +194,7 @@
 	return text, false
 }
 
-// scriptedEngine answers like an engine, token by token.
+// scriptedEngine responds like an engine, token by token.
 type scriptedEngine struct {
 	writer  http.ResponseWriter
 	request *http.Request
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -22,8 +22,8 @@
 
 func hedging(options *Options) { options.Limits.HedgeAfter = 5 * time.Millisecond }
 
-// hedgedEngines adds two engines that answer or hang by the attempt's number.
-// Cancels are told as the number of their attempt.
+// hedgedEngines adds two engines that respond or hang depending on the attempt's
+// number. Cancels are sent to the channel as the number of their attempt.
 func hedgedEngines(h *harness, answers func(attempt int, request *http.Request) bool) (cancels chan string) {
 	cancels = make(chan string, 8)
 	handler := func(writer http.ResponseWriter, request *http.Request) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestHedgeKeepsToItsBounds: without a budget, without a second engine or
-// without the setting there is one attempt.
+// TestHedgeKeepsToItsBounds checks that there is one attempt only without a retry
+// budget, without a second engine or with hedging off.
 func TestHedgeKeepsToItsBounds(t *testing.T) {
 	tests := map[string]func(*Options){
 		"off": func(*Options) {},
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestHedgedStormOfRequests hedges every request where there is room, over
-// engines that break before or after their first tokens; each caller has a
-// whole answer.
+// TestHedgedStormOfRequests hedges every request while there is capacity, with
+// engines that break the connection before or after their first tokens; each caller
+// gets a complete response.
 func TestHedgedStormOfRequests(t *testing.T) {
 	h := newHarness(t, func(options *Options) {
 		options.Limits.HedgeAfter = time.Nanosecond
--- a/internal/gateway/hints_test.go
+++ b/internal/gateway/hints_test.go
@@ -10,7 +10,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// countingEngine counts its requests; the first is answered by first, and the others whole.
+// countingEngine counts its requests; the first is handled by first, the others get a complete response.
 func countingEngine(count *atomic.Int64, first http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if count.Add(1) == 1 {
@@ -29,9 +29,8 @@
 	}
 }
 
-// An engine that turns a request away says for how long it wants none. The time was handed to the
-// caller, where nothing else was left to tell it, and the engine was left alone for a quarter of a
-// second, for that model alone.
+// Guards against passing an engine's Retry-After only to the caller, and only if no attempt was left: the
+// engine was then skipped for just a quarter of a second, and for that model only.
 func TestEngineThatAskedForRestIsLeftAlone(t *testing.T) {
 	var received atomic.Int64
 	h := newHarness(t, nil)
@@ -41,11 +40,11 @@
 		h.do(http.MethodPost, backend.PathCompletions, streamBody)
 	}
 	if received.Load() != 1 {
-		t.Errorf("%d requests came in the rest that the engine had asked for", received.Load()-1)
+		t.Errorf("%d requests reached the engine during its backoff", received.Load()-1)
 	}
 }
 
-// TestRestEndsWithTheEngine: one that started anew asked for nothing.
+// TestRestEndsWithTheEngine checks that a backoff ends when the engine restarts.
 func TestRestEndsWithTheEngine(t *testing.T) {
 	var received atomic.Int64
 	h := newHarness(t, nil)
@@ -57,8 +56,8 @@
 	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 }
 
-// TestLeavingEngineSaysSoInGoodAnswers: also the answer that it served says so, and the next
-// request does not go there; another start of it may be used.
+// TestLeavingEngineSaysSoInGoodAnswers checks that the header also counts in a successful response: the
+// next request does not go there, unless the engine has restarted.
 func TestLeavingEngineSaysSoInGoodAnswers(t *testing.T) {
 	var received atomic.Int64
 	notified := make(chan fleet.BackendName, 9)
@@ -72,17 +71,17 @@
 	})))
 	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if got := h.do(http.MethodPost, backend.PathCompletions, streamBody); got.status == http.StatusOK || received.Load() != 1 {
-		t.Errorf("%d requests, the second answered %d: its engine had said that it leaves", received.Load(), got.status)
+		t.Errorf("%d requests reached the engine, which had announced that it leaves; status of the second %d", received.Load(), got.status)
 	}
 	if len(notified) != 1 || <-notified != "e1" {
-		t.Error("the zone was not told")
+		t.Error("Options.Leaving was not called once with e1")
 	}
 	h.table.Engines[0].Incarnation++
 	h.publish()
 	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 }
 
-// TestServiceThatAskedForRestIsLeftAlone: so are back ends that take commands.
+// TestServiceThatAskedForRestIsLeftAlone checks the same for back ends of services.
 func TestServiceThatAskedForRestIsLeftAlone(t *testing.T) {
 	var received, others atomic.Int64
 	h := newHarness(t, nil)
@@ -100,6 +99,6 @@
 		calls++
 	}
 	if received.Load() > 1 || others.Load() < calls-1 {
-		t.Errorf("%d requests came in the rest, %d of %d were done", received.Load()-1, others.Load(), calls)
+		t.Errorf("%d requests reached s1 during its backoff, s2 got %d of %d", received.Load()-1, others.Load(), calls)
 	}
 }
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestLinkEndsAtItsLatestWake: the bound of the second token may come long
-// before that of the first.
+// TestLinkEndsAtItsLatestWake checks deadlines that move either way: that of the second
+// token may be long before that of the first.
 func TestLinkEndsAtItsLatestWake(t *testing.T) {
 	tests := map[string]struct {
 		wakes []time.Duration
 		want  time.Duration
 	}{
-		"sooner than at the start": {[]time.Duration{10 * time.Second}, 10 * time.Second},
-		"moved on":                 {[]time.Duration{10 * time.Second, 11 * time.Second, 40 * time.Second}, 40 * time.Second},
-		"moved on and back":        {[]time.Duration{40 * time.Second, 20 * time.Second}, 20 * time.Second},
+		"before the first deadline": {[]time.Duration{10 * time.Second}, 10 * time.Second},
+		"moved later":               {[]time.Duration{10 * time.Second, 11 * time.Second, 40 * time.Second}, 40 * time.Second},
+		"moved later and back":      {[]time.Duration{40 * time.Second, 20 * time.Second}, 20 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -20,13 +20,13 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// localSuspects is the memory of one node alone.
+// localSuspects implements Suspects for one node, without exchange.
 type localSuspects struct {
 	mutex   sync.Mutex
 	tracker *poison.Tracker
-	// clockOffset is by how much its clock is clockOffset.
+	// clockOffset is how far its clock is ahead.
 	clockOffset time.Duration
-	// trials counts those granted.
+	// trials counts the trials granted.
 	trials int
 }
 
@@ -66,7 +66,7 @@
 	s.tracker.RecordRefusal(fingerprint)
 }
 
-// advance moves the clock on.
+// advance moves the clock forward.
 func (s *localSuspects) advance(by time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,11 +75,11 @@
 
 const poisonBody = `{"model":"notes","stream":true,"prompt":"poison"}`
 
-// crashTime is how long a server runs a poison request: those that end within 20 ms count
-// as one fault.
+// crashTime is how long a server runs a poison request before it crashes: crashes within
+// 20 ms count as one.
 const crashTime = 30 * time.Millisecond
 
-// crashingBackend is a back end that ends, with all its connections, when the handler says so.
+// crashingBackend starts a back end that closes its listener and connections if isDeadly holds for the body.
 func (h *harness) crashingBackend(ended *atomic.Int64, isDeadly func(body string) bool, fallback http.HandlerFunc) string {
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -97,8 +97,8 @@
 	return server.Listener.Addr().String()
 }
 
-// removeCrashedEngines takes the engines that have ended out of the table, as their zone's leader
-// does.
+// removeCrashedEngines removes the engines that have crashed from the route table, as their
+// zone's leader does.
 func (h *harness) removeCrashedEngines() {
 	h.table.Engines = slices.DeleteFunc(h.table.Engines, func(engine fleet.EngineState) bool {
 		connection, err := net.Dial("tcp", engine.Address)
@@ -113,14 +113,14 @@
 
 func isPoison(body string) bool { return strings.Contains(body, `"poison"`) }
 
-// plainEngine answers like an engine, whatever the body.
+// plainEngine responds like an engine, whatever the body.
 func plainEngine(writer http.ResponseWriter, request *http.Request) {
 	engine := scriptedEngine{writer, request}
 	engine.tokens(0, 6)
 	engine.end(6)
 }
 
-// TestPoisonRequestEndsThreeServers: its caller sends it again and again. Others go on.
+// TestPoisonRequestEndsThreeServers has a caller that keeps repeating the request. Other requests are served.
 func TestPoisonRequestEndsThreeServers(t *testing.T) {
 	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
@@ -142,7 +142,7 @@
 	}
 }
 
-// TestTrialOfAPoisonRequestIsOneSend: copies come at once when the bar is over.
+// TestTrialOfAPoisonRequestIsOneSend sends concurrent copies once the request is no longer barred.
 func TestTrialOfAPoisonRequestIsOneSend(t *testing.T) {
 	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
@@ -161,11 +161,11 @@
 	}
 	copies.Wait()
 	if ended.Load() != poison.CrashLimit+1 || suspects.trials != 1 {
-		t.Errorf("%d servers ended, %d trials, want one more than %d and one", ended.Load(), suspects.trials, poison.CrashLimit)
+		t.Errorf("%d servers ended in %d trials, want one more than %d in one trial", ended.Load(), suspects.trials, poison.CrashLimit)
 	}
 }
 
-// TestConnectionThatBreaksIsNoPoison: the servers are still there.
+// TestConnectionThatBreaksIsNoPoison breaks connections of servers that keep running.
 func TestConnectionThatBreaksIsNoPoison(t *testing.T) {
 	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestServerThatLeavesIsNobodysFault: it had said that it goes.
+// TestServerThatLeavesIsNobodysFault has a server that announced its end before it ended.
 func TestServerThatLeavesIsNobodysFault(t *testing.T) {
 	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestPoisonCallEndsThreeServers: a call that may be repeated is sent again at once.
+// TestPoisonCallEndsThreeServers uses a repeatable call, which is retried at once.
 func TestPoisonCallEndsThreeServers(t *testing.T) {
 	suspects := &localSuspects{tracker: poison.NewTracker()}
 	h := newHarness(t, func(options *Options) { options.Suspects = suspects })
@@ -216,6 +216,6 @@
 		last = h.do(http.MethodGet, "/turbines/poison", "")
 	}
 	if ended.Load() != poison.CrashLimit || last.problem.Code != codePoison || last.problem.Outcome != attempt.OutcomeNotRun {
-		t.Errorf("%d servers ended, the last answer is %d %+v", ended.Load(), last.status, last.problem)
+		t.Errorf("%d servers ended, the last response is %d %+v", ended.Load(), last.status, last.problem)
 	}
 }
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestRequestsBeyondTheBoundAreRefusedAndCommandsAreNot: the bound of models
-// does not touch services.
+// TestRequestsBeyondTheBoundAreRefusedAndCommandsAreNot checks that the limit for model
+// requests does not apply to service calls.
 func TestRequestsBeyondTheBoundAreRefusedAndCommandsAreNot(t *testing.T) {
 	h := newHarness(t, func(options *Options) { options.Limits.MaxRequests = 1 })
 	h.addService("s1", h.backend(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) }))
@@ -171,7 +171,7 @@
 	h.wantComplete(<-first)
 }
 
-// TestEngineThatHasUnloadedTheModel: the table lags, the engine declines, and
+// TestEngineThatHasUnloadedTheModel has a stale route table: the engine refuses, and
 // the requests wait for the next replica instead of failing.
 func TestEngineThatHasUnloadedTheModel(t *testing.T) {
 	const requests = 30
@@ -228,7 +228,7 @@
 		options.Logger = &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: &lines}}
 	})
 	h.do(http.MethodGet, "/v1/models", "")
-	// The line is written after the answer, and the server waits for handlers.
+	// The line is logged after the response; closing the server waits for handlers.
 	h.server.Close()
 	if !strings.Contains(lines.String(), `"message":"request_finished"`) || strings.Contains(lines.String(), `"event"`) {
 		t.Errorf("logged %s", lines.String())
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -14,8 +14,8 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// bind puts a configuration in force in which zone a lies in the north, zone b in the
-// south, and the routes of the harness are bound to the regions.
+// bind sets a configuration in which zone a lies in the north, zone b in the south, and the
+// routes of the harness are bound to the regions.
 func (h *harness) bind(version uint64, regions ...string) {
 	h.t.Helper()
 	if regions == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestWaitingRequestFollowsItsRegions: it waits for the north, and is served once the
-// south is allowed; another is refused once nothing is.
+// TestWaitingRequestFollowsItsRegions has a request wait for the north. It is served once the
+// south is allowed, or refused once no region is.
 func TestWaitingRequestFollowsItsRegions(t *testing.T) {
 	h := newHarness(t, nil)
 	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
@@ -97,7 +97,7 @@
 			}
 		}
 		if other.models.Load() != 0 && version == 0 {
-			t.Fatal("the south was asked")
+			t.Fatal("the request was sent to the south")
 		}
 		h.bind(uint64(2*version+2), test.regions...)
 		if got := <-done; got.problem.Code != test.code || (test.code == "") != (got.status == http.StatusOK) {
@@ -109,7 +109,8 @@
 	}
 }
 
-// TestBrokenStreamLeavesARegionThatIsNoMoreAllowed: it is not asked for there again.
+// TestBrokenStreamLeavesARegionThatIsNoMoreAllowed checks that a stream is not resumed in a region that is
+// no longer allowed.
 func TestBrokenStreamLeavesARegionThatIsNoMoreAllowed(t *testing.T) {
 	h := newHarness(t, nil)
 	resumed := false
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed at once, not at its deadline.
+// TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed checks that it is refused at once, not at its deadline.
 func TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed(t *testing.T) {
 	h := newHarness(t, nil)
 	h.views.RouteTables.Set(views.RouteTables{"a": {Zone: "a", Fence: 1, Sequence: 1}})
--- a/internal/gateway/service_test.go
+++ b/internal/gateway/service_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// fakeGuard gives one decision and records how attempts ended.
+// fakeGuard returns one decision and records the outcomes of attempts.
 type fakeGuard struct {
 	decision claim.Decision
 	request  claim.Request
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestOutcomesOfACallThatMayNotBeRepeated over real sockets, with and without
-// a key: what the caller and the keepers are told, and how often it was sent.
+// TestOutcomesOfACallThatMayNotBeRepeated checks over real sockets, with and without
+// a key, what the caller and the keepers are told, and how often the call was sent.
 func TestOutcomesOfACallThatMayNotBeRepeated(t *testing.T) {
 	tests := map[string]struct {
 		handler  http.HandlerFunc
@@ -126,16 +126,16 @@
 				if key == "" {
 					return
 				}
-				if told := <-guard.outcomes; told != test.reported || guard.request.Key != "turbines/k" || guard.request.Window != time.Minute {
-					t.Errorf("keepers were told %v of %+v", told, guard.request)
+				if recorded := <-guard.outcomes; recorded != test.reported || guard.request.Key != "turbines/k" || guard.request.Window != time.Minute {
+					t.Errorf("keepers were told %v, the claim was %+v", recorded, guard.request)
 				}
 			})
 		}
 	}
 }
 
-// pausedGuard grants, and moves the clock on before the gateway goes on: the
-// process was paused after its keepers had answered.
+// pausedGuard grants and then moves the clock forward, as if the process had been
+// paused after its keepers had answered.
 type pausedGuard struct {
 	*fakeGuard
 	offset *atomic.Int64
@@ -149,7 +149,7 @@
 }
 
 // TestGrantDoesNotOutliveAPause: the keepers keep a key only for calls that are
-// sent soon after the grant. One that comes out of a pause later may meet
+// sent soon after the grant. A call sent after a longer pause may run beside
 // another that was granted the key since, whatever its own deadline is.
 func TestGrantDoesNotOutliveAPause(t *testing.T) {
 	tests := map[string]struct {
@@ -175,8 +175,8 @@
 				writer.WriteHeader(http.StatusNoContent)
 			}))
 			got := h.do(http.MethodPost, "/turbines/7/stop", "now", backend.HeaderIdempotencyKey, "k")
-			if told := <-guard.outcomes; told != test.reported || sent.Load() != test.sent {
-				t.Errorf("keepers were told %v, sent %d times", told, sent.Load())
+			if recorded := <-guard.outcomes; recorded != test.reported || sent.Load() != test.sent {
+				t.Errorf("keepers were told %v, sent %d times", recorded, sent.Load())
 			}
 			if test.sent == 0 && (got.status != http.StatusServiceUnavailable || got.problem.Outcome != attempt.OutcomeNotRun) {
 				t.Errorf("the caller was told %d %+v", got.status, got.problem)
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestCallerThatGoesAwayDoesNotUndoACommand: what became of the command is
-// still learnt and told to the keepers.
+// TestCallerThatGoesAwayDoesNotUndoACommand checks that the outcome of the command is
+// still determined and reported to the keepers.
 func TestCallerThatGoesAwayDoesNotUndoACommand(t *testing.T) {
 	guard := newFakeGuard(claim.Decision{Verdict: claim.Granted, Attempt: "a1"})
 	h := newHarness(t, func(options *Options) { options.Guard = guard })
@@ -219,7 +219,7 @@
 		stop()
 		select {
 		case <-request.Context().Done():
-			t.Error("the command was cut")
+			t.Error("the command was cancelled")
 		case <-time.After(100 * time.Millisecond):
 		}
 		writer.WriteHeader(http.StatusNoContent)
@@ -227,12 +227,12 @@
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, h.server.URL+"/turbines/7/stop", nil)
 	request.Header.Set(backend.HeaderIdempotencyKey, "k")
 	_, _ = http.DefaultTransport.RoundTrip(request)
-	if told := <-guard.outcomes; told != claim.Ran {
-		t.Errorf("keepers were told %v", told)
+	if recorded := <-guard.outcomes; recorded != claim.Ran {
+		t.Errorf("keepers were told %v", recorded)
 	}
 }
 
-// TestCommandDoesNotWaitBehindReports: the queue is full of model requests
+// TestCommandDoesNotWaitBehindReports fills the queue with model requests
 // that no replica serves.
 func TestCommandDoesNotWaitBehindReports(t *testing.T) {
 	h := newHarness(t, func(options *Options) { options.Queue.MaxItems = 4 })
@@ -260,13 +260,13 @@
 	h.addService("s1", h.backend(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) }))
 	got := h.do(http.MethodPost, "/turbines/7/stop", "now", backend.HeaderIdempotencyKey, "k")
 	close(guard.hold)
-	if told := <-guard.outcomes; got.status != http.StatusNoContent || told != claim.Ran {
-		t.Errorf("%d, keepers were told %v", got.status, told)
+	if recorded := <-guard.outcomes; got.status != http.StatusNoContent || recorded != claim.Ran {
+		t.Errorf("%d, keepers were told %v", got.status, recorded)
 	}
 }
 
 // TestLeavingServiceIsReportedByItsRefusal: a command server is not polled, so
-// its own refusal is the first news that it goes away.
+// its own refusal is the first sign that it is shutting down.
 func TestLeavingServiceIsReportedByItsRefusal(t *testing.T) {
 	for body, want := range map[string]int{
 		`{"code":"leaving"}`:  1,
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -24,7 +24,7 @@
 // abortConnection ends the connection without a terminator.
 func abortConnection() { panic(http.ErrAbortHandler) }
 
-// isResume tells resumes from opens; isCancel tells cancels.
+// isResume reports whether a request resumes a stream; isCancel whether it cancels an attempt.
 func isResume(request *http.Request) bool { return request.Method == http.MethodGet }
 func isCancel(request *http.Request) bool { return request.Method == http.MethodDelete }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// drain waits until no handler runs, so that all is counted.
+// drain waits until no handler runs, so that all requests have been counted.
 func (h *harness) drain() {
 	h.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestAnswerThatCannotBeCompletedIsNeverPassedOff: every attempt breaks.
+// TestAnswerThatCannotBeCompletedIsNeverPassedOff breaks every attempt: an incomplete response must not look complete.
 func TestAnswerThatCannotBeCompletedIsNeverPassedOff(t *testing.T) {
 	h := newHarness(t, nil)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
@@ -196,8 +196,8 @@
 	})
 }
 
-// wantGoroutinesBack runs the action and waits until the goroutines are at most
-// as many as before; the test's own time limit ends a leak.
+// wantGoroutinesBack runs the action and waits until there are no more goroutines
+// than before; it fails after ten seconds.
 func (h *harness) wantGoroutinesBack(action func()) {
 	h.t.Helper()
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
@@ -212,8 +212,8 @@
 	}
 }
 
-// TestSlowReaderIsCutOff: a caller that reads nothing does not hold an engine
-// for ever.
+// TestSlowReaderIsCutOff checks that a caller that reads nothing does not occupy
+// an engine forever.
 func TestSlowReaderIsCutOff(t *testing.T) {
 	h := newHarness(t, func(options *Options) { options.Limits.WriteTimeout = 100 * time.Millisecond })
 	cancelled := make(chan struct{}, 1)
@@ -237,25 +237,25 @@
 	defer answer.Body.Close()
 	<-cancelled
 	if _, err := io.Copy(io.Discard, answer.Body); err == nil {
-		t.Error("what was cut off ends like a whole answer")
+		t.Error("the cut-off response ends like a complete one")
 	}
 }
 
 func TestDrainFinishesWhatRunsAndRefusesWhatIsNew(t *testing.T) {
 	h := newHarness(t, nil)
 	release := make(chan struct{})
-	begun := make(chan struct{}, 1)
+	started := make(chan struct{}, 1)
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
 		engine := scriptedEngine{writer, request}
 		engine.tokens(0, 3)
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
 		engine.tokens(3, 6)
 		engine.end(6)
 	}))
 	running := make(chan response, 1)
 	go func() { running <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
-	<-begun
+	<-started
 	drained := make(chan DrainReport, 1)
 	go func() { drained <- h.gateway.Drain(context.Background()) }()
 	for !h.gateway.Draining() {
@@ -300,8 +300,8 @@
 	}
 }
 
-// TestSameIdentityTwiceDoesNotCross: callers choose request identities, and
-// engines know requests by theirs.
+// TestSameIdentityTwiceDoesNotCross: callers choose request IDs, and engines
+// identify requests by them.
 func TestSameIdentityTwiceDoesNotCross(t *testing.T) {
 	h := newHarness(t, nil)
 	identities := make(chan fleet.RequestID, 2)
@@ -317,27 +317,27 @@
 		}
 	}
 	if first, second := <-identities, <-identities; first == second {
-		t.Errorf("both requests are %q at the engine", first)
+		t.Errorf("both requests have the ID %q at the engine", first)
 	}
 }
 
-// TestEngineThatDiesUnderManyStreamsCutsNone: their number is far beyond the
-// retry budget.
+// TestEngineThatDiesUnderManyStreamsCutsNone crashes an engine with far more streams
+// than the retry budget allows retries.
 func TestEngineThatDiesUnderManyStreamsCutsNone(t *testing.T) {
 	const streams = 30
 	h := newHarness(t, func(options *Options) {
 		options.Limits.RetryBurst = 1
 		options.Routing.EngineSlots = streams
 	})
-	var begun sync.WaitGroup
-	begun.Add(streams)
+	var started sync.WaitGroup
+	started.Add(streams)
 	crash := make(chan struct{})
 	h.addEngine("e1", h.backend(func(writer http.ResponseWriter, request *http.Request) {
 		if isCancel(request) || isResume(request) {
 			abortConnection()
 		}
 		scriptedEngine{writer, request}.tokens(0, 2)
-		begun.Done()
+		started.Done()
 		<-crash
 		abortConnection()
 	}))
@@ -345,7 +345,7 @@
 	for range streams {
 		go func() { answers <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
 	}
-	begun.Wait()
+	started.Wait()
 	h.table.Engines = nil
 	h.addEngine("e2", h.backend(completeEngine))
 	close(crash)
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -17,7 +17,7 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// fakeQuotas is a quota of so much in all.
+// fakeQuotas is one quota with a fixed amount for all tenants.
 type fakeQuotas struct {
 	mutex     sync.Mutex
 	remaining float64
@@ -51,7 +51,7 @@
 }
 
 // declareTenants declares zone a in the north, zone b in the south, and two tenants: anna
-// with a quota of requests, bo with one of tokens and in the south only.
+// with a quota of requests, bo with a quota of tokens and bound to the south.
 func (h *harness) declareTenants(version uint64) {
 	h.t.Helper()
 	object := func(kind spec.Kind, name, text string) objectstore.Object {
@@ -88,8 +88,8 @@
 }
 
 func TestQuotaIsDrawnByWhatARequestCosts(t *testing.T) {
-	purse := &fakeQuotas{remaining: 3}
-	h := newHarness(t, func(options *Options) { options.Quotas = purse })
+	quotas := &fakeQuotas{remaining: 3}
+	h := newHarness(t, func(options *Options) { options.Quotas = quotas })
 	h.publishZones(h.addZone("a", completeEngine), h.addZone("b", completeEngine))
 	h.declareTenants(1)
 	anna, bo := "Bearer key-of-anna", "Bearer key-of-bo"
@@ -103,14 +103,14 @@
 		got.header.Get("Retry-After") != "3" {
 		t.Errorf("%d %v %+v", got.status, got.header, got.problem)
 	}
-	// A call tells no tokens, so it counts nothing of such a quota.
+	// A call has no token count, so it costs nothing of a token quota.
 	if got := h.do(http.MethodGet, "/turbines/7", "", "Authorization", bo); got.status != http.StatusOK {
 		t.Errorf("%d %+v", got.status, got.problem)
 	}
-	if purse.remaining != 1 || len(purse.costs) != 2 {
-		t.Errorf("drawn %v, %v left", purse.costs, purse.remaining)
+	if quotas.remaining != 1 || len(quotas.costs) != 2 {
+		t.Errorf("drawn %v, %v left", quotas.costs, quotas.remaining)
 	}
-	purse.isUnknown = true
+	quotas.isUnknown = true
 	got = h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", anna)
 	if got.status != http.StatusServiceUnavailable || got.problem.Code != codeQuotaUnknown {
 		t.Errorf("%d %+v", got.status, got.problem)
@@ -118,17 +118,17 @@
 }
 
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	purse := &fakeQuotas{remaining: 1}
-	h := newHarness(t, func(options *Options) { options.Quotas = purse })
+	quotas := &fakeQuotas{remaining: 1}
+	h := newHarness(t, func(options *Options) { options.Quotas = quotas })
 	h.catalog.model.Deadline = 50 * time.Millisecond
 	h.declareTenants(1)
 	got := h.do(http.MethodPost, backend.PathCompletions, streamBody, "Authorization", "Bearer key-of-anna")
-	if got.problem.Outcome != attempt.OutcomeNotRun || purse.remaining != 1 || len(purse.costs) != 1 {
-		t.Errorf("%+v: drawn %v, %v left", got.problem, purse.costs, purse.remaining)
+	if got.problem.Outcome != attempt.OutcomeNotRun || quotas.remaining != 1 || len(quotas.costs) != 1 {
+		t.Errorf("%+v: drawn %v, %v left", got.problem, quotas.costs, quotas.remaining)
 	}
 }
 
-// TestRegionsOfRouteAndTenantBothBind: where they do not meet the request is refused.
+// TestRegionsOfRouteAndTenantBothBind checks that a request is refused if they have no region in common.
 func TestRegionsOfRouteAndTenantBothBind(t *testing.T) {
 	h := newHarness(t, nil)
 	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
