--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -16,18 +16,18 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// evacuate puts a configuration in force in which just these zones are evacuated.
+// evacuate sets a configuration in which exactly these zones are evacuated.
 func (h *harness) evacuate(version uint64, zones ...string) {
 	var objects []objectstore.Object
 	for _, zone := range zones {
 		objects = append(objects, objectstore.Object{Kind: string(spec.KindEvacuation), Name: zone, Version: version, Spec: []byte(`{}`)})
 	}
-	h.declare(version, objects)
+	h.setConfiguration(version, objects)
 }
 
-// declare puts a configuration in force; routes are the fake catalog's, but for their
-// regions.
-func (h *harness) declare(version uint64, objects []objectstore.Object) {
+// setConfiguration sets the configuration in force. Routes still come from the fake catalog,
+// except for their regions.
+func (h *harness) setConfiguration(version uint64, objects []objectstore.Object) {
 	h.t.Helper()
 	snapshot, problems := catalog.Compile(version, objects)
 	if len(problems) > 0 {
@@ -36,15 +36,15 @@
 	h.views.Catalog.Set(snapshot)
 }
 
-// zoneOf is a zone with one engine and one service, which count what they get.
-type zoneOf struct {
+// testZone is a zone with one engine and one service, which count their requests.
+type testZone struct {
 	name            fleet.Zone
 	models, calls   atomic.Int64
 	engine, service string
 }
 
-func (h *harness) addZone(name fleet.Zone, engine http.HandlerFunc) *zoneOf {
-	zone := &zoneOf{name: name}
+func (h *harness) addZone(name fleet.Zone, engine http.HandlerFunc) *testZone {
+	zone := &testZone{name: name}
 	zone.engine = h.backend(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == backend.PathCompletions {
 			zone.models.Add(1)
@@ -58,7 +58,7 @@
 	return zone
 }
 
-func (h *harness) publishZones(zones ...*zoneOf) {
+func (h *harness) publishZones(zones ...*testZone) {
 	h.table.Sequence++
 	tables := make(views.RouteTables)
 	for _, zone := range zones {
@@ -77,7 +77,7 @@
 
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	h.evacuate(1, "a")
 	const requests = 8
@@ -96,12 +96,12 @@
 	h.evacuate(2)
 	h.do(http.MethodPost, backend.PathCompletions, streamBody)
 	if h.do(http.MethodGet, "/turbines/7", ""); home.calls.Load() != 1 {
-		t.Error("the zone got nothing after its evacuation was taken back")
+		t.Error("the zone got no call after its evacuation ended")
 	}
 }
 
-// TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone: the zone is evacuated
-// while the stream runs, and the engine would know the rest.
+// TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone evacuates the zone while the
+// stream runs, although its engine could resume the stream.
 func TestBrokenStreamIsContinuedOutsideOfItsEvacuatedZone(t *testing.T) {
 	h := newHarness(t, nil)
 	var resumes atomic.Int64
@@ -113,11 +113,11 @@
 		case isCancel(request):
 			return
 		}
-		scripted{writer, request}.tokens(0, 3)
+		scriptedEngine{writer, request}.tokens(0, 3)
 		h.evacuate(1, "a")
-		breakOff()
+		abortConnection()
 	})
-	other := h.addZone("b", wholeEngine)
+	other := h.addZone("b", completeEngine)
 	h.publishZones(home)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
@@ -125,7 +125,7 @@
 		runtime.Gosched()
 	}
 	h.publishZones(home, other)
-	h.wantWhole(<-done)
+	h.wantComplete(<-done)
 	if home.models.Load() != 1 || resumes.Load() != 0 || other.models.Load() != 1 {
 		t.Errorf("the evacuated zone got %d requests and %d resumes, the other %d",
 			home.models.Load(), resumes.Load(), other.models.Load())
@@ -134,7 +134,7 @@
 
 func TestAllZonesEvacuatedIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	empty := fleet.RouteTable{Zone: "a", Fence: 1, Sequence: 1}
 	h.views.RouteTables.Set(views.RouteTables{"a": empty})
 	waiting := make(chan response, 1)
@@ -148,7 +148,7 @@
 			t.Errorf("%s: %d %v %+v", name, got.status, got.header, got.problem)
 		}
 	}
-	refused("what waited", <-waiting)
+	refused("the waiting request", <-waiting)
 	h.publishZones(home, other)
 	refused("a request", h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	refused("a call", h.do(http.MethodGet, "/turbines/7", ""))
@@ -157,6 +157,6 @@
 	}
 	h.evacuate(2, "a")
 	if got := h.do(http.MethodPost, backend.PathCompletions, streamBody); got.status != http.StatusOK || other.models.Load() != 1 {
-		t.Errorf("after an evacuation was taken back: %d %+v", got.status, got.problem)
+		t.Errorf("after an evacuation ended: %d %+v", got.status, got.problem)
 	}
 }
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// TestLinkEndsAtItsLatestWake: the bound of the second token may come long
-// before that of the first.
+// TestLinkEndsAtItsLatestWake checks deadlines that move either way: that of the second
+// token may be long before that of the first.
 func TestLinkEndsAtItsLatestWake(t *testing.T) {
 	tests := map[string]struct {
 		wakes []time.Duration
 		want  time.Duration
 	}{
-		"sooner than at the start": {[]time.Duration{10 * time.Second}, 10 * time.Second},
-		"moved on":                 {[]time.Duration{10 * time.Second, 11 * time.Second, 40 * time.Second}, 40 * time.Second},
-		"moved on and back":        {[]time.Duration{40 * time.Second, 20 * time.Second}, 20 * time.Second},
+		"before the first deadline": {[]time.Duration{10 * time.Second}, 10 * time.Second},
+		"moved later":               {[]time.Duration{10 * time.Second, 11 * time.Second, 40 * time.Second}, 40 * time.Second},
+		"moved later and back":      {[]time.Duration{40 * time.Second, 20 * time.Second}, 20 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun := time.Now()
-				link := newLink(t.Context(), 1, begun.Add(30*time.Second), time.Now)
-				defer link.close()
+				start := time.Now()
+				connection := newConnection(t.Context(), 1, start.Add(30*time.Second), time.Now)
+				defer connection.close()
 				for _, wake := range test.wakes {
-					link.setWake(begun.Add(wake))
+					connection.setDeadline(start.Add(wake))
 				}
-				<-link.ctx.Done()
-				if got := time.Since(begun); got != test.want || !link.late.Load() {
-					t.Errorf("ended after %v, late %t, want %v", got, link.late.Load(), test.want)
+				<-connection.ctx.Done()
+				if got := time.Since(start); got != test.want || !connection.timedOut.Load() {
+					t.Errorf("ended after %v, late %t, want %v", got, connection.timedOut.Load(), test.want)
 				}
 			})
 		})
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -14,8 +14,8 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// bind puts a configuration in force in which zone a lies in the north, zone b in the
-// south, and the routes of the harness are bound to the regions.
+// bind sets a configuration in which zone a lies in the north, zone b in the south, and the
+// routes of the harness are bound to the regions.
 func (h *harness) bind(version uint64, regions ...string) {
 	h.t.Helper()
 	if regions == nil {
@@ -25,7 +25,7 @@
 	object := func(kind spec.Kind, name, text string) objectstore.Object {
 		return objectstore.Object{Kind: string(kind), Name: name, Version: version, Spec: json.RawMessage(text)}
 	}
-	h.declare(version, []objectstore.Object{
+	h.setConfiguration(version, []objectstore.Object{
 		object(spec.KindRegion, "north", `{"zones":["a"]}`),
 		object(spec.KindRegion, "south", `{"zones":["b"]}`),
 		object(spec.KindSelector, "all", fmt.Sprintf(`{"match":{},"deployments":{},"regions":%s}`, bound)),
@@ -35,7 +35,7 @@
 
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	for version, test := range []struct {
 		regions     []string
@@ -69,11 +69,11 @@
 	}
 }
 
-// TestWaitingRequestFollowsItsRegions: it waits for the north, and is served once the
-// south is allowed; another is refused once nothing is.
+// TestWaitingRequestFollowsItsRegions has a request wait for the north. It is served once the
+// south is allowed, or refused once no region is.
 func TestWaitingRequestFollowsItsRegions(t *testing.T) {
 	h := newHarness(t, nil)
-	home, other := h.addZone("a", wholeEngine), h.addZone("b", wholeEngine)
+	home, other := h.addZone("a", completeEngine), h.addZone("b", completeEngine)
 	loading := func() {
 		h.publishZones(home, other)
 		tables, _ := h.views.RouteTables.Get()
@@ -97,7 +97,7 @@
 			}
 		}
 		if other.models.Load() != 0 && version == 0 {
-			t.Fatal("the south was asked")
+			t.Fatal("the request was sent to the south")
 		}
 		h.bind(uint64(2*version+2), test.regions...)
 		if got := <-done; got.problem.Code != test.code || (test.code == "") != (got.status == http.StatusOK) {
@@ -109,7 +109,8 @@
 	}
 }
 
-// TestBrokenStreamLeavesARegionThatIsNoMoreAllowed: it is not asked for there again.
+// TestBrokenStreamLeavesARegionThatIsNoMoreAllowed checks that a stream is not resumed in a region that is
+// no longer allowed.
 func TestBrokenStreamLeavesARegionThatIsNoMoreAllowed(t *testing.T) {
 	h := newHarness(t, nil)
 	resumed := false
@@ -121,24 +122,24 @@
 		case isCancel(request):
 			return
 		}
-		scripted{writer, request}.tokens(0, 3)
+		scriptedEngine{writer, request}.tokens(0, 3)
 		h.bind(2, "south")
-		breakOff()
+		abortConnection()
 	})
-	other := h.addZone("b", wholeEngine)
+	other := h.addZone("b", completeEngine)
 	h.publishZones(home, other)
 	h.bind(1, "north")
-	h.wantWhole(h.do(http.MethodPost, backend.PathCompletions, streamBody))
+	h.wantComplete(h.do(http.MethodPost, backend.PathCompletions, streamBody))
 	if resumed || home.models.Load() != 1 || other.models.Load() != 1 {
 		t.Errorf("resumed %v, the north got %d, the south %d", resumed, home.models.Load(), other.models.Load())
 	}
 }
 
-// TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed at once, not at its deadline.
+// TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed checks that it is refused at once, not at its deadline.
 func TestWaitingRequestWithoutBoundIsRefusedOnceNothingIsAllowed(t *testing.T) {
 	h := newHarness(t, nil)
 	h.views.RouteTables.Set(views.RouteTables{"a": {Zone: "a", Fence: 1, Sequence: 1}})
-	h.declare(1, nil)
+	h.setConfiguration(1, nil)
 	done := make(chan response, 1)
 	go func() { done <- h.do(http.MethodPost, backend.PathCompletions, streamBody) }()
 	<-h.demand.first
