--- a/internal/backend/chunk.go
+++ b/internal/backend/chunk.go
@@ -8,45 +8,45 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// decodeChunk reads a chunk. Chunks of the usual form, members in order and no
-// escapes, are read without encoding/json; all else is left to it. The former
-// identity is taken again where it is the same, which saves its copy.
-func decodeChunk(data []byte, former fleet.RequestID, chunk *Chunk) error {
-	if decodePlainChunk(data, former, chunk) {
+// decodeChunk decodes a chunk. Chunks in the usual form, with fields in order
+// and no escapes, are decoded without encoding/json; everything else falls back
+// to it. An ID equal to previousID reuses its string, which saves an allocation.
+func decodeChunk(data []byte, previousID fleet.RequestID, chunk *Chunk) error {
+	if decodeChunkFast(data, previousID, chunk) {
 		return nil
 	}
 	*chunk = Chunk{}
 	return json.Unmarshal(data, chunk)
 }
 
-func decodePlainChunk(data []byte, former fleet.RequestID, chunk *Chunk) bool {
+func decodeChunkFast(data []byte, previousID fleet.RequestID, chunk *Chunk) bool {
 	scanner := chunkScanner{rest: data, valid: true}
-	scanner.skip(`{"id":"`)
-	id := scanner.text()
-	scanner.skip(`,"attempt":`)
-	attempt := scanner.number()
-	scanner.skip(`,"sequence":`)
-	sequence := scanner.number()
-	scanner.skip(`,"text":"`)
-	text := scanner.text()
+	scanner.expect(`{"id":"`)
+	id := scanner.readString()
+	scanner.expect(`,"attempt":`)
+	attempt := scanner.readInt()
+	scanner.expect(`,"sequence":`)
+	sequence := scanner.readInt()
+	scanner.expect(`,"text":"`)
+	text := scanner.readString()
 	if !scanner.valid || string(scanner.rest) != "}" {
 		return false
 	}
-	if string(id) != string(former) {
-		former = fleet.RequestID(id)
+	if string(id) != string(previousID) {
+		previousID = fleet.RequestID(id)
 	}
-	*chunk = Chunk{RequestID: former, Attempt: attempt, Sequence: sequence, Text: string(text)}
+	*chunk = Chunk{RequestID: previousID, Attempt: attempt, Sequence: sequence, Text: string(text)}
 	return true
 }
 
-// chunkScanner reads one part after the other; valid turns false at the first
-// that is not as expected.
+// chunkScanner consumes the input from the front; valid becomes false at the
+// first unexpected byte and stays false.
 type chunkScanner struct {
 	rest  []byte
 	valid bool
 }
 
-func (s *chunkScanner) skip(want string) {
+func (s *chunkScanner) expect(want string) {
 	if !s.valid || len(s.rest) < len(want) || string(s.rest[:len(want)]) != want {
 		s.valid = false
 		return
@@ -54,17 +54,17 @@
 	s.rest = s.rest[len(want):]
 }
 
-// text reads up to the closing quote. Only printable ASCII without escapes is
-// taken, so that nothing has to be checked or replaced as encoding/json does.
-func (s *chunkScanner) text() []byte {
+// readString reads up to the closing quote. It accepts only printable ASCII
+// without escapes, which needs none of encoding/json's validation or replacement.
+func (s *chunkScanner) readString() []byte {
 	end := bytes.IndexByte(s.rest, '"')
 	if !s.valid || end < 0 {
 		s.valid = false
 		return nil
 	}
 	text := s.rest[:end]
-	for _, letter := range text {
-		if letter < ' ' || letter > '~' || letter == '\\' {
+	for _, char := range text {
+		if char < ' ' || char > '~' || char == '\\' {
 			s.valid = false
 			return nil
 		}
@@ -73,10 +73,10 @@
 	return text
 }
 
-// maxNumberDigits keeps numbers within an int.
+// maxNumberDigits keeps numbers within the range of an int.
 const maxNumberDigits = 9
 
-func (s *chunkScanner) number() int {
+func (s *chunkScanner) readInt() int {
 	end := 0
 	for s.valid && end < len(s.rest) && s.rest[end] >= '0' && s.rest[end] <= '9' {
 		end++
--- a/internal/backend/chunk_test.go
+++ b/internal/backend/chunk_test.go
@@ -10,14 +10,15 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// TestChunksAreReadAsEncodingJSONReadsThem, those that are not JSON too.
+// TestChunksAreReadAsEncodingJSONReadsThem compares decodeChunk with
+// encoding/json, also for input that is not valid JSON.
 func TestChunksAreReadAsEncodingJSONReadsThem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.StringMatching(`[ -~]{0,8}`), rapid.String()).Draw(t, "text")
-		made := Chunk{RequestID: "r1", Attempt: rapid.IntRange(-1, 20).Draw(t, "attempt"),
+		original := Chunk{RequestID: "r1", Attempt: rapid.IntRange(-1, 20).Draw(t, "attempt"),
 			Sequence: rapid.IntRange(0, 1<<40).Draw(t, "sequence"), Text: text,
 			Finish: rapid.SampledFrom([]string{"", "", "stop"}).Draw(t, "finish")}
-		data, err := json.Marshal(made)
+		data, err := json.Marshal(original)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,10 +28,10 @@
 		}
 		var want, got Chunk
 		wantErr := json.Unmarshal(data, &want)
-		former := rapid.SampledFrom([]fleet.RequestID{"r1", "r2"}).Draw(t, "former")
-		gotErr := decodeChunk(data, former, &got)
+		previousID := rapid.SampledFrom([]fleet.RequestID{"r1", "r2"}).Draw(t, "previousID")
+		gotErr := decodeChunk(data, previousID, &got)
 		if (wantErr == nil) != (gotErr == nil) {
-			t.Fatalf("%s: %v, encoding/json says %v", data, gotErr, wantErr)
+			t.Fatalf("%s: error %v, encoding/json returns %v", data, gotErr, wantErr)
 		}
 		if wantErr == nil && !cmp.Equal(want, got) {
 			t.Fatalf("%s: %s", data, cmp.Diff(want, got))
--- a/internal/backend/control.go
+++ b/internal/backend/control.go
@@ -18,28 +18,28 @@
 	controlDialTimeout     = 500 * time.Millisecond
 	controlIdleConnections = 2
 	controlIdleTimeout     = 90 * time.Second
-	// maxStateBytes bounds an engine's state.
+	// maxStateBytes limits the size of a control response.
 	maxStateBytes = 8 << 20
 )
 
-// FenceRefusedError says that the engine refused a claim or an order for its
-// fence or incarnation: nothing was changed.
+// FenceRefusedError reports that the engine rejected a claim or an order because
+// of its fence or incarnation. The engine's state is unchanged.
 type FenceRefusedError struct{ Refusal FenceRefusal }
 
 // Error implements error.
 func (e *FenceRefusedError) Error() string {
-	return fmt.Sprintf("refused for the fence: engine holds %s in incarnation %d", e.Refusal.Fence, e.Refusal.Incarnation)
+	return fmt.Sprintf("fence refused: engine holds fence %s in incarnation %d", e.Refusal.Fence, e.Refusal.Incarnation)
 }
 
-// OrderRefusedError says that the engine cannot carry the order out: nothing
-// was changed.
+// OrderRefusedError reports that the engine cannot execute the order. The
+// engine's state is unchanged.
 type OrderRefusedError struct{ Refusal OrderRefusal }
 
 // Error implements error.
 func (e *OrderRefusedError) Error() string { return "order refused: " + e.Refusal.Reason }
 
-// UnavailableError says that no usable answer came: a claim or an order may
-// have taken effect, or may still.
+// UnavailableError reports that no usable response arrived. A claim or an order
+// may have taken effect, or may still do so.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -48,14 +48,14 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// EngineControl is the client of engines' control API. Each call is bounded by
-// its context.
+// EngineControl is the client of the engines' control API. Only the context
+// limits the duration of a call.
 type EngineControl struct {
 	zone   fleet.Zone
 	client *http.Client
 }
 
-// NewEngineControl returns a client that calls from the zone.
+// NewEngineControl returns a client that names zone as the caller's zone.
 func NewEngineControl(zone fleet.Zone) *EngineControl {
 	return &EngineControl{
 		zone: zone,
@@ -67,7 +67,8 @@
 	}
 }
 
-// CountTraffic counts the calls from now on; it goes before the first call.
+// CountTraffic counts the client's traffic in channel. It must be called before
+// the first request.
 func (c *EngineControl) CountTraffic(channel *traffic.ChannelCounters) {
 	channel.InstrumentClient(c.client)
 }
@@ -75,17 +76,18 @@
 // Close closes idle connections.
 func (c *EngineControl) Close() { c.client.CloseIdleConnections() }
 
-// State reads the engine's state.
+// State returns the engine's current state.
 func (c *EngineControl) State(ctx context.Context, address string) (fleet.EngineState, error) {
 	return c.call(ctx, http.MethodGet, address, PathEngineState, nil)
 }
 
-// Claim claims the engine; the state is its inventory at the grant.
+// Claim claims leadership of the engine and returns its state at the time of the
+// grant.
 func (c *EngineControl) Claim(ctx context.Context, address string, claim Claim) (fleet.EngineState, error) {
 	return c.call(ctx, http.MethodPost, address, PathEngineClaim, claim)
 }
 
-// Order sends an order; the state is the one after it was taken.
+// Order sends an order and returns the engine's state after accepting it.
 func (c *EngineControl) Order(ctx context.Context, address string, order Order) (fleet.EngineState, error) {
 	return c.call(ctx, http.MethodPost, address, PathEngineOrders, order)
 }
@@ -104,7 +106,7 @@
 	if err != nil {
 		return fleet.EngineState{}, &UnavailableError{Cause: err}
 	}
-	return decodeControl(response.StatusCode, content)
+	return decodeControlResponse(response.StatusCode, content)
 }
 
 func (c *EngineControl) request(ctx context.Context, method, url string, body any) (*http.Request, error) {
@@ -127,7 +129,7 @@
 	return request, nil
 }
 
-func decodeControl(status int, content []byte) (fleet.EngineState, error) {
+func decodeControlResponse(status int, content []byte) (fleet.EngineState, error) {
 	switch status {
 	case http.StatusOK, http.StatusAccepted:
 		var state fleet.EngineState
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,5 +1,8 @@
-// Package backend is the client of model engines and plain command services.
-// The wire form of both is known to this package alone; see docs/protocols.md.
+// Package backend is the HTTP client for model engines and service backends.
+// It owns the paths, headers and messages of both protocols; see
+// docs/protocols.md. Package gateway runs callers' requests with Generator and
+// Services, package node claims and configures engines with EngineControl, and
+// the placement packages use the order types.
 //
-// It may import fleet and inventory.
+// It may import fleet, inventory and traffic.
 package backend
--- a/internal/backend/errors.go
+++ b/internal/backend/errors.go
@@ -8,9 +8,9 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// SendError says that a call brought no answer.
+// SendError reports that a call got no response.
 type SendError struct {
-	// NeverSent is set where it is proved that no byte can have left.
+	// NeverSent is set only if it is certain that no byte was sent.
 	NeverSent bool
 	Err       error
 }
@@ -28,15 +28,15 @@
 	return e.Err
 }
 
-// Refusal is an answer with an error status.
+// Refusal is a response with an error status.
 type Refusal struct {
 	Status int
-	// NotRun is the back end's own word that nothing ran.
+	// NotRun is set if the backend states that nothing was executed.
 	NotRun     bool
 	RetryAfter time.Duration
-	// Word is what the back end told of its own future.
+	// Hint holds what the backend announced about its availability.
 	Hint inventory.Hint
-	// Body is the beginning of the answer.
+	// Body is the beginning of the response body.
 	Body []byte
 }
 
@@ -45,14 +45,14 @@
 	return fmt.Sprintf("back end answered %d: %.200s", e.Status, e.Body)
 }
 
-func isLeavingProblem(body []byte) bool {
+func isDrainingProblem(body []byte) bool {
 	var problem struct {
 		Code string `json:"code"`
 	}
 	return json.Unmarshal(body, &problem) == nil && problem.Code == ReasonLeaving
 }
 
-// ProtocolError says that a stream does not hold to its form.
+// ProtocolError reports that a response violates the protocol.
 type ProtocolError struct{ Detail string }
 
 // Error implements error.
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// FuzzChunk holds that the reading without encoding/json takes only what the
-// latter takes, with the same result.
+// FuzzChunk checks that decodeChunkFast accepts only input that encoding/json
+// accepts, with the same result.
 func FuzzChunk(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"a","attempt":1,"sequence":0,"text":" one"}`,
@@ -23,21 +23,21 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var plain, whole Chunk
-		if !decodePlainChunk(data, "", &plain) {
+		var got, want Chunk
+		if !decodeChunkFast(data, "", &got) {
 			return
 		}
-		if err := json.Unmarshal(data, &whole); err != nil {
-			t.Fatalf("%q was taken, but is %v", data, err)
+		if err := json.Unmarshal(data, &want); err != nil {
+			t.Fatalf("%q was accepted, but encoding/json returns %v", data, err)
 		}
-		if difference := cmp.Diff(whole, plain); difference != "" {
-			t.Fatalf("%q (-json +plain):\n%s", data, difference)
+		if difference := cmp.Diff(want, got); difference != "" {
+			t.Fatalf("%q (-encoding/json +decodeChunkFast):\n%s", data, difference)
 		}
 	})
 }
 
-// FuzzStream holds that any answer of an engine ends: in the terminator, in the
-// end of the connection, or in what is no protocol, with bounded memory.
+// FuzzStream checks that reading any response ends with bounded memory: at the
+// terminator, at the end of the connection, or with a protocol error.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{
 		"data: {\"id\":\"a\",\"attempt\":1,\"sequence\":0,\"text\":\"x\"}\n\ndata: [DONE]\n\n",
@@ -53,22 +53,22 @@
 			err := stream.Next(&chunk)
 			if err == nil {
 				if chunks > len(answer) {
-					t.Fatalf("%d chunks in %d bytes", chunks, len(answer))
+					t.Fatalf("%d chunks read from %d bytes", chunks, len(answer))
 				}
 				continue
 			}
 			var protocol *ProtocolError
-			isEnd := errors.Is(err, ErrDone) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &protocol)
-			if !isEnd || cap(stream.long) > 2*(maxEventBytes+streamBufferBytes) {
-				t.Fatalf("%v, %d bytes held", err, cap(stream.long))
+			isExpectedEnd := errors.Is(err, ErrDone) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &protocol)
+			if !isExpectedEnd || cap(stream.longLine) > 2*(maxEventBytes+streamBufferBytes) {
+				t.Fatalf("stream ended with %v and a line buffer of %d bytes", err, cap(stream.longLine))
 			}
 			return
 		}
 	})
 }
 
-// FuzzBody holds that what an engine gets is the caller's body, but for what
-// the node alone may say.
+// FuzzBody checks that an engine gets the caller's body, except for the members
+// that only the node may set.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","stream":false,"max_tokens":3,"messages":[{"role":"user","content":"x"}]}`,
@@ -83,11 +83,11 @@
 			return
 		}
 		if body == nil {
-			t.Fatalf("%q was taken for an object", text)
+			t.Fatalf("%q was accepted as an object", text)
 		}
 		encoded, err := body.encode(nil)
 		if err != nil {
-			t.Fatalf("%q does not encode again: %v", text, err)
+			t.Fatalf("%q cannot be encoded: %v", text, err)
 		}
 		var request CompletionRequest
 		if json.Unmarshal(encoded, &request) == nil && (!request.Stream || len(request.ContinueFrom) > 0) {
@@ -103,7 +103,7 @@
 		}
 		prompt := PromptText(text)
 		if len(prompt) > 6*len(text) || len(PrefixHashes(prompt)) > PromptTokens(prompt) {
-			t.Fatalf("%d bytes of prompt in %d", len(prompt), len(text))
+			t.Fatalf("prompt text of %d bytes from a body of %d bytes", len(prompt), len(text))
 		}
 	})
 }
--- a/internal/backend/generate.go
+++ b/internal/backend/generate.go
@@ -23,12 +23,12 @@
 	engineDialTimeout     = time.Second
 	engineIdleConnections = 64
 	engineIdleTimeout     = 60 * time.Second
-	// maxRefusalBytes bounds what is read of an error answer.
+	// maxRefusalBytes limits how much of an error response is read.
 	maxRefusalBytes = 4 << 10
 	cancelTimeout   = 2 * time.Second
 )
 
-// HeaderZone tells a back end the zone of the node that calls it.
+// HeaderZone carries the zone of the calling node.
 const HeaderZone = "X-Zone"
 
 // GenerateRequest is one attempt of a model request.
@@ -41,17 +41,17 @@
 	// Path is PathChat or PathCompletions.
 	Path string
 	Body Body
-	// ContinueFrom holds the tokens already delivered.
+	// ContinueFrom holds the tokens already delivered to the caller.
 	ContinueFrom []string
 }
 
-// Generator opens answer streams at engines.
+// Generator sends model requests to engines and opens their response streams.
 type Generator struct {
 	transport *http.Transport
 	zone      fleet.Zone
 }
 
-// NewGenerator returns a client for the engines of the fleet.
+// NewGenerator returns a client that names zone as the caller's zone.
 func NewGenerator(zone fleet.Zone) *Generator {
 	return &Generator{
 		zone: zone,
@@ -64,13 +64,13 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes idle connections.
 func (g *Generator) Close() {
 	g.transport.CloseIdleConnections()
 }
 
-// Open sends the request. The stream lives until its Close or the context's
-// end. The error is a *SendError or a *Refusal.
+// Open sends the request. The stream stays open until it is closed or the
+// context ends. The error is a *SendError or a *Refusal.
 func (g *Generator) Open(ctx context.Context, address string, request GenerateRequest) (*Stream, error) {
 	body, err := request.Body.encode(request.ContinueFrom)
 	if err != nil {
@@ -87,24 +87,25 @@
 		header.Set(HeaderAdapter, string(request.Adapter))
 	}
 	header.Set(HeaderPriority, strconv.Itoa(request.Priority))
-	g.identify(header, request.RequestID, request.Attempt)
-	return g.stream(call)
+	g.setAttemptHeaders(header, request.RequestID, request.Attempt)
+	return g.openStream(call)
 }
 
-// Resume asks the engine for the rest of an attempt's answer, from the given
-// sequence number on.
+// Resume requests the remainder of an attempt's response, starting at sequence
+// number from.
 func (g *Generator) Resume(ctx context.Context, address string, id fleet.RequestID, attempt, from int) (*Stream, error) {
 	target := fmt.Sprintf("http://%s%s%s/stream?from=%d", address, PathRequests, url.PathEscape(string(id)), from)
 	call, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, &SendError{NeverSent: true, Err: err}
 	}
-	g.identify(call.Header, id, attempt)
-	return g.stream(call)
+	g.setAttemptHeaders(call.Header, id, attempt)
+	return g.openStream(call)
 }
 
-// Cancel tells the engine that nobody waits for the attempt's answer. It bounds
-// itself and does not depend on the caller's context.
+// Cancel tells the engine to stop the attempt because nobody waits for its
+// response. It has a timeout of its own and is independent of the caller's
+// context.
 func (g *Generator) Cancel(address string, id fleet.RequestID, attempt int) error {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
@@ -113,24 +114,24 @@
 	if err != nil {
 		return err
 	}
-	g.identify(call.Header, id, attempt)
+	g.setAttemptHeaders(call.Header, id, attempt)
 	response, err := g.transport.RoundTrip(call)
 	if err != nil {
 		return err
 	}
-	drain(response)
+	drainBody(response)
 	return nil
 }
 
-func (g *Generator) identify(header http.Header, id fleet.RequestID, attempt int) {
+func (g *Generator) setAttemptHeaders(header http.Header, id fleet.RequestID, attempt int) {
 	header.Set(HeaderRequestID, string(id))
 	header.Set(HeaderAttempt, strconv.Itoa(attempt))
 	header.Set(HeaderZone, string(g.zone))
 }
 
-// stream sends without following redirects: a redirect would send the body a
-// second time.
-func (g *Generator) stream(call *http.Request) (*Stream, error) {
+// openStream sends the request without following redirects, since a redirect
+// would send the body a second time.
+func (g *Generator) openStream(call *http.Request) (*Stream, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	call = call.WithContext(httptrace.WithClientTrace(call.Context(), trace))
@@ -156,7 +157,7 @@
 		Hint:       readHint(response),
 		Body:       body,
 	}
-	refusal.Hint.Draining = refusal.Hint.Draining || refusal.NotRun && isLeavingProblem(body)
+	refusal.Hint.Draining = refusal.Hint.Draining || refusal.NotRun && isDrainingProblem(body)
 	return refusal
 }
 
@@ -170,35 +171,34 @@
 
 const maxRetryAfterSeconds = 3600
 
-// drain reads the rest of a short answer so that its connection can be used
-// again.
-func drain(response *http.Response) {
+// drainBody reads the rest of a short response so that its connection can be
+// reused.
+func drainBody(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBytes))
 	_ = response.Body.Close()
 }
 
-// Body is a caller's JSON body with the members that this system sets taken
-// out.
+// Body is a caller's JSON object without the members that the node sets itself.
 type Body map[string]json.RawMessage
 
-// Members of a body that this system sets.
+// Members of a request body that the node sets itself.
 const (
 	memberStream       = "stream"
 	memberContinueFrom = "continue_from"
 )
 
-var errNoObject = errors.New("null is no object")
+var errNullBody = errors.New("null is no object")
 
-// ParseBody reads a caller's body.
+// ParseBody parses a caller's body.
 func ParseBody(body []byte) (Body, error) {
 	var members Body
 	if err := json.Unmarshal(body, &members); err != nil {
 		return nil, err
 	}
 	if members == nil {
-		return nil, errNoObject
+		return nil, errNullBody
 	}
-	// Engines may read names without regard to case, as encoding/json does.
+	// Engines may match member names case-insensitively, as encoding/json does.
 	for name := range members {
 		if strings.EqualFold(name, memberContinueFrom) || strings.EqualFold(name, memberStream) {
 			delete(members, name)
@@ -207,7 +207,8 @@
 	return members, nil
 }
 
-// encode gives the body for an engine, which always streams.
+// encode returns the body to send to an engine. Engines are always asked to
+// stream.
 func (b Body) encode(continueFrom []string) ([]byte, error) {
 	members := make(map[string]json.RawMessage, len(b)+2)
 	for name, value := range b {
--- a/internal/backend/hint.go
+++ b/internal/backend/hint.go
@@ -7,7 +7,7 @@
 	"github.com/spanlanding/spanlanding/internal/inventory"
 )
 
-// readHint reads what a back end tells of its own future with the head of an answer.
+// readHint returns the availability hint in the headers of a backend's response.
 func readHint(response *http.Response) inventory.Hint {
 	hint := inventory.Hint{
 		Draining: response.Header.Get(HeaderLeaving) == "true",
@@ -19,7 +19,8 @@
 	return hint
 }
 
-// HintOf is what a back end told as a stream was opened, which it may have refused.
+// HintOf returns the hint that came with the result of opening a stream: that of
+// the stream, or that of the refusal in err.
 func HintOf(stream *Stream, err error) inventory.Hint {
 	if err == nil {
 		return stream.hint
--- a/internal/backend/prompt.go
+++ b/internal/backend/prompt.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// PromptBytesPerToken is the length of a prompt token that estimates use.
+	// PromptBytesPerToken is the assumed length of a prompt token.
 	PromptBytesPerToken = 4
-	// PrefixBlockTokens is the length of one block of an engine's prefix cache.
+	// PrefixBlockTokens is the number of tokens in one block of an engine's
+	// prefix cache.
 	PrefixBlockTokens = 64
 
 	prefixBlockBytes = PrefixBlockTokens * PromptBytesPerToken
 )
 
-// PromptText returns the part of a request's body that is the prompt: its
-// messages or its prompt, without insignificant white space.
+// PromptText returns the prompt in a request body: its "messages" and "prompt"
+// members without insignificant white space. It returns nil for malformed JSON.
 func PromptText(body []byte) []byte {
 	var parts struct {
 		Messages json.RawMessage `json:"messages"`
@@ -35,13 +36,14 @@
 	return text.Bytes()
 }
 
-// PromptTokens estimates the tokens of a prompt text.
+// PromptTokens estimates the number of tokens in a prompt text.
 func PromptTokens(prompt []byte) int {
 	return (len(prompt) + PromptBytesPerToken - 1) / PromptBytesPerToken
 }
 
-// PrefixHashes names the whole blocks of a prompt text as an engine's cache
-// events do, shortest prefix first: each hash covers all text before it too.
+// PrefixHashes returns the hashes by which an engine's cache events identify the
+// prefixes of a prompt text, shortest first. There is one for each complete
+// block, and it covers the block and all text before it.
 func PrefixHashes(prompt []byte) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/prefixBlockBytes)
 	digest := xxhash.New()
--- a/internal/backend/service.go
+++ b/internal/backend/service.go
@@ -19,85 +19,86 @@
 const (
 	serviceDialTimeout     = 500 * time.Millisecond
 	serviceIdleConnections = 16
-	// maxServiceAnswerBytes bounds a service's answer.
+	// maxServiceAnswerBytes limits the body of a service's response.
 	maxServiceAnswerBytes = 4 << 20
 )
 
-// HeaderIdempotencyKey carries the caller's key.
+// HeaderIdempotencyKey carries the caller's idempotency key.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// ServiceCall is one attempt of a plain call.
+// ServiceCall is one attempt of a call to a service.
 type ServiceCall struct {
 	RequestID fleet.RequestID
 	Attempt   int
 	Method    string
-	// Target is the path with its query.
+	// Target is the path and query.
 	Target      string
 	ContentType string
 	Accept      string
 	Key         string
 	Body        []byte
-	// Repeatable calls may use a connection again, on which net/http may send
-	// a request twice.
+	// Repeatable calls may reuse a connection, on which net/http may send a
+	// request twice.
 	Repeatable bool
-	// MayStart is asked before the first byte leaves a connection of its own;
-	// nil always allows it.
+	// MayStart is called before the first byte is written to a connection that
+	// has not been used before; if it returns false, nothing is sent. Nil
+	// always allows the write.
 	MayStart func() bool
 }
 
-// ServiceAnswer is the whole answer of a plain call.
+// ServiceAnswer is the complete response to a service call.
 type ServiceAnswer struct {
 	Status      int
 	ContentType string
 	Location    string
 	RetryAfter  string
 	Body        []byte
-	// NotRun is the back end's own word that nothing ran.
+	// NotRun is set if the backend states that nothing was executed.
 	NotRun bool
-	// Hint is what the back end told of its own future.
+	// Hint holds what the backend announced about its availability.
 	Hint inventory.Hint
 }
 
-// Services sends plain calls. A call that is not repeatable goes over a
-// connection of its own: net/http sends a request again only on a connection
-// that carried another before it, and does so also for a POST when the request
-// has an Idempotency-Key or when it believes that nothing was written.
+// Services sends calls to service backends. A call that is not repeatable uses a
+// new connection: net/http retries a request only on a reused connection, and
+// there it retries even a POST if the request has an Idempotency-Key or if it
+// believes that nothing was written.
 type Services struct {
-	zone   fleet.Zone
-	pooled *http.Transport
-	fresh  *http.Transport
+	zone      fleet.Zone
+	pooled    *http.Transport
+	singleUse *http.Transport
 }
 
-// NewServices returns a client for the service back ends of the fleet.
+// NewServices returns a client that names zone as the caller's zone.
 func NewServices(zone fleet.Zone) *Services {
 	return &Services{
 		zone: zone,
 		pooled: &http.Transport{
-			DialContext:         dialRecorded,
+			DialContext:         dialTracked,
 			MaxIdleConnsPerHost: serviceIdleConnections,
 			IdleConnTimeout:     engineIdleTimeout,
 			DisableCompression:  true,
 		},
-		fresh: &http.Transport{
-			DialContext:        dialRecorded,
+		singleUse: &http.Transport{
+			DialContext:        dialTracked,
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 		},
 	}
 }
 
-// Close ends the idle connections.
+// Close closes idle connections.
 func (s *Services) Close() {
 	s.pooled.CloseIdleConnections()
-	s.fresh.CloseIdleConnections()
+	s.singleUse.CloseIdleConnections()
 }
 
-// Call sends the call once and reads the whole answer. It does not follow
+// Call sends the call once and reads the whole response. It does not follow
 // redirects. The error is a *SendError.
 func (s *Services) Call(ctx context.Context, address string, call ServiceCall) (*ServiceAnswer, error) {
-	var used atomic.Pointer[recordedConn]
+	var used atomic.Pointer[trackedConn]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		connection, _ := info.Conn.(*recordedConn)
+		connection, _ := info.Conn.(*trackedConn)
 		if connection != nil {
 			connection.mayStart = call.MayStart
 		}
@@ -107,14 +108,14 @@
 	if err != nil {
 		return nil, &SendError{NeverSent: true, Err: err}
 	}
-	transport := s.fresh
+	transport := s.singleUse
 	if call.Repeatable {
 		transport = s.pooled
 	}
 	s.setHeader(request.Header, call)
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return nil, &SendError{NeverSent: used.Load().seal(), Err: err}
+		return nil, &SendError{NeverSent: used.Load().blockIfUnwritten(), Err: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxServiceAnswerBytes+1))
@@ -133,7 +134,7 @@
 		NotRun:      response.Header.Get(HeaderNotRun) == "true",
 		Hint:        readHint(response),
 	}
-	answer.Hint.Draining = answer.Hint.Draining || answer.NotRun && isLeavingProblem(body)
+	answer.Hint.Draining = answer.Hint.Draining || answer.NotRun && isDrainingProblem(body)
 	return answer, nil
 }
 
@@ -141,69 +142,69 @@
 	header.Set(HeaderRequestID, string(call.RequestID))
 	header.Set(HeaderAttempt, strconv.Itoa(call.Attempt))
 	header.Set(HeaderZone, string(s.zone))
-	setIfAny(header, "Content-Type", call.ContentType)
-	setIfAny(header, "Accept", call.Accept)
-	setIfAny(header, HeaderIdempotencyKey, call.Key)
+	setIfNotEmpty(header, "Content-Type", call.ContentType)
+	setIfNotEmpty(header, "Accept", call.Accept)
+	setIfNotEmpty(header, HeaderIdempotencyKey, call.Key)
 }
 
-func setIfAny(header http.Header, name, value string) {
+func setIfNotEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
 }
 
-// dialRecorded dials a connection that remembers whether it was written to.
-func dialRecorded(ctx context.Context, network, address string) (net.Conn, error) {
+// dialTracked dials a connection that records whether it was written to.
+func dialTracked(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: serviceDialTimeout}
 	connection, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &recordedConn{Conn: connection}, nil
+	return &trackedConn{Conn: connection}, nil
 }
 
-// The states of a recordedConn.
+// States of a trackedConn.
 const (
-	connFresh int32 = iota
+	connUnwritten int32 = iota
 	connWritten
-	connSealed
+	connBlocked
 )
 
 var (
-	errSealed  = errors.New("the call was given up before it was sent")
-	errTooLate = errors.New("the call may not be sent any more")
+	errWritesBlocked = errors.New("call abandoned before it was sent")
+	errStartDenied   = errors.New("call may no longer be sent")
 )
 
-// recordedConn remembers whether a write was begun. It hides the connection's
-// ReadFrom, so that every byte passes Write.
-type recordedConn struct {
+// trackedConn records whether a write was started. It hides the connection's
+// ReadFrom method so that every byte goes through Write.
+type trackedConn struct {
 	net.Conn
 	state atomic.Int32
-	// mayStart is set before net/http begins to write.
+	// mayStart is set before net/http starts to write.
 	mayStart func() bool
 }
 
 // Write implements io.Writer.
-func (c *recordedConn) Write(data []byte) (int, error) {
-	if c.state.Load() == connFresh && c.mayStart != nil && !c.mayStart() {
-		c.state.CompareAndSwap(connFresh, connSealed)
-		return 0, errTooLate
+func (c *trackedConn) Write(data []byte) (int, error) {
+	if c.state.Load() == connUnwritten && c.mayStart != nil && !c.mayStart() {
+		c.state.CompareAndSwap(connUnwritten, connBlocked)
+		return 0, errStartDenied
 	}
-	c.state.CompareAndSwap(connFresh, connWritten)
-	if c.state.Load() == connSealed {
-		return 0, errSealed
+	c.state.CompareAndSwap(connUnwritten, connWritten)
+	if c.state.Load() == connBlocked {
+		return 0, errWritesBlocked
 	}
 	return c.Conn.Write(data)
 }
 
-// seal reports whether no byte has left, and sees to it that none will: a
-// write that net/http is about to begin fails. A call that got no connection
-// has written nothing.
-func (c *recordedConn) seal() bool {
-	return c == nil || c.state.CompareAndSwap(connFresh, connSealed) || c.state.Load() == connSealed
+// blockIfUnwritten reports whether no byte was written, and if so makes every
+// later write fail, including one that net/http is about to start. A nil
+// connection, of a call that got none, counts as unwritten.
+func (c *trackedConn) blockIfUnwritten() bool {
+	return c == nil || c.state.CompareAndSwap(connUnwritten, connBlocked) || c.state.Load() == connBlocked
 }
 
-// RetryAfterDuration is the back end's Retry-After, or 0.
+// RetryAfterDuration returns the backend's Retry-After, or 0 if there is none.
 func (a *ServiceAnswer) RetryAfterDuration() time.Duration {
 	return parseRetryAfter(a.RetryAfter)
 }
--- a/internal/backend/service_test.go
+++ b/internal/backend/service_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// rawServer hands each connection, with the number of its place, to the
-// handler and closes it afterwards.
+// rawServer passes each accepted connection and its index to handle and closes
+// the connection afterwards.
 func rawServer(t *testing.T, handle func(index int, connection net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,10 +50,10 @@
 	return services.Call(ctx, address, call)
 }
 
-// TestNetHTTPResendsOnAUsedConnection shows the rule that calls which may not
-// be repeated must stay clear of: a server that reads the second request of a
-// connection and closes it gets the request again, POST or not, if only it has
-// an Idempotency-Key.
+// TestNetHTTPResendsOnAUsedConnection documents the net/http behavior that
+// non-repeatable calls must avoid: if a server reads the second request on a
+// connection and closes it, net/http sends the request again, even a POST, as
+// long as it has an Idempotency-Key.
 func TestNetHTTPResendsOnAUsedConnection(t *testing.T) {
 	var requests atomic.Int32
 	address := rawServer(t, func(_ int, connection net.Conn) {
@@ -79,11 +79,11 @@
 		callAndAwaitIdle(t, services, address, call)
 	}
 	if got := requests.Load(); got != 3 {
-		t.Fatalf("the server read %d requests of 2 calls; the trap that the fresh connections avoid is gone, see Services", got)
+		t.Fatalf("server read %d requests for 2 calls, want 3: net/http no longer resends on a reused connection, see Services", got)
 	}
 }
 
-// callAndAwaitIdle returns once the connection of the call may be used again.
+// callAndAwaitIdle makes a call and returns once its connection is idle.
 func callAndAwaitIdle(t *testing.T, services *Services, address string, call ServiceCall) {
 	t.Helper()
 	idle := make(chan error, 1)
@@ -147,18 +147,18 @@
 						t.Fatalf("got %+v, %v", answer, err)
 					}
 					if got := <-received; send.NeverSent && got > 0 {
-						t.Fatalf("%v, but the server read %d bytes", err, got)
+						t.Fatalf("call returned %v, but the server read %d bytes", err, got)
 					}
 				}
 				if got := connections.Load(); got != 1 {
-					t.Errorf("%d connections", got)
+					t.Errorf("%d connections, want 1", got)
 				}
 			})
 		}
 	}
 }
 
-// countedConn counts what the server read.
+// countedConn counts the bytes read from a connection.
 type countedConn struct {
 	net.Conn
 	read int64
@@ -171,20 +171,20 @@
 }
 
 func TestSealedConnectionSendsNothingLater(t *testing.T) {
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	connection := &recordedConn{Conn: near}
-	if !connection.seal() {
-		t.Fatal("a fresh connection was not sealed")
+	client, server := net.Pipe()
+	defer client.Close()
+	defer server.Close()
+	connection := &trackedConn{Conn: client}
+	if !connection.blockIfUnwritten() {
+		t.Fatal("an unwritten connection was not blocked")
 	}
-	if _, err := connection.Write([]byte("x")); !errors.Is(err, errSealed) {
-		t.Errorf("a sealed connection wrote: %v", err)
+	if _, err := connection.Write([]byte("x")); !errors.Is(err, errWritesBlocked) {
+		t.Errorf("write on a blocked connection: got %v, want errWritesBlocked", err)
 	}
-	written := &recordedConn{Conn: near}
+	written := &trackedConn{Conn: client}
 	written.state.Store(connWritten)
-	if written.seal() {
-		t.Error("a connection that was written to claims that nothing was sent")
+	if written.blockIfUnwritten() {
+		t.Error("a written connection was reported as unwritten")
 	}
 }
 
@@ -199,12 +199,12 @@
 	defer services.Close()
 	var send *SendError
 	if _, err := callOnce(t, services, address, stopCommand("")); !errors.As(err, &send) || !send.NeverSent {
-		t.Errorf("nobody listens: got %v", err)
+		t.Errorf("no listener: got %v, want a SendError with NeverSent", err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := services.Call(ctx, address, stopCommand("")); !errors.As(err, &send) || !send.NeverSent {
-		t.Errorf("context over before the call: got %v", err)
+		t.Errorf("context canceled before the call: got %v, want a SendError with NeverSent", err)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	for name, want := range map[string]string{HeaderZone: "a", HeaderRequestID: "r1", HeaderAttempt: "1", HeaderIdempotencyKey: "k"} {
 		if value := got.Header.Get(name); value != want {
-			t.Errorf("%s is %q", name, value)
+			t.Errorf("header %s is %q", name, value)
 		}
 	}
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxEventBytes bounds one line of an answer stream.
+	// maxEventBytes limits one line of a response stream.
 	maxEventBytes     = 256 << 10
 	streamBufferBytes = 4 << 10
 )
@@ -20,16 +20,16 @@
 	eventDone   = []byte("[DONE]")
 )
 
-// ErrDone is returned by Next after the stream's terminator.
+// ErrDone is returned by Stream.Next at the stream's terminator.
 var ErrDone = errors.New("answer stream is complete")
 
-// Stream is an engine's answer stream. It is used by one goroutine.
+// Stream is an engine's response stream. It is not safe for concurrent use.
 type Stream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
-	// long holds a line that is larger than the reader's buffer.
-	long []byte
-	// word is what the head of the answer told of the back end's future.
+	// longLine holds a line that exceeds the reader's buffer.
+	longLine []byte
+	// hint holds the availability hint in the response headers.
 	hint inventory.Hint
 }
 
@@ -37,9 +37,9 @@
 	return &Stream{body: body, reader: bufio.NewReaderSize(body, streamBufferBytes)}
 }
 
-// Next reads the next chunk into the given one. It returns ErrDone after the
-// terminator, io.ErrUnexpectedEOF where the stream ended without it, a
-// *ProtocolError for what is not a chunk, and else the error of the connection.
+// Next decodes the next chunk into chunk. It returns ErrDone at the terminator,
+// io.ErrUnexpectedEOF if the stream ends without one, a *ProtocolError for
+// malformed data, and otherwise the error of the connection.
 func (s *Stream) Next(chunk *Chunk) error {
 	for {
 		line, err := s.readLine()
@@ -64,20 +64,20 @@
 	}
 }
 
-// Buffered reports whether a further event is there without waiting. The blank
-// line that ends an event is none, and neither is a part of a line: were they
-// taken for one, an event would wait unflushed for the next.
+// Buffered reports whether another event can be read without blocking. The blank
+// line that ends an event does not count, and neither does a partial line:
+// otherwise an event would stay unflushed until the next one arrives.
 func (s *Stream) Buffered() bool {
-	waiting, _ := s.reader.Peek(s.reader.Buffered())
-	return bytes.IndexByte(bytes.TrimLeft(waiting, "\r\n"), '\n') >= 0
+	buffered, _ := s.reader.Peek(s.reader.Buffered())
+	return bytes.IndexByte(bytes.TrimLeft(buffered, "\r\n"), '\n') >= 0
 }
 
-// Close ends the stream.
+// Close closes the stream and its connection.
 func (s *Stream) Close() {
 	_ = s.body.Close()
 }
 
-// readLine returns a line that is valid until the next call.
+// readLine returns the next line, which is valid until the following call.
 func (s *Stream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
@@ -86,16 +86,16 @@
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return nil, err
 	}
-	s.long = append(s.long[:0], line...)
+	s.longLine = append(s.longLine[:0], line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(s.long) > maxEventBytes {
+		if len(s.longLine) > maxEventBytes {
 			return nil, &ProtocolError{Detail: "a line is too long"}
 		}
 		line, err = s.reader.ReadSlice('\n')
-		s.long = append(s.long, line...)
+		s.longLine = append(s.longLine, line...)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return s.long, nil
+	return s.longLine, nil
 }
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -34,7 +34,7 @@
 				count++
 			}
 			if count != test.chunks || !test.check(err) {
-				t.Errorf("%d chunks, then %v", count, err)
+				t.Errorf("%d chunks, then error %v", count, err)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 
 func BenchmarkStreamNext(b *testing.B) {
 	b.ReportAllocs()
-	stream := newStream(io.NopCloser(&repeated{text: `data: {"id":"0123456789abcdef","attempt":1,"sequence":12345,"text":" token"}` + "\n\n"}))
+	stream := newStream(io.NopCloser(&repeatingReader{text: `data: {"id":"0123456789abcdef","attempt":1,"sequence":12345,"text":" token"}` + "\n\n"}))
 	var chunk Chunk
 	for b.Loop() {
 		if err := stream.Next(&chunk); err != nil {
@@ -97,13 +97,13 @@
 	}
 }
 
-// repeated reads the same text without end.
-type repeated struct {
+// repeatingReader returns the same text over and over.
+type repeatingReader struct {
 	text string
 	rest string
 }
 
-func (r *repeated) Read(data []byte) (int, error) {
+func (r *repeatingReader) Read(data []byte) (int, error) {
 	if r.rest == "" {
 		r.rest = r.text
 	}
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -13,38 +13,38 @@
 	PathCompletions  = "/v1/completions"
 )
 
-// Headers between nodes and back ends.
+// Headers exchanged between nodes and backends.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderAttempt   = "X-Attempt"
-	// HeaderPriority carries the request's priority to an engine.
+	// HeaderPriority carries the request's priority.
 	HeaderPriority = "X-Priority"
-	// HeaderModel carries model@version, HeaderAdapter the adapter.
+	// HeaderModel carries model@version, HeaderAdapter the adapter's name.
 	HeaderModel   = "X-Model"
 	HeaderAdapter = "X-Adapter"
-	// HeaderNotRun is set to "true" by a back end on a refusal made before
-	// anything ran.
+	// HeaderNotRun is set to "true" by a backend that refuses a request before
+	// executing any of it.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLeaving is set to "true" in the head of any answer of a back end that goes
-	// away.
+	// HeaderLeaving is set to "true" on every response of a backend that is
+	// about to shut down.
 	HeaderLeaving = "X-Leaving"
-	// HeaderRateLimit names the requests a second that a back end takes from all nodes
-	// together, in the head of any answer for as long as that holds.
+	// HeaderRateLimit carries the requests per second that a backend accepts from
+	// all nodes together. It is set on every response while the limit applies.
 	HeaderRateLimit = "X-Rate-Limit"
 )
 
-// Claim takes leadership of one engine. The engine grants it only if the
-// incarnation is its own and the fence is greater than any it has granted.
+// Claim claims leadership of one engine. The engine grants it only if the
+// incarnation matches its own and the fence exceeds every fence it has granted.
 type Claim struct {
 	Fence       fleet.Fence    `json:"fence"`
 	Incarnation uint64         `json:"incarnation"`
 	Holder      fleet.NodeName `json:"holder"`
 }
 
-// Action is what an order does.
+// Action is the operation that an order requests.
 type Action string
 
-// The actions of an order.
+// Actions of an order.
 const (
 	ActionLoad          Action = "load"
 	ActionUnload        Action = "unload"
@@ -53,9 +53,9 @@
 	ActionSetRole       Action = "set-role"
 )
 
-// Order changes what an engine holds. The engine takes it only under the fence
-// it granted last and in the same incarnation. An order repeated with the same
-// ID has no second effect.
+// Order changes the models, adapters or role of an engine. The engine accepts it
+// only with the fence it granted last and in the same incarnation. Orders are
+// idempotent by ID.
 type Order struct {
 	ID          string             `json:"id"`
 	Fence       fleet.Fence        `json:"fence"`
@@ -63,25 +63,26 @@
 	Action      Action             `json:"action"`
 	Model       fleet.ModelVersion `json:"model,omitzero"`
 	Adapter     fleet.AdapterName  `json:"adapter,omitempty"`
-	// Bytes is the accelerator memory taken, CheckpointBytes what is read.
+	// Bytes is the accelerator memory needed, CheckpointBytes the amount of data
+	// read to load.
 	Bytes           int64  `json:"bytes,omitempty"`
 	CheckpointBytes int64  `json:"checkpointBytes,omitempty"`
 	Role            string `json:"role,omitempty"`
 }
 
-// FenceRefusal is the 409 answer to a claim or an order.
+// FenceRefusal is the 409 response to a claim or an order.
 type FenceRefusal struct {
 	Fence       fleet.Fence `json:"fence"`
 	Incarnation uint64      `json:"incarnation"`
 }
 
-// OrderRefusal is the 422 answer to an order that cannot be carried out.
+// OrderRefusal is the 422 response to an order that cannot be executed.
 type OrderRefusal struct {
 	Reason string `json:"reason"`
 }
 
-// Refusal reasons of an order. ReasonLeaving is also the problem code with
-// which a back end refuses a request because it goes away.
+// Reasons for refusing an order. ReasonLeaving is also the problem code with
+// which a backend refuses a request because it is about to shut down.
 const (
 	ReasonNoMemory  = "no-memory"
 	ReasonNotLoaded = "not-loaded"
@@ -90,38 +91,39 @@
 	ReasonDuplicate = "already-loaded"
 )
 
-// Chunk is the JSON of one server-sent event of an engine's answer stream.
-// The stream ends with a chunk whose Finish is set, then "data: [DONE]".
+// Chunk is the JSON payload of one server-sent event in an engine's response
+// stream. The stream ends with a chunk that has Finish set, then "data: [DONE]".
 type Chunk struct {
 	RequestID fleet.RequestID `json:"id"`
 	Attempt   int             `json:"attempt"`
-	// Sequence counts tokens of the whole answer from 0, also after a resume
-	// or a continuation.
+	// Sequence is the index of the token in the whole response, counted from 0
+	// also after a resume or a continuation.
 	Sequence int    `json:"sequence"`
 	Text     string `json:"text"`
-	// Finish is "stop" or "length" on the last chunk, which has no text.
+	// Finish is "stop" or "length" on the last chunk, which has no text, and
+	// empty on the others.
 	Finish string `json:"finish,omitempty"`
 }
 
-// CompletionRequest is the part of a caller's body that this system reads; all
-// else is passed on as it came.
+// CompletionRequest is the part of a caller's body that the node reads; all
+// other members are passed on unchanged.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
 	MaxTokens int    `json:"max_tokens"`
 	// ContinueFrom holds the tokens already delivered by an earlier attempt;
-	// the engine goes on with Sequence = len(ContinueFrom).
+	// the engine continues at Sequence = len(ContinueFrom).
 	ContinueFrom []string `json:"continue_from,omitempty"`
 }
 
-// CacheEvents answers GET /v1/cache-events. Events come late and with gaps;
-// a gap shows as a jump in Sequence.
+// CacheEvents is the response to GET /v1/cache-events. Events may be delayed or
+// missing; a gap shows as a jump in Sequence.
 type CacheEvents struct {
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent says that a prompt prefix was stored in or removed from the
+// CacheEvent reports that a prompt prefix was added to or removed from the
 // engine's prefix cache.
 type CacheEvent struct {
 	Sequence   uint64             `json:"sequence"`
