--- a/internal/explain/entry.go
+++ b/internal/explain/entry.go
@@ -1,6 +1,8 @@
-// Package explain reads the log lines of several nodes and tells what became of
-// one request, or what was believed of one server, with the input that decided
-// each step.
+// Package explain reads the log lines of several nodes and explains the outcome
+// of one request, or the recorded state of one server, with the inputs of each
+// decision. It also counts, over whole logs, why requests were not served in
+// time (Losses). It knows the log's line format and the names of events and
+// keys; command line tools call it.
 //
 // It may import the standard library only.
 package explain
@@ -13,7 +15,7 @@
 	"time"
 )
 
-// Entry is one line of a log.
+// Entry is one parsed log line.
 type Entry struct {
 	Time   time.Time
 	Event  string
@@ -21,13 +23,13 @@
 	Fields []Field
 }
 
-// Field is a key and value of a line.
+// Field is a key=value pair of a log line.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// Get is the value of a key, empty where the line has none.
+// Get returns the value of a key, or "" if the line does not have it.
 func (e Entry) Get(key string) string {
 	for _, field := range e.Fields {
 		if field.Key == key {
@@ -37,35 +39,37 @@
 	return ""
 }
 
-// maxLine bounds a line; longer ones end the reading with an error.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line; a longer one stops Read and Scan
+// with an error.
+const maxLineBytes = 1 << 20
 
-// Read reads lines of key=value pairs. What stands before the first key, such
-// as a collector's prefix, is passed over, and so are lines without an event.
+// Read parses lines of key=value pairs. Text before the first pair, such as a
+// log collector's prefix, is skipped, and so are lines without an event or a
+// time.
 func Read(from io.Reader) ([]Entry, error) {
 	var entries []Entry
 	err := Scan(from, func(entry Entry) { entries = append(entries, entry) })
 	return entries, err
 }
 
-// Scan reads as Read does, and hands over one entry after the other.
-func Scan(from io.Reader, take func(Entry)) error {
+// Scan parses lines as Read does and calls handle for each entry.
+func Scan(from io.Reader, handle func(Entry)) error {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, 4096), maxLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for scanner.Scan() {
-		if entry, ok := parse(scanner.Text()); ok {
-			take(entry)
+		if entry, ok := parseLine(scanner.Text()); ok {
+			handle(entry)
 		}
 	}
 	return scanner.Err()
 }
 
-func parse(line string) (Entry, bool) {
+func parseLine(line string) (Entry, bool) {
 	var entry Entry
 	for rest := line; rest != ""; {
 		var field Field
 		var ok bool
-		field, rest, ok = next(rest)
+		field, rest, ok = nextField(rest)
 		if !ok {
 			continue
 		}
@@ -84,8 +88,9 @@
 	return entry, entry.Event != "" && !entry.Time.IsZero()
 }
 
-// next takes one word off a line; ok is false for a word that is no pair.
-func next(line string) (field Field, rest string, ok bool) {
+// nextField splits the first word off a line; ok is false if the word is not a
+// key=value pair.
+func nextField(line string) (field Field, rest string, ok bool) {
 	line = strings.TrimLeft(line, " ")
 	end := strings.IndexAny(line, "= ")
 	if end < 0 {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -8,42 +8,44 @@
 	"time"
 )
 
-// Explain writes what the entries say of an identity: a request's, or a
-// server's. It returns false where no entry names it.
+// Explain writes the entries that concern an ID, which is that of a request or of
+// a server, and for a request the cause of its outcome. It returns false if no
+// entry has the ID. It sorts entries by time.
 func Explain(out io.Writer, id string, entries []Entry) bool {
 	slices.SortStableFunc(entries, func(a, b Entry) int { return a.Time.Compare(b.Time) })
-	var way []Entry
+	var related []Entry
 	for _, entry := range entries {
 		if entry.Get("request") == id || entry.Get("server") == id {
-			way = append(way, entry)
+			related = append(related, entry)
 		}
 	}
-	if len(way) == 0 {
+	if len(related) == 0 {
 		return false
 	}
-	first := way[0].Time
-	for _, entry := range way {
+	first := related[0].Time
+	for _, entry := range related {
 		fmt.Fprintf(out, "%+9.3fs %s %s\n", entry.Time.Sub(first).Seconds(), entry.Node, describe(entry))
 	}
-	last := way[len(way)-1]
+	last := related[len(related)-1]
 	if last.Get("request") == id {
 		fmt.Fprintf(out, "cause: %s\n", cause(last, entries))
 	}
 	return true
 }
 
-// describe is a line without what is empty.
+// describe formats an entry without its empty, zero and false fields.
 func describe(entry Entry) string {
-	words := []string{entry.Event}
+	parts := []string{entry.Event}
 	for _, field := range entry.Fields {
 		if field.Value != "" && field.Value != "0" && field.Value != "false" {
-			words = append(words, field.Key+"="+field.Value)
+			parts = append(parts, field.Key+"="+field.Value)
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(parts, " ")
 }
 
-// cause is what decided the final answer, with its inputs and their age.
+// cause explains what decided the final response, with the inputs of the decision
+// and their age.
 func cause(final Entry, entries []Entry) string {
 	switch final.Event {
 	case "request_answered":
@@ -52,60 +54,63 @@
 		}
 		return "none: it was answered by " + final.Get("server")
 	case "request_refused":
-		return refusal(final, entries)
+		return refusalCause(final, entries)
 	case "request_failed", "request_cut":
-		return failure(final, entries)
+		return failureCause(final, entries)
 	case "request_denied":
 		return "no configuration allows it: " + final.Get("reason") + " under version " + final.Get("config")
 	case "request_left":
-		return "the caller left after " + final.Get("took_ms") + " ms" + besides(final, entries)
+		return "the caller left after " + final.Get("took_ms") + " ms" + serverContext(final, entries)
 	default:
 		return "no line of its end was found; see log_lines_dropped"
 	}
 }
 
-func refusal(final Entry, entries []Entry) string {
+func refusalCause(final Entry, entries []Entry) string {
 	text := "it never ran (" + final.Get("reason") + ")"
 	if final.Get("reason") == "no_configuration" {
-		return text + ": the node knew no configuration" + lastOf(final, entries, "store_failed", "node", final.Node)
+		return text + ": the node knew no configuration" + lastEntryBefore(final, entries, "store_failed", "node", final.Node)
 	}
 	if final.Get("reason") == "rejected_by_server" {
 		server := final.Get("server")
-		return text + ": it was rejected by " + final.Get("sent") + lastOf(final, entries, "server_word", "server", server)
+		return text + ": it was rejected by " + final.Get("sent") + lastEntryBefore(final, entries, "server_word", "server", server)
 	}
 	if final.Get("model") != "" {
-		return text + ": no server had " + wanted(final) + " for it" + orders(final, entries)
+		return text + ": no server had " + modelName(final) + " for it" + orderContext(final, entries)
 	}
 	if final.Get("sent") != "" {
 		return text + ": it was rejected by " + final.Get("sent")
 	}
-	return text + besides(final, entries)
+	return text + serverContext(final, entries)
 }
 
-func failure(final Entry, entries []Entry) string {
+func failureCause(final Entry, entries []Entry) string {
 	server := final.Get("server")
-	return "it may have run (" + final.Get("reason") + ") at " + server + besides(final, entries)
+	return "it may have run (" + final.Get("reason") + ") at " + server + serverContext(final, entries)
 }
 
-// besides tells what was believed of the server then, and what came after.
-func besides(final Entry, entries []Entry) string {
+// serverContext describes what the node had recorded about the server at the time
+// of the final entry, and the first later entry of any node that has the server
+// draining or gone.
+func serverContext(final Entry, entries []Entry) string {
 	server := final.Get("server")
 	if server == "" {
 		return ""
 	}
-	text := lastOf(final, entries, "server_changed", "server", server) + lastOf(final, entries, "server_word", "server", server)
+	text := lastEntryBefore(final, entries, "server_changed", "server", server) + lastEntryBefore(final, entries, "server_word", "server", server)
 	for _, entry := range entries {
-		isNews := entry.Event == "server_changed" && entry.Get("server") == server && entry.Time.After(final.Time)
-		if isNews && (entry.Get("gone") == "true" || entry.Get("draining") == "true") {
+		isLaterChange := entry.Event == "server_changed" && entry.Get("server") == server && entry.Time.After(final.Time)
+		if isLaterChange && (entry.Get("gone") == "true" || entry.Get("draining") == "true") {
 			return text + fmt.Sprintf("; %s learned %s later that it goes (gone=%s draining=%s)",
-				entry.Node, age(entry.Time.Sub(final.Time)), entry.Get("gone"), entry.Get("draining"))
+				entry.Node, formatDuration(entry.Time.Sub(final.Time)), entry.Get("gone"), entry.Get("draining"))
 		}
 	}
 	return text
 }
 
-// orders tells the last order for the model before the refusal, and who led.
-func orders(final Entry, entries []Entry) string {
+// orderContext describes the last order for the model before the refusal, and the
+// last lease event, which shows the leader.
+func orderContext(final Entry, entries []Entry) string {
 	var order, lease Entry
 	for _, entry := range entries {
 		if entry.Time.After(final.Time) {
@@ -120,38 +125,40 @@
 	}
 	text := "; nobody had ordered it"
 	if order.Event != "" {
-		text = fmt.Sprintf("; the last order for it, %s before: %s at %s, %s (%s)", age(final.Time.Sub(order.Time)),
+		text = fmt.Sprintf("; the last order for it, %s before: %s at %s, %s (%s)", formatDuration(final.Time.Sub(order.Time)),
 			order.Get("operation"), order.Get("server"), order.Get("result"), order.Get("reason"))
 	}
 	if lease.Event != "" {
-		text += fmt.Sprintf("; %s at %s %s before", lease.Event, lease.Node, age(final.Time.Sub(lease.Time)))
+		text += fmt.Sprintf("; %s at %s %s before", lease.Event, lease.Node, formatDuration(final.Time.Sub(lease.Time)))
 	}
 	return text
 }
 
-// lastOf tells the newest entry of an event that the node had by then.
-func lastOf(final Entry, entries []Entry, event, key, value string) string {
+// lastEntryBefore describes the node's latest entry of an event, up to the time of
+// the final entry, in which key has the value. The key "node" matches any entry
+// of the node.
+func lastEntryBefore(final Entry, entries []Entry, event, key, value string) string {
 	var found Entry
 	for _, entry := range entries {
 		if entry.Time.After(final.Time) {
 			break
 		}
-		isOwn := entry.Node == final.Node && entry.Event == event
-		if isOwn && (key == "node" || entry.Get(key) == value) {
+		isCandidate := entry.Node == final.Node && entry.Event == event
+		if isCandidate && (key == "node" || entry.Get(key) == value) {
 			found = entry
 		}
 	}
 	if found.Event == "" {
 		return ""
 	}
-	return fmt.Sprintf("; %s before: %s", age(final.Time.Sub(found.Time)), describe(found))
+	return fmt.Sprintf("; %s before: %s", formatDuration(final.Time.Sub(found.Time)), describe(found))
 }
 
-func wanted(entry Entry) string {
+func modelName(entry Entry) string {
 	if adapter := entry.Get("adapter"); adapter != "" {
 		return entry.Get("model") + "/" + adapter
 	}
 	return entry.Get("model")
 }
 
-func age(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// recorded are lines of several nodes, as a collector hands them over: with a
-// prefix, out of order, and with lines that are none of ours.
+// recorded holds log lines of several nodes as a log collector delivers them: with
+// a prefix, out of order, and mixed with lines in another format.
 const recorded = `
    8.1 edge-a-1 time=2026-05-15T13:15:58.100Z level=info event=lease_taken node=edge-a-1 term=83 order_in_ms=-8
   12.2 edge-a-1 time=2026-05-15T13:16:02.200Z level=info event=order_answered node=edge-a-1 term=83 server=i-1f71 operation=load model=m1 adapter="" expected=4 source=store reason=replica result=taken took_ms=3
@@ -40,11 +40,11 @@
 		}
 		var out strings.Builder
 		if !Explain(&out, c.id, entries) {
-			t.Errorf("%s is not found", c.id)
+			t.Errorf("no entry found for %s", c.id)
 		}
 		for _, want := range c.want {
 			if !strings.Contains(out.String(), want) {
-				t.Errorf("%s: %q is missing in\n%s", c.id, want, out.String())
+				t.Errorf("%s: %q is missing from\n%s", c.id, want, out.String())
 			}
 		}
 	}
@@ -59,10 +59,10 @@
 	Explain(&out, "i-ccd8", entries)
 	ready, failed, gone := strings.Index(out.String(), "revision=24"), strings.Index(out.String(), "request_failed"), strings.Index(out.String(), "gone=true")
 	if ready < 0 || failed < ready || gone < failed {
-		t.Errorf("not in order: %s", out.String())
+		t.Errorf("entries are not ordered by time: %s", out.String())
 	}
 	if Explain(&out, "unknown", entries) {
-		t.Error("an identity that no line names is found")
+		t.Error("Explain returned true for an ID that is in no entry")
 	}
 }
 
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -12,56 +12,57 @@
 	"time"
 )
 
-// Losses sums up, over the logs of all nodes of a day, the requests that were not
-// served in time, each under the one reason that a decision on it logged. It keeps
-// counts alone, so that a day of hundreds of nodes can be read.
+// Losses counts the requests that were not served in time, over the logs of all
+// nodes of a day. Each request counts under one reason, taken from its final log
+// line. Only counts are kept, so that a day of logs from hundreds of nodes can be
+// processed.
 type Losses struct {
 	counts map[lossKey]int
-	asked  map[string]int
-	from   time.Time
-	// unknown counts final lines whose event or figures could not be read.
-	unknown int
+	totals map[string]int
+	start  time.Time
+	// unreadable counts final lines without a usable reason.
+	unreadable int
 }
 
-// lossKey is what losses are counted by: the kind of request, the second of the
-// logs and the reason.
+// lossKey is the key by which losses are counted: the kind of request, the second
+// since the start of the logs, and the reason.
 type lossKey struct {
 	kind   string
 	second int
 	reason string
 }
 
-// NewLosses returns the losses of no lines.
+// NewLosses returns an empty Losses.
 func NewLosses() *Losses {
-	return &Losses{counts: make(map[lossKey]int), asked: make(map[string]int)}
+	return &Losses{counts: make(map[lossKey]int), totals: make(map[string]int)}
 }
 
-// Take adds one line; lines that end no request are left out. Lines come in the
-// order of their times.
+// Take adds one line. Lines that do not end a request are ignored. Lines must be
+// passed in order of time.
 func (l *Losses) Take(entry Entry) {
-	if l.from.IsZero() && !entry.Time.IsZero() {
-		l.from = entry.Time
+	if l.start.IsZero() && !entry.Time.IsZero() {
+		l.start = entry.Time
 	}
 	if !endsRequest(entry.Event) {
 		return
 	}
-	kind := kindOf(entry)
-	l.asked[kind]++
+	kind := requestKind(entry)
+	l.totals[kind]++
 	reason, isLost := lossReason(entry)
 	if !isLost {
 		return
 	}
 	if reason == "" {
-		l.unknown++
+		l.unreadable++
 		return
 	}
-	// A clock that was set back tells a time before the first line.
-	second := max(0, int(entry.Time.Sub(l.from).Seconds()))
+	// If a clock was set back, the time may be before that of the first line.
+	second := max(0, int(entry.Time.Sub(l.start).Seconds()))
 	l.counts[lossKey{kind: kind, second: second, reason: reason}]++
 }
 
-// endsRequest reports whether the event is a request's final answer. Requests that
-// no route allows are owed nothing.
+// endsRequest reports whether the event is the end of a request. Requests that no
+// route allows do not count.
 func endsRequest(event string) bool {
 	switch event {
 	case "request_answered", "request_refused", "request_failed", "request_cut", "request_left":
@@ -71,13 +72,14 @@
 	}
 }
 
-// kindOf is the service and the objective of a request: routes have many names.
-func kindOf(entry Entry) string {
+// requestKind returns the service and the latency objective of a request. Routes
+// are not used because there are too many of them.
+func requestKind(entry Entry) string {
 	return cmp.Or(entry.Get("service"), "none") + " " + cmp.Or(entry.Get("goal_ms"), "-") + " ms"
 }
 
-// lossReason is why the request was not served in time; isLost is false where it
-// was.
+// lossReason returns why the request was not served in time; isLost is false if it
+// was served in time.
 func lossReason(entry Entry) (reason string, isLost bool) {
 	switch entry.Event {
 	case "request_refused":
@@ -93,12 +95,13 @@
 	if status, err := strconv.Atoi(entry.Get("status")); err != nil || status >= 500 {
 		return "the server answered " + entry.Get("status"), true
 	}
-	return lateness(entry)
+	return lateReason(entry)
 }
 
-// lateness is why an answer came late: most of its time went by waiting for a
-// server, over several sends, or at the server.
-func lateness(entry Entry) (reason string, isLate bool) {
+// lateReason returns why a response was late: more than half of its time was spent
+// waiting for a server, it was sent more than once, the server was slow, or the
+// pause between two events was too long.
+func lateReason(entry Entry) (reason string, isLate bool) {
 	goal, gap := millis(entry, "goal_ms"), millis(entry, "gap_goal_ms")
 	took := millis(entry, "took_ms")
 	if first := millis(entry, "first_ms"); first > 0 {
@@ -119,54 +122,54 @@
 }
 
 func millis(entry Entry, key string) float64 {
-	figure, err := strconv.ParseFloat(entry.Get(key), 64)
+	value, err := strconv.ParseFloat(entry.Get(key), 64)
 	if err != nil {
 		return 0
 	}
-	return figure
+	return value
 }
 
-// spanSeconds is the width of a column of the table over the day.
-const spanSeconds = 5
+// bucketSeconds is the time span that one column of the table covers.
+const bucketSeconds = 5
 
-// Print writes the requests lost by kind and reason, the most first, with when in
-// the logs they were.
-func (l *Losses) Print(to io.Writer) error {
+// Print writes a table of the lost requests by kind and reason, largest first, with
+// their distribution over time.
+func (l *Losses) Print(out io.Writer) error {
 	type row struct {
 		kind, reason string
 		total        int
-		spans        map[int]int
+		buckets      map[int]int
 	}
 	rows := make(map[string]*row)
-	last := 0
+	lastBucket := 0
 	for key, count := range l.counts {
-		known, ok := rows[key.kind+key.reason]
+		current, ok := rows[key.kind+key.reason]
 		if !ok {
-			known = &row{kind: key.kind, reason: key.reason, spans: make(map[int]int)}
-			rows[key.kind+key.reason] = known
+			current = &row{kind: key.kind, reason: key.reason, buckets: make(map[int]int)}
+			rows[key.kind+key.reason] = current
 		}
-		known.total += count
-		known.spans[key.second/spanSeconds] += count
-		last = max(last, key.second/spanSeconds)
+		current.total += count
+		current.buckets[key.second/bucketSeconds] += count
+		lastBucket = max(lastBucket, key.second/bucketSeconds)
 	}
 	sorted := slices.SortedFunc(maps.Values(rows), func(a, b *row) int {
 		return cmp.Or(-cmp.Compare(a.total, b.total), strings.Compare(a.kind+a.reason, b.kind+b.reason))
 	})
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "kind\tasked\treason\tlost")
-	for span := range last + 1 {
-		fmt.Fprintf(table, "\t%d s", span*spanSeconds)
+	for bucket := range lastBucket + 1 {
+		fmt.Fprintf(table, "\t%d s", bucket*bucketSeconds)
 	}
 	fmt.Fprintln(table)
 	for _, each := range sorted {
-		fmt.Fprintf(table, "%s\t%d\t%s\t%d", each.kind, l.asked[each.kind], each.reason, each.total)
-		for span := range last + 1 {
-			fmt.Fprintf(table, "\t%d", each.spans[span])
+		fmt.Fprintf(table, "%s\t%d\t%s\t%d", each.kind, l.totals[each.kind], each.reason, each.total)
+		for bucket := range lastBucket + 1 {
+			fmt.Fprintf(table, "\t%d", each.buckets[bucket])
 		}
 		fmt.Fprintln(table)
 	}
-	if l.unknown > 0 {
-		fmt.Fprintf(table, "lines without a reason\t%d\n", l.unknown)
+	if l.unreadable > 0 {
+		fmt.Fprintf(table, "lines without a reason\t%d\n", l.unreadable)
 	}
 	return table.Flush()
 }
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// lossLog are lines of two nodes: one request for each way of losing it, and what
-// is no loss.
+// lossLog holds log lines of two nodes: a request for each kind of loss, and lines
+// that are not losses.
 const lossLog = `
    0.10 n1 time=2026-01-01T00:00:00.000Z level=info event=node_started node=n1
    0.20 n1 time=2026-01-01T00:00:01.000Z level=info event=request_answered node=n1 request=a status=200 reason="" service=llm goal_ms=800 gap_goal_ms=600 sent=s1 waited_ms=0.1 took_ms=900.0 first_ms=80.0 pause_ms=30.0
@@ -35,8 +35,9 @@
 llm 800 ms  5      refused: not_loaded                     1     0    1
 `
 
-// TestLossesByReason: each request that was not served in time stands under one
-// reason, also where a line is cut or a clock was set back.
+// TestLossesByReason checks that each request that was not served in time is
+// counted under exactly one reason, also if a line is truncated or a clock was set
+// back.
 func TestLossesByReason(t *testing.T) {
 	losses := NewLosses()
 	if err := Scan(strings.NewReader(lossLog), losses.Take); err != nil {
