--- a/internal/logging/actor.go
+++ b/internal/logging/actor.go
@@ -7,19 +7,21 @@
 	"github.com/phuslu/log"
 )
 
-// actorHandler passes the lines of the actor library on in the project's form.
+// actorHandler is a slog.Handler that writes the actor library's log records in
+// the project's log format.
 type actorHandler struct {
 	logger *log.Logger
 	group  string
 	fields []slog.Attr
 }
 
-// NewActorLogger returns the logger that is given to the actor system.
+// NewActorLogger returns the logger to pass to the actor system.
 func NewActorLogger(logger *log.Logger) *slog.Logger {
 	return slog.New(&actorHandler{logger: logger})
 }
 
-// Enabled implements slog.Handler: what is below a warning is debugging.
+// Enabled implements slog.Handler. Records below the warn level are treated as
+// debug output.
 func (a *actorHandler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelWarn || a.logger.Level <= log.DebugLevel
 }
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -9,42 +9,45 @@
 	"time"
 )
 
-// BoundedWriterOptions set up a Bounded writer.
+// BoundedWriterOptions configures a BoundedWriter.
 type BoundedWriterOptions struct {
 	Out io.Writer
-	// BufferedLines is the number of lines that wait to be written; more are dropped.
+	// BufferedLines is the number of lines that can wait to be written; further
+	// lines are dropped.
 	BufferedLines int
-	// EventLinesPerSecond bounds the lines of one event in a second.
+	// EventLinesPerSecond limits the lines per second of each event.
 	EventLinesPerSecond int
-	// UnlimitedEvents are events of which every line is kept while there is room.
+	// UnlimitedEvents are exempt from EventLinesPerSecond; their lines are
+	// dropped only if the buffer is full.
 	UnlimitedEvents map[string]bool
-	// Now is the clock; nil is the time of day's.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Defaults of BoundedOptions.
+// Defaults of BoundedWriterOptions.
 const (
 	DefaultBufferedLines       = 512
 	DefaultEventLinesPerSecond = 100
 )
 
-// BoundedWriter is a writer of log lines that never blocks: lines wait in a bounded
-// buffer for a goroutine of their own, and those over the bound of their event
-// or of the buffer are dropped and counted. A line says how many were.
+// BoundedWriter is a writer of log lines that never blocks. A goroutine writes the
+// lines from a bounded buffer; lines beyond the limit of their event or of the
+// buffer are dropped and counted, and a log line reports how many.
 type BoundedWriter struct {
 	options BoundedWriterOptions
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 
-	mu     sync.Mutex
-	second int64
-	counts map[string]int
-	missed map[string]int
-	closed bool
+	mu             sync.Mutex
+	currentSecond  int64
+	lineCounts     map[string]int
+	droppedByEvent map[string]int
+	closed         bool
 }
 
-// NewBoundedWriter starts the writer's goroutine; Close ends it.
+// NewBoundedWriter returns a BoundedWriter and starts its goroutine; Close stops
+// it.
 func NewBoundedWriter(options BoundedWriterOptions) *BoundedWriter {
 	if options.BufferedLines == 0 {
 		options.BufferedLines = DefaultBufferedLines
@@ -56,11 +59,11 @@
 		options.Now = time.Now
 	}
 	b := &BoundedWriter{
-		options: options,
-		lines:   make(chan []byte, options.BufferedLines),
-		done:    make(chan struct{}),
-		counts:  make(map[string]int),
-		missed:  make(map[string]int),
+		options:        options,
+		lines:          make(chan []byte, options.BufferedLines),
+		done:           make(chan struct{}),
+		lineCounts:     make(map[string]int),
+		droppedByEvent: make(map[string]int),
 	}
 	go b.run()
 	return b
@@ -73,45 +76,47 @@
 	}
 }
 
-// Dropped is the number of lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
-// Write takes one line. It never blocks and never fails.
+// Write accepts one line. It never blocks and never returns an error.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
-	event := eventOf(line)
+	event := eventName(line)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
 		return len(line), nil
 	}
-	b.turn()
-	b.counts[event]++
-	if b.counts[event] > b.options.EventLinesPerSecond && !b.options.UnlimitedEvents[event] {
-		b.miss(event)
+	b.startSecond()
+	b.lineCounts[event]++
+	if b.lineCounts[event] > b.options.EventLinesPerSecond && !b.options.UnlimitedEvents[event] {
+		b.recordDrop(event)
 		return len(line), nil
 	}
-	if !b.offer(bytes.Clone(line)) {
-		b.miss(event)
+	if !b.enqueue(bytes.Clone(line)) {
+		b.recordDrop(event)
 	}
 	return len(line), nil
 }
 
-// turn begins a new second, and tells what was dropped in the one before.
-func (b *BoundedWriter) turn() {
+// startSecond resets the limits when a new second starts, and enqueues a line for
+// each event of which lines were dropped before. A count that cannot be enqueued
+// is kept for the next second.
+func (b *BoundedWriter) startSecond() {
 	second := b.options.Now().Unix()
-	if second == b.second {
+	if second == b.currentSecond {
 		return
 	}
-	b.second = second
-	clear(b.counts)
-	for event, count := range b.missed {
-		if b.offer([]byte("level=warn event=log_lines_dropped of=" + event + " count=" + strconv.Itoa(count) + "\n")) {
-			delete(b.missed, event)
+	b.currentSecond = second
+	clear(b.lineCounts)
+	for event, count := range b.droppedByEvent {
+		if b.enqueue([]byte("level=warn event=log_lines_dropped of=" + event + " count=" + strconv.Itoa(count) + "\n")) {
+			delete(b.droppedByEvent, event)
 		}
 	}
 }
 
-func (b *BoundedWriter) offer(line []byte) bool {
+func (b *BoundedWriter) enqueue(line []byte) bool {
 	select {
 	case b.lines <- line:
 		return true
@@ -120,12 +125,13 @@
 	}
 }
 
-func (b *BoundedWriter) miss(event string) {
-	b.missed[event]++
+func (b *BoundedWriter) recordDrop(event string) {
+	b.droppedByEvent[event]++
 	b.dropped.Add(1)
 }
 
-// Close writes what waits and ends the goroutine.
+// Close writes the buffered lines and stops the goroutine. Lines written after
+// Close are discarded.
 func (b *BoundedWriter) Close() {
 	b.mu.Lock()
 	if !b.closed {
@@ -138,8 +144,8 @@
 
 var eventKey = []byte("event=")
 
-// eventOf is the event of a line.
-func eventOf(line []byte) string {
+// eventName returns the event of a line, or "" if it has none.
+func eventName(line []byte) string {
 	start := bytes.Index(line, eventKey)
 	if start < 0 {
 		return ""
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// gate is a writer that blocks until it is opened.
-type gate struct {
+// blockingWriter is a writer that blocks until open is closed.
+type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (g *gate) Write(line []byte) (int, error) {
+func (g *blockingWriter) Write(line []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(line)
 }
 
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
 func TestBoundedNeverBlocksAndCountsWhatItDrops(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+	out := &blockingWriter{open: make(chan struct{})}
 	bounded := NewBoundedWriter(BoundedWriterOptions{Out: out, BufferedLines: 10, EventLinesPerSecond: 1000})
 	for range 100 {
 		_, _ = bounded.Write([]byte("event=a x=1\n"))
 	}
 	if dropped := bounded.Dropped(); dropped < 85 || dropped > 90 {
-		t.Errorf("%d lines dropped of 100 with room for 10", dropped)
+		t.Errorf("%d of 100 lines dropped with a buffer of 10, want 85 to 90", dropped)
 	}
 	close(out.open)
 	bounded.Close()
 	if written := strings.Count(out.String(), "event=a"); int64(written)+bounded.Dropped() != 100 {
-		t.Errorf("%d written and %d dropped of 100", written, bounded.Dropped())
+		t.Errorf("%d lines written and %d dropped, want a sum of 100", written, bounded.Dropped())
 	}
 }
 
 func TestBoundedKeepsRareEventsBesideFrequentOnes(t *testing.T) {
 	now := time.Unix(100, 0)
-	out := &gate{open: make(chan struct{})}
+	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
 	bounded := NewBoundedWriter(BoundedWriterOptions{
 		Out: out, EventLinesPerSecond: 5, Now: func() time.Time { return now }, UnlimitedEvents: map[string]bool{"failed": true},
@@ -61,12 +61,12 @@
 	bounded.Close()
 	text := out.String()
 	if got := strings.Count(text, "event=answered"); got != 6 {
-		t.Errorf("%d lines of the frequent event, want 5 and 1", got)
+		t.Errorf("%d lines of the frequent event, want 5 in the first second and 1 in the next", got)
 	}
 	if got := strings.Count(text, "event=failed"); got != 20 {
-		t.Errorf("%d lines of failures, want all 20", got)
+		t.Errorf("%d lines of the unlimited event, want all 20", got)
 	}
 	if !strings.Contains(text, "event=log_lines_dropped of=answered count=45") {
-		t.Errorf("nothing says what was left out: %s", text)
+		t.Errorf("no line reports the 45 dropped lines: %s", text)
 	}
 }
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,7 +1,9 @@
-// Package logging makes the one kind of logger of the project: phuslu/log
-// writing one key=value line for each event.
+// Package logging creates the project's loggers, which are phuslu/log loggers
+// that write one line of key=value pairs for each event. It owns the line format,
+// the BoundedWriter that keeps logging from blocking a node, and the adapter for
+// the actor library's log records.
 //
-// The message of an entry is the event's fixed name:
+// The message of an entry is the fixed name of the event:
 //
 //	logger.Info().Str("request", id).Int("status", 200).Msg("request_finished")
 //
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,7 +10,7 @@
 
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Levels are the names that settings may give.
+// Levels maps the level names allowed in settings to levels.
 var Levels = map[string]log.Level{
 	"debug": log.DebugLevel,
 	"info":  log.InfoLevel,
@@ -18,13 +18,13 @@
 	"error": log.ErrorLevel,
 }
 
-// Field is a key and value that every line of a logger carries.
+// Field is a key=value pair that a logger adds to every line.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// New returns a logger that writes to out; fields stand on every line.
+// New returns a logger that writes to out and adds fields to every line.
 func New(out io.Writer, level log.Level, fields ...Field) *log.Logger {
 	context := log.NewContext(nil)
 	for _, field := range fields {
@@ -43,8 +43,8 @@
 	return New(io.Discard, log.ErrorLevel)
 }
 
-// writeLine differs from phuslu/log's LogfmtFormatter in that the message gets
-// a key and a true value is written out, so that each word is key=value.
+// writeLine formats a line. Unlike phuslu/log's LogfmtFormatter it gives the
+// message a key and writes out true values, so that each word is key=value.
 func writeLine(out io.Writer, arguments *log.FormatterArgs) (int, error) {
 	var line strings.Builder
 	writePair(&line, "time", arguments.Time)
