--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -8,14 +8,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Names of the figures.
+// Metric names.
 const (
 	MetricBytes     = "spanlanding_control_bytes_total"
 	MetricMessages  = "spanlanding_control_messages_total"
 	MetricCallBytes = "spanlanding_control_call_bytes_total"
 )
 
-// Labels of the figures.
+// Metric labels and the values of LabelDirection.
 const (
 	LabelChannel   = "channel"
 	LabelDirection = "direction"
@@ -25,16 +25,16 @@
 	DirectionReceived = "received"
 )
 
-// Counters are the figures of one node.
+// Counters holds the traffic metrics of one node.
 type Counters struct {
 	bytes     *prometheus.CounterVec
 	messages  *prometheus.CounterVec
 	callBytes *prometheus.CounterVec
 }
 
-// NewCounters registers the figures.
+// NewCounters creates the metrics and registers them.
 func NewCounters(registerer prometheus.Registerer) *Counters {
-	created := &Counters{
+	counters := &Counters{
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: MetricBytes,
 			Help: "Bytes on the wire, headers of HTTP included, by channel and direction."}, []string{LabelChannel, LabelDirection}),
 		messages: prometheus.NewCounterVec(prometheus.CounterOpts{Name: MetricMessages,
@@ -42,11 +42,11 @@
 		callBytes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: MetricCallBytes,
 			Help: "Bytes of bodies by channel, call and direction."}, []string{LabelChannel, LabelCall, LabelDirection}),
 	}
-	registerer.MustRegister(created.bytes, created.messages, created.callBytes)
-	return created
+	registerer.MustRegister(counters.bytes, counters.messages, counters.callBytes)
+	return counters
 }
 
-// ChannelCounters counts what goes to and comes from one kind of partner.
+// ChannelCounters counts the traffic with one kind of remote party.
 type ChannelCounters struct {
 	name                           string
 	bytesSent, bytesReceived       prometheus.Counter
@@ -54,7 +54,7 @@
 	callBytes                      *prometheus.CounterVec
 }
 
-// Channel returns the counters of one kind of partner, such as peer or store.
+// Channel returns the counters for one kind of remote party, such as peer or store.
 func (c *Counters) Channel(name string) *ChannelCounters {
 	return &ChannelCounters{
 		name:             name,
@@ -66,26 +66,28 @@
 	}
 }
 
-// InstrumentClient counts what the client sends and receives from now on; it must
-// not have been used yet. Its transport must be an *http.Transport with a
+// InstrumentClient counts what the client sends and receives. The client must not
+// have been used yet, and its transport must be an *http.Transport with a
 // DialContext.
 func (c *ChannelCounters) InstrumentClient(client *http.Client) {
 	transport := client.Transport.(*http.Transport)
-	transport.DialContext = c.dialer(transport.DialContext)
+	transport.DialContext = c.instrumentDial(transport.DialContext)
 	client.Transport = &roundTripper{channel: c, next: transport}
 }
 
-// InstrumentListener counts the bytes of the connections that it accepts.
+// InstrumentListener returns a listener that counts the bytes of the connections
+// it accepts.
 func (c *ChannelCounters) InstrumentListener(listener net.Listener) net.Listener {
 	return countedListener{Listener: listener, channel: c}
 }
 
-// InstrumentPacketConn counts datagrams.
+// InstrumentPacketConn returns a connection that counts datagrams and their bytes.
 func (c *ChannelCounters) InstrumentPacketConn(connection net.PacketConn) net.PacketConn {
-	return countedPackets{PacketConn: connection, channel: c}
+	return countedPacketConn{PacketConn: connection, channel: c}
 }
 
-// InstrumentHandler counts requests and answers.
+// InstrumentHandler returns a handler that counts requests, responses and the
+// bytes of their bodies.
 func (c *ChannelCounters) InstrumentHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		c.messagesReceived.Inc()
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestBothEndsCountTheSameBytesAndMessages(t *testing.T) {
-	clientFigures, serverFigures := prometheus.NewRegistry(), prometheus.NewRegistry()
-	clientSide := NewCounters(clientFigures).Channel("peer")
-	serverSide := NewCounters(serverFigures).Channel("peer")
+	clientRegistry, serverRegistry := prometheus.NewRegistry(), prometheus.NewRegistry()
+	clientSide := NewCounters(clientRegistry).Channel("peer")
+	serverSide := NewCounters(serverRegistry).Channel("peer")
 	server := httptest.NewUnstartedServer(serverSide.InstrumentHandler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	})))
@@ -35,36 +35,37 @@
 	}
 	client.CloseIdleConnections()
 	server.Close()
-	atClient, atServer := sums(t, clientFigures), sums(t, serverFigures)
+	atClient, atServer := sumByDirection(t, clientRegistry), sumByDirection(t, serverRegistry)
 	want := map[string]float64{MetricMessages: 3, MetricCallBytes: 30}
 	for _, metric := range []string{MetricBytes, MetricMessages, MetricCallBytes} {
 		for direction, opposite := range map[string]string{DirectionSent: DirectionReceived, DirectionReceived: DirectionSent} {
-			one, same := atClient[metric+direction], atServer[metric+opposite]
-			if one != same || one == 0 || want[metric] != 0 && one != want[metric] {
-				t.Errorf("%s %s: %v at the client, %v at the server, want %v", metric, direction, one, same, want[metric])
+			clientValue, serverValue := atClient[metric+direction], atServer[metric+opposite]
+			if clientValue != serverValue || clientValue == 0 || want[metric] != 0 && clientValue != want[metric] {
+				t.Errorf("%s %s: %v at the client, %v at the server, want %v", metric, direction, clientValue, serverValue, want[metric])
 			}
 		}
 	}
 }
 
-// sums adds up each metric by direction.
-func sums(t *testing.T, gatherer prometheus.Gatherer) map[string]float64 {
+// sumByDirection returns the sum of each metric by direction, keyed by the metric's
+// name followed by the direction.
+func sumByDirection(t *testing.T, gatherer prometheus.Gatherer) map[string]float64 {
 	t.Helper()
 	families, err := gatherer.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
-	added := make(map[string]float64)
+	totals := make(map[string]float64)
 	for _, family := range families {
 		for _, metric := range family.GetMetric() {
 			for _, label := range metric.GetLabel() {
 				if label.GetName() == LabelDirection {
-					added[family.GetName()+label.GetValue()] += metric.GetCounter().GetValue()
+					totals[family.GetName()+label.GetValue()] += metric.GetCounter().GetValue()
 				}
 			}
 		}
 	}
-	return added
+	return totals
 }
 
 func TestNamesOfObjectsAreNoCalls(t *testing.T) {
--- a/internal/traffic/wrap.go
+++ b/internal/traffic/wrap.go
@@ -13,7 +13,7 @@
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-func (c *ChannelCounters) dialer(next dialFunc) dialFunc {
+func (c *ChannelCounters) instrumentDial(next dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := next(ctx, network, address)
 		if err != nil {
@@ -54,13 +54,13 @@
 	return countedConn{Conn: connection, channel: l.channel}, nil
 }
 
-// countedPackets counts datagrams and their bytes.
-type countedPackets struct {
+// countedPacketConn counts the datagrams of a connection and their bytes.
+type countedPacketConn struct {
 	net.PacketConn
 	channel *ChannelCounters
 }
 
-func (p countedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+func (p countedPacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	count, from, err := p.PacketConn.ReadFrom(buffer)
 	if err == nil {
 		p.channel.messagesReceived.Inc()
@@ -69,7 +69,7 @@
 	return count, from, err
 }
 
-func (p countedPackets) WriteTo(packet []byte, to net.Addr) (int, error) {
+func (p countedPacketConn) WriteTo(packet []byte, to net.Addr) (int, error) {
 	count, err := p.PacketConn.WriteTo(packet, to)
 	if err == nil {
 		p.channel.messagesSent.Inc()
@@ -78,8 +78,8 @@
 	return count, err
 }
 
-// roundTripper counts requests and answers, and the bytes of their bodies by
-// what is called.
+// roundTripper counts requests and responses, and the bytes of their bodies by
+// call.
 type roundTripper struct {
 	channel *ChannelCounters
 	next    *http.Transport
@@ -101,15 +101,16 @@
 	return response, nil
 }
 
-// CloseIdleConnections lets http.Client close what is idle.
+// CloseIdleConnections is called by http.Client.CloseIdleConnections.
 func (r *roundTripper) CloseIdleConnections() { r.next.CloseIdleConnections() }
 
-// objectPath begins the paths that end in an object's name.
-const objectPath = "/v1/objects"
+// objectPathPrefix is the prefix of paths that end in the name of an object.
+const objectPathPrefix = "/v1/objects"
 
-// callName is bounded in number: names of objects are left out.
+// callName returns the label value for a path. It leaves out names of objects, so
+// that the number of label values is bounded.
 func callName(urlPath string) string {
-	if strings.HasPrefix(urlPath, objectPath) {
+	if strings.HasPrefix(urlPath, objectPathPrefix) {
 		return "objects"
 	}
 	return path.Base(urlPath)
@@ -126,7 +127,7 @@
 	return count, err
 }
 
-// countedWriter counts the bytes of an answer's body.
+// countedWriter counts the bytes of a response body.
 type countedWriter struct {
 	http.ResponseWriter
 	bytes prometheus.Counter
@@ -138,5 +139,5 @@
 	return count, err
 }
 
-// Unwrap serves http.ResponseController.
+// Unwrap returns the wrapped writer for http.ResponseController.
 func (w *countedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
