--- a/internal/buildid/buildid.go
+++ b/internal/buildid/buildid.go
@@ -1,5 +1,5 @@
-// Package buildid tells which build of the program runs, so that logs and metrics of nodes tell two
-// builds apart that run side by side.
+// Package buildid identifies the build of the running program, so that the logs and metrics of
+// nodes distinguish two builds that run side by side.
 //
 // It may import the standard library only.
 package buildid
@@ -12,27 +12,28 @@
 )
 
 const (
-	// Unknown is the build of a program that does not say.
+	// Unknown is reported if the program contains no build ID.
 	Unknown = "unknown"
-	// shortLength is the number of characters of a build that are told.
-	shortLength = 12
-	// noteSection holds the ID that the linker gives a program, and noteHeader the bytes before it.
-	noteSection = ".note.go.buildid"
-	noteHeader  = 16
+	// shortIDLength is the length to which a build ID is cut.
+	shortIDLength = 12
+	// noteSection is the ELF section with the build ID that the linker writes; the ID follows a
+	// header of noteHeaderBytes.
+	noteSection     = ".note.go.buildid"
+	noteHeaderBytes = 16
 )
 
-// Current is the build of this process: the revision of its sources where the program knows it, with
-// a mark where they were changed, else a part of the ID that the linker gave it.
+// Current returns the build of this process: the VCS revision if the program contains it, with a
+// suffix if the sources were modified, and otherwise a part of the linker's build ID.
 func Current() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		if revision := revisionOf(info.Settings); revision != "" {
+		if revision := vcsRevision(info.Settings); revision != "" {
 			return revision
 		}
 	}
-	return linked("/proc/self/exe")
+	return linkerBuildID("/proc/self/exe")
 }
 
-func revisionOf(settings []debug.BuildSetting) string {
+func vcsRevision(settings []debug.BuildSetting) string {
 	values := make(map[string]string, len(settings))
 	for _, setting := range settings {
 		values[setting.Key] = setting.Value
@@ -44,8 +45,9 @@
 	return revision
 }
 
-// linked is the part of the linker's ID that goes by the program's content.
-func linked(path string) string {
+// linkerBuildID returns the last part of the linker's build ID, which is a hash of the program's
+// content.
+func linkerBuildID(path string) string {
 	program, err := elf.Open(path)
 	if err != nil {
 		return Unknown
@@ -56,11 +58,11 @@
 		return Unknown
 	}
 	note, err := section.Data()
-	if err != nil || len(note) <= noteHeader {
+	if err != nil || len(note) <= noteHeaderBytes {
 		return Unknown
 	}
-	id := string(bytes.TrimRight(note[noteHeader:], "\x00"))
+	id := string(bytes.TrimRight(note[noteHeaderBytes:], "\x00"))
 	return shorten(id[strings.LastIndexByte(id, '/')+1:])
 }
 
-func shorten(text string) string { return text[:min(shortLength, len(text))] }
+func shorten(text string) string { return text[:min(shortIDLength, len(text))] }
--- a/internal/buildid/buildid_test.go
+++ b/internal/buildid/buildid_test.go
@@ -9,22 +9,22 @@
 
 func TestBuilds(t *testing.T) {
 	revision := []debug.BuildSetting{{Key: "vcs.revision", Value: "0123456789abcdef"}}
-	if got := revisionOf(revision); got != "0123456789ab" {
-		t.Errorf("build %q", got)
+	if got := vcsRevision(revision); got != "0123456789ab" {
+		t.Errorf("revision of unmodified sources is %q", got)
 	}
-	if got := revisionOf(append(revision, debug.BuildSetting{Key: "vcs.modified", Value: "true"})); got != "0123456789ab+changes" {
-		t.Errorf("build %q of changed sources", got)
+	if got := vcsRevision(append(revision, debug.BuildSetting{Key: "vcs.modified", Value: "true"})); got != "0123456789ab+changes" {
+		t.Errorf("revision of modified sources is %q", got)
 	}
-	if got := linked("/proc/self/exe"); got == Unknown || len(got) != shortLength {
-		t.Errorf("build %q of this program", got)
+	if got := linkerBuildID("/proc/self/exe"); got == Unknown || len(got) != shortIDLength {
+		t.Errorf("linker build ID of this program is %q", got)
 	}
-	other := filepath.Join(t.TempDir(), "no-program")
-	if err := os.WriteFile(other, []byte("text"), 0o600); err != nil {
+	notELF := filepath.Join(t.TempDir(), "no-program")
+	if err := os.WriteFile(notELF, []byte("text"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{other, filepath.Join(t.TempDir(), "nothing")} {
-		if got := linked(path); got != Unknown {
-			t.Errorf("build %q of what is no program", got)
+	for _, path := range []string{notELF, filepath.Join(t.TempDir(), "nothing")} {
+		if got := linkerBuildID(path); got != Unknown {
+			t.Errorf("linker build ID of a file that is missing or not ELF is %q", got)
 		}
 	}
 }
