--- a/internal/peer/builds_test.go
+++ b/internal/peer/builds_test.go
@@ -14,12 +14,12 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// builds are the messages of landed builds, as they were recorded there.
-func builds(t *testing.T) map[string]map[string][]byte {
+// recordedBuilds returns the recorded messages of earlier builds, by file and message name.
+func recordedBuilds(t *testing.T) map[string]map[string][]byte {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", "builds", "*.json"))
 	if err != nil || len(paths) < 3 {
-		t.Fatalf("%d builds are recorded, %v", len(paths), err)
+		t.Fatalf("%d recorded builds, want at least 3 (%v)", len(paths), err)
 	}
 	all := make(map[string]map[string][]byte)
 	for _, path := range paths {
@@ -36,44 +36,45 @@
 	return all
 }
 
-// TestMessagesOfLandedBuildsAreRead: nodes of two builds stand side by side while machines are
-// replaced. Each field has the number, the form and the meaning that it had: what is read is
-// written as it came.
+// TestMessagesOfLandedBuildsAreRead guards against incompatible changes of messages. Nodes of two
+// builds run side by side during a rollout, so each field must keep its number, encoding and
+// meaning: a message of an earlier build must decode and encode again to the same bytes.
 func TestMessagesOfLandedBuildsAreRead(t *testing.T) {
-	for build, messages := range builds(t) {
+	for build, messages := range recordedBuilds(t) {
 		for name, recorded := range messages {
-			message := messageNamed(name)
+			message := newMessage(name)
 			if err := proto.Unmarshal(recorded, message); err != nil {
 				t.Errorf("%s: %s: %v", build, name, err)
 				continue
 			}
-			if unknown := unknownFields(message.ProtoReflect()); unknown != "" {
-				t.Errorf("%s: %s: nobody reads %s any more", build, name, unknown)
+			if unknownIn := messageWithUnknownFields(message.ProtoReflect()); unknownIn != "" {
+				t.Errorf("%s: %s: message %s has unknown fields", build, name, unknownIn)
 			}
-			again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
-			if err != nil || !bytes.Equal(again, recorded) {
-				t.Errorf("%s: %s: written as %x, was %x (%v)", build, name, again, recorded, err)
+			encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+			if err != nil || !bytes.Equal(encoded, recorded) {
+				t.Errorf("%s: %s: encoded as %x, was recorded as %x (%v)", build, name, encoded, recorded, err)
 			}
 		}
 	}
 }
 
-// messageNamed is an empty message of the kind that was recorded under the name.
-func messageNamed(name string) proto.Message {
+// newMessage returns an empty message of the type that was recorded under the name.
+func newMessage(name string) proto.Message {
 	switch name {
 	case "snapshot request":
 		return &peerpb.SnapshotRequest{}
 	case "snapshot response":
 		return &peerpb.SnapshotResponse{}
 	}
-	if kind, err := protoregistry.GlobalTypes.FindMessageByName(protoreflect.FullName(name)); err == nil {
-		return kind.New().Interface()
+	if messageType, err := protoregistry.GlobalTypes.FindMessageByName(protoreflect.FullName(name)); err == nil {
+		return messageType.New().Interface()
 	}
 	return &peerpb.NodeState{}
 }
 
-// unknownFields names the first message in which something stands that is not read.
-func unknownFields(message protoreflect.Message) string {
+// messageWithUnknownFields returns the name of a message, at any depth, that has unknown fields, or
+// "" if there is none.
+func messageWithUnknownFields(message protoreflect.Message) string {
 	if len(message.GetUnknown()) > 0 {
 		return string(message.Descriptor().FullName())
 	}
@@ -82,10 +83,10 @@
 		switch {
 		case field.IsList() && field.Message() != nil:
 			for i := range value.List().Len() {
-				found = unknownFields(value.List().Get(i).Message())
+				found = messageWithUnknownFields(value.List().Get(i).Message())
 			}
 		case field.Message() != nil:
-			found = unknownFields(value.Message())
+			found = messageWithUnknownFields(value.Message())
 		}
 		return found == ""
 	})
--- a/internal/peer/crashreports.go
+++ b/internal/peer/crashreports.go
@@ -7,25 +7,25 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// CrashReportsOf reads reports as nodes send them; those without a fingerprint are left out.
+// CrashReportsOf decodes reports from their wire form and skips those without a valid fingerprint.
 func CrashReportsOf(encoded []*peerpb.CrashReport) []poison.Report {
 	reports := make([]poison.Report, 0, len(encoded))
-	for _, told := range encoded {
-		fingerprint, ok := poison.DecodeFingerprint(told.GetFingerprint())
+	for _, message := range encoded {
+		fingerprint, ok := poison.DecodeFingerprint(message.GetFingerprint())
 		if !ok {
 			continue
 		}
 		reports = append(reports, poison.Report{
-			Fingerprint: fingerprint, ServerID: told.GetServer(), Acquitted: told.GetAcquitted(), Lifted: told.GetLifted(),
-			Age:       time.Duration(told.GetAgeMs()) * time.Millisecond,
-			RanFor:    time.Duration(told.GetRanMs()) * time.Millisecond,
-			BarredFor: time.Duration(told.GetBarredMs()) * time.Millisecond,
+			Fingerprint: fingerprint, ServerID: message.GetServer(), Acquitted: message.GetAcquitted(), Lifted: message.GetLifted(),
+			Age:       time.Duration(message.GetAgeMs()) * time.Millisecond,
+			RanFor:    time.Duration(message.GetRanMs()) * time.Millisecond,
+			BarredFor: time.Duration(message.GetBarredMs()) * time.Millisecond,
 		})
 	}
 	return reports
 }
 
-// EncodeCrashReports writes reports as nodes send them.
+// EncodeCrashReports encodes reports in their wire form.
 func EncodeCrashReports(reports []poison.Report) []*peerpb.CrashReport {
 	encoded := make([]*peerpb.CrashReport, 0, len(reports))
 	for _, report := range reports {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,5 +1,8 @@
-// Package peer carries calls between nodes: twirp clients and the server that
-// the node's shells register with. The generated code lies in peerpb.
+// Package peer provides the RPC between nodes: twirp clients for calling other
+// nodes, and the HTTP handler for the services that a node offers to them. It also
+// converts crash reports between their wire form and package poison. The generated
+// code is in peerpb. Packages node and edge call it.
 //
-// It may import fleet, poison for the reports that calls and datagrams carry, and peerpb.
+// It may import fleet, poison for the crash reports that calls and datagrams carry,
+// traffic, and peerpb.
 package peer
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,11 +14,12 @@
 	dialTimeout         = 500 * time.Millisecond
 	idleConnectionLimit = 2
 	idleTimeout         = 90 * time.Second
-	// maxPeerBodyBytes bounds a request body from a peer.
+	// maxPeerBodyBytes limits the size of a request body from a peer.
 	maxPeerBodyBytes = 16 << 20
 )
 
-// Handlers are the services that a node offers to its peers.
+// Handlers holds the implementations of the services that a node offers to its
+// peers.
 type Handlers struct {
 	Config   peerpb.Config
 	Control  peerpb.Control
@@ -27,7 +28,7 @@
 	Quotas   peerpb.Quotas
 }
 
-// NewHandler serves the peers' calls.
+// NewHandler returns an HTTP handler for the services.
 func NewHandler(handlers Handlers) http.Handler {
 	mux := http.NewServeMux()
 	register(mux, peerpb.NewConfigServer(handlers.Config))
@@ -42,7 +43,7 @@
 	mux.Handle(server.PathPrefix(), server)
 }
 
-// Clients calls one peer.
+// Clients holds the service clients for one peer.
 type Clients struct {
 	Config   peerpb.Config
 	Control  peerpb.Control
@@ -51,7 +52,7 @@
 	Quotas   peerpb.Quotas
 }
 
-// Pool keeps the clients of all peers over one shared transport.
+// Pool caches the clients for all peers. They share one transport.
 type Pool struct {
 	client *http.Client
 
@@ -72,27 +73,28 @@
 	}
 }
 
-// CountTraffic counts the calls from now on; it goes before the first call.
+// CountTraffic counts the pool's traffic in channel. It must be called before the
+// first request.
 func (p *Pool) CountTraffic(channel *traffic.ChannelCounters) {
 	channel.InstrumentClient(p.client)
 }
 
-// To returns the clients of the peer that listens at the address (IP:port).
-// Each call must bound itself by its context's deadline.
+// To returns the clients for the peer at the address (IP:port). The clients have no
+// timeout, so each call needs a context with a deadline.
 func (p *Pool) To(address string) Clients {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if known, found := p.clients[address]; found {
-		return known
+	if cached, found := p.clients[address]; found {
+		return cached
 	}
 	base := "http://" + address
-	created := Clients{
+	clients := Clients{
 		Config:   peerpb.NewConfigProtobufClient(base, p.client),
 		Control:  peerpb.NewControlProtobufClient(base, p.client),
 		Claims:   peerpb.NewClaimsProtobufClient(base, p.client),
 		Suspects: peerpb.NewSuspectsProtobufClient(base, p.client),
 		Quotas:   peerpb.NewQuotasProtobufClient(base, p.client),
 	}
-	p.clients[address] = created
-	return created
+	p.clients[address] = clients
+	return clients
 }
--- a/internal/peer/record_test.go
+++ b/internal/peer/record_test.go
@@ -14,18 +14,18 @@
 	"github.com/spanlanding/spanlanding/internal/peer/peerpb"
 )
 
-// recordBuild names the commit whose messages are written to testdata: go test ./internal/peer
-// -run TestRecordMessages -record COMMIT, at that commit.
-var recordBuild = flag.String("record", "", "the commit to record the messages of")
+// recordBuild is the commit whose messages TestRecordMessages writes to testdata. Run it at that
+// commit: go test ./internal/peer -run TestRecordMessages -record COMMIT.
+var recordBuild = flag.String("record", "", "commit whose messages are recorded")
 
-// recordedMessages are those by which nodes speak, with all fields that the build has set: of
-// those on the operators' platform by what they are for, of all by their names.
-func recordedMessages() map[string]proto.Message {
+// sampleMessages returns messages between nodes with all fields of this build set: those on the
+// operators' platform by purpose, and every type in the peers' package by its full name.
+func sampleMessages() map[string]proto.Message {
 	messages := platformMessages()
-	ofPeers := peerpb.File_control_proto.Package()
+	peerPackage := peerpb.File_control_proto.Package()
 	protoregistry.GlobalTypes.RangeMessages(func(message protoreflect.MessageType) bool {
-		if descriptor := message.Descriptor(); descriptor.ParentFile().Package() == ofPeers && !descriptor.IsMapEntry() {
-			messages[string(descriptor.FullName())] = filled(message.New().Interface())
+		if descriptor := message.Descriptor(); descriptor.ParentFile().Package() == peerPackage && !descriptor.IsMapEntry() {
+			messages[string(descriptor.FullName())] = withAllFields(message.New().Interface())
 		}
 		return true
 	})
@@ -33,23 +33,23 @@
 }
 
 func platformMessages() map[string]proto.Message {
-	state := filled(&peerpb.NodeState{}).(*peerpb.NodeState)
+	state := withAllFields(&peerpb.NodeState{}).(*peerpb.NodeState)
 	state.Quota, state.Trial, state.Spread = nil, nil, nil
 	return map[string]proto.Message{
 		"state":             state,
-		"quota":             &peerpb.NodeState{Quota: filled(&peerpb.QuotaCall{}).(*peerpb.QuotaCall)},
-		"trial":             &peerpb.NodeState{Trial: filled(&peerpb.TrialCall{}).(*peerpb.TrialCall)},
-		"snapshot request":  filled(&peerpb.SnapshotRequest{}),
-		"snapshot response": filled(&peerpb.SnapshotResponse{}),
+		"quota":             &peerpb.NodeState{Quota: withAllFields(&peerpb.QuotaCall{}).(*peerpb.QuotaCall)},
+		"trial":             &peerpb.NodeState{Trial: withAllFields(&peerpb.TrialCall{}).(*peerpb.TrialCall)},
+		"snapshot request":  withAllFields(&peerpb.SnapshotRequest{}),
+		"snapshot response": withAllFields(&peerpb.SnapshotResponse{}),
 	}
 }
 
 func TestRecordMessages(t *testing.T) {
 	if *recordBuild == "" {
-		t.Skip("not asked for: -record COMMIT")
+		t.Skip("records messages only with -record COMMIT")
 	}
 	recorded := make(map[string][]byte)
-	for name, message := range recordedMessages() {
+	for name, message := range sampleMessages() {
 		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
@@ -65,41 +65,41 @@
 	}
 }
 
-// filled sets all fields of a message.
-func filled(message proto.Message) proto.Message {
-	fill(message.ProtoReflect())
+// withAllFields sets all fields of a message except maps and returns it.
+func withAllFields(message proto.Message) proto.Message {
+	fillFields(message.ProtoReflect())
 	return message
 }
 
-func fill(message protoreflect.Message) {
+func fillFields(message protoreflect.Message) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		switch {
 		case field.IsList() && field.Message() != nil:
-			fill(message.Mutable(field).List().AppendMutable().Message())
+			fillFields(message.Mutable(field).List().AppendMutable().Message())
 		case field.IsList():
-			message.Mutable(field).List().Append(scalar(field))
+			message.Mutable(field).List().Append(sampleValue(field))
 		case field.IsMap():
 		case field.Message() != nil:
-			fill(message.Mutable(field).Message())
+			fillFields(message.Mutable(field).Message())
 		default:
-			message.Set(field, scalar(field))
+			message.Set(field, sampleValue(field))
 		}
 	}
 }
 
-// texts are those that stand for something.
-var texts = map[protoreflect.Name]string{"address": "127.0.0.1:9", "server": "i-1", "service": "s", "zone": "z", "asker": "127.0.0.1:9"}
+// sampleStrings holds values for string fields whose name alone would not be a usable value.
+var sampleStrings = map[protoreflect.Name]string{"address": "127.0.0.1:9", "server": "i-1", "service": "s", "zone": "z", "asker": "127.0.0.1:9"}
 
-// scalar is a value for a field, by its number.
-func scalar(field protoreflect.FieldDescriptor) protoreflect.Value {
+// sampleValue returns a value for a scalar field; numeric values equal the field's number.
+func sampleValue(field protoreflect.FieldDescriptor) protoreflect.Value {
 	number := int64(field.Number())
 	switch field.Kind() {
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(true)
 	case protoreflect.StringKind:
-		if text, ok := texts[field.Name()]; ok {
+		if text, ok := sampleStrings[field.Name()]; ok {
 			return protoreflect.ValueOfString(text)
 		}
 		return protoreflect.ValueOfString(string(field.Name()))
@@ -118,6 +118,6 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(float64(number))
 	default:
-		panic("record: a field of kind " + field.Kind().String())
+		panic("no sample value for a field of kind " + field.Kind().String())
 	}
 }
