--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -12,11 +12,12 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// writeTimeout bounds one write with its reading back, so that one lost answer
-// does not take the time of the whole run.
+// writeTimeout bounds one write including the read-back that follows a lost
+// response, so that a single lost response can't use up the time of the whole
+// run.
 const writeTimeout = 5 * time.Second
 
-// Outcome is what became of one change.
+// Outcome is the result of one change.
 type Outcome string
 
 // The outcomes of a change.
@@ -25,38 +26,40 @@
 	OutcomeUpdated   Outcome = "updated"
 	OutcomeDeleted   Outcome = "deleted"
 	OutcomeUnchanged Outcome = "unchanged"
-	// OutcomeConflict: another's change won.
+	// OutcomeConflict: a concurrent change by someone else was written first.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeUnknown: the store gave no answer; applying again settles it.
+	// OutcomeUnknown: the store did not respond, so the write may or may not
+	// have taken effect; applying again resolves it.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeRefused: the store refused the write; nothing changed.
+	// OutcomeRefused: the store rejected the write; nothing changed.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeNotTried: the store was not reached, or an earlier change did not succeed.
+	// OutcomeNotTried: the store could not be reached, or an earlier change
+	// failed.
 	OutcomeNotTried Outcome = "not-tried"
 )
 
-// Applied is the outcome of one change.
+// Applied reports the outcome of one change.
 type Applied struct {
 	Kind    string  `json:"kind"`
 	Name    string  `json:"name"`
 	Outcome Outcome `json:"outcome"`
-	// Version is the object's version in the store, where it is known.
+	// Version is the object's version in the store, 0 if unknown.
 	Version uint64 `json:"version,omitempty"`
-	// ChangedBy and ChangeID name the change that won a conflict.
+	// ChangedBy and ChangeID identify the change that won a conflict.
 	ChangedBy string `json:"changedBy,omitempty"`
 	ChangeID  string `json:"changeId,omitempty"`
 }
 
-// ApplyResult is what an apply did.
+// ApplyResult reports the outcome of every change of an apply.
 type ApplyResult struct {
 	Owner string `json:"owner"`
-	// Version is the store revision from which on everything that was
-	// accepted is in the store; pass it to wait.
+	// Version is the store revision that includes every accepted change; the
+	// wait command takes it as its argument.
 	Version uint64    `json:"version"`
 	Objects []Applied `json:"objects"`
 }
 
-// Changed counts the objects that were written.
+// Changed returns the number of objects that were created, updated or deleted.
 func (r ApplyResult) Changed() int {
 	changed := 0
 	for _, object := range r.Objects {
@@ -68,24 +71,24 @@
 	return changed
 }
 
-// Writer names who changes objects.
+// Writer identifies who changes objects and in which run.
 type Writer struct {
-	// By names the operator.
+	// By is the name of the operator.
 	By string
-	// RunID differs for each run of apply; change ids are formed from it.
+	// RunID is unique to each run of apply; change IDs are derived from it.
 	RunID string
 }
 
-// Apply carries out a plan, change by change. It stops at the first that does
-// not succeed; what was accepted until then stays, and a later run with the
-// same declarations goes on from there.
+// Apply executes the changes of a plan in order. It stops at the first failure
+// and returns its error; changes accepted before that are not rolled back, and
+// a later run with the same declarations continues from there.
 func Apply(ctx context.Context, store Store, plan Plan, writer Writer) (ApplyResult, error) {
 	result := ApplyResult{Owner: plan.Owner}
 	var failure error
 	for _, change := range plan.Changes {
 		applied := Applied{Kind: change.After.Kind, Name: change.After.Name, Outcome: OutcomeNotTried}
 		if failure == nil {
-			applied, failure = applyOne(ctx, store, change, writer)
+			applied, failure = applyChange(ctx, store, change, writer)
 		}
 		result.Objects = append(result.Objects, applied)
 		if applied.Outcome != OutcomeConflict {
@@ -95,7 +98,7 @@
 	return result, failure
 }
 
-func applyOne(ctx context.Context, store Store, change Change, writer Writer) (Applied, error) {
+func applyChange(ctx context.Context, store Store, change Change, writer Writer) (Applied, error) {
 	applied := Applied{Kind: change.After.Kind, Name: change.After.Name}
 	if change.Action == ActionNone {
 		applied.Outcome, applied.Version = OutcomeUnchanged, change.Before.Version
@@ -104,28 +107,29 @@
 	object := change.After
 	object.ChangedBy = writer.By
 	object.ChangeID = fmt.Sprintf("%s/%s/%s", writer.RunID, object.Kind, object.Name)
-	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, outcome, err := write(bounded, store, change.Action, object, change.Before.Version)
+	written, outcome, err := write(writeCtx, store, change.Action, object, change.Before.Version)
 	if err == nil {
 		applied.Outcome, applied.Version = outcome, written.Version
 		return applied, nil
 	}
-	conflict, lost := objectstore.AsConflict(err)
-	if !lost {
-		return unwritten(applied, err)
+	conflict, isConflict := objectstore.AsConflict(err)
+	if !isConflict {
+		return classifyWriteError(applied, err)
 	}
-	if alreadySo(change, conflict.Current) {
+	if alreadyApplied(change, conflict.Current) {
 		applied.Outcome, applied.Version = OutcomeUnchanged, conflict.Current.Version
 		return applied, nil
 	}
 	applied.Outcome, applied.Version = OutcomeConflict, conflict.Current.Version
 	applied.ChangedBy, applied.ChangeID = conflict.Current.ChangedBy, conflict.Current.ChangeID
-	return applied, ErrConflict.New("%s %q was not written over version %d: %s", object.Kind, object.Name, change.Before.Version, describe(conflict.Current))
+	return applied, ErrConflict.New("%s %q was not written over version %d: %s", object.Kind, object.Name, change.Before.Version, describeCurrent(conflict.Current))
 }
 
-// unwritten tells a write that may have taken effect from one that has not.
-func unwritten(applied Applied, err error) (Applied, error) {
+// classifyWriteError sets the outcome of a failed write: unknown if it may have
+// taken effect, else not tried or refused.
+func classifyWriteError(applied Applied, err error) (Applied, error) {
 	if errorx.IsOfType(err, objectstore.Unavailable) && !errorx.IsOfType(err, objectstore.NotSent) {
 		applied.Outcome = OutcomeUnknown
 		return applied, ErrUnreachable.Wrap(err, "%s %q: no answer from the store; apply again to settle it", applied.Kind, applied.Name)
@@ -152,8 +156,9 @@
 	}
 }
 
-// alreadySo reports whether another operator made the very same change first.
-func alreadySo(change Change, current objectstore.Object) bool {
+// alreadyApplied reports whether another operator made an identical change
+// first.
+func alreadyApplied(change Change, current objectstore.Object) bool {
 	if change.Action == ActionDelete {
 		return current.Deleted || current.Version == 0
 	}
--- a/internal/operator/apply_test.go
+++ b/internal/operator/apply_test.go
@@ -43,11 +43,11 @@
 	options := PlanOptions{Owner: "fjordkurv", Prune: true}
 	first := mustApply(t, store, store.plan(set.Objects(), options), "anna")
 	if first.Changed() != len(set.Objects()) || first.Version != store.list().Version {
-		t.Fatalf("%d of %d written, version %d of %d", first.Changed(), len(set.Objects()), first.Version, store.list().Version)
+		t.Fatalf("first apply: %d of %d objects written, result version %d, store version %d", first.Changed(), len(set.Objects()), first.Version, store.list().Version)
 	}
 	again := mustApply(t, store, store.plan(set.Objects(), options), "bo")
 	if again.Changed() != 0 || again.Version != first.Version || store.list().Version != first.Version {
-		t.Errorf("applying again wrote %d objects, version %d after %d", again.Changed(), again.Version, first.Version)
+		t.Errorf("second apply: %d objects written, version %d, version of the first %d", again.Changed(), again.Version, first.Version)
 	}
 }
 
@@ -73,11 +73,11 @@
 	mustApply(t, store, store.plan(declare(t, modelA), PlanOptions{Owner: "first"}), "anna")
 	stored := store.list().Objects
 	if _, err := NewPlan(declare(t, modelA), stored, PlanOptions{Owner: "second"}); CodeOf(err) != ExitConflict {
-		t.Errorf("taking another set's object gave %v", err)
+		t.Errorf("plan for an object of another set: error %v, want a conflict", err)
 	}
 	plan, err := NewPlan(declare(t, modelA), stored, PlanOptions{Owner: "second", TakeOver: true})
 	if err != nil || len(plan.Pending()) != 1 {
-		t.Errorf("taking over gave %v, %v", plan.Pending(), err)
+		t.Errorf("plan with TakeOver: pending %v, error %v, want one change", plan.Pending(), err)
 	}
 }
 
@@ -87,11 +87,11 @@
 	mustApply(t, store, store.plan(declare(t, modelA+separator+modelB), options), "anna")
 	larger := strings.Replace(modelA, "memory: 1GiB", "memory: 3GiB", 1)
 	smaller := strings.Replace(modelA, "memory: 1GiB", "memory: 512MiB", 1)
-	losing := store.plan(declare(t, smaller+separator+modelB+separator+adapterOfA), options)
+	stalePlan := store.plan(declare(t, smaller+separator+modelB+separator+adapterOfA), options)
 	won := mustApply(t, store, store.plan(declare(t, larger), options), "bo")
-	result, err := apply(t, store, losing, "carl")
+	result, err := apply(t, store, stalePlan, "carl")
 	if CodeOf(err) != ExitConflict || !strings.Contains(Message(err), "version 3 by bo won") {
-		t.Errorf("the loser was told %v", err)
+		t.Errorf("error %v, want a conflict with version 3 by bo", err)
 	}
 	want := []Applied{
 		{Kind: "Model", Name: "a", Outcome: OutcomeConflict, Version: won.Version, ChangedBy: "bo", ChangeID: "bo-run/Model/a"},
@@ -110,7 +110,7 @@
 	won := mustApply(t, store, first, "anna")
 	result := mustApply(t, store, second, "bo")
 	if result.Objects[0].Outcome != OutcomeUnchanged || result.Version != won.Version {
-		t.Errorf("the second operator got %+v", result)
+		t.Errorf("result of the second operator: %+v, want unchanged", result)
 	}
 }
 
@@ -118,26 +118,26 @@
 	store := newTestStore(t)
 	set, _ := spec.Load([]string{"../../examples/holmgaard"})
 	plan := store.plan(set.Objects(), PlanOptions{Owner: "holmgaard"})
-	store.fault(faults.Set{LoseAnswers: -1})
+	store.injectFaults(faults.Set{LoseAnswers: -1})
 	result := mustApply(t, store, plan, "anna")
-	store.fault(faults.Set{})
-	// Each write raises the store's version by one.
+	store.injectFaults(faults.Set{})
+	// Each write increments the store's version by one.
 	if written := store.list().Version; int(written) != len(set.Objects()) || result.Version != written {
-		t.Errorf("%d objects took %d writes; apply says version %d", len(set.Objects()), written, result.Version)
+		t.Errorf("%d objects: store version %d, result version %d, want all equal", len(set.Objects()), written, result.Version)
 	}
 }
 
-// failing is a store that fails before the write of a given number.
-type failing struct {
+// failingStore fails write number failAt without passing it on.
+type failingStore struct {
 	Store
 	writes int
-	at     int
+	failAt int
 	err    error
 }
 
-func (f *failing) Put(ctx context.Context, object objectstore.Object, expected uint64) (objectstore.Object, error) {
+func (f *failingStore) Put(ctx context.Context, object objectstore.Object, expected uint64) (objectstore.Object, error) {
 	f.writes++
-	if f.writes == f.at {
+	if f.writes == f.failAt {
 		return objectstore.Object{}, f.err
 	}
 	return f.Store.Put(ctx, object, expected)
@@ -157,13 +157,13 @@
 			store := newTestStore(t)
 			options := PlanOptions{Owner: "set"}
 			declared := declare(t, modelA+separator+modelB+separator+adapterOfA)
-			broken := &failing{Store: store, at: 2, err: test.err}
-			result, err := Apply(t.Context(), broken, store.plan(declared, options), Writer{By: "anna", RunID: "1"})
+			interrupted := &failingStore{Store: store, failAt: 2, err: test.err}
+			result, err := Apply(t.Context(), interrupted, store.plan(declared, options), Writer{By: "anna", RunID: "1"})
 			if CodeOf(err) != ExitUnreachable {
-				t.Errorf("the error is %v", err)
+				t.Errorf("error %v, want one with ExitUnreachable", err)
 			}
 			if difference := cmp.Diff([]Outcome{OutcomeCreated, test.want, OutcomeNotTried}, outcomes(result)); difference != "" {
-				t.Errorf("broken run (-want +got):\n%s", difference)
+				t.Errorf("interrupted run (-want +got):\n%s", difference)
 			}
 			resumed := mustApply(t, store, store.plan(declared, options), "anna")
 			if difference := cmp.Diff([]Outcome{OutcomeUnchanged, OutcomeCreated, OutcomeCreated}, outcomes(resumed)); difference != "" {
--- a/internal/operator/catalog_test.go
+++ b/internal/operator/catalog_test.go
@@ -9,8 +9,9 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// TestCatalogTakesWhatValidatePasses holds the two checks of declarations
-// against each other: what is valid must not be left out by a node.
+// TestCatalogTakesWhatValidatePasses guards against a difference between the two
+// checks of declarations: a node must not reject an object that passes
+// validation.
 func TestCatalogTakesWhatValidatePasses(t *testing.T) {
 	routes := map[string]map[string]fleet.DeploymentName{
 		"fjordkurv": {"chat": "ingredient-chat", "box-swap": "box-swap", "replan": "overnight-replan"},
@@ -23,7 +24,7 @@
 		}
 		var objects []objectstore.Object
 		for index, declared := range set.Objects() {
-			object := desired(declared, folder)
+			object := desiredObject(declared, folder)
 			object.Version = uint64(index + 1)
 			objects = append(objects, object)
 		}
@@ -34,7 +35,7 @@
 		for job, want := range jobs {
 			route, found := snapshot.ModelRoute(map[string]string{"job": job, "model": "any"})
 			if !found || route.Deployment != want {
-				t.Errorf("%s: job=%s leads to %q, want %q", folder, job, route.Deployment, want)
+				t.Errorf("%s: job=%s is routed to %q, want %q", folder, job, route.Deployment, want)
 			}
 		}
 	}
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -11,26 +11,26 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// FieldChange is one field that differs. An empty Before or After says that
-// the field is not there.
+// FieldChange is one field that differs. An empty Before or After means that
+// the field is absent on that side.
 type FieldChange struct {
 	Path   string `json:"path"`
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// Difference is one object that apply would change.
+// Difference describes one object that apply would change.
 type Difference struct {
 	Action Action `json:"action"`
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
-	// Version and ChangedBy are of the object in the store.
+	// Version and ChangedBy are those of the object in the store.
 	Version   uint64        `json:"version,omitempty"`
 	ChangedBy string        `json:"changedBy,omitempty"`
 	Fields    []FieldChange `json:"fields,omitempty"`
 }
 
-// Differences lists what applying the plan would change.
+// Differences lists the objects that applying the plan would change.
 func Differences(plan Plan) []Difference {
 	differences := []Difference{}
 	for _, change := range plan.Pending() {
@@ -61,7 +61,9 @@
 	return changes
 }
 
-// flatten returns each leaf of labels and spec by its path.
+// flatten maps the path of each leaf value in the labels and spec of an object
+// to its JSON encoding; labels are kept as they are. A spec without a canonical
+// form is one leaf.
 func flatten(object objectstore.Object) map[string]string {
 	leaves := make(map[string]string)
 	for key, value := range object.Labels {
@@ -97,7 +99,7 @@
 	}
 }
 
-// RenderDifferences prints differences for people.
+// RenderDifferences prints differences as text.
 func RenderDifferences(writer io.Writer, differences []Difference) {
 	marks := map[Action]string{ActionCreate: "+", ActionUpdate: "~", ActionDelete: "-"}
 	for _, difference := range differences {
--- a/internal/operator/docs_test.go
+++ b/internal/operator/docs_test.go
@@ -13,8 +13,9 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// TestOperationsPageNamesEveryCodeAndMetric holds the page against the source:
-// operators look up there what they see in answers and graphs.
+// TestOperationsPageNamesEveryCodeAndMetric checks that the operations page
+// documents every code and metric in the source: operators look up there what
+// they see in responses and graphs.
 func TestOperationsPageNamesEveryCodeAndMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -34,7 +35,7 @@
 		{file: "errors.go", pattern: `(?m)^\s+Exit\w+ ExitCode = (\d)`},
 	}
 	for _, test := range cases {
-		for _, name := range namesIn(t, test.file, test.pattern) {
+		for _, name := range matchesIn(t, test.file, test.pattern) {
 			name = test.prefix + name
 			if !strings.Contains(string(page), "`"+name+"`") && !strings.Contains(string(page), "| "+name+" |") {
 				t.Errorf("docs/OPERATIONS.md does not name %s of %s", name, test.file)
@@ -43,8 +44,8 @@
 	}
 }
 
-// TestOperationsPageNamesEveryFieldOfTheJSON holds the page's table for scripts
-// against what the commands print.
+// TestOperationsPageNamesEveryFieldOfTheJSON checks that the section on JSON
+// output documents every field that the commands print.
 func TestOperationsPageNamesEveryFieldOfTheJSON(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -52,12 +53,12 @@
 	}
 	_, section, _ := strings.Cut(string(page), "### JSON for scripts")
 	section, _, _ = strings.Cut(section, "\n### ")
-	for _, printed := range []any{
+	for _, value := range []any{
 		Status{}, ZoneStatus{}, ModelStatus{}, QueueStatus{}, fleet.Member{}, fleet.Addresses{},
 		WaitResult{}, Lacking{}, ApplyResult{}, Applied{}, Difference{}, FieldChange{}, DrainReport{},
 		objectstore.ObjectList{}, spec.Finding{}, spec.Position{},
 	} {
-		kind := reflect.TypeOf(printed)
+		kind := reflect.TypeOf(value)
 		for index := range kind.NumField() {
 			name, _, _ := strings.Cut(kind.Field(index).Tag.Get("json"), ",")
 			if name != "" && !strings.Contains(section, "`"+name+"`") {
@@ -68,7 +69,7 @@
 }
 
 var (
-	// eventPatterns find the names of events as the source gives them.
+	// eventPatterns match the names of log events in source code.
 	eventPatterns = []*regexp.Regexp{
 		regexp.MustCompile(`\.Msg\("([^"]*)"\)`),
 		regexp.MustCompile(`logFailure\("([^"]*)"`),
@@ -80,8 +81,8 @@
 	codeSpan  = regexp.MustCompile("`([^`]+)`")
 )
 
-// TestOperationsPageNamesEveryEvent holds the table of events against what a
-// node's source logs, in both directions, and that each has a name.
+// TestOperationsPageNamesEveryEvent checks that the table of log events lists
+// exactly the events in the source of a node, and that each name is in snake_case.
 func TestOperationsPageNamesEveryEvent(t *testing.T) {
 	logged := eventsInSource(t)
 	listed := make(map[string]bool)
@@ -97,12 +98,12 @@
 	}
 	for name := range listed {
 		if logged[name] == "" {
-			t.Errorf("docs/OPERATIONS.md lists the event %q, which nothing logs", name)
+			t.Errorf("docs/OPERATIONS.md lists the event %q, which no source file logs", name)
 		}
 	}
 }
 
-// eventsInSource returns the file of each event.
+// eventsInSource maps each event name to a source file that logs it.
 func eventsInSource(t *testing.T) map[string]string {
 	t.Helper()
 	logged := make(map[string]string)
@@ -122,7 +123,7 @@
 			for _, pattern := range eventPatterns {
 				for _, match := range pattern.FindAllStringSubmatch(string(source), -1) {
 					if !eventName.MatchString(match[1]) {
-						t.Errorf("%s: the event %q has no name in snake_case", file, match[1])
+						t.Errorf("%s: the event name %q is not in snake_case", file, match[1])
 					}
 					logged[match[1]] = file
 				}
@@ -132,7 +133,7 @@
 	return logged
 }
 
-// eventRows returns the rows of the page's table of events.
+// eventRows returns the rows of the table of log events.
 func eventRows(t *testing.T) []string {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
@@ -142,7 +143,7 @@
 	_, section, _ := strings.Cut(string(page), "### Log events")
 	section, _, found := strings.Cut(section, "\n## ")
 	if !found {
-		t.Fatal("no section on log events")
+		t.Fatal("docs/OPERATIONS.md has no section \"Log events\"")
 	}
 	var rows []string
 	for line := range strings.Lines(section) {
@@ -153,9 +154,9 @@
 	return rows
 }
 
-// namesIn returns what the pattern finds in a source file, which must be
-// something: a source that was moved must not pass unread.
-func namesIn(t *testing.T, file, pattern string) []string {
+// matchesIn returns the first submatch of each match of the pattern in a source
+// file. It fails if there is none, so that moved source can't go unchecked.
+func matchesIn(t *testing.T, file, pattern string) []string {
 	t.Helper()
 	source, err := os.ReadFile(filepath.FromSlash(file))
 	if err != nil {
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -8,50 +8,51 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// ExitCode is what a command ends with; scripts rely on the numbers.
+// ExitCode is the exit code of a command. Scripts rely on the numbers.
 type ExitCode int
 
 // The exit codes of the commands.
 const (
 	ExitDone ExitCode = 0
-	// ExitFailed is any error that has no code of its own.
+	// ExitFailed is returned for errors without a code of their own.
 	ExitFailed ExitCode = 1
-	// ExitUsage says that the command line was wrong.
+	// ExitUsage means that the command line was invalid.
 	ExitUsage ExitCode = 2
-	// ExitInvalid says that declarations or settings have findings.
+	// ExitInvalid means that validation of declarations or settings failed.
 	ExitInvalid ExitCode = 3
-	// ExitConflict says that another operator's change won.
+	// ExitConflict means that a write conflicted with another operator's change.
 	ExitConflict ExitCode = 4
-	// ExitUnreachable says that the store or the node gave no answer; what was
-	// asked may or may not have taken effect.
+	// ExitUnreachable means that the store or the node did not respond; the
+	// request may or may not have taken effect.
 	ExitUnreachable ExitCode = 5
-	// ExitTimeout says that wait ended before every node had the version.
+	// ExitTimeout means that wait timed out before every node had the version.
 	ExitTimeout ExitCode = 6
-	// ExitDifferent says that diff found differences.
+	// ExitDifferent means that diff found differences.
 	ExitDifferent ExitCode = 7
-	// ExitNotFound says that the object does not exist.
+	// ExitNotFound means that the object does not exist.
 	ExitNotFound ExitCode = 8
 )
 
 var (
 	errorNamespace = errorx.NewNamespace("operator")
-	// ErrUsage is the type of errors in the command line.
+	// ErrUsage is the type of command line errors.
 	ErrUsage = errorNamespace.NewType("usage")
-	// ErrInvalid is the type of errors in declarations or settings.
+	// ErrInvalid is the type of validation errors in declarations or settings.
 	ErrInvalid = errorNamespace.NewType("invalid")
-	// ErrConflict is the type of writes that lost to another's change.
+	// ErrConflict is the type of errors for writes that conflict with another
+	// change.
 	ErrConflict = errorNamespace.NewType("conflict")
-	// ErrUnreachable is the type of calls without an answer.
+	// ErrUnreachable is the type of errors for calls that got no valid response.
 	ErrUnreachable = errorNamespace.NewType("unreachable")
-	// ErrTimeout is the type of waits that ended too early.
+	// ErrTimeout is the type of errors for waits that timed out.
 	ErrTimeout = errorNamespace.NewType("timeout")
-	// ErrDifferent is the type of a diff that is not empty.
+	// ErrDifferent is the type of the error that reports a non-empty diff.
 	ErrDifferent = errorNamespace.NewType("different")
-	// ErrNotFound is the type of objects that do not exist.
+	// ErrNotFound is the type of errors for objects that do not exist.
 	ErrNotFound = errorNamespace.NewType("not_found")
 )
 
-// CodeOf returns the exit code for the error of a command.
+// CodeOf returns the exit code for an error returned by a command.
 func CodeOf(err error) ExitCode {
 	if err == nil {
 		return ExitDone
@@ -80,19 +81,19 @@
 	return ExitFailed
 }
 
-// describe says which version of an object stands, and whose change it is.
-func describe(current objectstore.Object) string {
+// describeCurrent describes the current version of an object and who wrote it.
+func describeCurrent(current objectstore.Object) string {
 	if current.Version == 0 {
 		return "it is not in the store any more"
 	}
-	what := "version %d by %s won (change %s)"
+	format := "version %d by %s won (change %s)"
 	if current.Deleted {
-		what = "version %d by %s deleted it (change %s)"
+		format = "version %d by %s deleted it (change %s)"
 	}
-	return fmt.Sprintf(what, current.Version, orUnnamed(current.ChangedBy), orUnnamed(current.ChangeID))
+	return fmt.Sprintf(format, current.Version, orUnnamed(current.ChangedBy), orUnnamed(current.ChangeID))
 }
 
-// Message returns the error's text for people, without the names of types.
+// Message returns the error's text without the names of error types.
 func Message(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil {
--- a/internal/operator/find.go
+++ b/internal/operator/find.go
@@ -7,14 +7,15 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// IsAddress reports whether the text is IP:port.
+// IsAddress reports whether the text has the form IP:port.
 func IsAddress(text string) bool {
 	host, _, err := net.SplitHostPort(text)
 	return err == nil && net.ParseIP(host) != nil
 }
 
-// FindOperatorAddress looks a member's operators' address up by its name, at
-// the entry node and then in the other zones that it knows.
+// FindOperatorAddress returns the operator address of the live member with the
+// given name. It asks the entry node first, then live members of the other
+// zones known to the entry node.
 func FindOperatorAddress(ctx context.Context, entry VersionSource, dial func(address string) VersionSource, name string) (string, error) {
 	report, err := entry.Versions(ctx)
 	if err != nil {
@@ -27,7 +28,7 @@
 		if member.Zone == report.Zone || !isLive(member) {
 			continue
 		}
-		other, err := askVersions(ctx, dial(member.Addresses.Operator))
+		other, err := queryVersions(ctx, dial(member.Addresses.Operator))
 		if err != nil {
 			continue
 		}
--- a/internal/operator/race_test.go
+++ b/internal/operator/race_test.go
@@ -11,14 +11,15 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// raceOutcome is what one operator was told in one round.
+// raceOutcome is what Apply returned to one operator in one round.
 type raceOutcome struct {
 	result ApplyResult
 	err    error
 }
 
-// race lets operators apply plans that were made before any was carried out.
-func race(t *testing.T, store testStore, plans []Plan, round int) []raceOutcome {
+// applyConcurrently applies the plans concurrently, each as a different
+// operator. All plans were made before any of them was applied.
+func applyConcurrently(t *testing.T, store testStore, plans []Plan, round int) []raceOutcome {
 	t.Helper()
 	outcomes := make([]raceOutcome, len(plans))
 	var group sync.WaitGroup
@@ -32,38 +33,39 @@
 	return outcomes
 }
 
-// TestRacingOperators lets three operators change the same objects at the
-// same moment, again and again. Each accepted write must take one version of
-// the store and no more, exactly one operator may win each first object, and
-// each loser must be told of a change that another operator made.
+// TestRacingOperators has three operators change the same objects concurrently
+// for ten rounds, with and without lost responses. Each accepted write must
+// increment the store version exactly once, exactly one operator may win the
+// first object of a round, and every other operator must get a conflict error
+// that names another operator.
 func TestRacingOperators(t *testing.T) {
 	for _, lost := range []int{0, -1} {
 		t.Run(fmt.Sprintf("lost answers %d", lost), func(t *testing.T) {
 			store := newTestStore(t)
-			store.fault(faults.Set{LoseAnswers: lost})
+			store.injectFaults(faults.Set{LoseAnswers: lost})
 			for round := range 10 {
 				before := store.list().Version
-				outcomes := race(t, store, racingPlans(t, store, round), round)
+				outcomes := applyConcurrently(t, store, concurrentPlans(t, store, round), round)
 				accepted, winners := 0, 0
 				for index, outcome := range outcomes {
 					accepted += outcome.result.Changed()
 					if outcome.result.Objects[0].Outcome != OutcomeConflict {
 						winners++
 					}
-					checkLoser(t, index, outcome)
+					checkConflictReport(t, index, outcome)
 				}
 				if after := store.list().Version; int(after-before) != accepted {
-					t.Errorf("round %d: %d writes were accepted, the store took %d", round, accepted, after-before)
+					t.Errorf("round %d: %d writes reported as accepted, store version rose by %d", round, accepted, after-before)
 				}
 				if winners != 1 {
-					t.Errorf("round %d: %d operators won", round, winners)
+					t.Errorf("round %d: %d operators won the first object, want 1", round, winners)
 				}
 			}
 		})
 	}
 }
 
-func racingPlans(t *testing.T, store testStore, round int) []Plan {
+func concurrentPlans(t *testing.T, store testStore, round int) []Plan {
 	t.Helper()
 	stored := store.list().Objects
 	var plans []Plan
@@ -84,17 +86,17 @@
 	return plan
 }
 
-func checkLoser(t *testing.T, index int, outcome raceOutcome) {
+func checkConflictReport(t *testing.T, index int, outcome raceOutcome) {
 	t.Helper()
 	first := outcome.result.Objects[0]
 	if first.Outcome != OutcomeConflict {
 		if outcome.err != nil {
-			t.Errorf("the winner was told %v", outcome.err)
+			t.Errorf("error of the winner: %v", outcome.err)
 		}
 		return
 	}
 	own := fmt.Sprintf("operator-%d", index)
 	if CodeOf(outcome.err) != ExitConflict || first.ChangedBy == own || !strings.Contains(Message(outcome.err), first.ChangedBy) {
-		t.Errorf("%s lost to %q and was told %v", own, first.ChangedBy, outcome.err)
+		t.Errorf("%s lost to %q: error %v", own, first.ChangedBy, outcome.err)
 	}
 }
--- a/internal/operator/render.go
+++ b/internal/operator/render.go
@@ -10,15 +10,16 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// Width is the widest line of any text that commands print.
+// Width is the maximum line width, in columns, of the tables that commands
+// print.
 const Width = 80
 
-// table lays out rows in columns no wider than Width; what is too long is cut,
-// in the columns that yield before any other.
+// table formats rows in aligned columns within Width. Cells that do not fit are
+// truncated, first in the columns of shrinkFirst, then in the widest ones.
 type table struct {
 	rows [][]string
-	// yields names columns of the heading.
-	yields []string
+	// shrinkFirst lists headings of the columns to narrow before any other.
+	shrinkFirst []string
 }
 
 func (t *table) add(cells ...string) {
@@ -35,17 +36,17 @@
 			widths[column] = max(widths[column], len(cell))
 		}
 	}
-	for _, name := range t.yields {
+	for _, name := range t.shrinkFirst {
 		shrinkColumn(widths, slices.Index(t.rows[0], name), len(name))
 	}
-	shrink(widths)
+	shrinkWidest(widths)
 	for _, row := range t.rows {
 		var line strings.Builder
 		for column, cell := range row {
 			if column > 0 {
 				line.WriteString("  ")
 			}
-			fmt.Fprintf(&line, "%-*s", widths[column], cut(cell, widths[column]))
+			fmt.Fprintf(&line, "%-*s", widths[column], truncate(cell, widths[column]))
 		}
 		fmt.Fprintln(writer, strings.TrimRight(line.String(), " "))
 	}
@@ -61,15 +62,15 @@
 	return total
 }
 
-// shrinkColumn narrows one column until the row fits, or to the least width.
-func shrinkColumn(widths []int, column, least int) {
+// shrinkColumn narrows one column until the row fits, at most to minWidth.
+func shrinkColumn(widths []int, column, minWidth int) {
 	if column >= 0 {
-		widths[column] -= max(0, min(rowWidth(widths)-Width, widths[column]-least))
+		widths[column] -= max(0, min(rowWidth(widths)-Width, widths[column]-minWidth))
 	}
 }
 
-// shrink narrows the widest columns until the row fits.
-func shrink(widths []int) {
+// shrinkWidest narrows whichever column is the widest until the row fits.
+func shrinkWidest(widths []int) {
 	for len(widths) > 0 && rowWidth(widths) > Width {
 		widest := 0
 		for column, width := range widths {
@@ -81,7 +82,7 @@
 	}
 }
 
-func cut(text string, width int) string {
+func truncate(text string, width int) string {
 	if len(text) <= width {
 		return text
 	}
@@ -91,7 +92,7 @@
 	return text[:width-2] + ".."
 }
 
-// RenderStatus prints a status for people, within Width columns.
+// RenderStatus prints a status as text within Width columns.
 func RenderStatus(writer io.Writer, status Status) {
 	state := "ready"
 	if !status.Ready {
@@ -100,8 +101,8 @@
 	if status.Draining {
 		state += ", draining"
 	}
-	head := fmt.Sprintf("node %s  zone %s  config %d  %s", status.Node, status.Zone, status.ConfigVersion, state)
-	fmt.Fprintln(writer, cut(head, Width))
+	header := fmt.Sprintf("node %s  zone %s  config %d  %s", status.Node, status.Zone, status.ConfigVersion, state)
+	fmt.Fprintln(writer, truncate(header, Width))
 	renderMembers(writer, status.Members)
 	renderZones(writer, status.Zones)
 	renderModels(writer, status.Models)
@@ -118,21 +119,21 @@
 		}
 		rows.add(string(member.Name), string(member.Zone), state, fmt.Sprint(member.ConfigVersion), member.Addresses.Operator)
 	}
-	section(writer, rows)
+	renderSection(writer, rows)
 }
 
 func renderZones(writer io.Writer, zones []ZoneStatus) {
 	rows := table{}
 	rows.add("ZONE", "LEADER", "FENCE", "TABLE AGE", "ENGINES", "SERVICES", "LEAVING", "EVACUATED")
 	for _, zone := range zones {
-		rows.add(string(zone.Zone), string(zone.Leader), zone.Fence, seconds(zone.TableAgeSeconds),
-			fmt.Sprint(zone.Engines), fmt.Sprint(zone.Services), fmt.Sprint(zone.Leaving), yesOrNothing(zone.Evacuated))
+		rows.add(string(zone.Zone), string(zone.Leader), zone.Fence, formatSeconds(zone.TableAgeSeconds),
+			fmt.Sprint(zone.Engines), fmt.Sprint(zone.Services), fmt.Sprint(zone.Leaving), yesOrEmpty(zone.Evacuated))
 	}
-	section(writer, rows)
+	renderSection(writer, rows)
 }
 
-func yesOrNothing(holds bool) string {
-	if holds {
+func yesOrEmpty(value bool) string {
+	if value {
 		return "yes"
 	}
 	return ""
@@ -145,21 +146,21 @@
 		rows.add(model.Model.String(), fmt.Sprint(model.Decided), fmt.Sprint(model.Ready),
 			fmt.Sprint(model.Loading), fmt.Sprint(model.Unloading), fmt.Sprint(model.Waiting))
 	}
-	section(writer, rows)
+	renderSection(writer, rows)
 }
 
 func renderQueues(writer io.Writer, queues []QueueStatus) {
 	rows := table{}
 	rows.add("QUEUE", "WAITING", "OLDEST")
 	for _, queue := range queues {
-		rows.add(queue.Model.String(), fmt.Sprint(queue.Waiting), seconds(queue.OldestSeconds))
+		rows.add(queue.Model.String(), fmt.Sprint(queue.Waiting), formatSeconds(queue.OldestSeconds))
 	}
-	section(writer, rows)
+	renderSection(writer, rows)
 }
 
-// section prints a table with a blank line before it; a table without rows is
-// left out.
-func section(writer io.Writer, rows table) {
+// renderSection prints a blank line and the table. A table without rows below
+// its heading is omitted.
+func renderSection(writer io.Writer, rows table) {
 	if len(rows.rows) < 2 {
 		return
 	}
@@ -167,11 +168,11 @@
 	rows.write(writer)
 }
 
-func seconds(value float64) string {
+func formatSeconds(value float64) string {
 	return time.Duration(value * float64(time.Second)).Round(10 * time.Millisecond).String()
 }
 
-// RenderWait prints the end of a wait.
+// RenderWait prints the result of a wait.
 func RenderWait(writer io.Writer, result WaitResult) {
 	fmt.Fprintf(writer, "version %d: in force at %d of %d live nodes\n", result.Version, result.InForce, result.Live)
 	rows := table{}
@@ -179,11 +180,11 @@
 	for _, lacking := range result.Lacking {
 		rows.add(string(lacking.Node), string(lacking.Zone), fmt.Sprint(lacking.ConfigVersion), lacking.Reason)
 	}
-	section(writer, rows)
+	renderSection(writer, rows)
 }
 
-// RenderApply prints what an apply did; objects without a change are counted
-// only.
+// RenderApply prints the result of an apply. Unchanged objects are only
+// counted.
 func RenderApply(writer io.Writer, result ApplyResult) {
 	rows := table{}
 	unchanged := 0
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Paths of the operators' port.
+// Paths served on the operator port.
 const (
 	PathStatus   = "/status"
 	PathHealth   = "/healthz"
@@ -19,35 +19,35 @@
 	PathVersions = "/v1/versions"
 )
 
-// Source is what a node tells its operators.
+// Source provides the state of a node to the handler; the node implements it.
 type Source interface {
 	Status() Status
 	Versions() VersionReport
-	// Ready returns nil once the node serves callers, else why it does not.
+	// Ready returns nil if the node can serve callers, else the reason why not.
 	Ready() error
-	// Drain begins a planned stop and returns at once; a repeat has no further
-	// effect.
+	// Drain starts a graceful shutdown and returns immediately; repeated calls
+	// have no further effect.
 	Drain(ctx context.Context) error
 }
 
-// ReadyReport answers GET /readyz.
+// ReadyReport is the response body of GET /readyz.
 type ReadyReport struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainReport answers POST /drain.
+// DrainReport is the response body of POST /drain.
 type DrainReport struct {
 	Node     string `json:"node"`
 	Draining bool   `json:"draining"`
 }
 
-// ErrorReport is the body of an answer that is no success.
+// ErrorReport is the response body of a failed request.
 type ErrorReport struct {
 	Error string `json:"error"`
 }
 
-// NewHandler serves the operators' port of a node.
+// NewHandler returns the HTTP handler of a node's operator port.
 func NewHandler(source Source, metrics prometheus.Gatherer) http.Handler {
 	server := &server{source: source}
 	mux := http.NewServeMux()
@@ -72,7 +72,7 @@
 	writeJSON(writer, http.StatusOK, s.source.Versions())
 }
 
-// health answers as long as the process can serve HTTP at all.
+// health succeeds whenever the process can serve HTTP.
 func (s *server) health(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, struct {
 		Healthy bool `json:"healthy"`
@@ -100,6 +100,7 @@
 	writer.WriteHeader(code)
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
-	// The caller is gone if this fails; there is no one left to tell.
+	// An error here means that the client has disconnected, so it can't be
+	// reported to anyone.
 	_ = encoder.Encode(body)
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -59,11 +59,11 @@
 	status := largeStatus()
 	want := ModelStatus{Model: fleet.ModelVersion{Model: "m", Version: "v1"}, Decided: 2, Ready: 1, Unloading: 1, Waiting: 3}
 	if len(status.Models) != 2 || status.Models[1] != want {
-		t.Errorf("models are %+v", status.Models)
+		t.Errorf("models: %+v", status.Models)
 	}
 	zone := status.Zones[0]
 	if zone.Zone != "vest-a" || zone.Leaving != 1 || zone.Engines != 2 || zone.TableAgeSeconds != 2 {
-		t.Errorf("zone is %+v", zone)
+		t.Errorf("zone: %+v", zone)
 	}
 }
 
@@ -74,7 +74,7 @@
 	RenderApply(&text, ApplyResult{Objects: []Applied{{Kind: "Model", Name: strings.Repeat("m", 90), Outcome: OutcomeCreated}}})
 	for line := range strings.Lines(text.String()) {
 		if width := utf8.RuneCountInString(strings.TrimSuffix(line, "\n")); width > Width {
-			t.Errorf("%d columns: %s", width, line)
+			t.Errorf("line of %d columns: %s", width, line)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		t.Errorf("status (-served +read):\n%s", difference)
 	}
 	if report, err := client.Drain(t.Context()); err != nil || !report.Draining || source.drains != 1 {
-		t.Errorf("drain gave %+v, %v after %d calls", report, err, source.drains)
+		t.Errorf("drain: %+v, error %v, %d calls", report, err, source.drains)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestNamesAreNotCutForTheirLabels holds that a list shows whole names, which
-// operators type again, and cuts labels.
+// TestNamesAreNotCutForTheirLabels checks that a list truncates labels rather
+// than names, which operators copy into other commands.
 func TestNamesAreNotCutForTheirLabels(t *testing.T) {
 	var text strings.Builder
 	const name = "ingredient-chat-for-the-northern-kitchens"
@@ -143,11 +143,11 @@
 		Labels: map[string]string{OwnerLabel: "fjordkurv", "use": strings.Repeat("long", 20)},
 	}}})
 	if !strings.Contains(text.String(), name) {
-		t.Errorf("the name is cut:\n%s", text.String())
+		t.Errorf("the name is truncated:\n%s", text.String())
 	}
 	for line := range strings.Lines(text.String()) {
 		if utf8.RuneCountInString(strings.TrimSuffix(line, "\n")) > Width {
-			t.Errorf("wider than %d: %s", Width, line)
+			t.Errorf("line wider than %d columns: %s", Width, line)
 		}
 	}
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -10,13 +10,13 @@
 	"github.com/spanlanding/spanlanding/internal/views"
 )
 
-// Status is what one node knows of itself and the fleet.
+// Status is one node's view of itself and of the fleet.
 type Status struct {
 	Node     fleet.NodeName `json:"node"`
 	Zone     fleet.Zone     `json:"zone"`
 	Ready    bool           `json:"ready"`
 	Draining bool           `json:"draining"`
-	// ConfigVersion is the store revision that the node has in force.
+	// ConfigVersion is the store revision of the node's active configuration.
 	ConfigVersion uint64         `json:"configVersion"`
 	UptimeSeconds float64        `json:"uptimeSeconds"`
 	Members       []fleet.Member `json:"members"`
@@ -25,55 +25,57 @@
 	Queues        []QueueStatus  `json:"queues"`
 }
 
-// ZoneStatus is what the node knows of one zone's leadership.
+// ZoneStatus summarizes one zone's leadership and route table as known to the
+// node.
 type ZoneStatus struct {
 	Zone   fleet.Zone     `json:"zone"`
 	Leader fleet.NodeName `json:"leader"`
 	// Fence has the form allotment.term.holder.
 	Fence    string `json:"fence"`
 	Sequence uint64 `json:"sequence"`
-	// TableAgeSeconds is the time since the route table came in.
+	// TableAgeSeconds is the time since the route table was received.
 	TableAgeSeconds float64 `json:"tableAgeSeconds"`
 	Engines         int     `json:"engines"`
 	Services        int     `json:"services"`
 	Leaving         int     `json:"leaving"`
-	// Evacuated is set while the configuration in force takes the zone out of
+	// Evacuated is set while the active configuration takes the zone out of
 	// service.
 	Evacuated bool `json:"evacuated"`
 }
 
-// ModelStatus counts the replicas of one model version in all zones known.
+// ModelStatus counts the replicas of one model version across all known zones.
 type ModelStatus struct {
 	Model fleet.ModelVersion `json:"model"`
-	// Decided is the number of replicas that the fleet decided on.
+	// Decided is the target number of replicas.
 	Decided   int `json:"decided"`
 	Ready     int `json:"ready"`
 	Loading   int `json:"loading"`
 	Unloading int `json:"unloading"`
-	// Waiting counts the requests that wait for it at this node.
+	// Waiting is the number of requests for it that are queued at this node.
 	Waiting int `json:"waiting"`
 }
 
-// QueueStatus is one model's queue at this node.
+// QueueStatus describes one model's request queue at this node.
 type QueueStatus struct {
 	Model   fleet.ModelVersion `json:"model"`
 	Waiting int                `json:"waiting"`
-	// OldestSeconds is how long the oldest request has waited.
+	// OldestSeconds is the waiting time of the oldest queued request.
 	OldestSeconds float64 `json:"oldestSeconds"`
 }
 
-// VersionReport says which configuration is in force at which member.
+// VersionReport lists the active configuration version of each member.
 type VersionReport struct {
 	Node fleet.NodeName `json:"node"`
 	Zone fleet.Zone     `json:"zone"`
-	// Members holds every member of the node's own zone, and those it knows of
-	// other zones.
+	// Members holds every member of the node's own zone, and the members of
+	// other zones that the node knows of.
 	Members []fleet.Member `json:"members"`
-	// Listed names the nodes that the platform's list shows as live.
+	// Listed holds the nodes that the platform's machine list shows as live.
 	Listed []fleet.NodeName `json:"listed,omitempty"`
 }
 
-// ZonesOf summarizes route tables; received says when each came in.
+// ZonesOf summarizes the route tables, sorted by zone. received holds the time
+// at which each table was received.
 func ZonesOf(tables views.RouteTables, received map[fleet.Zone]time.Time, now time.Time) []ZoneStatus {
 	zones := make([]ZoneStatus, 0, len(tables))
 	for _, zone := range slices.Sorted(maps.Keys(tables)) {
@@ -100,8 +102,8 @@
 	return zones
 }
 
-// MarkEvacuated marks the zones out of service; one that has no table is added, so
-// that a misspelt zone is seen.
+// MarkEvacuated returns zones with the evacuated ones marked. An evacuated zone
+// that is not among them is appended, so that a misspelt name is visible.
 func MarkEvacuated(zones []ZoneStatus, evacuated []string) []ZoneStatus {
 	marked := slices.Clone(zones)
 	for _, name := range evacuated {
@@ -115,8 +117,9 @@
 	return marked
 }
 
-// ModelsOf counts replicas by the route tables, beside what was decided and
-// what waits here. Models without any of these are left out.
+// ModelsOf combines, for each model version, the replicas in the route tables,
+// the target replica count and the number of requests queued at this node.
+// Models that have none of these are omitted.
 func ModelsOf(tables views.RouteTables, decided map[fleet.ModelVersion]int, queues []QueueStatus) []ModelStatus {
 	byModel := make(map[fleet.ModelVersion]*ModelStatus)
 	entry := func(model fleet.ModelVersion) *ModelStatus {
--- a/internal/operator/store_test.go
+++ b/internal/operator/store_test.go
@@ -15,11 +15,12 @@
 	"github.com/spanlanding/spanlanding/internal/standin/machines"
 )
 
-// testStore is the object API's stand-in over a real socket.
+// testStore is a client of a simulated object API, which it calls over a real
+// socket.
 type testStore struct {
 	*objectstore.Client
-	test *testing.T
-	base string
+	test    *testing.T
+	baseURL string
 }
 
 func newTestStore(t *testing.T) testStore {
@@ -31,22 +32,22 @@
 	t.Cleanup(server.Close)
 	client := objectstore.NewClient(server.URL, "")
 	t.Cleanup(client.Close)
-	return testStore{Client: client, test: t, base: server.URL}
+	return testStore{Client: client, test: t, baseURL: server.URL}
 }
 
-func (s testStore) fault(set faults.Set) {
+func (s testStore) injectFaults(set faults.Set) {
 	s.test.Helper()
 	body, err := json.Marshal(set)
 	if err != nil {
 		s.test.Fatal(err)
 	}
-	response, err := http.Post(s.base+faults.Path, "application/json", bytes.NewReader(body))
+	response, err := http.Post(s.baseURL+faults.Path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		s.test.Fatal(err)
 	}
 	_ = response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		s.test.Fatalf("faults were answered %s", response.Status)
+		s.test.Fatalf("setting faults: status %s", response.Status)
 	}
 }
 
@@ -68,7 +69,7 @@
 	return plan
 }
 
-// declare reads YAML that must be valid.
+// declare parses YAML and fails the test if it is invalid.
 func declare(t *testing.T, text string) []spec.Declared {
 	t.Helper()
 	set, findings := spec.Options{}.Parse("test.yaml", []byte(text))
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -12,37 +12,39 @@
 
 const (
 	waitPollInterval = 100 * time.Millisecond
-	// zoneCallTimeout bounds the call to another zone within one round.
+	// zoneCallTimeout bounds each call to a node of another zone.
 	zoneCallTimeout = time.Second
 )
 
-// VersionSource tells which configuration is in force where; a NodeClient is
-// one.
+// VersionSource reports the active configuration version of each member.
+// NodeClient implements it.
 type VersionSource interface {
 	Versions(ctx context.Context) (VersionReport, error)
 }
 
-// Lacking is a live node that has not the version in force.
+// Lacking is a live node, or a zone if Node is empty, that is not known to run
+// the version.
 type Lacking struct {
 	Zone fleet.Zone     `json:"zone"`
 	Node fleet.NodeName `json:"node,omitempty"`
-	// ConfigVersion is what it has in force, where that is known.
+	// ConfigVersion is its active version, 0 if unknown.
 	ConfigVersion uint64 `json:"configVersion"`
 	Reason        string `json:"reason"`
 }
 
-// WaitResult is the state of the fleet at the end of a wait.
+// WaitResult is the state of the fleet when a wait ended.
 type WaitResult struct {
 	Version uint64 `json:"version"`
-	// Live counts the live nodes, InForce those that have the version.
+	// Live is the number of live nodes, InForce the number of those that run
+	// the version or a later one.
 	Live    int       `json:"live"`
 	InForce int       `json:"inForce"`
 	Lacking []Lacking `json:"lacking"`
 }
 
-// Wait asks until every live node of every zone has at least the version in
-// force, or until the context ends. The entry node tells of its own zone; each
-// other zone is asked through a member that the entry node knows there.
+// Wait polls until every live node of every zone runs the version or a later
+// one, or until the context ends. The entry node reports on its own zone; each
+// other zone is queried through one of its members known to the entry node.
 func Wait(ctx context.Context, entry VersionSource, dial func(address string) VersionSource, version uint64) (WaitResult, error) {
 	last := WaitResult{Version: version, Lacking: []Lacking{}}
 	for {
@@ -70,12 +72,12 @@
 		return WaitResult{}, err
 	}
 	collector := versionCollector{
-		result: WaitResult{Version: version, Lacking: []Lacking{}},
-		known:  make(map[fleet.NodeName]bool),
+		result:   WaitResult{Version: version, Lacking: []Lacking{}},
+		recorded: make(map[fleet.NodeName]bool),
 	}
 	collector.addZone(report.Zone, report.Members)
-	for _, zone := range otherZones(report) {
-		collector.askZone(ctx, zone, report.Members, dial)
+	for _, zone := range remoteZones(report) {
+		collector.queryZone(ctx, zone, report.Members, dial)
 	}
 	collector.addListed(report.Listed)
 	slices.SortFunc(collector.result.Lacking, func(left, right Lacking) int {
@@ -84,7 +86,7 @@
 	return collector.result, nil
 }
 
-func otherZones(report VersionReport) []fleet.Zone {
+func remoteZones(report VersionReport) []fleet.Zone {
 	zones := make(map[fleet.Zone]bool)
 	for _, member := range report.Members {
 		if member.Zone != report.Zone {
@@ -96,21 +98,22 @@
 
 type versionCollector struct {
 	result WaitResult
-	// known holds every node that some zone has a record of, dead ones too.
-	known map[fleet.NodeName]bool
+	// recorded holds every node that some zone has a record of, including dead
+	// ones.
+	recorded map[fleet.NodeName]bool
 }
 
 func isLive(member fleet.Member) bool {
 	return member.State == fleet.MemberAlive || member.State == fleet.MemberSuspect
 }
 
-// addZone counts the members of the zone in a report that comes from there.
+// addZone counts the members of a zone as reported by a node of that zone.
 func (c *versionCollector) addZone(zone fleet.Zone, members []fleet.Member) {
 	for _, member := range members {
-		if member.Zone != zone || c.known[member.Name] {
+		if member.Zone != zone || c.recorded[member.Name] {
 			continue
 		}
-		c.known[member.Name] = true
+		c.recorded[member.Name] = true
 		if !isLive(member) {
 			continue
 		}
@@ -125,20 +128,20 @@
 	}
 }
 
-// askZone asks the zone's members in turn until one answers. A zone whose live
-// members all fail to answer counts as lacking the version.
-func (c *versionCollector) askZone(ctx context.Context, zone fleet.Zone, members []fleet.Member, dial func(string) VersionSource) {
+// queryZone queries the live members of a zone in turn until one responds. If
+// none does, the zone counts as lacking the version.
+func (c *versionCollector) queryZone(ctx context.Context, zone fleet.Zone, members []fleet.Member, dial func(string) VersionSource) {
 	live := 0
 	for _, member := range sortMembers(members) {
 		if member.Zone != zone {
 			continue
 		}
 		if !isLive(member) {
-			c.known[member.Name] = true
+			c.recorded[member.Name] = true
 			continue
 		}
 		live++
-		if report, err := askVersions(ctx, dial(member.Addresses.Operator)); err == nil {
+		if report, err := queryVersions(ctx, dial(member.Addresses.Operator)); err == nil {
 			c.addZone(zone, report.Members)
 			return
 		}
@@ -149,20 +152,21 @@
 	}
 }
 
-func askVersions(ctx context.Context, source VersionSource) (VersionReport, error) {
-	bounded, cancel := context.WithTimeout(ctx, zoneCallTimeout)
+func queryVersions(ctx context.Context, source VersionSource) (VersionReport, error) {
+	callCtx, cancel := context.WithTimeout(ctx, zoneCallTimeout)
 	defer cancel()
-	return source.Versions(bounded)
+	return source.Versions(callCtx)
 }
 
-// addListed adds nodes that the platform lists as live but that no zone has
-// heard of: they may serve callers with an older configuration.
+// addListed adds the nodes that the platform lists as live but that no zone has
+// a record of. They count as lacking the version, because they may serve callers
+// with an older configuration.
 func (c *versionCollector) addListed(listed []fleet.NodeName) {
 	for _, name := range listed {
-		if c.known[name] {
+		if c.recorded[name] {
 			continue
 		}
-		c.known[name] = true
+		c.recorded[name] = true
 		c.result.Live++
 		c.result.Lacking = append(c.result.Lacking, Lacking{Node: name, Reason: "is on the machine list, but no zone has heard of it"})
 	}
--- a/internal/operator/wait_test.go
+++ b/internal/operator/wait_test.go
@@ -13,13 +13,13 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// fakeFleet answers at operators' addresses; the version at a node may change
-// while a wait runs.
+// fakeFleet simulates the operator ports of the nodes of a fleet. The version at
+// a node may change during a wait.
 type fakeFleet struct {
-	zones    map[fleet.Zone][]fleet.Member
-	silent   map[string]bool
-	listed   []fleet.NodeName
-	versions func(fleet.NodeName) uint64
+	zones       map[fleet.Zone][]fleet.Member
+	unreachable map[string]bool
+	listed      []fleet.NodeName
+	versions    func(fleet.NodeName) uint64
 }
 
 type fakeNode struct {
@@ -28,16 +28,17 @@
 	name  string
 }
 
-var errSilent = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
 func (n fakeNode) Versions(context.Context) (VersionReport, error) {
-	if n.fleet.silent[n.name] {
-		return VersionReport{}, errSilent
+	if n.fleet.unreachable[n.name] {
+		return VersionReport{}, errUnreachable
 	}
 	report := VersionReport{Zone: n.zone, Listed: n.fleet.listed}
 	for zone, members := range n.fleet.zones {
 		for _, member := range members {
-			// Of other zones a node only knows how things stood long ago.
+			// Reports on other zones are outdated: a node does not learn their
+			// current versions.
 			if zone == n.zone {
 				member.ConfigVersion = n.fleet.versions(member.Name)
 			}
@@ -55,11 +56,11 @@
 			}
 		}
 	}
-	return fakeNode{fleet: &fakeFleet{silent: map[string]bool{"": true}}}
+	return fakeNode{fleet: &fakeFleet{unreachable: map[string]bool{"": true}}}
 }
 
 func newFakeFleet() *fakeFleet {
-	f := &fakeFleet{zones: make(map[fleet.Zone][]fleet.Member), silent: make(map[string]bool)}
+	f := &fakeFleet{zones: make(map[fleet.Zone][]fleet.Member), unreachable: make(map[string]bool)}
 	for _, zone := range []fleet.Zone{"a", "b"} {
 		for number := range 2 {
 			name := fmt.Sprintf("%s%d", zone, number)
@@ -74,11 +75,11 @@
 
 func TestWaitEndsOnlyWhenEveryLiveNodeHasTheVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		f := newFakeFleet()
 		f.zones["b"] = append(f.zones["b"], fleet.Member{Name: "b9", Zone: "b", State: fleet.MemberDead})
 		f.versions = func(name fleet.NodeName) uint64 {
-			if name == "b1" && time.Since(began) < 2*time.Second {
+			if name == "b1" && time.Since(start) < 2*time.Second {
 				return 6
 			}
 			return 7
@@ -87,10 +88,10 @@
 		defer cancel()
 		result, err := Wait(ctx, f.dial("a0:1"), f.dial, 7)
 		if err != nil || result.Live != 4 || result.InForce != 4 {
-			t.Errorf("wait gave %+v, %v", result, err)
+			t.Errorf("wait: %+v, error %v", result, err)
 		}
-		if waited := time.Since(began); waited < 2*time.Second || waited > 3*time.Second {
-			t.Errorf("wait ended after %v, but the last node had the version after 2s", waited)
+		if waited := time.Since(start); waited < 2*time.Second || waited > 3*time.Second {
+			t.Errorf("wait ended after %v, want 2s to 3s: the last node had the version after 2s", waited)
 		}
 	})
 }
@@ -109,7 +110,7 @@
 				return 8
 			}
 		}, []Lacking{{Zone: "a", Node: "a1", ConfigVersion: 3, Reason: "has an older version in force"}}},
-		{"suspect still counts", func(f *fakeFleet) {
+		{"suspect node counts as live", func(f *fakeFleet) {
 			f.zones["b"][1].State = fleet.MemberSuspect
 			f.versions = func(name fleet.NodeName) uint64 {
 				if name == "b1" {
@@ -118,10 +119,10 @@
 				return 7
 			}
 		}, []Lacking{{Zone: "b", Node: "b1", ConfigVersion: 6, Reason: "has an older version in force"}}},
-		{"zone cut off", func(f *fakeFleet) {
-			f.silent["b0"], f.silent["b1"] = true, true
+		{"zone unreachable", func(f *fakeFleet) {
+			f.unreachable["b0"], f.unreachable["b1"] = true, true
 		}, []Lacking{{Zone: "b", Reason: "no node of the zone answered"}}},
-		{"never heard of", func(f *fakeFleet) {
+		{"listed node without a record", func(f *fakeFleet) {
 			f.listed = []fleet.NodeName{"a0", "c0"}
 		}, []Lacking{{Node: "c0", Reason: "is on the machine list, but no zone has heard of it"}}},
 	}
@@ -135,7 +136,7 @@
 				defer cancel()
 				result, err := Wait(ctx, f.dial("a0:1"), f.dial, 7)
 				if CodeOf(err) != ExitTimeout {
-					t.Errorf("the error is %v", err)
+					t.Errorf("error %v, want one with ExitTimeout", err)
 				}
 				if difference := cmp.Diff(test.want, result.Lacking); difference != "" {
 					t.Errorf("lacking (-want +got):\n%s", difference)
@@ -147,10 +148,10 @@
 
 func TestOneSilentNodeDoesNotHideItsZone(t *testing.T) {
 	f := newFakeFleet()
-	f.silent["b0"] = true
+	f.unreachable["b0"] = true
 	f.versions = func(fleet.NodeName) uint64 { return 7 }
 	result, err := Wait(t.Context(), f.dial("a0:1"), f.dial, 7)
 	if err != nil || result.InForce != 4 {
-		t.Errorf("wait gave %+v, %v", result, err)
+		t.Errorf("wait: %+v, error %v", result, err)
 	}
 }
