--- a/cmd/spanlanding/apply.go
+++ b/cmd/spanlanding/apply.go
@@ -63,7 +63,7 @@
 	return applyErr
 }
 
-// makePlan checks the declarations and compares them with the store.
+// makePlan validates the declarations and compares them with the store.
 func makePlan(ctx context.Context, command *cli.Command, store operator.Store) (operator.Plan, error) {
 	set, findings, err := loadDeclarations(command)
 	if err != nil {
--- a/cmd/spanlanding/bars.go
+++ b/cmd/spanlanding/bars.go
@@ -18,7 +18,8 @@
 
 const flagPeer = "peer"
 
-// barsCommand lists and lifts the bars of requests that ended too many servers.
+// barsCommand lists and lifts bars. A bar blocks a request after it has crashed
+// too many servers.
 func barsCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "bars",
@@ -41,8 +42,8 @@
 	}
 }
 
-// listedBar is one bar as it is shown.
-type listedBar struct {
+// barEntry is one bar as printed.
+type barEntry struct {
 	Fingerprint string   `json:"fingerprint"`
 	LeftSeconds float64  `json:"leftSeconds"`
 	Servers     []string `json:"servers"`
@@ -67,19 +68,19 @@
 	if err != nil {
 		return operator.ErrUnreachable.Wrap(err, "%s did not list the bars", command.String(flagPeer))
 	}
-	listed := make([]listedBar, 0, len(response.Bars))
+	listed := make([]barEntry, 0, len(response.Bars))
 	for _, bar := range response.Bars {
 		fingerprint, ok := poison.DecodeFingerprint(bar.Fingerprint)
 		if !ok {
 			continue
 		}
-		left := time.Duration(bar.LeftMs) * time.Millisecond
-		listed = append(listed, listedBar{Fingerprint: fingerprint.String(), LeftSeconds: left.Seconds(), Servers: bar.Servers})
+		remaining := time.Duration(bar.LeftMs) * time.Millisecond
+		listed = append(listed, barEntry{Fingerprint: fingerprint.String(), LeftSeconds: remaining.Seconds(), Servers: bar.Servers})
 	}
 	return output(command, listed, func(writer io.Writer) { renderBars(writer, listed) })
 }
 
-func renderBars(writer io.Writer, listed []listedBar) {
+func renderBars(writer io.Writer, listed []barEntry) {
 	if len(listed) == 0 {
 		fmt.Fprintln(writer, "no request is barred")
 		return
@@ -107,7 +108,7 @@
 	if !response.WasBarred {
 		return operator.ErrNotFound.New("no bar of %s at this node", fingerprint)
 	}
-	return output(command, listedBar{Fingerprint: fingerprint.String()}, func(writer io.Writer) {
+	return output(command, barEntry{Fingerprint: fingerprint.String()}, func(writer io.Writer) {
 		fmt.Fprintf(writer, "%s may run again\n", fingerprint)
 	})
 }
--- a/cmd/spanlanding/bars_test.go
+++ b/cmd/spanlanding/bars_test.go
@@ -12,48 +12,48 @@
 	"github.com/spanlanding/spanlanding/internal/poison"
 )
 
-// barringNode bars one request until that is lifted.
-type barringNode struct {
+// fakePeerNode has one barred request until the bar is lifted.
+type fakePeerNode struct {
 	peerpb.Nodes
 	barred []byte
 }
 
-func (n *barringNode) Bars(context.Context, *peerpb.BarsRequest) (*peerpb.BarsResponse, error) {
+func (n *fakePeerNode) Bars(context.Context, *peerpb.BarsRequest) (*peerpb.BarsResponse, error) {
 	if n.barred == nil {
 		return &peerpb.BarsResponse{}, nil
 	}
 	return &peerpb.BarsResponse{Bars: []*peerpb.Bar{{Fingerprint: n.barred, LeftMs: 12_000, Servers: []string{"i-1", "i-2"}}}}, nil
 }
 
-func (n *barringNode) LiftBar(_ context.Context, request *peerpb.LiftBarRequest) (*peerpb.LiftBarResponse, error) {
-	was := n.barred != nil && bytes.Equal(n.barred, request.Fingerprint)
-	if was {
+func (n *fakePeerNode) LiftBar(_ context.Context, request *peerpb.LiftBarRequest) (*peerpb.LiftBarResponse, error) {
+	matched := n.barred != nil && bytes.Equal(n.barred, request.Fingerprint)
+	if matched {
 		n.barred = nil
 	}
-	return &peerpb.LiftBarResponse{WasBarred: was}, nil
+	return &peerpb.LiftBarResponse{WasBarred: matched}, nil
 }
 
 func TestBars(t *testing.T) {
 	fingerprint := poison.NewFingerprint(poison.Identity{Target: "/x"})
-	server := httptest.NewServer(peerpb.NewNodesServer(&barringNode{barred: fingerprint[:]}))
+	server := httptest.NewServer(peerpb.NewNodesServer(&fakePeerNode{barred: fingerprint[:]}))
 	t.Cleanup(server.Close)
-	at := "--peer=" + strings.TrimPrefix(server.URL, "http://")
+	peerArgument := "--peer=" + strings.TrimPrefix(server.URL, "http://")
 	for _, step := range []struct {
-		line, prints string
+		line, output string
 		want         operator.ExitCode
 	}{
-		{"bars " + at, fingerprint.String() + "  barred for 12 s yet  ended i-1, i-2", operator.ExitDone},
-		{"bars -o json " + at, `"leftSeconds": 12`, operator.ExitDone},
-		{"bars lift " + at + " nothing", "", operator.ExitUsage},
-		{"bars lift " + at + " " + strings.Repeat("00", 16), "", operator.ExitNotFound},
-		{"bars lift " + at + " " + fingerprint.String(), "may run again", operator.ExitDone},
-		{"bars " + at, "no request is barred", operator.ExitDone},
+		{"bars " + peerArgument, fingerprint.String() + "  barred for 12 s yet  ended i-1, i-2", operator.ExitDone},
+		{"bars -o json " + peerArgument, `"leftSeconds": 12`, operator.ExitDone},
+		{"bars lift " + peerArgument + " nothing", "", operator.ExitUsage},
+		{"bars lift " + peerArgument + " " + strings.Repeat("00", 16), "", operator.ExitNotFound},
+		{"bars lift " + peerArgument + " " + fingerprint.String(), "may run again", operator.ExitDone},
+		{"bars " + peerArgument, "no request is barred", operator.ExitDone},
 		{"bars --peer=nowhere", "", operator.ExitUsage},
 		{"bars --peer=127.0.0.1:1", "", operator.ExitUnreachable},
 		{"bars", "", operator.ExitUsage},
 	} {
 		code, printed := run(t, strings.Fields(step.line)...)
-		if code != step.want || !strings.Contains(printed, step.prints) {
+		if code != step.want || !strings.Contains(printed, step.output) {
 			t.Errorf("%s: exit %d, want %d; printed %q", step.line, code, step.want, printed)
 		}
 	}
--- a/cmd/spanlanding/drain.go
+++ b/cmd/spanlanding/drain.go
@@ -38,7 +38,8 @@
 	return output(command, report, func(writer io.Writer) { fmt.Fprintf(writer, "%s drains\n", report.Node) })
 }
 
-// drainAddress resolves a member's name through a node that knows it.
+// drainAddress returns the operator address of the node. A member name is looked
+// up at the node given by --node.
 func drainAddress(ctx context.Context, command *cli.Command, name string) (string, error) {
 	if operator.IsAddress(name) {
 		return name, nil
--- a/cmd/spanlanding/edge.go
+++ b/cmd/spanlanding/edge.go
@@ -23,11 +23,12 @@
 	"github.com/spanlanding/spanlanding/platform"
 )
 
-// edgeHeapPercent is the growth of the heap between collections. Memory is
-// dearer on the platform's machines than the collector's time.
-const edgeHeapPercent = 40
+// edgeGCPercent is the heap growth between garbage collections, in percent. It
+// is below Go's default of 100 because on the platform's machines memory is
+// scarcer than CPU time for the collector.
+const edgeGCPercent = 40
 
-// edgeCommand runs a node on the operators' platform.
+// edgeCommand returns the command that runs a node on the operators' platform.
 func edgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
@@ -45,15 +46,16 @@
 	}
 }
 
-// keptEvents are the events of which every line is kept while there is room:
-// refusals and failures before successes, and what the process believes.
-var keptEvents = map[string]bool{
+// unlimitedEvents are the log events exempt from the limit on lines per second;
+// they are dropped only if the buffer is full. Under load this keeps refusals and
+// failures in preference to successes, and all changes of what the process knows.
+var unlimitedEvents = map[string]bool{
 	"request_refused": true, "request_failed": true, "request_cut": true,
 	"lease_taken": true, "lease_lost": true, "config_in_force": true, "server_changed": true, "server_word": true, "node_started": true, "node_stopped": true,
 	"evacuation_in_force": true, "evacuation_ended": true, "evacuation_of_unknown_zone": true,
 }
 
-// edgeFlags are the flags of the command.
+// edgeFlags holds the values of the command line flags.
 type edgeFlags struct{ metrics, peersListen, logLevel string }
 
 func runEdge(ctx context.Context, flags edgeFlags) error {
@@ -64,9 +66,9 @@
 	if _, err := netip.ParseAddrPort(flags.peersListen); flags.peersListen != "" && err != nil {
 		return operator.ErrUsage.New("--peers-listen: %q is not IP:PORT", flags.peersListen)
 	}
-	debug.SetGCPercent(edgeHeapPercent)
-	// Taken at once and to the end: a hangup that nobody takes ends the process,
-	// also one that is stopping.
+	debug.SetGCPercent(edgeGCPercent)
+	// Registered first and never released: an unhandled SIGHUP terminates the
+	// process, also during shutdown.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	path := os.Getenv(platform.SettingsEnvVar)
@@ -74,17 +76,17 @@
 	if err != nil {
 		return err
 	}
-	lines := logging.NewBoundedWriter(logging.BoundedWriterOptions{Out: os.Stdout, UnlimitedEvents: keptEvents})
-	defer lines.Close()
-	logger := logging.New(lines, level, logging.Field{Key: "node", Value: settings.NodeName})
-	for _, doubt := range settings.Warnings() {
-		logger.Warn().Str("place", path).Str("reason", doubt).Msg("settings_doubtful")
+	logOutput := logging.NewBoundedWriter(logging.BoundedWriterOptions{Out: os.Stdout, UnlimitedEvents: unlimitedEvents})
+	defer logOutput.Close()
+	logger := logging.New(logOutput, level, logging.Field{Key: "node", Value: settings.NodeName})
+	for _, warning := range settings.Warnings() {
+		logger.Warn().Str("place", path).Str("reason", warning).Msg("settings_doubtful")
 	}
 	store := &platform.Store{
 		Objects:  platform.NewObjectClient(settings.Platform.Address),
 		Topology: settings.Topology(),
-		OnInvalidEntry: func(place string, finding error) {
-			logger.Warn().Str("place", place).Str("error", finding.Error()).Msg("entry_unreadable")
+		OnInvalidEntry: func(entryPath string, parseErr error) {
+			logger.Warn().Str("place", entryPath).Str("error", parseErr.Error()).Msg("entry_unreadable")
 		},
 	}
 	pool := backendconn.New(backendconn.Options{})
@@ -121,7 +123,7 @@
 		Dialect:           platform.Dialect{},
 		Logger:            logger,
 		MetricsEndpoint:   metricsAddress(settings, flags.metrics),
-		DroppedLogLines:   lines.Dropped,
+		DroppedLogLines:   logOutput.Dropped,
 		UnreadableEntries: store.UnreadableEntries,
 	})
 	store.Objects.OnCall = node.RecordStoreCall
@@ -129,37 +131,39 @@
 	return node.Run(ctx)
 }
 
-// metricsAddress is where figures are served: the settings go before the flag.
+// metricsAddress returns the address and path at which metrics are served, empty
+// for none. The settings take precedence over the flag.
 func metricsAddress(settings platform.Settings, flag string) string {
-	place := settings.Metrics
-	if place == "" {
-		place = flag
+	endpoint := settings.Metrics
+	if endpoint == "" {
+		endpoint = flag
 	}
-	if place == "" {
+	if endpoint == "" {
 		return ""
 	}
-	return settings.IP + ":" + place
+	return settings.IP + ":" + endpoint
 }
 
-// linkMilliCores is the processor, in thousandths of a core, that goes with 1
-// Mbit/s: what a leader tells others takes about as much of both.
-const linkMilliCores = 4
+// milliCoresPerMbit is the CPU, in thousandths of a core, that counts as much as
+// 1 Mbit/s of link bandwidth: a leader's messages to other nodes use about as
+// much of both.
+const milliCoresPerMbit = 4
 
-// strength is how much the machine can do, by the scarcer of its processor and
-// its link.
+// strength returns the capacity of the machine in thousandths of a core, limited
+// by the scarcer of its CPU and its link.
 func strength(settings platform.Settings) uint32 {
 	const milliCores = 1000
 	cores := max(1, settings.Limits.Cores)
-	return uint32(min(settings.Limits.CPUShare*cores*milliCores, settings.Limits.LinkMbps*linkMilliCores))
+	return uint32(min(settings.Limits.CPUShare*cores*milliCores, settings.Limits.LinkMbps*milliCoresPerMbit))
 }
 
-// applyWithin is the time within which both a configuration and the leaving of a
-// server must be known at every node.
+// applyWithin returns the time within which every node must know of a new
+// configuration and of a server that is leaving.
 func applyWithin(settings platform.Settings) time.Duration {
 	return platform.Milliseconds(min(settings.Bounds.ConfigApplyMs, settings.Bounds.DrainMs))
 }
 
-// tunables are the settings that change while a node runs.
+// tunables returns the settings that can change while a node runs.
 func tunables(settings platform.Settings) edge.Tunables {
 	return edge.Tunables{
 		GracePeriod: platform.Seconds(settings.Bounds.GraceS),
@@ -172,8 +176,8 @@
 	}
 }
 
-// reload reads the settings anew. Settings that cannot be read leave those in
-// force that were.
+// reload reloads the settings. If they cannot be read, the current ones stay
+// active.
 func reload(node *edge.Node, path string, logger *log.Logger) {
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
@@ -184,34 +188,35 @@
 	logger.Info().Int("seeds", len(settings.Seeds)).Msg("settings_reloaded")
 }
 
-// settingsPoll is the time between looks at the settings file, which may change
-// without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval between checks of the settings file, which
+// may change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings calls changed at each hangup and each change of the file, until
-// the process is to stop.
-func watchSettings(ctx context.Context, path string, hangups <-chan os.Signal, changed func()) {
-	ticker := time.NewTicker(settingsPoll)
+// watchSettings calls onChange on each SIGHUP and on each change of the file,
+// until ctx is done.
+func watchSettings(ctx context.Context, path string, hangups <-chan os.Signal, onChange func()) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	known := modified(path)
+	lastStamp := fileStamp(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			known = modified(path)
-			changed()
+			lastStamp = fileStamp(path)
+			onChange()
 		case <-ticker.C:
-			if now := modified(path); now != known {
-				known = now
-				changed()
+			if stamp := fileStamp(path); stamp != lastStamp {
+				lastStamp = stamp
+				onChange()
 			}
 		}
 	}
 }
 
-// modified tells one state of a file from another.
-func modified(path string) string {
+// fileStamp returns a string that differs between versions of a file: its
+// modification time and size. It is empty if the file cannot be examined.
+func fileStamp(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
 		return ""
--- a/cmd/spanlanding/explain.go
+++ b/cmd/spanlanding/explain.go
@@ -10,8 +10,9 @@
 	"github.com/spanlanding/spanlanding/internal/operator"
 )
 
-// explainCommand tells a request's way, or what was believed of a server, from
-// the logs of several nodes; or what all their requests were lost by.
+// explainCommand reconstructs from the logs of several nodes how a request was
+// handled or what the nodes knew about a server. With --losses it prints why
+// requests were not served in time.
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
@@ -39,7 +40,7 @@
 	}
 }
 
-// printLosses prints what the requests of the logs were lost by.
+// printLosses prints a table of why requests in the logs were not served in time.
 func printLosses(files []string) error {
 	losses := explain.NewLosses()
 	if err := scanLogs(files, losses.Take); err != nil {
@@ -48,25 +49,25 @@
 	return losses.Print(os.Stdout)
 }
 
-// readLogs reads the files, or standard input where there are none.
+// readLogs reads the files, or standard input if there are none.
 func readLogs(files []string) ([]explain.Entry, error) {
 	var entries []explain.Entry
 	err := scanLogs(files, func(entry explain.Entry) { entries = append(entries, entry) })
 	return entries, err
 }
 
-// scanLogs hands over the entries of the files, or of standard input where there
+// scanLogs calls visit for each entry of the files, or of standard input if there
 // are none.
-func scanLogs(files []string, take func(explain.Entry)) error {
+func scanLogs(files []string, visit func(explain.Entry)) error {
 	if len(files) == 0 {
-		return explain.Scan(os.Stdin, take)
+		return explain.Scan(os.Stdin, visit)
 	}
 	for _, name := range files {
 		file, err := os.Open(name)
 		if err != nil {
 			return operator.ErrUsage.Wrap(err, "open the log")
 		}
-		err = explain.Scan(file, take)
+		err = explain.Scan(file, visit)
 		_ = file.Close()
 		if err != nil {
 			return operator.ErrUsage.Wrap(err, "read %s", name)
--- a/cmd/spanlanding/flags.go
+++ b/cmd/spanlanding/flags.go
@@ -18,12 +18,13 @@
 const (
 	outputText = "text"
 	outputJSON = "json"
-	// outputVersion prints only the version that apply's changes stand at.
+	// outputVersion prints only the store version that includes the changes of
+	// apply.
 	outputVersion = "version"
 
-	// defaultTimeout bounds a command that names no other bound.
+	// defaultTimeout applies to commands without a default of their own.
 	defaultTimeout = 10 * time.Second
-	// defaultApplyTimeout leaves time for many objects at a slow store.
+	// defaultApplyTimeout allows for writing many objects to a slow store.
 	defaultApplyTimeout = 30 * time.Second
 
 	flagOutput       = "output"
@@ -34,15 +35,15 @@
 	flagTimeout      = "timeout"
 )
 
-// outputFlag picks the form of the output: text, json, or one of the command's
-// own forms.
-func outputFlag(further ...string) cli.Flag {
-	forms := append([]string{outputText, outputJSON}, further...)
+// outputFlag returns the flag for the output format: text, json, or one of the
+// command's extra formats.
+func outputFlag(extraFormats ...string) cli.Flag {
+	formats := append([]string{outputText, outputJSON}, extraFormats...)
 	return &cli.StringFlag{
-		Name: flagOutput, Aliases: []string{"o"}, Value: outputText, Usage: strings.Join(forms, ", "),
+		Name: flagOutput, Aliases: []string{"o"}, Value: outputText, Usage: strings.Join(formats, ", "),
 		Validator: func(value string) error {
-			if !slices.Contains(forms, value) {
-				return errors.New("give one of " + strings.Join(forms, ", "))
+			if !slices.Contains(formats, value) {
+				return errors.New("give one of " + strings.Join(formats, ", "))
 			}
 			return nil
 		},
@@ -83,7 +84,8 @@
 	}
 }
 
-// loadDeclarations reads and checks the paths given as arguments.
+// loadDeclarations reads and validates the declarations at the paths given as
+// arguments.
 func loadDeclarations(command *cli.Command) (spec.Set, spec.Findings, error) {
 	paths := command.Args().Slice()
 	if len(paths) == 0 {
@@ -105,7 +107,7 @@
 	return operator.NewNodeClient(address, http.DefaultClient)
 }
 
-// output prints the value as JSON where that is asked for, else as text.
+// output prints the value as JSON if --output says so, else as text.
 func output(command *cli.Command, value any, text func(io.Writer)) error {
 	writer := command.Root().Writer
 	if command.String(flagOutput) != outputJSON {
--- a/cmd/spanlanding/get.go
+++ b/cmd/spanlanding/get.go
@@ -27,7 +27,7 @@
 	store := openStore(command.String(flagPlatform))
 	kind, name := command.Args().Get(0), command.Args().Get(1)
 	if name != "" {
-		return getOne(ctx, command, store, objectstore.Key{Kind: kind, Name: name})
+		return getObject(ctx, command, store, objectstore.Key{Kind: kind, Name: name})
 	}
 	listed, err := store.List(ctx, "")
 	if err != nil {
@@ -37,7 +37,7 @@
 	return output(command, listed, func(writer io.Writer) { operator.RenderObjects(writer, listed) })
 }
 
-func getOne(ctx context.Context, command *cli.Command, store operator.Store, key objectstore.Key) error {
+func getObject(ctx context.Context, command *cli.Command, store operator.Store, key objectstore.Key) error {
 	object, err := store.Get(ctx, key)
 	if errorx.IsOfType(err, objectstore.NotFound) {
 		return operator.ErrNotFound.New("no %s %q in the store", key.Kind, key.Name)
--- a/cmd/spanlanding/main.go
+++ b/cmd/spanlanding/main.go
@@ -1,5 +1,6 @@
-// Command spanlanding runs a node of the fleet and the operators' commands;
-// see README.md.
+// Command spanlanding runs a node of the fleet (node, edge) and the operator
+// commands: validate, diff, apply and get for declarations; status, wait, drain
+// and bars for a running fleet; explain for logs. See README.md.
 package main
 
 import (
@@ -44,7 +45,7 @@
 			barsCommand(),
 		},
 		Action: unknownCommand,
-		// main prints the error and picks the exit code.
+		// main prints the error and sets the exit code.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 	for _, command := range append(app.Commands, app) {
--- a/cmd/spanlanding/main_test.go
+++ b/cmd/spanlanding/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/machines"
 )
 
-// run starts a command and returns its exit code and what it printed.
+// run executes a command and returns its exit code and output.
 func run(t *testing.T, arguments ...string) (operator.ExitCode, string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -24,14 +24,14 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	standIn := httpdriver.NewPlatform(t.Context(), httpdriver.PlatformOptions{
+	platform := httpdriver.NewPlatform(t.Context(), httpdriver.PlatformOptions{
 		Machines: machines.Options{Lag: machines.DefaultLag}, History: 1000,
 	})
-	server := httptest.NewServer(standIn.Handler())
+	server := httptest.NewServer(platform.Handler())
 	t.Cleanup(server.Close)
-	at := "--platform=" + server.URL
+	platformArgument := "--platform=" + server.URL
 	const fjordkurv = "../../examples/fjordkurv"
-	// In order: later cases rely on what earlier ones wrote.
+	// The order matters: later cases depend on what earlier ones wrote.
 	cases := []struct {
 		line string
 		want operator.ExitCode
@@ -52,24 +52,24 @@
 		{"nothing", operator.ExitUsage},
 		{"apply " + fjordkurv, operator.ExitUsage},
 		{"apply --platform=127.0.0.1:1 " + fjordkurv, operator.ExitUnreachable},
-		{"diff " + at + " " + fjordkurv, operator.ExitDifferent},
-		{"apply " + at + " ../../examples/broken", operator.ExitInvalid},
-		{"get " + at + " Model kurv-chat", operator.ExitNotFound},
-		{"apply " + at + " --by anna " + fjordkurv, operator.ExitDone},
-		{"diff " + at + " " + fjordkurv, operator.ExitDone},
-		{"apply " + at + " --owner=other " + fjordkurv, operator.ExitConflict},
-		{"get " + at + " Model kurv-chat", operator.ExitDone},
-		{"get " + at + " model", operator.ExitDone},
-		{"apply -o version " + at + " " + fjordkurv, operator.ExitDone},
-		{"diff -o version " + at + " " + fjordkurv, operator.ExitUsage},
-		{"get " + at + " Evacuation oslo-a", operator.ExitNotFound},
-		{"diff " + at + " --owner=zones testdata/evacuation", operator.ExitDifferent},
-		{"apply " + at + " --zones=oslo-b --owner=zones testdata/evacuation", operator.ExitInvalid},
-		{"get " + at + " Evacuation oslo-a", operator.ExitNotFound},
-		{"apply " + at + " --zones=oslo-a --owner=zones testdata/evacuation", operator.ExitDone},
-		{"get " + at + " Evacuation oslo-a", operator.ExitDone},
-		{"apply " + at + " --prune --owner=zones testdata/evacuation-over", operator.ExitDone},
-		{"get " + at + " Evacuation oslo-a", operator.ExitNotFound},
+		{"diff " + platformArgument + " " + fjordkurv, operator.ExitDifferent},
+		{"apply " + platformArgument + " ../../examples/broken", operator.ExitInvalid},
+		{"get " + platformArgument + " Model kurv-chat", operator.ExitNotFound},
+		{"apply " + platformArgument + " --by anna " + fjordkurv, operator.ExitDone},
+		{"diff " + platformArgument + " " + fjordkurv, operator.ExitDone},
+		{"apply " + platformArgument + " --owner=other " + fjordkurv, operator.ExitConflict},
+		{"get " + platformArgument + " Model kurv-chat", operator.ExitDone},
+		{"get " + platformArgument + " model", operator.ExitDone},
+		{"apply -o version " + platformArgument + " " + fjordkurv, operator.ExitDone},
+		{"diff -o version " + platformArgument + " " + fjordkurv, operator.ExitUsage},
+		{"get " + platformArgument + " Evacuation oslo-a", operator.ExitNotFound},
+		{"diff " + platformArgument + " --owner=zones testdata/evacuation", operator.ExitDifferent},
+		{"apply " + platformArgument + " --zones=oslo-b --owner=zones testdata/evacuation", operator.ExitInvalid},
+		{"get " + platformArgument + " Evacuation oslo-a", operator.ExitNotFound},
+		{"apply " + platformArgument + " --zones=oslo-a --owner=zones testdata/evacuation", operator.ExitDone},
+		{"get " + platformArgument + " Evacuation oslo-a", operator.ExitDone},
+		{"apply " + platformArgument + " --prune --owner=zones testdata/evacuation-over", operator.ExitDone},
+		{"get " + platformArgument + " Evacuation oslo-a", operator.ExitNotFound},
 		{"status --node=127.0.0.1:1", operator.ExitUnreachable},
 		{"wait --node=127.0.0.1:1 --version=1 --timeout=50ms", operator.ExitUnreachable},
 		{"wait --node=127.0.0.1:1", operator.ExitUsage},
@@ -83,12 +83,13 @@
 	}
 }
 
-// TestApplyPrintsTheVersionAlone holds what the README's third step relies on.
+// TestApplyPrintsTheVersionAlone checks that apply -o version prints nothing but
+// the version, which the third step in the README relies on.
 func TestApplyPrintsTheVersionAlone(t *testing.T) {
-	standIn := httpdriver.NewPlatform(t.Context(), httpdriver.PlatformOptions{
+	platform := httpdriver.NewPlatform(t.Context(), httpdriver.PlatformOptions{
 		Machines: machines.Options{Lag: machines.DefaultLag}, History: 1000,
 	})
-	server := httptest.NewServer(standIn.Handler())
+	server := httptest.NewServer(platform.Handler())
 	t.Cleanup(server.Close)
 	code, text := run(t, "apply", "-o", "version", "--platform", server.URL, "../../examples/fjordkurv")
 	version, err := strconv.ParseUint(strings.TrimSpace(text), 10, 64)
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestWaitWithoutAnswerNamesTheVersion holds that no answer is not shown as
-// version 0.
+// TestWaitWithoutAnswerNamesTheVersion guards against reporting version 0 if no
+// node responds.
 func TestWaitWithoutAnswerNamesTheVersion(t *testing.T) {
 	code, text := run(t, "wait", "--node=127.0.0.1:1", "--version=55", "--timeout=50ms")
 	if code != operator.ExitUnreachable || !strings.Contains(text, "version 55") {
@@ -113,6 +114,6 @@
 		t.Fatalf("%v in:\n%s", err, text)
 	}
 	if report.Valid || len(report.Findings) == 0 || report.Findings[0].Line == 0 {
-		t.Errorf("the report is %+v", report)
+		t.Errorf("report: %+v", report)
 	}
 }
--- a/cmd/spanlanding/node.go
+++ b/cmd/spanlanding/node.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// nodeSettings reads the settings file and lets flags override it.
+// nodeSettings reads the settings file and applies the flags, which override it.
 func nodeSettings(command *cli.Command) (node.Settings, spec.Findings) {
 	draft := &node.Draft{}
 	if path := command.String(flagSettings); path != "" {
@@ -73,8 +73,9 @@
 	return draft.Complete()
 }
 
-// reportSettings prints the findings, and returns an error if there are any.
-func reportSettings(command *cli.Command, findings spec.Findings) error {
+// reportSettingsFindings prints the findings and returns an error if there are
+// any.
+func reportSettingsFindings(command *cli.Command, findings spec.Findings) error {
 	if len(findings) == 0 {
 		return nil
 	}
@@ -87,7 +88,7 @@
 
 func runNode(_ context.Context, command *cli.Command) error {
 	settings, findings := nodeSettings(command)
-	if err := reportSettings(command, findings); err != nil {
+	if err := reportSettingsFindings(command, findings); err != nil {
 		return err
 	}
 	if command.Bool(flagCheck) {
@@ -103,28 +104,29 @@
 	return serveUntilStopped(running)
 }
 
-// serveUntilStopped waits for a signal or an operator's drain. The first
-// signal begins a planned stop, a second one ends the node at once.
+// serveUntilStopped waits for a signal or a drain request from an operator. The
+// first signal starts a graceful shutdown, a second one stops the node
+// immediately.
 func serveUntilStopped(running *node.Node) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	defer signal.Stop(signals)
-	drain, cutShort := context.WithCancel(context.Background())
-	defer cutShort()
+	drainCtx, cancelDrain := context.WithCancel(context.Background())
+	defer cancelDrain()
 	select {
 	case <-signals:
-		go running.Drain(drain)
+		go running.Drain(drainCtx)
 	case <-running.Drained():
 	}
 	select {
 	case <-signals:
-		cutShort()
+		cancelDrain()
 		<-running.Drained()
 	case <-running.Drained():
 	}
 	running.Stop()
-	if cut := running.Cut(); len(cut) > 0 {
-		return fmt.Errorf("the stop cut %d requests: %v", len(cut), cut)
+	if aborted := running.Cut(); len(aborted) > 0 {
+		return fmt.Errorf("the stop cut %d requests: %v", len(aborted), aborted)
 	}
 	return nil
 }
--- a/cmd/spanlanding/store.go
+++ b/cmd/spanlanding/store.go
@@ -5,7 +5,8 @@
 	"github.com/spanlanding/spanlanding/internal/operator"
 )
 
-// openStore returns the object API at the URL; operators call from no zone.
+// openStore returns a client of the object API at the URL. Its zone is empty,
+// because operators are in no zone.
 func openStore(url string) operator.Store {
 	return objectstore.NewClient(url, "")
 }
--- a/cmd/spanlanding/validate.go
+++ b/cmd/spanlanding/validate.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// validation is the JSON form of what validate found.
+// validation is the result of the validate command in JSON.
 type validation struct {
 	Valid    bool          `json:"valid"`
 	Objects  int           `json:"objects"`
@@ -36,10 +36,10 @@
 	return reportValidation(command, set, findings, true)
 }
 
-// reportValidation prints findings and returns an error if there are any;
-// without findings it prints only where the command asks for it.
-func reportValidation(command *cli.Command, set spec.Set, findings spec.Findings, always bool) error {
-	if len(findings) == 0 && !always {
+// reportValidation prints findings and returns an error if there are any. Without
+// findings it prints the result only if printIfValid is set.
+func reportValidation(command *cli.Command, set spec.Set, findings spec.Findings, printIfValid bool) error {
+	if len(findings) == 0 && !printIfValid {
 		return nil
 	}
 	report := validation{Valid: len(findings) == 0, Objects: len(set.Objects()), Findings: findings}
