--- a/cmd/spanlab/engine.go
+++ b/cmd/spanlab/engine.go
@@ -44,18 +44,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := platformClient(command)
-	backends := make([]standIn, len(listeners))
+	backends := make([]simulatedBackend, len(listeners))
 	for index, listener := range listeners {
-		each := options
-		each.Seed += uint64(index)
-		each.Backend = fleet.Backend{
-			Name:    fleet.BackendName(numbered(command.String(flagNamePrefix), index)),
+		backendOptions := options
+		backendOptions.Seed += uint64(index)
+		backendOptions.Backend = fleet.Backend{
+			Name:    fleet.BackendName(backendName(command.String(flagNamePrefix), index)),
 			Kind:    fleet.KindEngine,
 			Zone:    fleet.Zone(command.String(flagZone)),
-			Rack:    rackOf(command.StringSlice(flagRack), index),
+			Rack:    rackFor(command.StringSlice(flagRack), index),
 			Address: listener.Addr().String(),
 		}
-		backends[index] = httpdriver.NewEngine(ctx, each, client)
+		backends[index] = httpdriver.NewEngine(ctx, backendOptions, client)
 	}
 	return serveBackends(ctx, newLogger(), client, listeners, backends)
 }
@@ -88,7 +88,8 @@
 	}, nil
 }
 
-// byteUnits are tried in this order, so that GiB is not read as B.
+// byteUnits lists unit suffixes in the order in which they are tried. Longer ones
+// come first, so that "GiB" is not parsed as "B".
 var byteUnits = []struct {
 	suffix string
 	bytes  int64
--- a/cmd/spanlab/experiment.go
+++ b/cmd/spanlab/experiment.go
@@ -23,7 +23,7 @@
 	"github.com/spanlanding/spanlanding/internal/lab/requestpath"
 )
 
-// runners are what experiment files can name.
+// runners returns the runners that experiment files can refer to by name.
 func runners() experiment.Registry {
 	return experiment.Registry{
 		batching.Name:        experiment.RunnerFunc(batching.Run),
@@ -33,7 +33,8 @@
 	}
 }
 
-// experimentCommand runs a matrix and reports it.
+// experimentCommand returns the command that runs a matrix of runs and writes a
+// report.
 func experimentCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "experiment",
@@ -58,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	older, err := readOlder(command.String("compare"))
+	baseline, err := readBaseline(command.String("compare"))
 	if err != nil {
 		return err
 	}
@@ -77,15 +78,15 @@
 	if failures != nil {
 		page.Failures = failures.Error()
 	}
-	if older != nil {
-		page.Differences = experiment.Compare(older, result.Rows())
+	if baseline != nil {
+		page.Differences = experiment.Compare(baseline, result.Rows())
 		printDifferences(os.Stdout, page.Differences)
 	}
 	failures = errors.Join(failures, result.WriteSummary(os.Stdout))
 	return errors.Join(failures, writeReport(command.String("out"), page))
 }
 
-func readOlder(path string) ([]experiment.Row, error) {
+func readBaseline(path string) ([]experiment.Row, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -97,15 +98,15 @@
 	return experiment.ReadCSV(file)
 }
 
-// writeReport writes the page and the table beside each other.
+// writeReport writes the report as NAME.html and NAME.csv to the folder.
 func writeReport(folder string, page report.Page) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
 	base := filepath.Join(folder, page.Result.File.Name)
 	err := errors.Join(
-		writeTo(base+".html", page.WriteHTML),
-		writeTo(base+".csv", func(to io.Writer) error { return experiment.WriteCSV(to, page.Result.Rows()) }),
+		writeFile(base+".html", page.WriteHTML),
+		writeFile(base+".csv", func(to io.Writer) error { return experiment.WriteCSV(to, page.Result.Rows()) }),
 	)
 	if err == nil {
 		fmt.Printf("wrote %s.html and %s.csv\n", base, base)
@@ -113,7 +114,7 @@
 	return err
 }
 
-func writeTo(path string, write func(io.Writer) error) error {
+func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
@@ -121,8 +122,8 @@
 	return errors.Join(write(file), file.Close())
 }
 
-// printDifferences lists what changed; those whose interval excludes zero have
-// a mark.
+// printDifferences lists the differences. Those whose confidence interval excludes
+// zero are marked with an asterisk.
 func printDifferences(to io.Writer, differences []experiment.Difference) {
 	for _, difference := range differences {
 		mark := " "
@@ -135,7 +136,7 @@
 	}
 }
 
-// runProgress shows how far the matrix is, on one line.
+// runProgress prints a progress bar for the runs of a matrix.
 type runProgress struct {
 	mutex   sync.Mutex
 	to      io.Writer
@@ -143,7 +144,7 @@
 	done    int
 }
 
-// barWidth is the length of the progress bar in characters.
+// barWidth is the width of the progress bar in characters.
 const barWidth = 30
 
 func (p *runProgress) show(done, total int) {
--- a/cmd/spanlab/load.go
+++ b/cmd/spanlab/load.go
@@ -19,10 +19,12 @@
 	"github.com/spanlanding/spanlanding/internal/lab/scenario"
 )
 
-// exitViolated is the exit code of a run that broke a rule.
-const exitViolated = 1
+// exitRuleViolated is the exit code of a run that violated a rule, or did not
+// exercise one where --every-rule asks for all.
+const exitRuleViolated = 1
 
-// loadCommand puts load on a running system and judges what came of it.
+// loadCommand returns the command that puts load on a running system and checks
+// the results against the rules.
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
@@ -67,7 +69,7 @@
 		Rate: command.Float("rate"), Duration: command.Duration("duration"), Seed: seed,
 		Backends: command.Int("backends"), Ready: command.Duration("ready"),
 		Faults: kinds, FaultLog: command.String("fault-log"), HistoryFile: command.String("history"),
-		Announce: printer.moment, Progress: printer.progress,
+		Announce: printer.printMoment, Progress: printer.printProgress,
 	})
 	if err != nil {
 		return err
@@ -76,12 +78,12 @@
 		return err
 	}
 	if command.Bool("check") {
-		return verdictError(summary, command.Bool("every-rule"))
+		return ruleViolationError(summary, command.Bool("every-rule"))
 	}
 	return nil
 }
 
-// platformURL takes IP:port as well as a URL.
+// platformURL converts IP:port to a URL; a URL is kept.
 func platformURL(text string) string {
 	text = strings.TrimSuffix(text, "/")
 	if strings.Contains(text, "://") {
@@ -99,13 +101,14 @@
 	return encoder.Encode(summary)
 }
 
-// verdictError turns broken rules into the exit code.
-func verdictError(summary report.Summary, everyRule bool) error {
+// ruleViolationError returns an error with exit code exitRuleViolated if a rule
+// was broken or, with everyRule, was not exercised.
+func ruleViolationError(summary report.Summary, everyRule bool) error {
 	if broken := summary.Broken(); len(broken) > 0 {
-		return cli.Exit(fmt.Sprintf("rules broken: %v", broken), exitViolated)
+		return cli.Exit(fmt.Sprintf("rules broken: %v", broken), exitRuleViolated)
 	}
 	if missing := summary.NotExercised(); everyRule && len(missing) > 0 {
-		return cli.Exit(fmt.Sprintf("rules not exercised: %v", missing), exitViolated)
+		return cli.Exit(fmt.Sprintf("rules not exercised: %v", missing), exitRuleViolated)
 	}
 	return nil
 }
--- a/cmd/spanlab/logger.go
+++ b/cmd/spanlab/logger.go
@@ -8,7 +8,8 @@
 	"github.com/spanlanding/spanlanding/internal/logging"
 )
 
-// newLogger writes one line of key=value pairs for each event to stderr.
+// newLogger returns a logger that writes each event to stderr as one line of
+// key=value pairs.
 func newLogger() *log.Logger {
 	return logging.New(os.Stderr, log.InfoLevel)
 }
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -1,5 +1,7 @@
-// Command spanlab runs the stand-ins of the outside systems and the
-// laboratory around them; see README.md.
+// Command spanlab runs simulated external systems (platform, engine, service) and
+// the tools that test against them: load puts load on a running system,
+// experiment runs a matrix of policies and loads, simulate runs the cores on a
+// virtual clock. See README.md.
 package main
 
 import (
--- a/cmd/spanlab/platform.go
+++ b/cmd/spanlab/platform.go
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	standIn := httpdriver.NewPlatform(ctx, httpdriver.PlatformOptions{
+	platform := httpdriver.NewPlatform(ctx, httpdriver.PlatformOptions{
 		Weights: weights.Options{
 			ReadsPerSecond: command.Float("load-rate"),
 			Concurrency:    command.Int("load-concurrency"),
@@ -47,7 +47,7 @@
 		Machines: machines.Options{Lag: max(command.Duration("machine-lag"), time.Nanosecond)},
 		History:  command.Int("history"),
 	})
-	server := newServer(standIn.Handler())
+	server := newServer(platform.Handler())
 	go serve(logger, server, listeners[0])
 	logger.Info().Str("listen", listeners[0].Addr().String()).Msg("ready")
 	signals := make(chan os.Signal, 1)
--- a/cmd/spanlab/process_test.go
+++ b/cmd/spanlab/process_test.go
@@ -20,8 +20,9 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// patience bounds the wait for what must come; no test asserts a time.
-const patience = 30 * time.Second
+// conditionTimeout bounds the wait for a condition that must become true; no test
+// asserts a time.
+const conditionTimeout = 30 * time.Second
 
 var spanlab string
 
@@ -44,8 +45,9 @@
 	return m.Run()
 }
 
-// start runs spanlab until the test's end and returns its process.
-func start(t *testing.T, arguments ...string) *exec.Cmd {
+// startSpanlab starts spanlab and kills it at the end of the test. It logs the
+// output of spanlab if the test failed.
+func startSpanlab(t *testing.T, arguments ...string) *exec.Cmd {
 	t.Helper()
 	command := exec.Command(spanlab, arguments...)
 	var output bytes.Buffer
@@ -75,11 +77,11 @@
 	return listener.Addr().String()
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
@@ -106,7 +108,7 @@
 	return response
 }
 
-// lab is a platform and one engine, as processes.
+// lab holds a simulated platform and one simulated engine, each a process.
 type lab struct {
 	*testing.T
 	platform string
@@ -117,14 +119,14 @@
 func startLab(t *testing.T) *lab {
 	t.Helper()
 	started := &lab{T: t, platform: freeAddress(t), address: freeAddress(t)}
-	start(t, "platform", "--listen", started.platform, "--machine-lag", "0s")
-	started.engine = start(t, "engine", "--platform", started.platform, "--zone", "a", "--name-prefix", "engine-",
+	startSpanlab(t, "platform", "--listen", started.platform, "--machine-lag", "0s")
+	started.engine = startSpanlab(t, "engine", "--platform", started.platform, "--zone", "a", "--name-prefix", "engine-",
 		"--listen", started.address, "--load-seconds", "0.01", "--token-interval", "5ms")
-	eventually(t, "the engine is listed", func() bool { return started.listed() == objectstore.MachineLive })
+	waitFor(t, "the engine is listed", func() bool { return started.machineState() == objectstore.MachineLive })
 	return started
 }
 
-func (l *lab) listed() objectstore.MachineState {
+func (l *lab) machineState() objectstore.MachineState {
 	var list objectstore.MachineList
 	if !get("http://"+l.platform+"/v1/machines", &list) || len(list.Machines) == 0 {
 		return ""
@@ -132,7 +134,7 @@
 	return list.Machines[0].State
 }
 
-func (l *lab) load(model fleet.ModelVersion) {
+func (l *lab) loadModel(model fleet.ModelVersion) {
 	l.Helper()
 	url := "http://" + l.address
 	var state fleet.EngineState
@@ -145,7 +147,7 @@
 		ID: "1", Fence: 1, Incarnation: state.Incarnation, Action: backend.ActionLoad, Model: model, Bytes: 1,
 	})
 	_ = ordered.Body.Close()
-	eventually(l.T, "the model is ready", func() bool {
+	waitFor(l.T, "the model is ready", func() bool {
 		var state fleet.EngineState
 		return get(url+backend.PathEngineState, &state) && state.Find(model) != nil && state.Find(model).State == fleet.LoadReady
 	})
@@ -153,7 +155,7 @@
 
 func TestPlannedStopEndsWhatRunsAndRefusesTheRest(t *testing.T) {
 	l := startLab(t)
-	l.load(fleet.ModelVersion{Model: "alarm", Version: "1"})
+	l.loadModel(fleet.ModelVersion{Model: "alarm", Version: "1"})
 	url := "http://" + l.address + backend.PathCompletions
 	request := map[string]any{"model": "alarm@1", "prompt": "x", "stream": true, "max_tokens": 600}
 	running := post(t, url, request)
@@ -164,18 +166,18 @@
 	if err := l.engine.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the engine is listed as leaving", func() bool { return l.listed() == objectstore.MachineLeaving })
+	waitFor(t, "the engine is listed as leaving", func() bool { return l.machineState() == objectstore.MachineLeaving })
 	refused := post(t, url, request)
 	_ = refused.Body.Close()
 	if refused.StatusCode != http.StatusServiceUnavailable || refused.Header.Get(backend.HeaderNotRun) != "true" {
-		t.Errorf("new request: %s, %v", refused.Status, refused.Header)
+		t.Errorf("new request: status %s, header %v", refused.Status, refused.Header)
 	}
 	answer, err := io.ReadAll(running.Body)
 	if err != nil || !bytes.HasSuffix(answer, []byte("data: [DONE]\n\n")) {
-		t.Errorf("the running answer was cut: %v", err)
+		t.Errorf("the running response was cut off: %v", err)
 	}
 	if err := l.engine.Wait(); err != nil {
-		t.Errorf("the engine ended with %v", err)
+		t.Errorf("the engine exited with %v", err)
 	}
 }
 
@@ -184,9 +186,10 @@
 	if err := l.engine.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	// Four probes of a machine fall into this time; all must find it paused.
+	// The platform probes a machine four times in this period; each probe must
+	// find it paused.
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if state := l.listed(); state == objectstore.MachineGone {
+		if state := l.machineState(); state == objectstore.MachineGone {
 			t.Fatal("a paused engine is listed as gone")
 		}
 	}
@@ -194,7 +197,7 @@
 		t.Fatal(err)
 	}
 	_ = l.engine.Wait()
-	eventually(t, "the engine is gone", func() bool { return l.listed() == objectstore.MachineGone })
+	waitFor(t, "the engine is gone", func() bool { return l.machineState() == objectstore.MachineGone })
 }
 
 func TestParseBytes(t *testing.T) {
--- a/cmd/spanlab/serve.go
+++ b/cmd/spanlab/serve.go
@@ -22,23 +22,24 @@
 )
 
 const (
-	// leavingLinger is how long a back end at least serves on after it has said
-	// that it leaves, so that the news is heard before its address is gone.
-	leavingLinger = time.Second
-	idlePoll      = 20 * time.Millisecond
-	closeTimeout  = time.Second
+	// minLeavingDuration is the minimum time for which a back end keeps serving
+	// after it has announced that it is leaving, so that the announcement is
+	// received before its address stops responding.
+	minLeavingDuration = time.Second
+	idlePollInterval   = 20 * time.Millisecond
+	closeTimeout       = time.Second
 )
 
-// standIn is one back end that a process stands for.
-type standIn interface {
+// simulatedBackend is one of the back ends that a process simulates.
+type simulatedBackend interface {
 	Handler() http.Handler
 	Machine() objectstore.Machine
 	Leave()
 	Idle() bool
 }
 
-// listen opens a listener for each of count consecutive ports; port 0 gives
-// each any free port.
+// listen opens listeners on count consecutive ports, starting at that of address.
+// With port 0 each listener gets any free port.
 func listen(address string, count int) ([]net.Listener, error) {
 	first, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -67,9 +68,10 @@
 	return errors.Join(failures...)
 }
 
-// serveBackends serves the stand-ins until SIGTERM, says that they leave, and
-// returns once what runs has ended. A second signal ends it at once.
-func serveBackends(ctx context.Context, logger *log.Logger, client httpdriver.PlatformClient, listeners []net.Listener, backends []standIn) error {
+// serveBackends serves the simulated back ends until SIGTERM or SIGINT, announces
+// that they are leaving, and returns once running requests have finished. A second
+// signal makes it return without waiting for them.
+func serveBackends(ctx context.Context, logger *log.Logger, client httpdriver.PlatformClient, listeners []net.Listener, backends []simulatedBackend) error {
 	servers := make([]*http.Server, len(backends))
 	for index, backend := range backends {
 		servers[index] = newServer(backend.Handler())
@@ -77,14 +79,14 @@
 	}
 	announcer := &httpdriver.Announcer{
 		Client:   client,
-		Machines: func() []objectstore.Machine { return machineLines(backends) },
+		Machines: func() []objectstore.Machine { return machineEntries(backends) },
 		OnError: func(err error) {
 			logger.Warn().Err(err).Msg("heartbeat_failed")
 		},
 	}
-	announcing, stopAnnouncing := context.WithCancel(ctx)
+	announceCtx, stopAnnouncing := context.WithCancel(ctx)
 	defer stopAnnouncing()
-	go announcer.Run(announcing)
+	go announcer.Run(announceCtx)
 	logger.Info().Str("listen", listeners[0].Addr().String()).Int("count", len(backends)).Msg("ready")
 
 	signals := make(chan os.Signal, 2)
@@ -96,37 +98,37 @@
 	}
 	announcer.Announce(ctx)
 	logger.Info().Msg("leaving")
-	awaitIdle(backends, signals)
+	waitUntilIdle(backends, signals)
 	logger.Info().Msg("stopped")
 	return shutdown(ctx, servers)
 }
 
-func machineLines(backends []standIn) []objectstore.Machine {
-	lines := make([]objectstore.Machine, len(backends))
+func machineEntries(backends []simulatedBackend) []objectstore.Machine {
+	entries := make([]objectstore.Machine, len(backends))
 	for index, backend := range backends {
-		lines[index] = backend.Machine()
+		entries[index] = backend.Machine()
 	}
-	return lines
+	return entries
 }
 
-func awaitIdle(backends []standIn, signals <-chan os.Signal) {
-	linger := time.After(leavingLinger)
-	lingered := false
+func waitUntilIdle(backends []simulatedBackend, signals <-chan os.Signal) {
+	minElapsed := time.After(minLeavingDuration)
+	mayStop := false
 	for {
 		select {
 		case <-signals:
 			return
-		case <-linger:
-			lingered = true
-		case <-time.After(idlePoll):
+		case <-minElapsed:
+			mayStop = true
+		case <-time.After(idlePollInterval):
 		}
-		if lingered && allIdle(backends) {
+		if mayStop && allIdle(backends) {
 			return
 		}
 	}
 }
 
-func allIdle(backends []standIn) bool {
+func allIdle(backends []simulatedBackend) bool {
 	for _, backend := range backends {
 		if !backend.Idle() {
 			return false
@@ -145,7 +147,8 @@
 	}
 }
 
-// shutdown lets answers be written out, then closes what is left.
+// shutdown waits up to closeTimeout for open responses to be written, then closes
+// the remaining connections.
 func shutdown(ctx context.Context, servers []*http.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
@@ -165,7 +168,7 @@
 	return httpdriver.PlatformClient{URL: url, HTTP: &http.Client{}}
 }
 
-// The flags that engines and services share.
+// Flags shared by the engine and service commands.
 const (
 	flagPlatform   = "platform"
 	flagZone       = "zone"
@@ -194,13 +197,13 @@
 	return nil
 }
 
-func rackOf(racks []string, index int) string {
+func rackFor(racks []string, index int) string {
 	if len(racks) == 0 {
 		return ""
 	}
 	return racks[index%len(racks)]
 }
 
-func numbered(prefix string, index int) string {
+func backendName(prefix string, index int) string {
 	return prefix + strconv.Itoa(index)
 }
--- a/cmd/spanlab/service.go
+++ b/cmd/spanlab/service.go
@@ -30,16 +30,16 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	backends := make([]standIn, len(listeners))
+	backends := make([]simulatedBackend, len(listeners))
 	for index, listener := range listeners {
 		backends[index] = httpdriver.NewService(ctx, service.Options{
 			ServiceTime: command.Duration("service-time"),
 			Incarnation: uint64(time.Now().UnixNano()),
 			Backend: fleet.Backend{
-				Name:    fleet.BackendName(numbered(command.String(flagNamePrefix), index)),
+				Name:    fleet.BackendName(backendName(command.String(flagNamePrefix), index)),
 				Kind:    fleet.KindService,
 				Zone:    fleet.Zone(command.String(flagZone)),
-				Rack:    rackOf(command.StringSlice(flagRack), index),
+				Rack:    rackFor(command.StringSlice(flagRack), index),
 				Address: listener.Addr().String(),
 				Service: command.String("service"),
 			},
--- a/cmd/spanlab/simulate.go
+++ b/cmd/spanlab/simulate.go
@@ -15,7 +15,7 @@
 	"github.com/spanlanding/spanlanding/internal/sim/world"
 )
 
-// errRulesViolated ends the command with a failure after the report.
+// errRulesViolated makes the command fail after it has printed its report.
 var errRulesViolated = errors.New("a rule was violated, or never exercised")
 
 func simulateCommand() *cli.Command {
@@ -46,7 +46,7 @@
 			if command.Bool("trace") {
 				return traceSeed(os.Stdout, config, command.Uint64("seed"))
 			}
-			return simulate(os.Stdout, config, simulation{
+			return simulate(os.Stdout, config, batchOptions{
 				first: command.Uint64("seed"), seeds: command.Int("seeds"),
 				workers: command.Int("workers"), corpus: command.String("corpus"),
 			})
@@ -54,15 +54,15 @@
 	}
 }
 
-// simulation is a batch as the flags describe it.
-type simulation struct {
+// batchOptions describes a batch of runs as given by the flags.
+type batchOptions struct {
 	first   uint64
 	seeds   int
 	workers int
 	corpus  string
 }
 
-func simulate(out io.Writer, config world.Config, batch simulation) error {
+func simulate(out io.Writer, config world.Config, batch batchOptions) error {
 	started := time.Now()
 	reports := world.RunBatch(config, batch.first, batch.seeds, batch.workers, progressLine(os.Stderr, batch.seeds))
 	summary := sim.Summarize(reports)
@@ -83,7 +83,8 @@
 	return errRulesViolated
 }
 
-// progressLine rewrites one line about once for each hundredth of the batch.
+// progressLine returns a progress function that updates one line about once for
+// each hundredth of the batch.
 func progressLine(out io.Writer, seeds int) func(done int) {
 	step := max(1, seeds/100)
 	return func(done int) {
@@ -96,7 +97,8 @@
 	}
 }
 
-// reportFailure shrinks a failed run and keeps it for the corpus.
+// reportFailure shrinks the fault plan of a failed run, prints it and, unless
+// corpus is empty, saves it as a corpus case.
 func reportFailure(out io.Writer, config world.Config, failed sim.Report, corpus string) error {
 	plan := world.Shrink(config, failed)
 	fmt.Fprintf(out, "shrunk seed=%d faults=%d from=%d\n", failed.Seed, len(plan), len(failed.Plan))
