--- a/scripts/daystats/main.go
+++ b/scripts/daystats/main.go
@@ -1,10 +1,10 @@
-// Command daystats prints the mean and spread of what the bench's reports of
-// several days and seeds say, and compares two such sets of reports:
+// Command daystats prints the mean and standard deviation of the figures in the
+// bench's reports on several days and seeds, or compares two sets of reports:
 //
-//	daystats DIR          one line a day, one a kind of request, one a price
+//	daystats DIR          one line per figure: days, kinds of request, prices
 //	daystats BEFORE AFTER the same, as differences of the means
 //
-// A report is DIR/DAY@SEED.json, as scripts/play.sh leaves it.
+// A report is a file DIR/DAY@SEED.json, as written by scripts/play.sh.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// report is what is read of one played day.
+// report holds the fields used from the report on one run of a day.
 type report struct {
 	Worth  float64                    `json:"G"`
 	Served float64                    `json:"served"`
@@ -29,13 +29,13 @@
 	Kinds  []kind                     `json:"classes"`
 }
 
-// part is [name, weight, value]; price is [name, count, cost].
+// part is the JSON array [name, weight, value], price is [name, count, cost].
 type (
 	part  []any
 	price []any
 )
 
-// kind is what became of one kind of request.
+// kind holds the bench's results for one kind of request.
 type kind struct {
 	Name   string  `json:"name"`
 	Asked  float64 `json:"n"`
@@ -45,7 +45,7 @@
 	Failed float64 `json:"failed"`
 }
 
-// samples are the values of one figure over plays.
+// samples are the values of one figure, one per run.
 type samples []float64
 
 func (s samples) mean() float64 {
@@ -56,7 +56,7 @@
 	return total / float64(max(1, len(s)))
 }
 
-// deviation is the standard deviation of one play.
+// deviation returns the sample standard deviation, 0 for fewer than two samples.
 func (s samples) deviation() float64 {
 	if len(s) < 2 {
 		return 0
@@ -68,7 +68,8 @@
 	return math.Sqrt(total / float64(len(s)-1))
 }
 
-// figures are the samples by the name of the figure, in the order of the names.
+// figures maps the name of a figure to its samples. A name starts with a digit
+// that groups the figures when they are sorted by name.
 type figures map[string]samples
 
 func (f figures) add(name string, value float64) { f[name] = append(f[name], value) }
@@ -82,10 +83,10 @@
 	return names
 }
 
-// quietDay is the part of a day's name that tells it has no trouble.
-const quietDay = "quiet"
+// quietDayMarker is the part of a day's name that marks a day without trouble.
+const quietDayMarker = "quiet"
 
-// collect reads all reports of a folder.
+// collect reads all reports in a folder.
 func collect(folder string) (figures, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*@*.json"))
 	if err != nil {
@@ -102,22 +103,22 @@
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		day, _, _ := strings.Cut(filepath.Base(file), "@")
-		collected.take(day, read)
+		collected.addReport(day, read)
 	}
 	return collected, nil
 }
 
-func (f figures) take(day string, read report) {
+func (f figures) addReport(day string, read report) {
 	f.add("1 day "+day, read.Worth)
 	f.add("2 rules broken", float64(len(read.Breaks)))
 	f.add("2 floors missed", float64(len(read.Short)))
-	if strings.Contains(day, quietDay) {
+	if strings.Contains(day, quietDayMarker) {
 		return
 	}
 	f.add("0 worth, days with trouble", read.Worth)
 	f.add("0 served, days with trouble", read.Served)
 	for _, part := range read.Parts {
-		f.addPair("3 part ", part)
+		f.addEntry("3 part ", part)
 	}
 	for _, kind := range read.Kinds {
 		f.add("4 kind "+kind.Name+" worth", kind.Worth)
@@ -125,45 +126,46 @@
 		f.add("4 kind "+kind.Name+" unserved", 1-(kind.Late+kind.InAim)/max(1, kind.Asked))
 	}
 	for _, price := range read.Prices {
-		f.addPair("5 price ", price)
+		f.addEntry("5 price ", price)
 	}
 }
 
-// addPair adds an entry of a name and its figure, which stands last.
-func (f figures) addPair(prefix string, entry []any) {
+// addEntry adds the figure of an entry, whose first element is the name and whose
+// last element is the value.
+func (f figures) addEntry(prefix string, entry []any) {
 	name, _ := entry[0].(string)
 	value, _ := entry[len(entry)-1].(float64)
 	f.add(prefix+name, value)
 }
 
-// shownFrom is the least mean of a price that gets a line.
-const shownFrom = 0.0005
+// minShownPrice is the smallest absolute mean for which a price is printed.
+const minShownPrice = 0.0005
 
-func printOne(f figures) {
+func printFigures(f figures) {
 	for _, name := range f.names() {
-		if mean := f[name].mean(); !strings.HasPrefix(name, "5") || math.Abs(mean) >= shownFrom {
+		if mean := f[name].mean(); !strings.HasPrefix(name, "5") || math.Abs(mean) >= minShownPrice {
 			fmt.Printf("%-56s %8.4f  +-%.4f  of %d\n", name, mean, f[name].deviation(), len(f[name]))
 		}
 	}
 }
 
-func printBoth(before, after figures) {
+func printComparison(before, after figures) {
 	for _, name := range after.names() {
-		was, is := before[name], after[name]
-		if strings.HasPrefix(name, "5") && max(math.Abs(was.mean()), math.Abs(is.mean())) < shownFrom {
+		old, current := before[name], after[name]
+		if strings.HasPrefix(name, "5") && max(math.Abs(old.mean()), math.Abs(current.mean())) < minShownPrice {
 			continue
 		}
-		fmt.Printf("%-56s %8.4f -> %8.4f  %+.4f  +-%.4f\n", name, was.mean(), is.mean(), is.mean()-was.mean(), spread(was, is))
+		fmt.Printf("%-56s %8.4f -> %8.4f  %+.4f  +-%.4f\n", name, old.mean(), current.mean(), current.mean()-old.mean(), standardError(old, current))
 	}
 }
 
-// spread is the standard error of the difference of two means.
-func spread(a, b samples) float64 {
-	error := 0.0
+// standardError returns the standard error of the difference of two means.
+func standardError(a, b samples) float64 {
+	variance := 0.0
 	for _, s := range []samples{a, b} {
-		error += s.deviation() * s.deviation() / float64(max(1, len(s)))
+		variance += s.deviation() * s.deviation() / float64(max(1, len(s)))
 	}
-	return math.Sqrt(error)
+	return math.Sqrt(variance)
 }
 
 func run(folders []string) error {
@@ -175,14 +177,14 @@
 		return err
 	}
 	if len(folders) == 1 {
-		printOne(first)
+		printFigures(first)
 		return nil
 	}
 	second, err := collect(folders[1])
 	if err != nil {
 		return err
 	}
-	printBoth(first, second)
+	printComparison(first, second)
 	return nil
 }
 
--- a/scripts/daystats/main_test.go
+++ b/scripts/daystats/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// reports writes reports of days into a folder.
-func reports(t *testing.T, contents map[string]string) string {
+// writeReports writes report files into a new folder and returns its path.
+func writeReports(t *testing.T, contents map[string]string) string {
 	t.Helper()
 	folder := t.TempDir()
 	for name, content := range contents {
@@ -21,7 +21,7 @@
 }
 
 func TestFiguresOfDaysWithTrouble(t *testing.T) {
-	folder := reports(t, map[string]string{
+	folder := writeReports(t, map[string]string{
 		"trouble-1@own.json": `{"G":0.5,"served":0.8,"parts":[["whole day",0.75,0.8]],"prices":[["orders",120,0.01]],
 			"classes":[{"name":"a","n":10,"in_aim":6,"late":3,"worth":0.7}]}`,
 		"trouble-1@2.json": `{"G":0.7,"served":0.9,"breaks":{"LOST":1},"short":["x"]}`,
@@ -53,14 +53,14 @@
 }
 
 func TestDamagedReportIsNamed(t *testing.T) {
-	folder := reports(t, map[string]string{"scale-1@3.json": `{"G":`})
+	folder := writeReports(t, map[string]string{"scale-1@3.json": `{"G":`})
 	if _, err := collect(folder); err == nil || !strings.Contains(err.Error(), "scale-1@3.json") {
 		t.Errorf("error %v, want one that names the file", err)
 	}
 }
 
 func TestSpreadOfADifference(t *testing.T) {
-	if got := spread(samples{1, 3}, samples{2, 2}); math.Abs(got-1) > 1e-9 {
+	if got := standardError(samples{1, 3}, samples{2, 2}); math.Abs(got-1) > 1e-9 {
 		t.Errorf("standard error %v, want 1", got)
 	}
 }
