--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -9,11 +9,13 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// prefillChunkTokens bounds the prompt tokens of one sequence in an iteration.
+// prefillChunkTokens is the maximum number of prompt tokens that one sequence
+// prefills per iteration.
 const prefillChunkTokens = 2048
 
-// startBatch admits what waits and begins an iteration, unless one runs.
-func (c *Core) startBatch(now time.Time) {
+// startIteration admits waiting requests and starts an iteration, unless one is
+// already running.
+func (c *Core) startIteration(now time.Time) {
 	if !c.iterationEnd.IsZero() {
 		return
 	}
@@ -32,25 +34,25 @@
 	c.iterationEnd = now.Add(max(length, time.Microsecond))
 }
 
-// admit moves waiting requests into the batch while their KV cache fits. The
-// first always enters an empty batch, so that none waits for ever.
+// admit moves waiting requests into the batch while their KV cache fits. An
+// empty batch always admits the first one, so that no request waits forever.
 func (c *Core) admit(now time.Time) {
 	for len(c.waiting) > 0 && len(c.running) < c.options.MaxRunning {
 		next := c.waiting[0]
-		if len(c.running) > 0 && c.kvBytes()+c.kvNeed(next) > c.options.KVReserveBytes {
+		if len(c.running) > 0 && c.usedKVBytes()+c.kvBytesNeeded(next) > c.options.KVReserveBytes {
 			return
 		}
 		c.waiting = slices.Delete(c.waiting, 0, 1)
-		c.begin(now, next)
+		c.startSequence(now, next)
 	}
 }
 
-func (c *Core) begin(now time.Time, next *sequence) {
+func (c *Core) startSequence(now time.Time, next *sequence) {
 	request := next.request
 	next.prefillLeft = request.PromptTokens + request.From
-	cached := c.prefixes.use(now, request)
+	cached := c.prefixes.access(now, request)
 	next.prefillLeft = max(next.prefillLeft-cached, 0)
-	next.execution = len(c.book.Executions)
+	next.executionIndex = len(c.book.Executions)
 	c.book.Executions = append(c.book.Executions, books.Execution{
 		RequestID: request.ID,
 		Attempt:   request.Attempt,
@@ -60,22 +62,25 @@
 	})
 	next.state = sequenceRunning
 	c.running = append(c.running, next)
-	c.find(request.Model).startRunning(now)
+	c.findModel(request.Model).startRunning(now)
 }
 
-// kvNeed is the KV cache that a request holds at its end.
-func (c *Core) kvNeed(sequence *sequence) int64 {
+// kvBytesNeeded returns the size of a request's KV cache once it has generated
+// all its tokens.
+func (c *Core) kvBytesNeeded(sequence *sequence) int64 {
 	return int64(sequence.request.PromptTokens+sequence.total) * c.options.KVBytesPerToken
 }
 
-func (c *Core) kvBytes() int64 {
+func (c *Core) usedKVBytes() int64 {
 	var used int64
 	for _, sequence := range c.running {
-		used += c.kvNeed(sequence)
+		used += c.kvBytesNeeded(sequence)
 	}
 	return used
 }
 
+// endIteration advances every running request by one prefill chunk or one token
+// and starts the next iteration.
 func (c *Core) endIteration(now time.Time) {
 	c.iterationEnd = time.Time{}
 	produced := 0
@@ -87,21 +92,21 @@
 		sequence.prefillLeft = 0
 		if sequence.generated < sequence.total {
 			produced++
-			c.produce(sequence)
+			c.emitToken(sequence)
 		}
 		if sequence.generated >= sequence.total {
-			c.finish(now, sequence)
+			c.finishSequence(now, sequence)
 		}
 	}
 	c.meter.add(now, produced)
-	c.startBatch(now)
-	c.noteReport(now)
+	c.startIteration(now)
+	c.recordReport(now)
 }
 
-func (c *Core) produce(sequence *sequence) {
+func (c *Core) emitToken(sequence *sequence) {
 	index := sequence.generated
 	sequence.generated++
-	c.book.Executions[sequence.execution].Tokens++
+	c.book.Executions[sequence.executionIndex].Tokens++
 	c.deliver(sequence, c.tokenChunk(sequence, index))
 }
 
@@ -115,12 +120,12 @@
 	}
 }
 
-// finish ends a request whose tokens are all there.
-func (c *Core) finish(now time.Time, sequence *sequence) {
-	c.stop(now, sequence)
+// finishSequence ends a request that has generated all its tokens.
+func (c *Core) finishSequence(now time.Time, sequence *sequence) {
+	c.stopSequence(now, sequence)
 	sequence.state = sequenceDone
 	c.deliver(sequence, c.finishChunk(sequence))
-	c.keepUntil(sequence, now.Add(c.options.Timing.KeepStreams))
+	c.expireAt(sequence, now.Add(c.options.Timing.KeepStreams))
 }
 
 func (c *Core) finishChunk(sequence *sequence) backend.Chunk {
@@ -132,50 +137,51 @@
 	}
 }
 
-// stop takes a request out of the batch or the line behind it.
-func (c *Core) stop(now time.Time, stopped *sequence) {
-	model := c.find(stopped.request.Model)
+// stopSequence removes a request from the batch or the waiting queue.
+func (c *Core) stopSequence(now time.Time, stopped *sequence) {
+	model := c.findModel(stopped.request.Model)
 	isStopped := func(sequence *sequence) bool { return sequence == stopped }
 	switch stopped.state {
 	case sequenceRunning:
 		c.running = slices.DeleteFunc(c.running, isStopped)
-		c.book.Executions[stopped.execution].Ended = now
-		model.stopRunning(now, &c.book.Residencies[model.residency])
+		c.book.Executions[stopped.executionIndex].Ended = now
+		model.stopRunning(now, &c.book.Residencies[model.residencyIndex])
 	case sequenceWaiting:
 		c.waiting = slices.DeleteFunc(c.waiting, isStopped)
 	case sequenceDone:
 		return
 	}
 	model.accepted--
-	c.releaseWhenIdle(now, model)
+	c.unloadWhenIdle(now, model)
 }
 
-// tokenMeter counts tokens over a sliding span of about a second.
+// tokenMeter measures the token rate over consecutive windows of at least
+// meterWindow.
 type tokenMeter struct {
 	since  time.Time
 	tokens int
 	rate   float64
 }
 
-const meterSpan = 500 * time.Millisecond
+const meterWindow = 500 * time.Millisecond
 
 func (t *tokenMeter) add(now time.Time, tokens int) {
-	if t.since.IsZero() || now.Sub(t.since) > 4*meterSpan {
+	if t.since.IsZero() || now.Sub(t.since) > 4*meterWindow {
 		*t = tokenMeter{since: now, tokens: 0, rate: t.rate}
 	}
 	t.tokens += tokens
-	if span := now.Sub(t.since); span >= meterSpan {
+	if span := now.Sub(t.since); span >= meterWindow {
 		*t = tokenMeter{since: now, rate: float64(t.tokens) / span.Seconds()}
 	}
 }
 
 const (
 	reportInterval = 50 * time.Millisecond
-	keptReports    = 64
+	maxKeptReports = 64
 )
 
-// noteReport records what a later reader is shown after the report's lag.
-func (c *Core) noteReport(now time.Time) {
+// recordReport records a load report, which readers see after the report lag.
+func (c *Core) recordReport(now time.Time) {
 	last := len(c.reports) - 1
 	if last >= 0 && now.Sub(c.reports[last].AsOf) < reportInterval && !c.Idle() {
 		return
@@ -188,7 +194,7 @@
 		Running:         len(c.running),
 		Waiting:         len(c.waiting),
 		TokensPerSecond: c.meter.rate,
-		KVUsedBytes:     c.kvBytes(),
+		KVUsedBytes:     c.usedKVBytes(),
 	}
 	if c.Idle() {
 		report.TokensPerSecond = 0
@@ -197,23 +203,23 @@
 		report.QueuedTokens += int64(sequence.prefillLeft + sequence.total - sequence.generated)
 	}
 	c.reports = append(c.reports, report)
-	if len(c.reports) > keptReports {
-		c.reports = slices.Delete(c.reports, 0, len(c.reports)-keptReports)
+	if len(c.reports) > maxKeptReports {
+		c.reports = slices.Delete(c.reports, 0, len(c.reports)-maxKeptReports)
 	}
 }
 
-// report is the newest one that is at least as old as the lag.
+// report returns the newest report that is at least as old as the lag.
 func (c *Core) report(now time.Time) fleet.LoadReport {
-	shown := now.Add(-c.options.Timing.ReportLag)
+	asOf := now.Add(-c.options.Timing.ReportLag)
 	for index := len(c.reports) - 1; index >= 0; index-- {
-		if c.reports[index].AsOf.After(shown) {
+		if c.reports[index].AsOf.After(asOf) {
 			continue
 		}
 		report := c.reports[index]
 		if index == len(c.reports)-1 && !c.faults.FreezeReport {
-			report.AsOf = shown
+			report.AsOf = asOf
 		}
 		return report
 	}
-	return fleet.LoadReport{AsOf: shown}
+	return fleet.LoadReport{AsOf: asOf}
 }
--- a/internal/standin/engine/checkpoints.go
+++ b/internal/standin/engine/checkpoints.go
@@ -7,13 +7,13 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// checkpointCache says where checkpoints lie beside the accelerator. What is
-// used last stays longest; from host memory a checkpoint falls to disk, from
-// there it must be read from the weight store again.
+// checkpointCache tracks the storage tier of each checkpoint that the engine's
+// host keeps. Eviction is least recently used: from host memory to disk, and
+// from disk to the weight store, from which it has to be read again.
 type checkpointCache struct {
 	hostBytes int64
 	diskBytes int64
-	// entries go from the least to the most recently used.
+	// entries are ordered from the least to the most recently used.
 	entries []checkpoint
 }
 
@@ -49,7 +49,8 @@
 	k.entries = slices.DeleteFunc(k.entries, func(entry checkpoint) bool { return entry.tier == fleet.TierRemote })
 }
 
-// demote moves the least recently used of a tier to the next until the rest fits.
+// demote moves the least recently used checkpoints of one tier to the next until
+// the rest fits in limit bytes.
 func (k *checkpointCache) demote(from, to fleet.Tier, limit int64) {
 	var used int64
 	for _, entry := range k.entries {
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -19,17 +19,17 @@
 	nextID  LoadID
 	leaving bool
 
-	// What follows is forgotten by a restart.
-	incarnation uint64
-	fence       fleet.Fence
-	role        string
-	answered    map[string]string // refusal reason by order ID, "" if taken
-	models      []*residentModel  // sorted by model
-	tiers       *checkpointCache
-	requests    map[fleet.RequestID]*sequence
-	running     []*sequence
-	waiting     []*sequence // by priority, then arrival
-	// iterationEnd is zero while no batch runs.
+	// A restart resets the fields below.
+	incarnation  uint64
+	fence        fleet.Fence
+	role         string
+	orderResults map[string]string // refusal reason by order ID, orderAccepted if none
+	models       []*residentModel  // sorted by model
+	checkpoints  *checkpointCache
+	requests     map[fleet.RequestID]*sequence
+	running      []*sequence
+	waiting      []*sequence // by priority, then arrival
+	// iterationEnd is zero while no iteration runs.
 	iterationEnd time.Time
 	expiries     []streamExpiry // by time
 	reports      []fleet.LoadReport
@@ -37,7 +37,7 @@
 	meter        tokenMeter
 }
 
-// New returns an engine that holds nothing.
+// New returns an engine without loaded models.
 func New(options Options) *Core {
 	options = options.withDefaults()
 	core := &Core{options: options, random: rand.New(rand.NewPCG(options.Seed, 1))}
@@ -46,14 +46,15 @@
 	return core
 }
 
+// reset sets the state of a newly started engine.
 func (c *Core) reset(incarnation uint64) {
 	c.incarnation = incarnation
 	c.book.Incarnation = incarnation
 	c.fence = 0
 	c.role = c.options.Role
-	c.answered = map[string]string{}
+	c.orderResults = map[string]string{}
 	c.models = nil
-	c.tiers = newCheckpointCache(c.options)
+	c.checkpoints = newCheckpointCache(c.options)
 	c.requests = map[fleet.RequestID]*sequence{}
 	c.running, c.waiting, c.expiries = nil, nil, nil
 	c.iterationEnd = time.Time{}
@@ -63,7 +64,8 @@
 	c.book.PeakBytes = max(c.book.PeakBytes, c.options.KVReserveBytes)
 }
 
-// Step does what is due until now, then takes the message.
+// Step processes everything due by now, then the message, and returns the
+// effects of both.
 func (c *Core) Step(now time.Time, message Message) []Effect {
 	c.effects = nil
 	c.catchUp(now)
@@ -82,11 +84,11 @@
 	case Resume:
 		c.resume(now, m)
 	case Cancel:
-		c.emit(Cancelled{Call: m.Call, Found: c.cancel(now, c.attempt(m.Request, m.Attempt))})
+		c.emit(Cancelled{Call: m.Call, Found: c.cancel(now, c.findAttempt(m.Request, m.Attempt))})
 	case Detach:
 		c.detach(now, m)
 	case ReadCacheEvents:
-		events := c.prefixes.read(m.Since, now.Add(-c.options.Timing.CacheEventLag))
+		events := c.prefixes.eventsSince(m.Since, now.Add(-c.options.Timing.CacheEventLag))
 		c.emit(CacheEventsRead{Call: m.Call, Events: events})
 	case Leave:
 		c.leave(now)
@@ -99,7 +101,8 @@
 	return c.effects
 }
 
-// NextWake is the earliest time at which a Tick is wanted; zero for none.
+// NextWake returns the earliest time at which a Tick is needed, or zero if none
+// is.
 func (c *Core) NextWake() time.Time {
 	wake := c.iterationEnd
 	for _, model := range c.models {
@@ -111,7 +114,8 @@
 	return wake
 }
 
-// catchUp runs everything that is due, each at its own time.
+// catchUp processes everything due by now in time order, each event at its own
+// time.
 func (c *Core) catchUp(now time.Time) {
 	for {
 		wake := c.NextWake()
@@ -141,6 +145,8 @@
 	}
 }
 
+// restart simulates a crash and restart of the engine process. The records in the
+// book survive it.
 func (c *Core) restart(now time.Time) {
 	for _, model := range c.models {
 		if model.fetching {
@@ -152,7 +158,7 @@
 		c.emit(Broken{Call: reader})
 	}
 	for _, sequence := range c.running {
-		c.book.Executions[sequence.execution].Ended = now
+		c.book.Executions[sequence.executionIndex].Ended = now
 	}
 	c.reset(c.incarnation + 1)
 }
@@ -162,12 +168,12 @@
 	return len(c.running) == 0 && len(c.waiting) == 0
 }
 
-// Leaving reports whether the engine has said that it leaves.
+// Leaving reports whether the engine has announced that it is shutting down.
 func (c *Core) Leaving() bool {
 	return c.leaving
 }
 
-// State is the engine's account of itself.
+// State returns the state that the engine reports.
 func (c *Core) State(now time.Time) fleet.EngineState {
 	self := c.options.Backend
 	self.Leaving = c.leaving
@@ -178,24 +184,24 @@
 		Role:           c.role,
 		MemoryBytes:    c.options.MemoryBytes,
 		KVReserveBytes: c.options.KVReserveBytes,
-		Tiers:          c.tiers.snapshot(),
+		Tiers:          c.checkpoints.snapshot(),
 		Report:         c.report(now),
 	}
 	for _, model := range c.models {
-		state.Models = append(state.Models, model.public())
+		state.Models = append(state.Models, model.loadedModel())
 	}
 	return state
 }
 
-// Book returns a copy of what the engine recorded, with the time of running
-// residencies counted until now.
+// Book returns a copy of the engine's records. The busy time of models that are
+// still resident is counted up to now.
 func (c *Core) Book(now time.Time) books.Book {
 	book := c.book
 	book.Residencies = append([]books.Residency(nil), c.book.Residencies...)
 	book.Executions = append([]books.Execution(nil), c.book.Executions...)
 	for _, model := range c.models {
 		if model.running > 0 {
-			book.Residencies[model.residency].BusySeconds += now.Sub(model.busySince).Seconds()
+			book.Residencies[model.residencyIndex].BusySeconds += now.Sub(model.busySince).Seconds()
 		}
 	}
 	return book
--- a/internal/standin/engine/effects.go
+++ b/internal/standin/engine/effects.go
@@ -7,13 +7,14 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// LoadID names one load of the engine, over restarts too.
+// LoadID identifies one model load of the engine; IDs are not reused after a
+// restart.
 type LoadID uint64
 
 // Effect is an output of Core.Step.
 type Effect interface{ effect() }
 
-// StateRead answers ReadState and granted claims and orders.
+// StateRead answers ReadState, granted claims and accepted orders.
 type StateRead struct {
 	Call  CallID
 	State fleet.EngineState
@@ -31,24 +32,24 @@
 	Reason string
 }
 
-// FetchWeights asks the weight store for a checkpoint; WeightsDone is wanted
-// when it is there.
+// FetchWeights asks the driver to read a checkpoint from the weight store. The
+// driver sends WeightsDone when the read has ended.
 type FetchWeights struct {
 	Load  LoadID
 	Model fleet.ModelVersion
 	Bytes int64
-	// FullSpeed is the time that the read takes at the store's full speed.
+	// FullSpeed is the duration of the read at the store's full speed.
 	FullSpeed time.Duration
 }
 
-// CancelFetch takes a FetchWeights back.
+// CancelFetch cancels a FetchWeights.
 type CancelFetch struct{ Load LoadID }
 
 // RefusalReason says why a request was not accepted.
 type RefusalReason string
 
-// The reasons. Nothing ran for the first four; Duplicate says that the same
-// attempt is or was here.
+// Refusal reasons. For the first four, nothing of the attempt has run.
+// RefusedDuplicate means that the engine has already received this attempt.
 const (
 	RefusedNotReady   RefusalReason = "model-not-ready"
 	RefusedLeaving    RefusalReason = "leaving"
@@ -58,32 +59,33 @@
 	RefusedUnknown    RefusalReason = "unknown-request"
 )
 
-// Refused answers Submit or Resume.
+// Refused answers a Submit or Resume that the engine rejects.
 type Refused struct {
 	Call   CallID
 	Reason RefusalReason
 }
 
-// Accepted answers Submit or Resume; chunks follow.
+// Accepted answers a Submit or Resume; the chunks follow as Emit effects.
 type Accepted struct{ Call CallID }
 
-// Emit hands a chunk to the reader of a stream.
+// Emit sends a chunk to the reader of a stream.
 type Emit struct {
 	Call  CallID
 	Chunk backend.Chunk
 }
 
-// Broken ends a reader's stream without a finish.
+// Broken ends a reader's stream without a finish chunk.
 type Broken struct {
 	Call CallID
-	// Clean says that the connection ends as if the answer were whole.
+	// Clean means that the connection closes normally, as after a complete
+	// answer.
 	Clean bool
 }
 
 // Cancelled answers Cancel.
 type Cancelled struct {
 	Call CallID
-	// Found tells whether the request was still running or waiting.
+	// Found reports whether the request was still running or waiting.
 	Found bool
 }
 
--- a/internal/standin/engine/loads.go
+++ b/internal/standin/engine/loads.go
@@ -10,26 +10,29 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// residentModel is a model in accelerator memory.
+// residentModel is a model that occupies accelerator memory: loading, ready or
+// unloading.
 type residentModel struct {
 	model           fleet.ModelVersion
 	state           fleet.LoadState
 	bytes           int64
 	checkpointBytes int64
 	load            LoadID
-	// fetching is set while the weight store reads for the load.
+	// fetching is true while a weight store read for the load is in progress.
 	fetching bool
-	// changeAt is when the state changes by itself; zero for none.
+	// changeAt is the time of the next state change, or zero if none is
+	// scheduled.
 	changeAt time.Time
-	// dieAt is when the engine dies by a fault during the load.
-	dieAt      time.Time
+	// crashAt is when an injected fault restarts the engine during the load.
+	crashAt    time.Time
 	readySince time.Time
 	adapters   []*residentAdapter // sorted by name
-	// accepted counts requests that run or wait, running those that run.
-	accepted  int
-	running   int
-	busySince time.Time
-	residency int
+	// accepted counts the running and waiting requests, running only the
+	// running ones.
+	accepted       int
+	running        int
+	busySince      time.Time
+	residencyIndex int
 }
 
 type residentAdapter struct {
@@ -60,7 +63,8 @@
 	return nil
 }
 
-// serves reports whether a request with the adapter can be accepted.
+// serves reports whether the model accepts requests for the adapter; an empty
+// name means the base model.
 func (m *residentModel) serves(name fleet.AdapterName) bool {
 	if m.state != fleet.LoadReady {
 		return false
@@ -73,14 +77,15 @@
 }
 
 func (m *residentModel) wake() time.Time {
-	wake := earliest(m.changeAt, m.dieAt)
+	wake := earliest(m.changeAt, m.crashAt)
 	for _, adapter := range m.adapters {
 		wake = earliest(wake, adapter.readyAt)
 	}
 	return wake
 }
 
-func (m *residentModel) public() fleet.LoadedModel {
+// loadedModel returns the model's entry in the engine's state.
+func (m *residentModel) loadedModel() fleet.LoadedModel {
 	loaded := fleet.LoadedModel{
 		Model:      m.model,
 		State:      m.state,
@@ -109,24 +114,24 @@
 	}
 }
 
-func (m *residentModel) stopBusy(now time.Time, residency *books.Residency) {
+func (m *residentModel) stopAllRunning(now time.Time, residency *books.Residency) {
 	if m.running > 0 {
 		residency.BusySeconds += now.Sub(m.busySince).Seconds()
 	}
 	m.running = 0
 }
 
-func (c *Core) find(model fleet.ModelVersion) *residentModel {
-	index, found := c.position(model)
+func (c *Core) findModel(model fleet.ModelVersion) *residentModel {
+	index, found := c.modelIndex(model)
 	if !found {
 		return nil
 	}
 	return c.models[index]
 }
 
-func (c *Core) position(model fleet.ModelVersion) (int, bool) {
-	return slices.BinarySearchFunc(c.models, model, func(held *residentModel, wanted fleet.ModelVersion) int {
-		return held.model.Compare(wanted)
+func (c *Core) modelIndex(model fleet.ModelVersion) (int, bool) {
+	return slices.BinarySearchFunc(c.models, model, func(resident *residentModel, wanted fleet.ModelVersion) int {
+		return resident.model.Compare(wanted)
 	})
 }
 
@@ -138,31 +143,33 @@
 		bytes:           order.Bytes,
 		checkpointBytes: max(order.CheckpointBytes, 0),
 		load:            c.nextID,
-		residency:       c.openResidency(now, order),
+		residencyIndex:  c.openResidency(now, order),
 	}
 	if c.faults.DieInLoad > 0 {
-		model.dieAt = now.Add(c.faults.DieInLoad)
+		model.crashAt = now.Add(c.faults.DieInLoad)
 	}
-	index, _ := c.position(order.Model)
+	index, _ := c.modelIndex(order.Model)
 	c.models = slices.Insert(c.models, index, model)
-	c.notePeak()
-	c.readCheckpoint(now, model)
+	c.recordPeak()
+	c.startCheckpointRead(now, model)
 }
 
-func (c *Core) readCheckpoint(now time.Time, model *residentModel) {
+// startCheckpointRead starts to read a checkpoint from the fastest tier that holds
+// it.
+func (c *Core) startCheckpointRead(now time.Time, model *residentModel) {
 	timing := c.options.Timing
-	switch c.tiers.tier(model.model) {
+	switch c.checkpoints.tier(model.model) {
 	case fleet.TierMemory:
-		c.finishLoadAt(model, now.Add(scaled(timing.HostLoad, model.checkpointBytes)))
+		c.finishLoadAt(model, now.Add(scaledLoadTime(timing.HostLoad, model.checkpointBytes)))
 	case fleet.TierDisk:
-		c.finishLoadAt(model, now.Add(scaled(timing.DiskLoad, model.checkpointBytes)))
+		c.finishLoadAt(model, now.Add(scaledLoadTime(timing.DiskLoad, model.checkpointBytes)))
 	default:
 		model.fetching = true
 		c.emit(FetchWeights{
 			Load:      model.load,
 			Model:     model.model,
 			Bytes:     model.checkpointBytes,
-			FullSpeed: scaled(timing.RemoteLoad, model.checkpointBytes),
+			FullSpeed: scaledLoadTime(timing.RemoteLoad, model.checkpointBytes),
 		})
 	}
 }
@@ -174,8 +181,8 @@
 	model.changeAt = at
 }
 
-// weightsDone ends the read of a load; a failed one is asked for again, since
-// only an order ends a load.
+// weightsDone handles the end of a weight store read. A failed read is retried,
+// because only an order may end a load.
 func (c *Core) weightsDone(now time.Time, message WeightsDone) {
 	for _, model := range c.models {
 		if model.load != message.Load || !model.fetching {
@@ -183,7 +190,7 @@
 		}
 		model.fetching = false
 		if message.Failed {
-			c.readCheckpoint(now, model)
+			c.startCheckpointRead(now, model)
 			return
 		}
 		c.finishLoadAt(model, now)
@@ -191,18 +198,19 @@
 	}
 }
 
-// beginUnload cancels a load; a ready model first ends what it has accepted.
+// beginUnload cancels a load in progress. A ready model is released only after
+// its accepted requests have ended.
 func (c *Core) beginUnload(now time.Time, model *residentModel) {
 	if model.fetching {
 		model.fetching = false
 		c.emit(CancelFetch{Load: model.load})
 	}
 	model.state = fleet.LoadUnloading
-	model.changeAt, model.dieAt = time.Time{}, time.Time{}
-	c.releaseWhenIdle(now, model)
+	model.changeAt, model.crashAt = time.Time{}, time.Time{}
+	c.unloadWhenIdle(now, model)
 }
 
-func (c *Core) releaseWhenIdle(now time.Time, model *residentModel) {
+func (c *Core) unloadWhenIdle(now time.Time, model *residentModel) {
 	if model.state == fleet.LoadUnloading && model.accepted == 0 {
 		model.changeAt = now.Add(c.options.Timing.Unload)
 	}
@@ -210,16 +218,16 @@
 
 func (c *Core) advanceModels(at time.Time) {
 	for _, model := range slices.Clone(c.models) {
-		if due(model.dieAt, at) {
+		if isDue(model.crashAt, at) {
 			c.restart(at)
 			return
 		}
 		for _, adapter := range model.adapters {
-			if due(adapter.readyAt, at) {
+			if isDue(adapter.readyAt, at) {
 				adapter.readyAt = time.Time{}
 			}
 		}
-		if due(model.changeAt, at) {
+		if isDue(model.changeAt, at) {
 			model.changeAt = time.Time{}
 			c.changeState(at, model)
 		}
@@ -231,17 +239,17 @@
 	case fleet.LoadLoading:
 		model.state = fleet.LoadReady
 		model.readySince = at
-		model.dieAt = time.Time{}
-		c.book.Residencies[model.residency].ReadyAt = at
-		c.tiers.add(model.model, model.checkpointBytes)
+		model.crashAt = time.Time{}
+		c.book.Residencies[model.residencyIndex].ReadyAt = at
+		c.checkpoints.add(model.model, model.checkpointBytes)
 	case fleet.LoadUnloading:
 		c.closeResidency(at, model)
-		index, _ := c.position(model.model)
+		index, _ := c.modelIndex(model.model)
 		c.models = slices.Delete(c.models, index, index+1)
 	case fleet.LoadReady:
 	}
 }
 
-func due(at, now time.Time) bool {
+func isDue(at, now time.Time) bool {
 	return !at.IsZero() && !at.After(now)
 }
--- a/internal/standin/engine/messages.go
+++ b/internal/standin/engine/messages.go
@@ -7,13 +7,14 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// CallID names one call that a driver made, so that effects find its caller.
+// CallID identifies a call from the driver, so that effects can be routed back
+// to the caller.
 type CallID uint64
 
 // Message is an input of Core.Step.
 type Message interface{ message() }
 
-// Tick lets the core do what is due.
+// Tick makes the core process what is due.
 type Tick struct{}
 
 // ReadState asks for the engine's state; answered by StateRead.
@@ -31,7 +32,7 @@
 	Order backend.Order
 }
 
-// WeightsDone says that the weight store has handed over, or failed to.
+// WeightsDone reports the end of a weight store read, successful or not.
 type WeightsDone struct {
 	Load   LoadID
 	Failed bool
@@ -42,34 +43,35 @@
 	ID       fleet.RequestID
 	Attempt  int
 	Priority int
-	// Key is the caller's Idempotency-Key, for the books.
+	// Key is the caller's Idempotency-Key, kept for the records.
 	Key     string
 	Model   fleet.ModelVersion
 	Adapter fleet.AdapterName
-	// PromptHash decides the answer, PromptTokens its prefill time.
+	// PromptHash determines the answer, PromptTokens the prefill time.
 	PromptHash   uint64
 	PromptTokens int
-	// PrefixHashes name the prompt's prefixes, shortest first.
+	// PrefixHashes are the hashes of the prompt's prefixes, shortest first.
 	PrefixHashes []uint64
-	// From is the first token wanted; earlier ones were delivered before.
+	// From is the index of the first token to generate; an earlier attempt
+	// has delivered those before it.
 	From int
-	// MaxTokens bounds the whole answer; see AnswerLength.
+	// MaxTokens is the maximum length of the whole answer; see AnswerLength.
 	MaxTokens int
 }
 
-// Submit starts a request. It is answered by Accepted, then Emit until a chunk
-// has Finish set or Broken comes; or by Refused.
+// Submit starts a request. It is answered by Refused, or by Accepted followed by
+// Emit effects until a chunk has Finish set or the stream ends with Broken.
 type Submit struct {
 	Call    CallID
 	Request Request
 }
 
-// Resume reads a kept stream again, from a token on; it replaces the former
-// reader. It is answered as Submit is.
+// Resume re-reads a retained stream from a given token and replaces its previous
+// reader. It is answered in the same way as Submit.
 type Resume struct {
 	Call    CallID
 	Request fleet.RequestID
-	// Attempt must be the one that is here; 0 takes any.
+	// Attempt must match the attempt that the engine holds; 0 matches any.
 	Attempt int
 	From    int
 }
@@ -78,13 +80,13 @@
 type Cancel struct {
 	Call    CallID
 	Request fleet.RequestID
-	// Attempt must be the one that is here; 0 takes any. A cancel of an earlier
-	// attempt that comes late so does not end the present one.
+	// Attempt must match the attempt that the engine holds, so that a late
+	// cancel of an earlier attempt does not end the current one; 0 matches any.
 	Attempt int
 }
 
-// Detach says that the reader of a stream has gone away; it cancels the
-// request unless another reader has replaced it.
+// Detach reports that the reader of a stream has disconnected. It cancels the
+// request unless another reader has taken over the stream.
 type Detach struct{ Call CallID }
 
 // ReadCacheEvents is answered by CacheEventsRead.
@@ -93,35 +95,36 @@
 	Since uint64
 }
 
-// Leave makes the engine say that it goes away; what runs goes on.
+// Leave makes the engine announce its shutdown and refuse new work; running and
+// waiting requests continue.
 type Leave struct{}
 
-// Restart forgets everything, as a new start of the process does.
+// Restart drops all state, as a restart of the process does.
 type Restart struct{}
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 type SetFaults struct{ Faults Faults }
 
-// Faults are what can go wrong within the model.
+// Faults selects the faults injected into the simulated engine.
 type Faults struct {
-	// BreakAfterTokens breaks a stream once after so many tokens; 0 is off.
+	// BreakAfterTokens breaks each stream once after this many tokens; 0 is off.
 	BreakAfterTokens int `json:"breakAfterTokens,omitempty"`
 	// DuplicateChunks sends every chunk twice.
 	DuplicateChunks bool `json:"duplicateChunks,omitempty"`
-	// CrossChunks sends, beside each chunk, one of another request.
+	// CrossChunks follows each chunk with one that carries another request's ID.
 	CrossChunks bool `json:"crossChunks,omitempty"`
-	// LateChunks repeats at each chunk the one before it.
+	// LateChunks repeats the previous chunk after each chunk.
 	LateChunks bool `json:"lateChunks,omitempty"`
-	// TruncateAfterTokens ends an answer early without finish or break; the
-	// connection just ends. 0 is off.
+	// TruncateAfterTokens closes the connection normally after this many
+	// tokens, without a finish chunk; 0 is off.
 	TruncateAfterTokens int `json:"truncateAfterTokens,omitempty"`
-	// DieInLoad restarts the engine this long after each load's begin; 0 is off.
+	// DieInLoad restarts the engine this long after a load starts; 0 is off.
 	DieInLoad time.Duration `json:"dieInLoad,omitempty"`
-	// StuckLoads lets no load end.
+	// StuckLoads prevents loads from completing.
 	StuckLoads bool `json:"stuckLoads,omitempty"`
-	// FreezeReport keeps the load report as it is.
+	// FreezeReport stops updates of the load report.
 	FreezeReport bool `json:"freezeReport,omitempty"`
-	// SlowFactor stretches each iteration; 0 and 1 are off.
+	// SlowFactor multiplies the duration of each iteration; 0 and 1 are off.
 	SlowFactor float64 `json:"slowFactor,omitempty"`
 }
 
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -7,71 +7,74 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// GiB is 2^30 bytes.
+// GiB is one gibibyte (2^30 bytes).
 const GiB = int64(1) << 30
 
-// ReferenceCheckpointBytes is the checkpoint whose load times Timing gives;
-// those of others are in proportion to their size.
+// ReferenceCheckpointBytes is the checkpoint size to which the load times in
+// Timing refer; load times scale linearly with the size.
 const ReferenceCheckpointBytes = 14 * GiB
 
-// Options set up a Core.
+// Options configures a Core; most zero values take a default.
 type Options struct {
 	Backend fleet.Backend
 	Role    string
-	// Incarnation must differ from that of every earlier start.
+	// Incarnation must differ from that of every earlier start of the engine.
 	Incarnation uint64
-	// MemoryBytes is accelerator memory; KVReserveBytes of it hold KV cache.
+	// MemoryBytes is the accelerator memory, of which KVReserveBytes are
+	// reserved for the KV cache.
 	MemoryBytes    int64
 	KVReserveBytes int64
-	// KVBytesPerToken is what one token of a running request takes.
+	// KVBytesPerToken is the KV cache size of one token of a running request.
 	KVBytesPerToken int64
-	// HostCacheBytes and DiskCacheBytes bound the checkpoints kept beside the
-	// accelerator after a load.
+	// HostCacheBytes and DiskCacheBytes limit the checkpoints cached in host
+	// memory and on disk after a load.
 	HostCacheBytes int64
 	DiskCacheBytes int64
-	// Tiers say where checkpoints lie at the start; all others are remote.
+	// Tiers holds the initial tiers of checkpoints; all others are remote.
 	Tiers map[fleet.ModelVersion]fleet.Tier
-	// MaxRunning bounds the batch, MaxWaiting the requests behind it.
+	// MaxRunning limits the batch size, MaxWaiting the waiting queue.
 	MaxRunning int
 	MaxWaiting int
-	// PrefixCacheBlocks bounds the prefix cache.
+	// PrefixCacheBlocks is the capacity of the prefix cache.
 	PrefixCacheBlocks int
 	Timing            Timing
-	// Seed draws the gaps in the cache events.
+	// Seed seeds the random choice of cache events that are dropped.
 	Seed uint64
-	// Defects are set by tests and the simulator only.
+	// Defects are set only by tests and the simulator.
 	Defects Defects
 }
 
-// Timing holds the durations of the model.
+// Timing holds the simulated durations; zero values take the defaults.
 type Timing struct {
-	// IterationBase, IterationPerSequence and IterationPerPrefillToken add up
-	// to the time of one iteration of the batch.
+	// IterationBase, IterationPerSequence and IterationPerPrefillToken make up
+	// the duration of one iteration of the batch.
 	IterationBase            time.Duration
 	IterationPerSequence     time.Duration
 	IterationPerPrefillToken time.Duration
-	// RemoteLoad, DiskLoad and HostLoad are for ReferenceCheckpointBytes.
+	// RemoteLoad, DiskLoad and HostLoad are the load times of a checkpoint of
+	// ReferenceCheckpointBytes from each tier.
 	RemoteLoad  time.Duration
 	DiskLoad    time.Duration
 	HostLoad    time.Duration
 	AdapterLoad time.Duration
 	Unload      time.Duration
-	// ReportLag is the age of the load report that the engine shows.
+	// ReportLag is the age of the load report in the engine's state.
 	ReportLag time.Duration
-	// CacheEventLag is how late cache events are shown.
+	// CacheEventLag is the delay until cache events can be read.
 	CacheEventLag time.Duration
-	// KeepStreams is how long an ended or broken stream can be resumed.
+	// KeepStreams is how long a stream can be resumed after its request has
+	// ended.
 	KeepStreams time.Duration
 }
 
-// Defects plant faults that the checkers must find. Only tests and the
-// simulator set them; no setting or flag reaches them.
+// Defects are deliberate bugs that the invariant checkers have to detect. Only
+// tests and the simulator set them; no configuration option or flag does.
 type Defects struct {
-	// NoFence takes orders and claims with any fence.
+	// NoFence accepts orders and claims with any fence.
 	NoFence bool
-	// NoMemoryCheck loads beyond the memory.
+	// NoMemoryCheck loads models without checking the free memory.
 	NoMemoryCheck bool
-	// ForgetOrders carries out a repeated order again.
+	// ForgetOrders executes a repeated order again.
 	ForgetOrders bool
 }
 
@@ -98,7 +101,7 @@
 	return o
 }
 
-// scaled returns the load time of a checkpoint.
-func scaled(reference time.Duration, checkpointBytes int64) time.Duration {
+// scaledLoadTime scales a reference load time to the size of a checkpoint.
+func scaledLoadTime(reference time.Duration, checkpointBytes int64) time.Duration {
 	return time.Duration(float64(reference) * float64(checkpointBytes) / float64(ReferenceCheckpointBytes))
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,61 +9,61 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// taken is the answer kept for an order that was carried out.
-const taken = ""
+// orderAccepted is the result recorded for an order that was executed.
+const orderAccepted = ""
 
 func (c *Core) takeOrder(now time.Time, message TakeOrder) {
 	order := message.Order
-	inForce := order.Incarnation == c.incarnation && order.Fence == c.fence && c.fence != 0
-	if !inForce && !c.options.Defects.NoFence {
+	fenceValid := order.Incarnation == c.incarnation && order.Fence == c.fence && c.fence != 0
+	if !fenceValid && !c.options.Defects.NoFence {
 		c.book.RefusedOrders++
 		c.emit(FenceRefused{Call: message.Call, Refusal: c.fenceRefusal()})
 		return
 	}
-	// A refusal is kept too: an order that was refused and comes again late
-	// must not be carried out after its sender has counted it as refused.
-	reason, known := c.answered[order.ID]
+	// Refusals are recorded too: a late duplicate of a refused order must not
+	// be executed after its sender has counted the order as refused.
+	reason, known := c.orderResults[order.ID]
 	if !known || c.options.Defects.ForgetOrders {
-		reason = c.carryOut(now, order)
-		c.answered[order.ID] = reason
+		reason = c.executeOrder(now, order)
+		c.orderResults[order.ID] = reason
 	}
 	if reason == backend.ReasonLeaving {
 		c.book.TurnedAway = append(c.book.TurnedAway, books.TurnedAway{OrderID: order.ID, At: now})
 	}
-	if reason != taken {
+	if reason != orderAccepted {
 		c.emit(OrderRefused{Call: message.Call, Reason: reason})
 		return
 	}
 	c.emit(StateRead{Call: message.Call, State: c.State(now)})
 }
 
-func (c *Core) carryOut(now time.Time, order backend.Order) (reason string) {
+func (c *Core) executeOrder(now time.Time, order backend.Order) (reason string) {
 	switch order.Action {
 	case backend.ActionLoad:
-		return c.orderLoad(now, order)
+		return c.executeLoad(now, order)
 	case backend.ActionUnload:
-		return c.orderUnload(now, order)
+		return c.executeUnload(now, order)
 	case backend.ActionLoadAdapter:
-		return c.orderLoadAdapter(now, order)
+		return c.executeLoadAdapter(now, order)
 	case backend.ActionUnloadAdapter:
-		return c.orderUnloadAdapter(order)
+		return c.executeUnloadAdapter(order)
 	case backend.ActionSetRole:
 		c.role = order.Role
-		return taken
+		return orderAccepted
 	default:
 		return reasonUnknownAction
 	}
 }
 
-// reasonUnknownAction refuses an order that the engine does not know.
+// reasonUnknownAction refuses an order with an unknown action.
 const reasonUnknownAction = "unknown-action"
 
-func (c *Core) orderLoad(now time.Time, order backend.Order) string {
+func (c *Core) executeLoad(now time.Time, order backend.Order) string {
 	if c.leaving {
 		return backend.ReasonLeaving
 	}
-	if held := c.find(order.Model); held != nil {
-		if held.state == fleet.LoadUnloading {
+	if resident := c.findModel(order.Model); resident != nil {
+		if resident.state == fleet.LoadUnloading {
 			return backend.ReasonBusy
 		}
 		return backend.ReasonDuplicate
@@ -72,54 +72,54 @@
 		return backend.ReasonNoMemory
 	}
 	c.beginLoad(now, order)
-	return taken
+	return orderAccepted
 }
 
-func (c *Core) orderUnload(now time.Time, order backend.Order) string {
-	held := c.find(order.Model)
-	if held == nil {
+func (c *Core) executeUnload(now time.Time, order backend.Order) string {
+	resident := c.findModel(order.Model)
+	if resident == nil {
 		return backend.ReasonNotLoaded
 	}
-	if held.state != fleet.LoadUnloading {
-		c.beginUnload(now, held)
+	if resident.state != fleet.LoadUnloading {
+		c.beginUnload(now, resident)
 	}
-	return taken
+	return orderAccepted
 }
 
-func (c *Core) orderLoadAdapter(now time.Time, order backend.Order) string {
-	held := c.find(order.Model)
+func (c *Core) executeLoadAdapter(now time.Time, order backend.Order) string {
+	resident := c.findModel(order.Model)
 	switch {
 	case c.leaving:
 		return backend.ReasonLeaving
-	case held == nil || held.state != fleet.LoadReady:
+	case resident == nil || resident.state != fleet.LoadReady:
 		return backend.ReasonNotLoaded
-	case held.adapter(order.Adapter) != nil:
+	case resident.adapter(order.Adapter) != nil:
 		return backend.ReasonDuplicate
 	case !c.fits(order.Bytes):
 		return backend.ReasonNoMemory
 	}
-	held.adapters = append(held.adapters, &residentAdapter{
+	resident.adapters = append(resident.adapters, &residentAdapter{
 		name:    order.Adapter,
 		bytes:   order.Bytes,
 		readyAt: now.Add(c.options.Timing.AdapterLoad),
 	})
-	slices.SortFunc(held.adapters, compareAdapters)
-	c.notePeak()
-	return taken
+	slices.SortFunc(resident.adapters, compareAdapters)
+	c.recordPeak()
+	return orderAccepted
 }
 
-func (c *Core) orderUnloadAdapter(order backend.Order) string {
-	held := c.find(order.Model)
-	if held == nil || held.adapter(order.Adapter) == nil {
+func (c *Core) executeUnloadAdapter(order backend.Order) string {
+	resident := c.findModel(order.Model)
+	if resident == nil || resident.adapter(order.Adapter) == nil {
 		return backend.ReasonNotLoaded
 	}
 	if c.adapterInUse(order.Model, order.Adapter) {
 		return backend.ReasonBusy
 	}
-	held.adapters = slices.DeleteFunc(held.adapters, func(adapter *residentAdapter) bool {
+	resident.adapters = slices.DeleteFunc(resident.adapters, func(adapter *residentAdapter) bool {
 		return adapter.name == order.Adapter
 	})
-	return taken
+	return orderAccepted
 }
 
 func (c *Core) adapterInUse(model fleet.ModelVersion, adapter fleet.AdapterName) bool {
@@ -129,8 +129,8 @@
 	return slices.ContainsFunc(c.running, uses) || slices.ContainsFunc(c.waiting, uses)
 }
 
-// fits reports whether so many further bytes can be held. Sizes below zero
-// never fit, so that an order cannot make room by a negative size.
+// fits reports whether the free memory holds this many more bytes. Negative sizes
+// never fit, so that an order cannot free memory by a negative size.
 func (c *Core) fits(bytes int64) bool {
 	if c.options.Defects.NoMemoryCheck {
 		return true
@@ -147,7 +147,7 @@
 	return used
 }
 
-func (c *Core) notePeak() {
+func (c *Core) recordPeak() {
 	c.book.PeakBytes = max(c.book.PeakBytes, c.options.KVReserveBytes+c.usedBytes())
 }
 
@@ -163,6 +163,6 @@
 }
 
 func (c *Core) closeResidency(now time.Time, model *residentModel) {
-	model.stopBusy(now, &c.book.Residencies[model.residency])
-	c.book.Residencies[model.residency].To = now
+	model.stopAllRunning(now, &c.book.Residencies[model.residencyIndex])
+	c.book.Residencies[model.residencyIndex].To = now
 }
--- a/internal/standin/engine/orders_test.go
+++ b/internal/standin/engine/orders_test.go
@@ -34,7 +34,7 @@
 			r := newRig(t, Options{})
 			r.claim(granted)
 			claim := backend.Claim{Fence: test.fence, Incarnation: test.incarnation}
-			effect := r.only(r.step(TakeClaim{Call: 9, Claim: claim}))
+			effect := r.onlyEffect(r.step(TakeClaim{Call: 9, Claim: claim}))
 			if _, got := effect.(StateRead); got != test.want {
 				t.Fatalf("got %#v", effect)
 			}
@@ -88,7 +88,7 @@
 
 func TestRestartForgetsFenceAndModelsAndRefusesTheOldIncarnation(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	before := r.core.State(r.now)
 	r.step(Restart{})
 	after := r.core.State(r.now)
@@ -114,7 +114,7 @@
 	r.order(backend.Order{ID: "2", Action: backend.ActionUnload, Model: modelA})
 	r.run(time.Minute)
 	if _, again := r.load("1", modelA, 10*GiB).(StateRead); !again || len(r.core.models) != 0 {
-		t.Errorf("repeated load: answered %v, models %d", again, len(r.core.models))
+		t.Errorf("repeated load: accepted %v, models %d; want true and 0", again, len(r.core.models))
 	}
 }
 
@@ -142,8 +142,8 @@
 		{"no memory", nil, backend.Order{Action: backend.ActionLoad, Model: modelB, Bytes: 60 * GiB}, backend.ReasonNoMemory},
 		{"negative size", nil, backend.Order{Action: backend.ActionLoad, Model: modelB, Bytes: -1}, backend.ReasonNoMemory},
 		{"no memory for an adapter", nil, backend.Order{Action: backend.ActionLoadAdapter, Model: modelA, Adapter: "wind", Bytes: 60 * GiB}, backend.ReasonNoMemory},
-		{"loaded already", nil, backend.Order{Action: backend.ActionLoad, Model: modelA, Bytes: GiB}, backend.ReasonDuplicate},
-		{"unload of nothing", nil, backend.Order{Action: backend.ActionUnload, Model: modelB}, backend.ReasonNotLoaded},
+		{"already loaded", nil, backend.Order{Action: backend.ActionLoad, Model: modelA, Bytes: GiB}, backend.ReasonDuplicate},
+		{"unload of a model that is not loaded", nil, backend.Order{Action: backend.ActionUnload, Model: modelB}, backend.ReasonNotLoaded},
 		{"adapter without model", nil, backend.Order{Action: backend.ActionLoadAdapter, Model: modelB, Adapter: "wind"}, backend.ReasonNotLoaded},
 		{"load while leaving", func(r *rig) { r.step(Leave{}) }, backend.Order{Action: backend.ActionLoad, Model: modelB, Bytes: GiB}, backend.ReasonLeaving},
 		{"load while unloading", func(r *rig) {
@@ -160,7 +160,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, Options{MemoryBytes: 80 * GiB, KVReserveBytes: 8 * GiB})
-			r.ready()
+			r.loadModelA()
 			if test.prepare != nil {
 				test.prepare(r)
 			}
@@ -175,20 +175,20 @@
 
 func TestUnloadCancelsALoadAndItsRead(t *testing.T) {
 	r := newRig(t, Options{})
-	r.weightsAfter = -1
+	r.weightReadTime = -1
 	r.claim(1)
 	r.load("1", modelA, GiB)
 	load := r.core.models[0].load
 	r.order(backend.Order{ID: "2", Action: backend.ActionUnload, Model: modelA})
 	r.run(time.Second)
 	if len(r.core.models) != 0 || !cmp.Equal(r.cancelled, []LoadID{load}) {
-		t.Errorf("models %d, cancelled reads %v", len(r.core.models), r.cancelled)
+		t.Errorf("models %d, cancelled reads %v; want no model and only its read cancelled", len(r.core.models), r.cancelled)
 	}
 }
 
 func TestUnloadLetsAcceptedRequestsEnd(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	call := r.submit(Request{ID: "r", MaxTokens: 5})
 	r.order(backend.Order{ID: "2", Action: backend.ActionUnload, Model: modelA})
 	late := r.submit(Request{ID: "late"})
@@ -204,15 +204,15 @@
 
 func TestSecondLoadOfACheckpointComesFromHostMemory(t *testing.T) {
 	r := newRig(t, Options{Timing: Timing{HostLoad: time.Second}})
-	r.ready()
+	r.loadModelA()
 	r.order(backend.Order{ID: "2", Action: backend.ActionUnload, Model: modelA})
 	r.run(time.Minute)
-	r.seen = nil
+	r.effects = nil
 	r.load("3", modelA, 14*GiB)
 	r.run(time.Second)
-	for _, effect := range r.seen {
+	for _, effect := range r.effects {
 		if _, fetched := effect.(FetchWeights); fetched {
-			t.Error("the weight store was asked")
+			t.Error("the checkpoint was read from the weight store")
 		}
 	}
 	if state := r.core.models[0].state; state != fleet.LoadReady {
@@ -220,9 +220,9 @@
 	}
 }
 
-// drawOrders gives an engine drawn orders, restarts and pauses, and checks the
-// memory after each.
-func drawOrders(t *rapid.T, core *Core) {
+// checkRandomOrders feeds an engine random orders, claims, restarts and pauses,
+// and checks after each that its memory is not overcommitted.
+func checkRandomOrders(t *rapid.T, core *Core) {
 	now := start
 	fence := fleet.Fence(0)
 	var reads []LoadID
@@ -261,22 +261,22 @@
 		}
 		state := core.State(now)
 		if state.FreeBytes() < 0 {
-			t.Fatalf("%d bytes are held of %d", state.UsedBytes(), state.MemoryBytes-state.KVReserveBytes)
+			t.Fatalf("%d bytes in use, limit %d", state.UsedBytes(), state.MemoryBytes-state.KVReserveBytes)
 		}
 	}
 	if book := core.Book(now); book.PeakBytes > book.MemoryBytes {
-		t.Fatalf("the book tells %d bytes of %d", book.PeakBytes, book.MemoryBytes)
+		t.Fatalf("the book records a peak of %d bytes, limit %d", book.PeakBytes, book.MemoryBytes)
 	}
 }
 
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		drawOrders(t, New(Options{Incarnation: 1, MemoryBytes: 16 * GiB, KVReserveBytes: 2 * GiB}))
+		checkRandomOrders(t, New(Options{Incarnation: 1, MemoryBytes: 16 * GiB, KVReserveBytes: 2 * GiB}))
 	})
 }
 
-// Each planted defect must show in the books or the state, so that a checker
-// that reads these can find it.
+// Each deliberate defect must be visible in the books or the state, so that a
+// checker that reads them can detect it.
 func TestDefectsShow(t *testing.T) {
 	t.Run("no fence", func(t *testing.T) {
 		r := newRig(t, Options{Defects: Defects{NoFence: true}})
@@ -306,15 +306,15 @@
 		ID: "1", Fence: 1, Incarnation: 1, Action: backend.ActionLoad, Model: modelA, Bytes: 2 * GiB,
 	}})
 	if book := core.Book(start); book.PeakBytes <= book.MemoryBytes {
-		t.Errorf("the book does not tell the overcommitment: %d of %d", book.PeakBytes, book.MemoryBytes)
+		t.Errorf("the book does not record the overcommitment: peak %d bytes, limit %d", book.PeakBytes, book.MemoryBytes)
 	}
 }
 
-// TestLeavingEngineRecordsWhatItTurnsAway lets the judge see that work was
-// sent to an engine that leaves, though nothing of it ran.
+// An engine that is shutting down records the new work that it refuses, so that
+// the checkers see that work was sent to it even though none of it ran.
 func TestLeavingEngineRecordsWhatItTurnsAway(t *testing.T) {
 	r := newRig(t, Options{MemoryBytes: 80 * GiB, KVReserveBytes: 8 * GiB})
-	r.ready()
+	r.loadModelA()
 	r.step(Leave{})
 	r.submit(Request{ID: "late"})
 	r.order(backend.Order{ID: "load", Action: backend.ActionLoad, Model: modelB, Bytes: GiB})
--- a/internal/standin/engine/prefix.go
+++ b/internal/standin/engine/prefix.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	keptCacheEvents = 1024
-	// cacheEventGap is how many events there are for one that is never shown.
-	cacheEventGap = 20
+	maxCacheEvents = 1024
+	// cacheEventDropInterval is the average number of events per dropped one.
+	cacheEventDropInterval = 20
 )
 
 type prefixKey struct {
@@ -26,33 +26,34 @@
 	event backend.CacheEvent
 }
 
-// prefixCache keeps the blocks used last.
+// prefixCache is an LRU cache of prompt prefix blocks that records its changes
+// as events.
 type prefixCache struct {
 	limit  int
 	random *rand.Rand
-	// blocks go from the least to the most recently used.
+	// blocks are ordered from the least to the most recently used.
 	blocks   *list.List
-	held     map[prefixKey]*list.Element
+	elements map[prefixKey]*list.Element
 	sequence uint64
 	events   []timedCacheEvent
 }
 
 func newPrefixCache(options Options, random *rand.Rand) *prefixCache {
 	return &prefixCache{
-		limit:  options.PrefixCacheBlocks,
-		random: random,
-		blocks: list.New(),
-		held:   map[prefixKey]*list.Element{},
+		limit:    options.PrefixCacheBlocks,
+		random:   random,
+		blocks:   list.New(),
+		elements: map[prefixKey]*list.Element{},
 	}
 }
 
-// use stores the request's blocks and returns how many prompt tokens were
-// cached already.
-func (p *prefixCache) use(now time.Time, request Request) (cachedTokens int) {
+// access adds the request's blocks to the cache and returns the number of prompt
+// tokens that were already cached.
+func (p *prefixCache) access(now time.Time, request Request) (cachedTokens int) {
 	hit := true
 	for _, hash := range request.PrefixHashes {
 		key := prefixKey{model: request.Model, prefix: hash}
-		hit = hit && p.held[key] != nil
+		hit = hit && p.elements[key] != nil
 		if hit {
 			cachedTokens += backend.PrefixBlockTokens
 		}
@@ -60,35 +61,36 @@
 	}
 	for p.blocks.Len() > p.limit {
 		oldest := p.blocks.Remove(p.blocks.Front()).(prefixKey)
-		delete(p.held, oldest)
-		p.note(now, oldest, true)
+		delete(p.elements, oldest)
+		p.recordEvent(now, oldest, true)
 	}
 	return cachedTokens
 }
 
 func (p *prefixCache) touch(now time.Time, key prefixKey) {
-	if element := p.held[key]; element != nil {
+	if element := p.elements[key]; element != nil {
 		p.blocks.MoveToBack(element)
 		return
 	}
-	p.held[key] = p.blocks.PushBack(key)
-	p.note(now, key, false)
+	p.elements[key] = p.blocks.PushBack(key)
+	p.recordEvent(now, key, false)
 }
 
-func (p *prefixCache) note(now time.Time, key prefixKey, removed bool) {
+func (p *prefixCache) recordEvent(now time.Time, key prefixKey, removed bool) {
 	p.sequence++
-	if p.random.IntN(cacheEventGap) == 0 {
+	if p.random.IntN(cacheEventDropInterval) == 0 {
 		return
 	}
 	event := backend.CacheEvent{Sequence: p.sequence, Model: key.model, PrefixHash: key.prefix, Removed: removed}
 	p.events = append(p.events, timedCacheEvent{at: now, event: event})
-	if len(p.events) > keptCacheEvents {
-		p.events = slices.Delete(p.events, 0, len(p.events)-keptCacheEvents)
+	if len(p.events) > maxCacheEvents {
+		p.events = slices.Delete(p.events, 0, len(p.events)-maxCacheEvents)
 	}
 }
 
-// read returns the events after a sequence number that happened until a time.
-func (p *prefixCache) read(since uint64, until time.Time) backend.CacheEvents {
+// eventsSince returns the events after a sequence number that occurred no later
+// than until.
+func (p *prefixCache) eventsSince(since uint64, until time.Time) backend.CacheEvents {
 	answer := backend.CacheEvents{Next: since, Events: []backend.CacheEvent{}}
 	for _, timed := range p.events {
 		if timed.at.After(until) {
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -16,17 +16,18 @@
 
 const rigIncarnation = 7
 
-// rig drives a core on a virtual clock and answers its weight reads.
+// rig drives a core on a virtual clock and completes its weight store reads.
 type rig struct {
 	*testing.T
 	core  *Core
 	now   time.Time
 	calls CallID
-	// weightsAfter is how long the store reads; negative for never.
-	weightsAfter time.Duration
-	reads        []pendingRead
-	cancelled    []LoadID
-	seen         []Effect
+	// weightReadTime is the duration of a weight store read; if negative, reads
+	// never complete.
+	weightReadTime time.Duration
+	reads          []pendingRead
+	cancelled      []LoadID
+	effects        []Effect
 }
 
 type pendingRead struct {
@@ -38,27 +39,27 @@
 	t.Helper()
 	options.Incarnation = rigIncarnation
 	options.Backend = fleet.Backend{Name: "engine-0", Zone: "a"}
-	return &rig{T: t, core: New(options), now: start, weightsAfter: 2 * time.Second}
+	return &rig{T: t, core: New(options), now: start, weightReadTime: 2 * time.Second}
 }
 
-// step gives the core a message and returns what it caused.
+// step sends a message to the core and returns the resulting effects.
 func (r *rig) step(message Message) []Effect {
 	effects := r.core.Step(r.now, message)
 	for _, effect := range effects {
 		switch f := effect.(type) {
 		case FetchWeights:
-			if r.weightsAfter >= 0 {
-				r.reads = append(r.reads, pendingRead{load: f.Load, at: r.now.Add(r.weightsAfter)})
+			if r.weightReadTime >= 0 {
+				r.reads = append(r.reads, pendingRead{load: f.Load, at: r.now.Add(r.weightReadTime)})
 			}
 		case CancelFetch:
 			r.cancelled = append(r.cancelled, f.Load)
 		}
 	}
-	r.seen = append(r.seen, effects...)
+	r.effects = append(r.effects, effects...)
 	return effects
 }
 
-// run lets the time pass.
+// run advances the clock by length and processes everything due meanwhile.
 func (r *rig) run(length time.Duration) {
 	end := r.now.Add(length)
 	for {
@@ -96,7 +97,7 @@
 func (r *rig) claim(fence fleet.Fence) Effect {
 	r.Helper()
 	claim := backend.Claim{Fence: fence, Incarnation: r.core.incarnation, Holder: "node-0"}
-	return r.only(r.step(TakeClaim{Call: r.call(), Claim: claim}))
+	return r.onlyEffect(r.step(TakeClaim{Call: r.call(), Claim: claim}))
 }
 
 func (r *rig) order(order backend.Order) Effect {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-func (r *rig) only(effects []Effect) Effect {
+func (r *rig) onlyEffect(effects []Effect) Effect {
 	r.Helper()
 	if len(effects) != 1 {
 		r.Fatalf("got effects %#v, want one", effects)
@@ -132,8 +133,8 @@
 	})
 }
 
-// ready claims the engine and loads modelA.
-func (r *rig) ready() {
+// loadModelA claims the engine, loads modelA and waits until it is ready.
+func (r *rig) loadModelA() {
 	r.Helper()
 	r.claim(fleet.NewFence(1, 1, 1))
 	r.load("load-a", modelA, 14*GiB)
@@ -153,9 +154,9 @@
 	return call
 }
 
-// chunks returns what a call was sent, and whether it was accepted.
+// chunks returns the chunks sent to a call, and whether the call was accepted.
 func (r *rig) chunks(call CallID) (chunks []backend.Chunk, accepted bool) {
-	for _, effect := range r.seen {
+	for _, effect := range r.effects {
 		switch f := effect.(type) {
 		case Emit:
 			if f.Call == call {
@@ -179,7 +180,7 @@
 }
 
 func (r *rig) refusal(call CallID) RefusalReason {
-	for _, effect := range r.seen {
+	for _, effect := range r.effects {
 		if f, ok := effect.(Refused); ok && f.Call == call {
 			return f.Reason
 		}
--- a/internal/standin/engine/streams.go
+++ b/internal/standin/engine/streams.go
@@ -17,20 +17,20 @@
 	sequenceDone
 )
 
-// sequence is one request and the stream of its answer.
+// sequence is one request and its answer stream.
 type sequence struct {
 	request Request
 	state   sequenceState
-	// total counts the tokens of the whole answer, generated those that are
-	// there, with those that an earlier attempt delivered.
-	total       int
-	generated   int
-	finish      string
-	prefillLeft int
-	execution   int
-	// reader takes the chunks; zero while there is none.
+	// total is the number of tokens of the whole answer; generated counts the
+	// tokens so far, including those that an earlier attempt delivered.
+	total          int
+	generated      int
+	finish         string
+	prefillLeft    int
+	executionIndex int
+	// reader is the call that receives the chunks, or zero if there is none.
 	reader CallID
-	// wasBroken is set once a fault has broken the stream.
+	// wasBroken is true once a fault has broken or truncated the stream.
 	wasBroken bool
 }
 
@@ -41,7 +41,7 @@
 
 func (c *Core) submit(now time.Time, message Submit) {
 	request := message.Request
-	if reason := c.refusal(request); reason != "" {
+	if reason := c.refusalReason(request); reason != "" {
 		if reason == RefusedLeaving {
 			c.book.TurnedAway = append(c.book.TurnedAway, books.TurnedAway{RequestID: request.ID, At: now})
 		}
@@ -59,23 +59,24 @@
 	}
 	next.prefillLeft = request.PromptTokens + request.From
 	c.requests[request.ID] = next
-	c.find(request.Model).accepted++
+	c.findModel(request.Model).accepted++
 	c.enqueue(next)
 	c.emit(Accepted{Call: message.Call})
-	c.startBatch(now)
-	c.noteReport(now)
+	c.startIteration(now)
+	c.recordReport(now)
 }
 
-func (c *Core) refusal(request Request) RefusalReason {
-	if former := c.requests[request.ID]; former != nil {
-		if request.Attempt < former.request.Attempt {
+// refusalReason returns why a request cannot be accepted, or "" if it can.
+func (c *Core) refusalReason(request Request) RefusalReason {
+	if previous := c.requests[request.ID]; previous != nil {
+		if request.Attempt < previous.request.Attempt {
 			return RefusedSuperseded
 		}
-		if request.Attempt == former.request.Attempt {
+		if request.Attempt == previous.request.Attempt {
 			return RefusedDuplicate
 		}
 	}
-	model := c.find(request.Model)
+	model := c.findModel(request.Model)
 	switch {
 	case c.leaving:
 		return RefusedLeaving
@@ -87,7 +88,8 @@
 	return ""
 }
 
-// enqueue puts the request behind those of its priority.
+// enqueue inserts the request behind the waiting ones of equal or higher
+// priority.
 func (c *Core) enqueue(next *sequence) {
 	index := slices.IndexFunc(c.waiting, func(other *sequence) bool {
 		return other.request.Priority < next.request.Priority
@@ -98,8 +100,9 @@
 	c.waiting = slices.Insert(c.waiting, index, next)
 }
 
-// attempt returns the request if its attempt is the wanted one; 0 is any.
-func (c *Core) attempt(id fleet.RequestID, wanted int) *sequence {
+// findAttempt returns the request with the ID if its attempt is the wanted one;
+// 0 matches any attempt.
+func (c *Core) findAttempt(id fleet.RequestID, wanted int) *sequence {
 	found := c.requests[id]
 	if found != nil && wanted != 0 && found.request.Attempt != wanted {
 		return nil
@@ -108,50 +111,52 @@
 }
 
 func (c *Core) resume(now time.Time, message Resume) {
-	kept := c.attempt(message.Request, message.Attempt)
-	if kept == nil || message.From < 0 {
+	resumed := c.findAttempt(message.Request, message.Attempt)
+	if resumed == nil || message.From < 0 {
 		c.emit(Refused{Call: message.Call, Reason: RefusedUnknown})
 		return
 	}
-	if kept.reader != 0 {
-		c.emit(Broken{Call: kept.reader})
+	if resumed.reader != 0 {
+		c.emit(Broken{Call: resumed.reader})
 	}
-	kept.reader = message.Call
+	resumed.reader = message.Call
 	c.emit(Accepted{Call: message.Call})
-	for index := message.From; index < kept.generated; index++ {
-		c.emit(Emit{Call: message.Call, Chunk: c.tokenChunk(kept, index)})
+	for index := message.From; index < resumed.generated; index++ {
+		c.emit(Emit{Call: message.Call, Chunk: c.tokenChunk(resumed, index)})
 	}
-	if kept.state == sequenceDone {
-		c.emit(Emit{Call: message.Call, Chunk: c.finishChunk(kept)})
+	if resumed.state == sequenceDone {
+		c.emit(Emit{Call: message.Call, Chunk: c.finishChunk(resumed)})
 	}
-	c.startBatch(now)
+	c.startIteration(now)
 }
 
-// deliver hands a chunk to the reader, through the faults in force.
+// deliver sends a chunk to the reader, subject to the active faults.
 func (c *Core) deliver(sequence *sequence, chunk backend.Chunk) {
 	if sequence.reader == 0 {
 		return
 	}
-	truncated := c.passes(sequence, c.faults.TruncateAfterTokens)
-	if truncated || c.passes(sequence, c.faults.BreakAfterTokens) {
+	truncated := c.exceedsLimit(sequence, c.faults.TruncateAfterTokens)
+	if truncated || c.exceedsLimit(sequence, c.faults.BreakAfterTokens) {
 		sequence.wasBroken = true
 		c.emit(Broken{Call: sequence.reader, Clean: truncated})
 		sequence.reader = 0
 		return
 	}
 	c.emit(Emit{Call: sequence.reader, Chunk: chunk})
-	c.deliverFaults(sequence, chunk)
+	c.emitFaultChunks(sequence, chunk)
 	if chunk.Finish != "" {
 		sequence.reader = 0
 	}
 }
 
-// passes reports whether the stream, not yet broken, goes beyond the limit.
-func (c *Core) passes(sequence *sequence, limit int) bool {
+// exceedsLimit reports whether a stream that no fault has broken yet has
+// generated more tokens than limit in this attempt; 0 means no limit.
+func (c *Core) exceedsLimit(sequence *sequence, limit int) bool {
 	return limit > 0 && !sequence.wasBroken && sequence.generated-sequence.request.From > limit
 }
 
-func (c *Core) deliverFaults(sequence *sequence, chunk backend.Chunk) {
+// emitFaultChunks sends the extra chunks that the active faults add after a chunk.
+func (c *Core) emitFaultChunks(sequence *sequence, chunk backend.Chunk) {
 	if chunk.Finish != "" {
 		return
 	}
@@ -169,22 +174,23 @@
 	}
 }
 
-// cancel ends a request at once and forgets it.
+// cancel ends a request immediately and removes it. It returns false if the
+// request was not running or waiting.
 func (c *Core) cancel(now time.Time, cancelled *sequence) bool {
 	if cancelled == nil {
 		return false
 	}
 	wasActive := cancelled.state != sequenceDone
 	if cancelled.state == sequenceRunning {
-		c.book.Executions[cancelled.execution].Cancelled = true
+		c.book.Executions[cancelled.executionIndex].Cancelled = true
 	}
-	c.stop(now, cancelled)
+	c.stopSequence(now, cancelled)
 	if cancelled.reader != 0 {
 		c.emit(Broken{Call: cancelled.reader})
 	}
-	c.forget(cancelled)
+	c.removeRequest(cancelled)
 	if wasActive {
-		c.noteReport(now)
+		c.recordReport(now)
 	}
 	return wasActive
 }
@@ -199,22 +205,22 @@
 	}
 }
 
-func (c *Core) forget(forgotten *sequence) {
-	if c.requests[forgotten.request.ID] == forgotten {
-		delete(c.requests, forgotten.request.ID)
+func (c *Core) removeRequest(removed *sequence) {
+	if c.requests[removed.request.ID] == removed {
+		delete(c.requests, removed.request.ID)
 	}
 	c.expiries = slices.DeleteFunc(c.expiries, func(expiry streamExpiry) bool {
-		return expiry.sequence == forgotten
+		return expiry.sequence == removed
 	})
 }
 
-func (c *Core) keepUntil(kept *sequence, at time.Time) {
+func (c *Core) expireAt(kept *sequence, at time.Time) {
 	c.expiries = append(c.expiries, streamExpiry{at: at, sequence: kept})
 }
 
 func (c *Core) expireStreams(now time.Time) {
-	for len(c.expiries) > 0 && due(c.expiries[0].at, now) {
-		c.forget(c.expiries[0].sequence)
+	for len(c.expiries) > 0 && isDue(c.expiries[0].at, now) {
+		c.removeRequest(c.expiries[0].sequence)
 	}
 }
 
--- a/internal/standin/engine/streams_test.go
+++ b/internal/standin/engine/streams_test.go
@@ -20,7 +20,7 @@
 
 func TestAnswerIsTheDeterministicOne(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	call := r.submit(Request{ID: "r", Attempt: 2, PromptHash: PromptHash(body), MaxTokens: 12})
 	r.run(time.Minute)
 	chunks, _ := r.chunks(call)
@@ -35,14 +35,14 @@
 
 func TestContinuationElsewhereGivesTheSameAnswer(t *testing.T) {
 	first, second := newRig(t, Options{}), newRig(t, Options{Seed: 9})
-	first.ready()
-	second.ready()
+	first.loadModelA()
+	second.loadModelA()
 	begun := first.submit(Request{ID: "r", Attempt: 1, PromptHash: PromptHash(body), MaxTokens: 12})
 	first.run(100 * time.Millisecond)
 	chunks, _ := first.chunks(begun)
 	delivered := texts(chunks)
 	if len(delivered) == 0 || len(delivered) >= 12 {
-		t.Fatalf("%d tokens were delivered before the break, want some", len(delivered))
+		t.Fatalf("%d tokens were delivered before the continuation, want 1 to 11", len(delivered))
 	}
 	continued := second.submit(Request{
 		ID: "r", Attempt: 2, PromptHash: PromptHash(body), MaxTokens: 12, From: len(delivered),
@@ -50,7 +50,7 @@
 	second.run(time.Minute)
 	rest, _ := second.chunks(continued)
 	if rest[0].Sequence != len(delivered) {
-		t.Errorf("the continuation begins at %d, want %d", rest[0].Sequence, len(delivered))
+		t.Errorf("the continuation starts at token %d, want %d", rest[0].Sequence, len(delivered))
 	}
 	if diff := cmp.Diff(wantTokens(t, 12), append(delivered, texts(rest)...)); diff != "" {
 		t.Error(diff)
@@ -72,13 +72,13 @@
 	}
 	spaced := []byte(`{"max_tokens":3,"messages":[{"role":"user","content":"pitch bearing?"}],"stream":true}`)
 	if PromptHash(body) != PromptHash(spaced) {
-		t.Error("fields beside the prompt change its hash")
+		t.Error("fields other than the prompt change its hash")
 	}
 }
 
 func TestBrokenStreamIsResumedWithoutLossOrDoubling(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	r.step(SetFaults{Faults: Faults{BreakAfterTokens: 4}})
 	call := r.submit(Request{ID: "r", PromptHash: PromptHash(body), MaxTokens: 12})
 	r.run(time.Second)
@@ -94,13 +94,13 @@
 		t.Error(diff)
 	}
 	if rest[len(rest)-1].Finish == "" {
-		t.Error("the resumed stream has no end")
+		t.Error("the resumed stream has no finish chunk")
 	}
 }
 
 func TestSecondReaderReplacesTheFirst(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	call := r.submit(Request{ID: "r", MaxTokens: 12})
 	r.run(100 * time.Millisecond)
 	before, _ := r.chunks(call)
@@ -117,7 +117,7 @@
 
 func TestKeptStreamIsForgottenInTime(t *testing.T) {
 	r := newRig(t, Options{Timing: Timing{KeepStreams: 10 * time.Second}})
-	r.ready()
+	r.loadModelA()
 	r.submit(Request{ID: "r", MaxTokens: 2})
 	r.run(9 * time.Second)
 	kept, late := r.call(), r.call()
@@ -125,7 +125,7 @@
 	r.run(5 * time.Second)
 	r.step(Resume{Call: late, Request: "r"})
 	if chunks, _ := r.chunks(kept); len(chunks) != 3 {
-		t.Errorf("got %d chunks of the kept stream", len(chunks))
+		t.Errorf("got %d chunks of the retained stream, want 3", len(chunks))
 	}
 	if r.refusal(late) != RefusedUnknown || len(r.core.requests) != 0 {
 		t.Errorf("late resume: %q, %d requests kept", r.refusal(late), len(r.core.requests))
@@ -134,7 +134,7 @@
 
 func TestReaderThatGoesAwayCancelsTheRequest(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	call := r.submit(Request{ID: "r", MaxTokens: 1000})
 	r.run(time.Second)
 	r.step(Detach{Call: call})
@@ -165,7 +165,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, Options{MaxRunning: 1, MaxWaiting: 1})
-			r.ready()
+			r.loadModelA()
 			if test.prepare != nil {
 				test.prepare(r)
 			}
@@ -186,7 +186,7 @@
 
 func TestPriorityGoesFirst(t *testing.T) {
 	r := newRig(t, Options{MaxRunning: 1})
-	r.ready()
+	r.loadModelA()
 	for index, id := range []fleet.RequestID{"runs", "low", "high"} {
 		r.submit(Request{ID: id, Priority: index, MaxTokens: 3})
 	}
@@ -202,12 +202,12 @@
 
 func TestBusyTimeIsThatWithAtLeastOneRequestRunning(t *testing.T) {
 	r := newRig(t, Options{KVReserveBytes: GiB, Timing: Timing{IterationBase: 100 * time.Millisecond, IterationPerSequence: time.Nanosecond}})
-	r.ready()
+	r.loadModelA()
 	r.submit(Request{ID: "1", MaxTokens: 10})
 	r.run(500 * time.Millisecond)
 	r.submit(Request{ID: "2", MaxTokens: 10})
 	r.run(time.Hour)
-	// The second enters the batch with the sixth iteration.
+	// The second request joins the batch at the sixth iteration.
 	busy := r.core.Book(r.now).Residencies[0].BusySeconds
 	if busy < 1.49 || busy > 1.51 {
 		t.Errorf("busy for %v s, want 1.5", busy)
@@ -216,7 +216,7 @@
 
 func TestChunkFaultsAddChunksWithoutChangingTheAnswer(t *testing.T) {
 	r := newRig(t, Options{})
-	r.ready()
+	r.loadModelA()
 	r.step(SetFaults{Faults: Faults{DuplicateChunks: true, CrossChunks: true, LateChunks: true}})
 	call := r.submit(Request{ID: "r", PromptHash: PromptHash(body), MaxTokens: 5})
 	r.run(time.Minute)
--- a/internal/standin/engine/tokens.go
+++ b/internal/standin/engine/tokens.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// DefaultAnswerTokens is the length of an answer without max_tokens.
+	// DefaultAnswerTokens is the answer length if max_tokens is not set.
 	DefaultAnswerTokens = 32
-	// MaxAnswerTokens is the longest answer.
+	// MaxAnswerTokens is the maximum answer length.
 	MaxAnswerTokens = 8192
 
 	finishLength = "length"
 	finishStop   = "stop"
 
-	tokenLetters = 5
+	lettersPerToken = 5
 )
 
-// PromptHash hashes the part of a request's body that decides the answer: its
+// PromptHash hashes the part of a request body that determines the answer: its
 // messages or its prompt.
 func PromptHash(body []byte) uint64 {
 	return xxhash.Sum64(backend.PromptText(body))
 }
 
-// TokenText is the token with the given index of an answer. It depends on
-// nothing else, so every engine gives the same answer to the same prompt.
+// TokenText returns the text of an answer's token at the given index. It depends
+// only on its parameters, so that every engine gives the same answer to the same
+// prompt.
 func TokenText(promptHash uint64, model fleet.ModelVersion, adapter fleet.AdapterName, index int) string {
 	key := make([]byte, 0, 64)
 	key = binary.BigEndian.AppendUint64(key, promptHash)
@@ -37,16 +38,16 @@
 	key = append(key, 0)
 	key = append(key, adapter...)
 	sum := xxhash.Sum64(key)
-	text := make([]byte, 0, tokenLetters+1)
+	text := make([]byte, 0, lettersPerToken+1)
 	text = append(text, ' ')
-	for range tokenLetters {
+	for range lettersPerToken {
 		text = append(text, byte('a'+sum%26))
 		sum /= 26
 	}
 	return string(text)
 }
 
-// AnswerLength returns how many tokens an answer has and why it ends.
+// AnswerLength returns the number of tokens and the finish reason of an answer.
 func AnswerLength(maxTokens int) (tokens int, finish string) {
 	switch {
 	case maxTokens <= 0:
@@ -58,7 +59,7 @@
 	}
 }
 
-// Answer returns the whole answer that any engine gives to a body.
+// Answer returns the complete answer that every engine gives to a request body.
 func Answer(body []byte, maxTokens int, model fleet.ModelVersion, adapter fleet.AdapterName) (tokens []string, finish string) {
 	hash := PromptHash(body)
 	count, finish := AnswerLength(maxTokens)
