--- a/internal/standin/httpdriver/announce.go
+++ b/internal/standin/httpdriver/announce.go
@@ -14,15 +14,16 @@
 	heartbeatTimeout  = 2 * time.Second
 )
 
-// Announcer sends the heartbeats of the machines that a process stands for.
+// Announcer sends the heartbeats of the machines that a process simulates.
 type Announcer struct {
 	Client   PlatformClient
 	Machines func() []objectstore.Machine
-	// OnError is told of heartbeats that failed; it may be nil.
+	// OnError is called with the error of each failed heartbeat; it may be nil.
 	OnError func(error)
 }
 
-// Run sends a heartbeat at once and then regularly until the context ends.
+// Run sends a heartbeat immediately and then at a fixed interval until the
+// context ends.
 func (a *Announcer) Run(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
--- a/internal/standin/httpdriver/answers.go
+++ b/internal/standin/httpdriver/answers.go
@@ -16,7 +16,7 @@
 	maxBodyBytes = 16 << 20
 )
 
-// Problem is the body of a refusal.
+// Problem is the JSON body of an error response, a problem document.
 type Problem struct {
 	Title  string `json:"title"`
 	Status int    `json:"status"`
@@ -41,8 +41,9 @@
 	})
 }
 
-// sayLeaving marks the head of each answer of a back end that goes away.
-func sayLeaving(leaving *atomic.Bool, next http.Handler) http.Handler {
+// withLeavingHeader sets the leaving header on every response of a back end that
+// is shutting down.
+func withLeavingHeader(leaving *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if leaving.Load() {
 			writer.Header().Set(backend.HeaderLeaving, "true")
@@ -51,7 +52,7 @@
 	})
 }
 
-// writeNotRun refuses before anything ran.
+// writeNotRun refuses a request of which nothing has run.
 func writeNotRun(writer http.ResponseWriter, status int, code string) {
 	writer.Header().Set(backend.HeaderNotRun, "true")
 	if status == http.StatusServiceUnavailable {
@@ -60,7 +61,8 @@
 	writeProblem(writer, status, code, "")
 }
 
-// readJSON decodes the body; it answers 400 and returns false if it can't.
+// readJSON decodes the request body. If it can't, it answers 400 and returns
+// false.
 func readJSON(writer http.ResponseWriter, request *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err := decoder.Decode(into); err != nil {
--- a/internal/standin/httpdriver/doc.go
+++ b/internal/standin/httpdriver/doc.go
@@ -1,7 +1,11 @@
-// Package httpdriver serves the models of the outside systems over HTTP:
-// engines, services, and the platform with its object API, machine list and
-// weight store. docs/protocols.md tells the calls.
+// Package httpdriver serves the simulated external systems over HTTP: inference
+// engines, command servers, and the platform with its object API, machine list
+// and weight store. docs/protocols.md describes the calls.
 //
-// It may import everything under standin, fleet and the wire types of backend
-// and platform.
+// Each server owns one of the deterministic cores of the packages under standin:
+// it turns HTTP calls and timers into messages to the core, and the effects that
+// the core returns into HTTP answers and calls.
+//
+// It may import everything under standin, fleet, and the wire types of
+// backend and objectstore.
 package httpdriver
--- a/internal/standin/httpdriver/engine.go
+++ b/internal/standin/httpdriver/engine.go
@@ -14,52 +14,52 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// PathBooks is where a back end shows its books.
+// PathBooks is the path at which a back end serves its records.
 const PathBooks = "/lab/books"
 
-// weightsRetry is the pause after a failed read from the weight store.
-const weightsRetry = 300 * time.Millisecond
+// weightsRetryDelay is the pause after a failed read from the weight store.
+const weightsRetryDelay = 300 * time.Millisecond
 
 // WeightReader reads checkpoints from the weight store.
 type WeightReader interface {
-	// ReadWeights returns once the checkpoint has been read.
+	// ReadWeights returns nil once the checkpoint has been read.
 	ReadWeights(ctx context.Context, read WeightRead) error
 }
 
 // Engine serves one engine.Core over HTTP.
 type Engine struct {
-	backend fleet.Backend
-	weights WeightReader
-	faults  *faults.Switch
-	ctx     context.Context
-	owner   *owner
-	calls   atomic.Uint64
-	leaving atomic.Bool
+	backend   fleet.Backend
+	weights   WeightReader
+	faults    *faults.Switch
+	ctx       context.Context
+	eventLoop *eventLoop
+	calls     atomic.Uint64
+	leaving   atomic.Bool
 
-	// The owner's goroutine alone uses what follows.
-	core    *engine.Core
-	boxes   map[engine.CallID]*outbox[engine.Effect]
-	fetches map[engine.LoadID]context.CancelFunc
+	// Only the event loop's goroutine uses the fields below.
+	core     *engine.Core
+	outboxes map[engine.CallID]*outbox[engine.Effect]
+	fetches  map[engine.LoadID]context.CancelFunc
 }
 
-// NewEngine starts an engine that ends with the context.
+// NewEngine starts an engine that runs until the context ends.
 func NewEngine(ctx context.Context, options engine.Options, weights WeightReader) *Engine {
 	created := &Engine{
-		backend: options.Backend,
-		weights: weights,
-		ctx:     ctx,
-		core:    engine.New(options),
-		boxes:   map[engine.CallID]*outbox[engine.Effect]{},
-		fetches: map[engine.LoadID]context.CancelFunc{},
+		backend:  options.Backend,
+		weights:  weights,
+		ctx:      ctx,
+		core:     engine.New(options),
+		outboxes: map[engine.CallID]*outbox[engine.Effect]{},
+		fetches:  map[engine.LoadID]context.CancelFunc{},
 	}
 	created.faults = faults.NewSwitch(options.Backend.Zone, created.applyFaults)
-	created.owner = newOwner(ctx, created.core.NextWake, func(now time.Time) {
+	created.eventLoop = newEventLoop(ctx, created.core.NextWake, func(now time.Time) {
 		created.step(now, engine.Tick{})
 	})
 	return created
 }
 
-// Handler serves the engine's calls.
+// Handler returns the handler of the engine's HTTP calls.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+backend.PathEngineState, e.serveState)
@@ -74,33 +74,33 @@
 	mux.HandleFunc("GET "+PathBooks, func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, http.StatusOK, e.Book())
 	})
-	return e.faults.Wrap(sayLeaving(&e.leaving, mux))
+	return e.faults.Wrap(withLeavingHeader(&e.leaving, mux))
 }
 
-// Book returns what the engine recorded.
+// Book returns the engine's records.
 func (e *Engine) Book() books.Book {
 	var book books.Book
-	e.owner.do(func(now time.Time) {
+	e.eventLoop.do(func(now time.Time) {
 		e.step(now, engine.Tick{})
 		book = e.core.Book(now)
 	})
 	return book
 }
 
-// Leave makes the engine say that it goes away.
+// Leave makes the engine announce its shutdown and refuse new work.
 func (e *Engine) Leave() {
 	e.leaving.Store(true)
-	e.owner.do(func(now time.Time) { e.step(now, engine.Leave{}) })
+	e.eventLoop.do(func(now time.Time) { e.step(now, engine.Leave{}) })
 }
 
 // Idle reports whether no request runs or waits.
 func (e *Engine) Idle() bool {
 	idle := true
-	e.owner.do(func(time.Time) { idle = e.core.Idle() })
+	e.eventLoop.do(func(time.Time) { idle = e.core.Idle() })
 	return idle
 }
 
-// Machine is the engine's line for the machine list.
+// Machine returns the engine's entry for the machine list.
 func (e *Engine) Machine() objectstore.Machine {
 	return backendMachine(e.backend, e.leaving.Load())
 }
@@ -109,7 +109,7 @@
 	if set.Leaving {
 		e.Leave()
 	}
-	e.owner.do(func(now time.Time) {
+	e.eventLoop.do(func(now time.Time) {
 		e.step(now, engine.SetFaults{Faults: set.Engine})
 		if set.Restart {
 			e.step(now, engine.Restart{})
@@ -117,22 +117,23 @@
 	})
 }
 
-// call sends a message that names the call and returns where its effects come.
+// call sends the message built for a new call ID to the core. It returns the ID
+// and the outbox that receives the call's effects.
 func (e *Engine) call(message func(engine.CallID) engine.Message) (engine.CallID, *outbox[engine.Effect]) {
 	id := engine.CallID(e.calls.Add(1))
 	box := newOutbox[engine.Effect]()
-	e.owner.do(func(now time.Time) {
-		e.boxes[id] = box
+	e.eventLoop.do(func(now time.Time) {
+		e.outboxes[id] = box
 		e.step(now, message(id))
 	})
 	return id, box
 }
 
-// hangUp ends a call whose reader has gone away.
-func (e *Engine) hangUp(id engine.CallID) {
-	e.owner.do(func(now time.Time) {
-		if _, open := e.boxes[id]; open {
-			delete(e.boxes, id)
+// detach ends a call whose client has disconnected.
+func (e *Engine) detach(id engine.CallID) {
+	e.eventLoop.do(func(now time.Time) {
+		if _, open := e.outboxes[id]; open {
+			delete(e.outboxes, id)
 			e.step(now, engine.Detach{Call: id})
 		}
 	})
@@ -140,52 +141,52 @@
 
 func (e *Engine) step(now time.Time, message engine.Message) {
 	for _, effect := range e.core.Step(now, message) {
-		e.carryOut(effect)
+		e.applyEffect(effect)
 	}
 }
 
-func (e *Engine) carryOut(effect engine.Effect) {
+func (e *Engine) applyEffect(effect engine.Effect) {
 	switch f := effect.(type) {
 	case engine.FetchWeights:
-		e.fetch(f)
+		e.startFetch(f)
 	case engine.CancelFetch:
 		if cancel := e.fetches[f.Load]; cancel != nil {
 			cancel()
 			delete(e.fetches, f.Load)
 		}
 	case engine.Accepted:
-		e.hand(f.Call, f, false)
+		e.dispatch(f.Call, f, false)
 	case engine.Emit:
-		e.hand(f.Call, f, f.Chunk.Finish != "")
+		e.dispatch(f.Call, f, f.Chunk.Finish != "")
 	case engine.Broken:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.Refused:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.StateRead:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.FenceRefused:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.OrderRefused:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.Cancelled:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	case engine.CacheEventsRead:
-		e.hand(f.Call, f, true)
+		e.dispatch(f.Call, f, true)
 	}
 }
 
-func (e *Engine) hand(id engine.CallID, effect engine.Effect, last bool) {
-	box := e.boxes[id]
+func (e *Engine) dispatch(id engine.CallID, effect engine.Effect, last bool) {
+	box := e.outboxes[id]
 	if box == nil {
 		return
 	}
 	box.put(effect)
 	if last {
-		delete(e.boxes, id)
+		delete(e.outboxes, id)
 	}
 }
 
-func (e *Engine) fetch(effect engine.FetchWeights) {
+func (e *Engine) startFetch(effect engine.FetchWeights) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.fetches[effect.Load] = cancel
 	read := WeightRead{
@@ -198,12 +199,12 @@
 	go func() {
 		err := e.weights.ReadWeights(ctx, read)
 		if err != nil {
-			sleep(ctx, weightsRetry)
+			sleep(ctx, weightsRetryDelay)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		e.owner.do(func(now time.Time) {
+		e.eventLoop.do(func(now time.Time) {
 			if ctx.Err() == nil {
 				cancel()
 				delete(e.fetches, effect.Load)
--- a/internal/standin/httpdriver/engine_control.go
+++ b/internal/standin/httpdriver/engine_control.go
@@ -11,7 +11,7 @@
 )
 
 func (e *Engine) serveState(writer http.ResponseWriter, request *http.Request) {
-	e.answer(writer, request, func(id engine.CallID) engine.Message {
+	e.respond(writer, request, func(id engine.CallID) engine.Message {
 		return engine.ReadState{Call: id}
 	})
 }
@@ -21,7 +21,7 @@
 	if !readJSON(writer, request, &claim) {
 		return
 	}
-	e.answer(writer, request, func(id engine.CallID) engine.Message {
+	e.respond(writer, request, func(id engine.CallID) engine.Message {
 		return engine.TakeClaim{Call: id, Claim: claim}
 	})
 }
@@ -31,7 +31,7 @@
 	if !readJSON(writer, request, &order) {
 		return
 	}
-	e.answer(writer, request, func(id engine.CallID) engine.Message {
+	e.respond(writer, request, func(id engine.CallID) engine.Message {
 		return engine.TakeOrder{Call: id, Order: order}
 	})
 }
@@ -42,22 +42,23 @@
 		writeProblem(writer, http.StatusBadRequest, "bad-since", err.Error())
 		return
 	}
-	e.answer(writer, request, func(id engine.CallID) engine.Message {
+	e.respond(writer, request, func(id engine.CallID) engine.Message {
 		return engine.ReadCacheEvents{Call: id, Since: since}
 	})
 }
 
 func (e *Engine) serveCancel(writer http.ResponseWriter, request *http.Request) {
 	cancelled, attempt := fleet.RequestID(request.PathValue("id")), headerInt(request, backend.HeaderAttempt)
-	e.answer(writer, request, func(id engine.CallID) engine.Message {
+	e.respond(writer, request, func(id engine.CallID) engine.Message {
 		return engine.Cancel{Call: id, Request: cancelled, Attempt: attempt}
 	})
 }
 
-// answer sends the message and writes its one effect.
-func (e *Engine) answer(writer http.ResponseWriter, request *http.Request, message func(engine.CallID) engine.Message) {
+// respond sends the message to the core and writes its only effect as the
+// response.
+func (e *Engine) respond(writer http.ResponseWriter, request *http.Request, message func(engine.CallID) engine.Message) {
 	_, box := e.call(message)
-	effect, err := first(e.ctx, request, box)
+	effect, err := firstEffect(e.ctx, request, box)
 	if err != nil {
 		return
 	}
@@ -79,7 +80,8 @@
 	}
 }
 
-// stateStatus is 202 for orders, which go on after the answer.
+// stateStatus returns 202 for orders, which continue after the response, and 200
+// otherwise.
 func stateStatus(request *http.Request) int {
 	if request.URL.Path == backend.PathEngineOrders {
 		return http.StatusAccepted
@@ -87,9 +89,9 @@
 	return http.StatusOK
 }
 
-// first waits for the first effect of a call that has one. It ends with the
-// request or with the engine.
-func first(engineContext context.Context, request *http.Request, box *outbox[engine.Effect]) (engine.Effect, error) {
+// firstEffect waits for the first effect of a call. It returns an error if the
+// request or the engine ends first.
+func firstEffect(engineContext context.Context, request *http.Request, box *outbox[engine.Effect]) (engine.Effect, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
 	defer context.AfterFunc(engineContext, cancel)()
@@ -100,7 +102,7 @@
 	return effects[0], nil
 }
 
-// headerInt reads a header's number; 0 if there is none.
+// headerInt returns the value of a numeric header, or 0 if it has no valid one.
 func headerInt(request *http.Request, name string) int {
 	number, _ := strconv.Atoi(request.Header.Get(name))
 	return number
--- a/internal/standin/httpdriver/engine_streams.go
+++ b/internal/standin/httpdriver/engine_streams.go
@@ -55,8 +55,8 @@
 func engineRequest(request *http.Request, body []byte, completion backend.CompletionRequest) engine.Request {
 	header := request.Header
 	model := fleet.ParseModelVersion(completion.Model)
-	if named := header.Get(backend.HeaderModel); named != "" {
-		model = fleet.ParseModelVersion(named)
+	if modelHeader := header.Get(backend.HeaderModel); modelHeader != "" {
+		model = fleet.ParseModelVersion(modelHeader)
 	}
 	id := fleet.RequestID(header.Get(backend.HeaderRequestID))
 	if id == "" {
@@ -78,13 +78,13 @@
 	}
 }
 
-// serveAnswer writes the effects of a call until its last one. A reader that
-// goes away is hung up on.
+// serveAnswer writes the effects of a call up to its last one. If the client
+// disconnects, it detaches the call.
 func (e *Engine) serveAnswer(id engine.CallID, box *outbox[engine.Effect], answer *answerWriter) {
 	ctx, cancel := context.WithCancel(answer.request.Context())
 	defer cancel()
 	defer context.AfterFunc(e.ctx, cancel)()
-	defer e.hangUp(id)
+	defer e.detach(id)
 	for {
 		effects, err := box.take(ctx)
 		if err != nil {
@@ -102,17 +102,17 @@
 	}
 }
 
-// answerWriter writes one answer, streamed or whole.
+// answerWriter writes one answer, either streamed or as a single JSON body.
 type answerWriter struct {
 	writer  http.ResponseWriter
 	request *http.Request
 	wanted  engine.Request
 	whole   bool
-	// tokens collects a whole answer.
+	// tokens collects the answer if it is not streamed.
 	tokens []string
 }
 
-// write returns true after the last effect of the call.
+// write writes one effect and reports whether it was the last one of the call.
 func (a *answerWriter) write(effect engine.Effect) (last bool) {
 	switch f := effect.(type) {
 	case engine.Refused:
@@ -143,7 +143,7 @@
 	case engine.RefusedUnknown:
 		writeProblem(a.writer, http.StatusNotFound, string(reason), "")
 	default:
-		// Another attempt, or this one sent before, may have run.
+		// A later attempt, or an earlier copy of this one, may have run.
 		writeProblem(a.writer, http.StatusConflict, string(reason), "")
 	}
 }
@@ -192,7 +192,7 @@
 	return false
 }
 
-// WholeAnswer is the JSON of an answer that is not streamed.
+// WholeAnswer is the JSON body of an answer that is not streamed.
 type WholeAnswer struct {
 	ID      fleet.RequestID `json:"id"`
 	Object  string          `json:"object"`
@@ -201,7 +201,7 @@
 	Usage   Usage           `json:"usage"`
 }
 
-// Choice is one answer: Message for chats, Text for completions.
+// Choice is one answer: Message is set for chats, Text for completions.
 type Choice struct {
 	Index        int            `json:"index"`
 	Message      *AnswerMessage `json:"message,omitempty"`
--- a/internal/standin/httpdriver/engine_test.go
+++ b/internal/standin/httpdriver/engine_test.go
@@ -22,7 +22,7 @@
 
 func TestStreamedAndWholeAnswersAreTheSame(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	streamed := r.complete("1", chatBody("true", "9"))
 	defer func() { _ = streamed.Body.Close() }()
 	chunks, done, err := readEvents(t, streamed.Body)
@@ -51,7 +51,7 @@
 	if refused.StatusCode != http.StatusConflict || refused.Header.Get(backend.HeaderNotRun) != "true" {
 		t.Errorf("not ready: %s, %v", refused.Status, refused.Header)
 	}
-	r.ready()
+	r.loadModel()
 	r.engine.Leave()
 	refused = r.complete("2", chatBody("true", "9"))
 	_ = refused.Body.Close()
@@ -76,10 +76,10 @@
 	r.post(backend.PathEngineOrders, stale, http.StatusConflict, nil)
 	large := r.order("2", backend.ActionLoad)
 	large.Bytes = 1000 * engine.GiB
-	var unfit backend.OrderRefusal
-	r.post(backend.PathEngineOrders, large, http.StatusUnprocessableEntity, &unfit)
-	if unfit.Reason != backend.ReasonNoMemory {
-		t.Errorf("reason %q", unfit.Reason)
+	var orderRefusal backend.OrderRefusal
+	r.post(backend.PathEngineOrders, large, http.StatusUnprocessableEntity, &orderRefusal)
+	if orderRefusal.Reason != backend.ReasonNoMemory {
+		t.Errorf("reason %q", orderRefusal.Reason)
 	}
 }
 
@@ -88,12 +88,12 @@
 	r.claim()
 	r.setFaults(faults.Set{LoseAnswers: 1})
 	body := encode(t, r.order("1", backend.ActionLoad))
-	if response, err := try(t, http.MethodPost, r.server.URL+backend.PathEngineOrders, nil, body); err == nil {
+	if response, err := trySend(t, http.MethodPost, r.server.URL+backend.PathEngineOrders, nil, body); err == nil {
 		t.Errorf("answered %s", response.Status)
 		_ = response.Body.Close()
 	}
 	if r.state().Find(model) == nil {
-		t.Error("the order was not carried out")
+		t.Error("the order was not executed")
 	}
 	r.post(backend.PathEngineOrders, r.order("1", backend.ActionLoad), http.StatusAccepted, nil)
 	if residencies := r.engine.Book().Residencies; len(residencies) != 1 {
@@ -116,7 +116,7 @@
 
 func TestClientThatGoesAwayCancelsItsRequest(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	response := r.complete("1", chatBody("true", "8000"))
 	if _, err := response.Body.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 
 func TestDeleteCancelsOnlyTheAttemptThatItNames(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	response := r.complete("1", chatBody("true", "8000"))
 	defer func() { _ = response.Body.Close() }()
 	remove := func(attempt string) int {
@@ -140,19 +140,19 @@
 		return answer.StatusCode
 	}
 	if status := remove("2"); status != http.StatusNotFound {
-		t.Errorf("another attempt: %d", status)
+		t.Errorf("cancelling another attempt answered %d, want 404", status)
 	}
 	if status := remove("1"); status != http.StatusNoContent {
-		t.Errorf("this attempt: %d", status)
+		t.Errorf("cancelling this attempt answered %d, want 204", status)
 	}
 	if _, done, err := readEvents(t, response.Body); done || err == nil {
-		t.Errorf("the cancelled stream ended as if whole: done %v, error %v", done, err)
+		t.Errorf("the cancelled stream ended normally: done %v, error %v", done, err)
 	}
 }
 
 func TestBrokenStreamIsResumedOverHTTP(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	r.setFaults(faults.Set{Engine: engine.Faults{BreakAfterTokens: 3}})
 	broken := r.complete("1", chatBody("true", "9"))
 	defer func() { _ = broken.Body.Close() }()
@@ -170,7 +170,7 @@
 
 func TestTruncatedStreamEndsWithoutErrorAndWithoutTerminator(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	r.setFaults(faults.Set{Engine: engine.Faults{TruncateAfterTokens: 3}})
 	response := r.complete("1", chatBody("true", "9"))
 	defer func() { _ = response.Body.Close() }()
@@ -182,7 +182,7 @@
 
 func TestRestartBreaksStreamsAndForgetsModels(t *testing.T) {
 	r := startEngine(t, time.Millisecond)
-	r.ready()
+	r.loadModel()
 	response := r.complete("1", chatBody("true", "8000"))
 	defer func() { _ = response.Body.Close() }()
 	r.setFaults(faults.Set{Restart: true})
--- a/internal/standin/httpdriver/journal.go
+++ b/internal/standin/httpdriver/journal.go
@@ -8,16 +8,17 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// PathJournal is where the platform shows when each change took effect. No
-// fault touches it, so that a judge sees decisions while the store is down.
+// PathJournal is the path at which the platform serves every change with the
+// time at which it took effect. No fault affects it, so that the checkers can
+// read decisions while the store is down.
 const PathJournal = "/lab/journal"
 
-// journalize notes a change that took effect; the caller holds the lock.
-func (o *objectsAPI) journalize(object objectstore.Object) {
+// recordChange appends a change to the journal; the caller holds the mutex.
+func (o *objectsAPI) recordChange(object objectstore.Object) {
 	o.journal = append(o.journal, books.StoreChange{At: time.Now(), Object: object})
 }
 
-// serveJournal answers the changes after a version, oldest first.
+// serveJournal returns the changes after a version, oldest first.
 func (o *objectsAPI) serveJournal(writer http.ResponseWriter, request *http.Request) {
 	since, err := queryUint(request, "since")
 	if err != nil {
--- a/internal/standin/httpdriver/journal_test.go
+++ b/internal/standin/httpdriver/journal_test.go
@@ -11,8 +11,8 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// TestJournalShowsWhatFaultsHide writes with the answer lost, then asks while
-// the object API is down and stale.
+// The journal must show a change whose answer was lost, also while the object API
+// is unavailable and its reads are stale.
 func TestJournalShowsWhatFaultsHide(t *testing.T) {
 	created := NewPlatform(t.Context(), PlatformOptions{})
 	server := httptest.NewServer(created.Handler())
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if len(changes) != 1 || changes[0].Object.Name != "second" || changes[0].Object.Version != 2 || changes[0].At.IsZero() {
-		t.Errorf("the journal after version 1 is %+v", changes)
+		t.Errorf("the journal after version 1 is %+v, want only the change to version 2", changes)
 	}
 }
--- a/internal/standin/httpdriver/objects.go
+++ b/internal/standin/httpdriver/objects.go
@@ -17,16 +17,18 @@
 	PathWatch   = "/v1/watch"
 )
 
-// bookmarkInterval is how often a watch tells the version reached.
+// bookmarkInterval is how often a watch sends an event with only the version
+// reached.
 const bookmarkInterval = time.Second
 
-// objectsAPI serves an objects.Store.
+// objectsAPI serves an objects.Store over HTTP.
 type objectsAPI struct {
 	mutex sync.Mutex
 	store *objects.Store
-	// changed is closed at the next change.
+	// changed is closed and replaced at the next update.
 	changed chan struct{}
-	// journal holds every change with the time at which it took effect.
+	// journal holds every change with the time at which it took effect, oldest
+	// first.
 	journal []books.StoreChange
 }
 
@@ -43,8 +45,8 @@
 	mux.HandleFunc("GET "+PathJournal, o.serveJournal)
 }
 
-// change runs the function on the store and wakes the watches.
-func (o *objectsAPI) change(run func(store *objects.Store)) {
+// update runs the function on the store and wakes the watches.
+func (o *objectsAPI) update(run func(store *objects.Store)) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	run(o.store)
@@ -59,13 +61,13 @@
 }
 
 func (o *objectsAPI) freeze(on bool) {
-	o.change(func(store *objects.Store) { store.Freeze(on) })
+	o.update(func(store *objects.Store) { store.Freeze(on) })
 }
 
-// restore does nothing for version 0.
+// restore resets the store to an earlier version; version 0 does nothing.
 func (o *objectsAPI) restore(version uint64) {
 	if version > 0 {
-		o.change(func(store *objects.Store) { store.Restore(version) })
+		o.update(func(store *objects.Store) { store.Restore(version) })
 	}
 }
 
@@ -85,7 +87,7 @@
 	writeJSON(writer, http.StatusOK, list)
 }
 
-// serveGet answers with a tombstone too, so that a delete can be read back.
+// serveGet returns tombstones too, so that a client can confirm a delete.
 func (o *objectsAPI) serveGet(writer http.ResponseWriter, request *http.Request) {
 	var object objectstore.Object
 	var found bool
@@ -108,9 +110,9 @@
 	}
 	var written objectstore.Object
 	var conflict *objectstore.ConflictResponse
-	o.change(func(store *objects.Store) {
+	o.update(func(store *objects.Store) {
 		if written, conflict = store.Write(write); conflict == nil {
-			o.journalize(written)
+			o.recordChange(written)
 		}
 	})
 	if conflict != nil {
@@ -130,10 +132,10 @@
 	var tombstone objectstore.Object
 	var conflict *objectstore.ConflictResponse
 	var found bool
-	o.change(func(store *objects.Store) {
+	o.update(func(store *objects.Store) {
 		tombstone, conflict, found = store.Delete(pathKey(request), expected, query.Get("changeId"), query.Get("changedBy"))
 		if found && conflict == nil {
-			o.journalize(tombstone)
+			o.recordChange(tombstone)
 		}
 	})
 	switch {
@@ -146,8 +148,8 @@
 	}
 }
 
-// serveWatch writes changes as JSON lines until the caller goes away or asks
-// for more than the history holds.
+// serveWatch streams changes as JSON lines until the client disconnects or the
+// history no longer covers the changes that the watch has not sent yet.
 func (o *objectsAPI) serveWatch(writer http.ResponseWriter, request *http.Request) {
 	since, err := queryUint(request, "since")
 	if err != nil {
@@ -190,7 +192,8 @@
 	}
 }
 
-// watch is one reader of changes; since is the version up to which it has all.
+// watch is the position of one client in the change history: it has received all
+// changes up to version since.
 type watch struct {
 	api   *objectsAPI
 	since uint64
--- a/internal/standin/httpdriver/outbox.go
+++ b/internal/standin/httpdriver/outbox.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// outbox hands the effects of one call to its HTTP handler. Putting never
-// blocks; what it can hold is bounded by the length of an answer.
+// outbox is an unbounded queue that passes the effects of one call to its HTTP
+// handler. put never blocks; the length of an answer limits the queue's size.
 type outbox[T any] struct {
 	mutex sync.Mutex
 	items []T
@@ -27,7 +27,7 @@
 	}
 }
 
-// take waits for at least one item and returns all that are there.
+// take waits until the outbox holds an item, and removes and returns all items.
 func (o *outbox[T]) take(ctx context.Context) ([]T, error) {
 	for {
 		o.mutex.Lock()
--- a/internal/standin/httpdriver/owner.go
+++ b/internal/standin/httpdriver/owner.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// owner runs functions one after another on one goroutine, and ticks a core
-// when its wake time has come, so that the core needs no lock.
-type owner struct {
-	inbox    chan func(now time.Time)
+// eventLoop runs functions sequentially on one goroutine, so that a core needs no
+// lock, and ticks the core at its wake times.
+type eventLoop struct {
+	tasks    chan func(now time.Time)
 	stopped  <-chan struct{}
 	nextWake func() time.Time
 	tick     func(now time.Time)
 }
 
-func newOwner(ctx context.Context, nextWake func() time.Time, tick func(now time.Time)) *owner {
-	created := &owner{
-		inbox:    make(chan func(time.Time)),
+func newEventLoop(ctx context.Context, nextWake func() time.Time, tick func(now time.Time)) *eventLoop {
+	created := &eventLoop{
+		tasks:    make(chan func(time.Time)),
 		stopped:  ctx.Done(),
 		nextWake: nextWake,
 		tick:     tick,
 	}
-	go created.loop()
+	go created.run()
 	return created
 }
 
-func (o *owner) loop() {
+func (o *eventLoop) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		o.arm(timer)
+		o.resetTimer(timer)
 		select {
 		case <-o.stopped:
 			return
-		case run := <-o.inbox:
-			run(time.Now())
+		case task := <-o.tasks:
+			task(time.Now())
 		case <-timer.C:
 			o.tick(time.Now())
 		}
 	}
 }
 
-func (o *owner) arm(timer *time.Timer) {
+func (o *eventLoop) resetTimer(timer *time.Timer) {
 	wake := o.nextWake()
 	if wake.IsZero() {
 		timer.Stop()
@@ -50,12 +50,12 @@
 	timer.Reset(time.Until(wake))
 }
 
-// do runs the function on the owner's goroutine and returns once it has run,
-// or at once if the owner has stopped.
-func (o *owner) do(run func(now time.Time)) {
+// do runs the function on the loop's goroutine and returns once it has run, or
+// without running it if the loop has stopped.
+func (o *eventLoop) do(task func(now time.Time)) {
 	ran := make(chan struct{})
 	select {
-	case o.inbox <- func(now time.Time) { run(now); close(ran) }:
+	case o.tasks <- func(now time.Time) { task(now); close(ran) }:
 		<-ran
 	case <-o.stopped:
 	}
--- a/internal/standin/httpdriver/platform.go
+++ b/internal/standin/httpdriver/platform.go
@@ -13,7 +13,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// Paths of the platform beside the object API.
+// Paths of the platform's calls other than the object API.
 const (
 	PathMachines    = "/v1/machines"
 	PathLabMachines = "/lab/machines"
@@ -23,16 +23,16 @@
 
 const probeTimeout = time.Second
 
-// PlatformOptions set up a Platform.
+// PlatformOptions configures a Platform.
 type PlatformOptions struct {
 	Weights  weights.Options
 	Machines machines.Options
-	// History is how many changes the object API keeps for watches; 0 means
-	// objects.DefaultHistory.
+	// History is the number of changes that the object API keeps for watches;
+	// 0 means objects.DefaultHistory.
 	History int
 }
 
-// Platform serves the object API, the list of machines and the weight store.
+// Platform serves the object API, the machine list and the weight store.
 type Platform struct {
 	faults   *faults.Switch
 	objects  *objectsAPI
@@ -40,7 +40,7 @@
 	weights  *weightStore
 }
 
-// NewPlatform starts a platform that ends with the context.
+// NewPlatform starts a platform that runs until the context ends.
 func NewPlatform(ctx context.Context, options PlatformOptions) *Platform {
 	created := &Platform{
 		objects:  newObjectsAPI(objects.New(options.History)),
@@ -51,13 +51,14 @@
 		created.objects.freeze(set.StaleReads)
 		created.objects.restore(set.RestoreTo)
 		created.machines.freeze(set.StaleMachines)
-		created.weights.slow(set.WeightsSlowFactor)
+		created.weights.setSlowFactor(set.WeightsSlowFactor)
 	})
 	return created
 }
 
-// Handler serves the platform's calls. Faults do not touch /lab/, so that the
-// list of machines and the weight store go on while the store is down.
+// Handler returns the handler of the platform's HTTP calls. Faults do not affect
+// paths under /lab/, so that heartbeats and the weight store keep working while
+// the object API is down.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	p.objects.register(mux)
@@ -69,18 +70,18 @@
 	return p.faults.Wrap(mux)
 }
 
-// machineList serves a machines.Core.
+// machineList serves a machines.Core over HTTP.
 type machineList struct {
-	ctx   context.Context
-	owner *owner
-	core  *machines.Core
-	// frozen is what the list shows while it is stale.
+	ctx       context.Context
+	eventLoop *eventLoop
+	core      *machines.Core
+	// frozen is the list to serve while the stale-machines fault is active.
 	frozen *objectstore.MachineList
 }
 
 func newMachineList(ctx context.Context, options machines.Options) *machineList {
 	created := &machineList{ctx: ctx, core: machines.New(options)}
-	created.owner = newOwner(ctx, created.core.NextWake, func(now time.Time) {
+	created.eventLoop = newEventLoop(ctx, created.core.NextWake, func(now time.Time) {
 		created.step(now, machines.Tick{})
 	})
 	return created
@@ -92,7 +93,8 @@
 	}
 }
 
-// probe dials the address: a refusal means that no process listens there.
+// probe dials the machine's address; a refused connection means that no process
+// listens there.
 func (m *machineList) probe(probe machines.Probe) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	connection, err := dialer.DialContext(m.ctx, "tcp", probe.Address)
@@ -100,21 +102,21 @@
 		_ = connection.Close()
 	}
 	refused := isRefused(err)
-	m.owner.do(func(now time.Time) {
+	m.eventLoop.do(func(now time.Time) {
 		m.step(now, machines.ProbeDone{Name: probe.Name, Refused: refused})
 	})
 }
 
 func (m *machineList) serveList(writer http.ResponseWriter, _ *http.Request) {
 	var list objectstore.MachineList
-	m.owner.do(func(now time.Time) {
+	m.eventLoop.do(func(now time.Time) {
 		m.step(now, machines.Tick{})
-		list = m.shown(now)
+		list = m.visibleList(now)
 	})
 	writeJSON(writer, http.StatusOK, list)
 }
 
-func (m *machineList) shown(now time.Time) objectstore.MachineList {
+func (m *machineList) visibleList(now time.Time) objectstore.MachineList {
 	if m.frozen != nil {
 		return *m.frozen
 	}
@@ -122,7 +124,7 @@
 }
 
 func (m *machineList) freeze(on bool) {
-	m.owner.do(func(now time.Time) {
+	m.eventLoop.do(func(now time.Time) {
 		switch {
 		case !on:
 			m.frozen = nil
@@ -138,12 +140,12 @@
 	if !readJSON(writer, request, &report) {
 		return
 	}
-	m.owner.do(func(now time.Time) { m.step(now, machines.Report{Machines: report.Machines}) })
+	m.eventLoop.do(func(now time.Time) { m.step(now, machines.Report{Machines: report.Machines}) })
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// MachineReport is the body of POST /lab/machines: the heartbeat of all
-// machines that one process stands for.
+// MachineReport is the body of POST /lab/machines: the heartbeat of all machines
+// that one process simulates.
 type MachineReport struct {
 	Machines []objectstore.Machine `json:"machines"`
 }
--- a/internal/standin/httpdriver/platform_test.go
+++ b/internal/standin/httpdriver/platform_test.go
@@ -27,7 +27,7 @@
 		Object:          objectstore.Object{Kind: "Model", Name: "alarm", ChangeID: changeID},
 		ExpectedVersion: expected,
 	})
-	return try(t, http.MethodPut, server.URL+PathObjects+"/Model/alarm", nil, body)
+	return trySend(t, http.MethodPut, server.URL+PathObjects+"/Model/alarm", nil, body)
 }
 
 func mustPut(t *testing.T, server *httptest.Server, expected uint64, changeID string) {
@@ -78,7 +78,7 @@
 	var object objectstore.Object
 	getJSON(t, server.URL+PathObjects+"/Model/alarm", &object)
 	if object.ChangeID != "first" {
-		t.Errorf("stands %+v", object)
+		t.Errorf("stored object is %+v, want the first change", object)
 	}
 	mustPut(t, server, 1, "second")
 }
@@ -155,16 +155,16 @@
 	for lines.Scan() {
 	}
 	if lines.Err() == nil {
-		t.Error("the watch ended as if it were whole")
+		t.Error("the watch ended without a connection error")
 	}
-	if response, err := try(t, http.MethodGet, server.URL+PathObjects, from("a"), nil); err == nil {
-		t.Errorf("cut zone: %s", response.Status)
+	if response, err := trySend(t, http.MethodGet, server.URL+PathObjects, from("a"), nil); err == nil {
+		t.Errorf("a call from the cut zone answered %s", response.Status)
 		_ = response.Body.Close()
 	}
 	response := send(t, http.MethodGet, server.URL+PathObjects, from("b"), nil)
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("other zone: %s", response.Status)
+		t.Errorf("a call from another zone answered %s", response.Status)
 	}
 }
 
@@ -236,7 +236,7 @@
 func TestLostAnswerToACommandComesAfterItRan(t *testing.T) {
 	created, server := startService(t, time.Millisecond)
 	setFaults(t, server, faults.Set{LoseAnswers: 1})
-	if response, err := try(t, http.MethodPost, server.URL+"/stop", nil, nil); err == nil {
+	if response, err := trySend(t, http.MethodPost, server.URL+"/stop", nil, nil); err == nil {
 		t.Errorf("answered %s", response.Status)
 		_ = response.Body.Close()
 	}
@@ -262,7 +262,7 @@
 func TestServiceThatIsDownRunsNothing(t *testing.T) {
 	created, server := startService(t, time.Millisecond)
 	setFaults(t, server, faults.Set{Down: true})
-	response, err := try(t, http.MethodPost, server.URL+"/stop", nil, []byte(strings.Repeat("x", 10)))
+	response, err := trySend(t, http.MethodPost, server.URL+"/stop", nil, []byte(strings.Repeat("x", 10)))
 	if err == nil {
 		_ = response.Body.Close()
 	}
--- a/internal/standin/httpdriver/rig_test.go
+++ b/internal/standin/httpdriver/rig_test.go
@@ -20,9 +20,10 @@
 )
 
 const (
-	// patience bounds the wait for what must come; no test asserts a time.
-	patience = 20 * time.Second
-	zone     = fleet.Zone("a")
+	// waitTimeout limits the wait for an expected event; no test asserts a
+	// duration.
+	waitTimeout = 20 * time.Second
+	zone        = fleet.Zone("a")
 )
 
 var (
@@ -42,7 +43,8 @@
 	return server
 }
 
-// engineRig is an engine behind a socket, with its weight store.
+// engineRig is an engine behind a test HTTP server, with a platform that provides
+// its weight store.
 type engineRig struct {
 	*testing.T
 	engine   *Engine
@@ -78,8 +80,8 @@
 	}
 }
 
-// ready claims the engine and loads the model.
-func (r *engineRig) ready() {
+// loadModel claims the engine, loads the model and waits until it is ready.
+func (r *engineRig) loadModel() {
 	r.Helper()
 	r.claim()
 	r.post(backend.PathEngineOrders, r.order("load", backend.ActionLoad), http.StatusAccepted, nil)
@@ -100,7 +102,8 @@
 	r.post(faults.Path, set, http.StatusOK, nil)
 }
 
-// post sends JSON and wants a status.
+// post sends a JSON body, requires the given response status and decodes the
+// response into answer unless that is nil.
 func (r *engineRig) post(path string, body any, status int, answer any) {
 	r.Helper()
 	response := send(r.T, http.MethodPost, r.server.URL+path, nil, encode(r.T, body))
@@ -122,16 +125,16 @@
 	return send(r.T, http.MethodPost, r.server.URL+backend.PathChat, header, []byte(body))
 }
 
-func (r *engineRig) eventually(what string, holds func() bool) {
+func (r *engineRig) eventually(what string, condition func() bool) {
 	r.Helper()
-	eventually(r.T, what, holds)
+	eventually(r.T, what, condition)
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -145,10 +148,11 @@
 	return data
 }
 
-// testClient bounds each call, so that one that hangs fails its test.
-var testClient = &http.Client{Timeout: patience}
+// testClient limits the duration of each call, so that a hanging call fails its
+// test.
+var testClient = &http.Client{Timeout: waitTimeout}
 
-func try(t *testing.T, method, url string, header http.Header, body []byte) (*http.Response, error) {
+func trySend(t *testing.T, method, url string, header http.Header, body []byte) (*http.Response, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, bytes.NewReader(body))
 	if err != nil {
@@ -157,14 +161,15 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	// A new connection for each call: the library must not send one again.
+	// Use a new connection for each call: on a reused one, the HTTP client may
+	// retry the request by itself.
 	request.Close = true
 	return testClient.Do(request)
 }
 
 func send(t *testing.T, method, url string, header http.Header, body []byte) *http.Response {
 	t.Helper()
-	response, err := try(t, method, url, header, body)
+	response, err := trySend(t, method, url, header, body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,8 +188,8 @@
 	}
 }
 
-// readEvents returns the chunks of a stream, whether it had its terminator,
-// and the error of its connection.
+// readEvents returns the chunks of a stream, whether the terminator followed
+// them, and the error of the connection.
 func readEvents(t *testing.T, body io.Reader) (chunks []backend.Chunk, done bool, err error) {
 	t.Helper()
 	lines := bufio.NewScanner(body)
--- a/internal/standin/httpdriver/service.go
+++ b/internal/standin/httpdriver/service.go
@@ -15,38 +15,39 @@
 	"github.com/spanlanding/spanlanding/internal/standin/service"
 )
 
-// Service serves one service.Core over HTTP.
+// Service serves a service.Core over HTTP.
 type Service struct {
-	backend fleet.Backend
-	faults  *faults.Switch
-	owner   *owner
-	calls   atomic.Uint64
-	leaving atomic.Bool
+	backend   fleet.Backend
+	faults    *faults.Switch
+	eventLoop *eventLoop
+	calls     atomic.Uint64
+	leaving   atomic.Bool
 
-	// The owner's goroutine alone uses what follows.
-	core  *service.Core
-	boxes map[service.CallID]*outbox[service.Effect]
+	// Only the event loop's goroutine uses the fields below.
+	core     *service.Core
+	outboxes map[service.CallID]*outbox[service.Effect]
 }
 
-// NewService starts a command server that ends with the context.
+// NewService starts a command server that runs until the context ends.
 func NewService(ctx context.Context, options service.Options) *Service {
 	created := &Service{
-		backend: options.Backend,
-		core:    service.New(options),
-		boxes:   map[service.CallID]*outbox[service.Effect]{},
+		backend:  options.Backend,
+		core:     service.New(options),
+		outboxes: map[service.CallID]*outbox[service.Effect]{},
 	}
 	created.faults = faults.NewSwitch(options.Backend.Zone, func(set faults.Set) {
 		if set.Leaving {
 			created.Leave()
 		}
 	})
-	created.owner = newOwner(ctx, created.core.NextWake, func(now time.Time) {
+	created.eventLoop = newEventLoop(ctx, created.core.NextWake, func(now time.Time) {
 		created.step(now, service.Tick{})
 	})
 	return created
 }
 
-// Handler serves any method and path as a command.
+// Handler returns the server's handler, which executes any method and path
+// outside /lab/ as a command.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(faults.Path, s.faults)
@@ -54,38 +55,39 @@
 		writeJSON(writer, http.StatusOK, s.Book())
 	})
 	mux.HandleFunc("/", s.serveCommand)
-	return s.faults.Wrap(sayLeaving(&s.leaving, mux))
+	return s.faults.Wrap(withLeavingHeader(&s.leaving, mux))
 }
 
-// Book returns what the server recorded.
+// Book returns the server's records.
 func (s *Service) Book() books.Book {
 	var book books.Book
-	s.owner.do(func(now time.Time) {
+	s.eventLoop.do(func(now time.Time) {
 		s.step(now, service.Tick{})
 		book = s.core.Book()
 	})
 	return book
 }
 
-// Leave makes the server say that it goes away.
+// Leave makes the server announce its shutdown and refuse new commands.
 func (s *Service) Leave() {
 	s.leaving.Store(true)
-	s.owner.do(func(now time.Time) { s.step(now, service.Leave{}) })
+	s.eventLoop.do(func(now time.Time) { s.step(now, service.Leave{}) })
 }
 
 // Idle reports whether no command runs.
 func (s *Service) Idle() bool {
 	idle := true
-	s.owner.do(func(time.Time) { idle = s.core.Idle() })
+	s.eventLoop.do(func(time.Time) { idle = s.core.Idle() })
 	return idle
 }
 
-// Machine is the server's line for the machine list.
+// Machine returns the server's entry for the machine list.
 func (s *Service) Machine() objectstore.Machine {
 	return backendMachine(s.backend, s.leaving.Load())
 }
 
-// serveCommand executes the command even if its caller goes away meanwhile.
+// serveCommand executes a command. Once started, the command runs to its end
+// even if the client disconnects.
 func (s *Service) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(writer, request.Body, maxBodyBytes)); err != nil {
 		return
@@ -99,8 +101,8 @@
 		Method:    request.Method,
 		Path:      request.URL.Path,
 	}
-	s.owner.do(func(now time.Time) {
-		s.boxes[command.Call] = box
+	s.eventLoop.do(func(now time.Time) {
+		s.outboxes[command.Call] = box
 		s.step(now, command)
 	})
 	effects, err := box.take(request.Context())
@@ -119,17 +121,17 @@
 	for _, effect := range s.core.Step(now, message) {
 		switch f := effect.(type) {
 		case service.Answered:
-			s.hand(f.Call, f)
+			s.dispatch(f.Call, f)
 		case service.Refused:
-			s.hand(f.Call, f)
+			s.dispatch(f.Call, f)
 		}
 	}
 }
 
-func (s *Service) hand(id service.CallID, effect service.Effect) {
-	if box := s.boxes[id]; box != nil {
+func (s *Service) dispatch(id service.CallID, effect service.Effect) {
+	if box := s.outboxes[id]; box != nil {
 		box.put(effect)
-		delete(s.boxes, id)
+		delete(s.outboxes, id)
 	}
 }
 
--- a/internal/standin/httpdriver/weights.go
+++ b/internal/standin/httpdriver/weights.go
@@ -14,31 +14,31 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// WeightRead is the body of POST /lab/weights/reads; the answer, 204, comes
+// WeightRead is the body of POST /lab/weights/reads. The response, 204, is sent
 // once the checkpoint has been read.
 type WeightRead struct {
 	Engine fleet.BackendName  `json:"engine"`
 	Load   uint64             `json:"load"`
 	Model  fleet.ModelVersion `json:"model"`
 	Bytes  int64              `json:"bytes"`
-	// FullSpeed is the length of the read at the store's full speed, in
+	// FullSpeed is the duration of the read at the store's full speed, in
 	// nanoseconds.
 	FullSpeed time.Duration `json:"fullSpeed"`
 }
 
-// weightStore serves a weights.Core.
+// weightStore serves a weights.Core over HTTP.
 type weightStore struct {
-	owner *owner
+	eventLoop *eventLoop
 
-	// The owner's goroutine alone uses what follows.
-	core  *weights.Core
-	boxes map[string]*outbox[weights.Done]
-	reads uint64
+	// Only the event loop's goroutine uses the fields below.
+	core     *weights.Core
+	outboxes map[string]*outbox[weights.Done]
+	reads    uint64
 }
 
 func newWeightStore(ctx context.Context, options weights.Options) *weightStore {
-	created := &weightStore{core: weights.New(options), boxes: map[string]*outbox[weights.Done]{}}
-	created.owner = newOwner(ctx, created.core.NextWake, func(now time.Time) {
+	created := &weightStore{core: weights.New(options), outboxes: map[string]*outbox[weights.Done]{}}
+	created.eventLoop = newEventLoop(ctx, created.core.NextWake, func(now time.Time) {
 		created.step(now, weights.Tick{})
 	})
 	return created
@@ -46,18 +46,18 @@
 
 func (w *weightStore) step(now time.Time, message weights.Message) {
 	for _, done := range w.core.Step(now, message) {
-		if box := w.boxes[done.ID]; box != nil {
+		if box := w.outboxes[done.ID]; box != nil {
 			box.put(done)
-			delete(w.boxes, done.ID)
+			delete(w.outboxes, done.ID)
 		}
 	}
 }
 
-func (w *weightStore) slow(factor float64) {
-	w.owner.do(func(now time.Time) { w.step(now, weights.Slow{Factor: factor}) })
+func (w *weightStore) setSlowFactor(factor float64) {
+	w.eventLoop.do(func(now time.Time) { w.step(now, weights.Slow{Factor: factor}) })
 }
 
-// serveRead ends the read if its engine goes away.
+// serveRead performs a read and cancels it if the engine disconnects.
 func (w *weightStore) serveRead(writer http.ResponseWriter, request *http.Request) {
 	var read WeightRead
 	if !readJSON(writer, request, &read) {
@@ -65,15 +65,15 @@
 	}
 	box := newOutbox[weights.Done]()
 	var id string
-	w.owner.do(func(now time.Time) {
+	w.eventLoop.do(func(now time.Time) {
 		w.reads++
 		id = strconv.FormatUint(w.reads, 10)
-		w.boxes[id] = box
+		w.outboxes[id] = box
 		w.step(now, weights.Read{ID: id, FullSpeed: read.FullSpeed})
 	})
 	if _, err := box.take(request.Context()); err != nil {
-		w.owner.do(func(now time.Time) {
-			delete(w.boxes, id)
+		w.eventLoop.do(func(now time.Time) {
+			delete(w.outboxes, id)
 			w.step(now, weights.Cancel{ID: id})
 		})
 		return
@@ -83,16 +83,17 @@
 
 func (w *weightStore) serveStats(writer http.ResponseWriter, _ *http.Request) {
 	var stats weights.Stats
-	w.owner.do(func(now time.Time) {
+	w.eventLoop.do(func(now time.Time) {
 		w.step(now, weights.Tick{})
 		stats = w.core.Stats()
 	})
 	writeJSON(writer, http.StatusOK, stats)
 }
 
-// PlatformClient is a stand-in's client of the platform's laboratory calls.
+// PlatformClient calls the platform's /lab/ API on behalf of a simulated back
+// end.
 type PlatformClient struct {
-	// URL is the platform's, without a path.
+	// URL is the platform's base URL, without a path.
 	URL  string
 	HTTP *http.Client
 }
