--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -1,8 +1,11 @@
-// Package objects is the model of the platform's object API: versions,
-// compare-and-set, tombstones and a bounded history for watches.
+// Package objects simulates the store behind the platform's object API:
+// versioned objects with compare-and-set writes, tombstones and a bounded history
+// for watches.
 //
-// Store is deterministic and holds no clock, lock or I/O; the HTTP driver and
-// the simulator use the same one. It may import objectstore's wire types.
+// Store is deterministic: it reads no clock, takes no lock and does no I/O. The
+// HTTP driver (standin/httpdriver) and the simulator both use it.
+//
+// It may import the wire types of objectstore.
 package objects
 
 import (
@@ -13,23 +16,25 @@
 	"github.com/spanlanding/spanlanding/internal/objectstore"
 )
 
-// DefaultHistory is how many changes a Store keeps for watches.
+// DefaultHistory is the default number of changes that a Store keeps for watches.
 const DefaultHistory = 10_000
 
-// Store holds objects under one growing version.
+// Store holds versioned objects. A single version counter covers the whole store
+// and increases by one with each change.
 type Store struct {
-	limit   int
-	version uint64
-	objects map[objectstore.Key]objectstore.Object
-	// history holds the last changes, oldest first; compacted is the version
-	// of the newest change that is no longer in it.
+	historyLimit int
+	version      uint64
+	objects      map[objectstore.Key]objectstore.Object
+	// history holds the latest changes, oldest first; compacted is the version
+	// of the newest change that has been dropped from it.
 	history   []objectstore.Object
 	compacted uint64
-	frozen    *view
+	frozen    *snapshot
 }
 
-// view is what reads show while they are stale.
-type view struct {
+// snapshot is the state that reads return: the current one, or an older one while
+// the store is frozen.
+type snapshot struct {
 	version uint64
 	objects map[objectstore.Key]objectstore.Object
 }
@@ -39,44 +44,44 @@
 	if history <= 0 {
 		history = DefaultHistory
 	}
-	return &Store{limit: history, objects: map[objectstore.Key]objectstore.Object{}}
+	return &Store{historyLimit: history, objects: map[objectstore.Key]objectstore.Object{}}
 }
 
-// Version is the version of the last change, or the frozen one.
+// Version returns the version of the last change that reads show.
 func (s *Store) Version() uint64 {
-	return s.view().version
+	return s.snapshot().version
 }
 
-// Freeze lets reads and watches show the present state until it is taken back;
-// writes go on.
+// Freeze makes reads and watches keep showing the current state until they are
+// unfrozen by Freeze(false); writes still take effect.
 func (s *Store) Freeze(on bool) {
 	switch {
 	case !on:
 		s.frozen = nil
 	case s.frozen == nil:
-		s.frozen = &view{version: s.version, objects: maps.Clone(s.objects)}
+		s.frozen = &snapshot{version: s.version, objects: maps.Clone(s.objects)}
 	}
 }
 
-func (s *Store) view() view {
+func (s *Store) snapshot() snapshot {
 	if s.frozen != nil {
 		return *s.frozen
 	}
-	return view{version: s.version, objects: s.objects}
+	return snapshot{version: s.version, objects: s.objects}
 }
 
-// Get returns an object or its tombstone.
+// Get returns an object or its tombstone, and whether there is one.
 func (s *Store) Get(key objectstore.Key) (objectstore.Object, bool) {
-	object, found := s.view().objects[key]
+	object, found := s.snapshot().objects[key]
 	return object, found
 }
 
-// List returns the objects of a kind, or of all kinds if it is empty, by kind
-// and name.
+// List returns the objects of a kind, or of all kinds if kind is empty, sorted by
+// kind and name. It includes tombstones on request.
 func (s *Store) List(kind string, tombstones bool) objectstore.ObjectList {
-	shown := s.view()
-	list := objectstore.ObjectList{Version: shown.version, Objects: []objectstore.Object{}}
-	for _, object := range shown.objects {
+	visible := s.snapshot()
+	list := objectstore.ObjectList{Version: visible.version, Objects: []objectstore.Object{}}
+	for _, object := range visible.objects {
 		if (kind == "" || object.Kind == kind) && (tombstones || !object.Deleted) {
 			list.Objects = append(list.Objects, object)
 		}
@@ -87,27 +92,27 @@
 	return list
 }
 
-// Write stores the object if the expected version stands; otherwise the
-// conflict holds what stands.
+// Write stores the object if its current version is the expected one; otherwise
+// it returns a conflict with the current object.
 func (s *Store) Write(request objectstore.WriteRequest) (objectstore.Object, *objectstore.ConflictResponse) {
 	current := s.objects[request.Object.Key()]
-	if !matches(current, request.ExpectedVersion) {
+	if !versionMatches(current, request.ExpectedVersion) {
 		return objectstore.Object{}, &objectstore.ConflictResponse{Current: current}
 	}
-	return s.record(request.Object), nil
+	return s.commit(request.Object), nil
 }
 
-// matches reports whether the version is the expected one; 0 expects no
+// versionMatches reports whether the object has the expected version; 0 expects no
 // object or a tombstone.
-func matches(current objectstore.Object, expected uint64) bool {
+func versionMatches(current objectstore.Object, expected uint64) bool {
 	if expected == 0 {
 		return current.Version == 0 || current.Deleted
 	}
 	return current.Version == expected
 }
 
-// Delete puts a tombstone in place of the object if the expected version
-// stands. Found is false where there has never been an object.
+// Delete replaces the object with a tombstone if its current version is the
+// expected one. found is false if the object has never existed.
 func (s *Store) Delete(key objectstore.Key, expected uint64, changeID, changedBy string) (tombstone objectstore.Object, conflict *objectstore.ConflictResponse, found bool) {
 	current, found := s.objects[key]
 	if !found {
@@ -116,7 +121,7 @@
 	if current.Deleted || current.Version != expected {
 		return objectstore.Object{}, &objectstore.ConflictResponse{Current: current}, true
 	}
-	return s.record(objectstore.Object{
+	return s.commit(objectstore.Object{
 		Kind:      key.Kind,
 		Name:      key.Name,
 		ChangeID:  changeID,
@@ -125,21 +130,23 @@
 	}), nil, true
 }
 
-func (s *Store) record(object objectstore.Object) objectstore.Object {
+// commit stores the object under the next version and adds it to the history.
+func (s *Store) commit(object objectstore.Object) objectstore.Object {
 	s.version++
 	object.Version = s.version
 	s.objects[object.Key()] = object
 	s.history = append(s.history, object)
-	if excess := len(s.history) - s.limit; excess > 0 {
+	if excess := len(s.history) - s.historyLimit; excess > 0 {
 		s.compacted = s.history[excess-1].Version
 		s.history = slices.Delete(s.history, 0, excess)
 	}
 	return object
 }
 
-// Restore sets the store back to an earlier version, as an operator does from
-// a backup: later changes are lost, and their versions are given out again. It
-// is false where the history does not reach back to the first change.
+// Restore resets the store to an earlier version, as a restore from a backup
+// does: later changes are lost and their versions are assigned again. It returns
+// false and changes nothing if the history does not reach back to the first
+// change, or if the version is later than the current one.
 func (s *Store) Restore(version uint64) bool {
 	if s.compacted > 0 || version > s.version {
 		return false
@@ -153,19 +160,20 @@
 	return true
 }
 
-// Changes returns the changes after a version, oldest first. It is false where
-// they can't all be told: too old, or newer than the store.
+// Changes returns the changes after a version, oldest first. It returns false if
+// the history no longer holds all of them, or if the version is later than the
+// store's.
 func (s *Store) Changes(since uint64) ([]objectstore.WatchEvent, bool) {
 	if since < s.compacted || since > s.version {
 		return nil, false
 	}
-	shown := s.view().version
+	visibleVersion := s.snapshot().version
 	first, _ := slices.BinarySearchFunc(s.history, since+1, func(object objectstore.Object, version uint64) int {
 		return cmp.Compare(object.Version, version)
 	})
 	var events []objectstore.WatchEvent
 	for _, object := range s.history[first:] {
-		if object.Version <= shown {
+		if object.Version <= visibleVersion {
 			events = append(events, objectstore.WatchEvent{Version: object.Version, Object: &object})
 		}
 	}
--- a/internal/standin/objects/store_test.go
+++ b/internal/standin/objects/store_test.go
@@ -25,12 +25,12 @@
 		deleted  bool
 		want     bool
 	}{
-		{"the version that stands", 1, false, true},
-		{"none, but an object stands", 0, false, false},
-		{"a later version", 2, false, false},
-		{"none, and a tombstone stands", 0, true, true},
-		{"the tombstone", 2, true, true},
-		{"the version before the tombstone", 1, true, false},
+		{"current version", 1, false, true},
+		{"no object, but one exists", 0, false, false},
+		{"later version", 2, false, false},
+		{"no object, and it is deleted", 0, true, true},
+		{"version of the tombstone", 2, true, true},
+		{"version before the tombstone", 1, true, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,14 +42,14 @@
 			before, _ := store.Get(alarm)
 			written, conflict := write(store, alarm, test.expected, "second")
 			if (conflict == nil) != test.want {
-				t.Fatalf("conflict %v", conflict)
+				t.Fatalf("unexpected outcome of the write: conflict %v", conflict)
 			}
 			after, _ := store.Get(alarm)
 			if test.want && (after.ChangeID != "second" || after.Version != written.Version || written.Version <= before.Version) {
-				t.Errorf("written %+v, stands %+v", written, after)
+				t.Errorf("written %+v, stored %+v", written, after)
 			}
 			if !test.want && (!cmp.Equal(before, after) || !cmp.Equal(conflict.Current, before)) {
-				t.Errorf("conflict %+v, stands %+v, before %+v", conflict, after, before)
+				t.Errorf("conflict %+v, stored %+v, before the write %+v", conflict, after, before)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 	store := New(0)
 	write(store, alarm, 0, "first")
 	if _, conflict, _ := store.Delete(alarm, 7, "wrong", ""); conflict == nil {
-		t.Error("a delete of another version took effect")
+		t.Error("a delete with a version other than the current one took effect")
 	}
 	tombstone, conflict, found := store.Delete(alarm, 1, "gone", "operator")
 	if conflict != nil || !found || !tombstone.Deleted || tombstone.Version != 2 {
@@ -99,11 +99,11 @@
 	shown, _ := store.Get(alarm)
 	events, _ := store.Changes(1)
 	if shown.ChangeID != "first" || store.List("", false).Version != 1 || len(events) != 0 {
-		t.Errorf("shown %+v, events %v", shown, events)
+		t.Errorf("frozen reads return %+v and events %v, want the first change and no events", shown, events)
 	}
 	store.Freeze(false)
 	if events, _ := store.Changes(1); len(events) != 1 || events[0].Object.ChangeID != "second" {
-		t.Errorf("after the freeze: %v", events)
+		t.Errorf("events after the freeze: %v, want only the second change", events)
 	}
 }
 
@@ -113,7 +113,7 @@
 	write(store, alarm, 1, "second")
 	write(store, objectstore.Key{Kind: "Model", Name: "report"}, 0, "third")
 	if !store.Restore(1) {
-		t.Fatal("not restored")
+		t.Fatal("the restore was refused")
 	}
 	want := objectstore.ObjectList{Version: 1, Objects: []objectstore.Object{
 		{Kind: "Model", Name: "alarm", Version: 1, ChangeID: "first"},
@@ -122,26 +122,27 @@
 		t.Error(diff)
 	}
 	if events, ok := store.Changes(1); !ok || len(events) != 0 {
-		t.Errorf("lost changes are told: %v", events)
+		t.Errorf("the history still holds lost changes: %v", events)
 	}
 	if _, ok := store.Changes(3); ok {
-		t.Error("a watch from a lost version goes on")
+		t.Error("a watch from a lost version was not refused")
 	}
 	if written, conflict := write(store, alarm, 1, "fourth"); conflict != nil || written.Version != 2 {
 		t.Errorf("written %+v, conflict %v", written, conflict)
 	}
 	if events, _ := store.Changes(1); len(events) != 1 || events[0].Object.ChangeID != "fourth" {
-		t.Errorf("a watch is told lost changes: %v", events)
+		t.Errorf("events after the restored version: %v, want only the fourth change", events)
 	}
 	compacted := New(1)
 	write(compacted, alarm, 0, "first")
 	write(compacted, alarm, 1, "second")
 	if compacted.Restore(1) {
-		t.Error("restored from a history that does not reach back")
+		t.Error("a restore succeeded although the history does not reach back to the first change")
 	}
 }
 
-// A reader that follows the changes has what a list shows, at every version.
+// A client that lists when its version is refused and otherwise applies the
+// changes ends up with the same objects as a list.
 func TestWatchAgreesWithList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New(rapid.IntRange(1, 8).Draw(t, "history"))
@@ -161,13 +162,13 @@
 				write(store, key, expected, "")
 			}
 			if store.Version() < before {
-				t.Fatalf("version fell from %d to %d", before, store.Version())
+				t.Fatalf("version decreased from %d to %d", before, store.Version())
 			}
 			if rapid.Bool().Draw(t, "read") {
-				reached = follow(t, store, known, reached)
+				reached = applyChanges(t, store, known, reached)
 			}
 		}
-		follow(t, store, known, reached)
+		applyChanges(t, store, known, reached)
 		for _, object := range store.List("", true).Objects {
 			if !cmp.Equal(known[object.Key()], object) {
 				t.Fatalf("watched %+v, listed %+v", known[object.Key()], object)
@@ -176,21 +177,21 @@
 	})
 }
 
-func follow(t *rapid.T, store *Store, known map[objectstore.Key]objectstore.Object, reached uint64) uint64 {
-	events, ok := store.Changes(reached)
+func applyChanges(t *rapid.T, store *Store, cache map[objectstore.Key]objectstore.Object, version uint64) uint64 {
+	events, ok := store.Changes(version)
 	if !ok {
 		list := store.List("", true)
 		for _, object := range list.Objects {
-			known[object.Key()] = object
+			cache[object.Key()] = object
 		}
 		return list.Version
 	}
 	for _, event := range events {
-		if event.Version <= reached {
-			t.Fatalf("event %d after %d", event.Version, reached)
+		if event.Version <= version {
+			t.Fatalf("event %d after %d", event.Version, version)
 		}
-		reached = event.Version
-		known[event.Object.Key()] = *event.Object
+		version = event.Version
+		cache[event.Object.Key()] = *event.Object
 	}
-	return reached
+	return version
 }
