--- a/internal/standin/machines/core.go
+++ b/internal/standin/machines/core.go
@@ -1,8 +1,13 @@
-// Package machines is the model of the platform's list of machines, which
-// lags.
+// Package machines simulates the platform's machine list, which shows machines
+// with a delay.
 //
-// Core is a deterministic state machine without I/O, goroutine or clock. It
-// may import objectstore's wire types.
+// Machines register by heartbeats. A machine without a recent heartbeat is probed
+// and listed as gone once nothing listens at its address.
+//
+// Core is a deterministic state machine: it does no I/O, starts no goroutine and
+// reads no clock. The HTTP driver (standin/httpdriver) and the simulator drive it.
+//
+// It may import the wire types of objectstore.
 package machines
 
 import (
@@ -15,17 +20,19 @@
 )
 
 const (
-	// DefaultLag is the age of what the list shows.
+	// DefaultLag is the default age of the listed state.
 	DefaultLag = time.Second
-	// DefaultSilence is how long a machine may be silent before it is probed.
+	// DefaultSilence is the default time without a heartbeat after which a
+	// machine is probed.
 	DefaultSilence = 2 * time.Second
-	// DefaultKeepGone is how long a machine that is gone stays on the list.
+	// DefaultKeepGone is the default time since the last heartbeat after which a
+	// machine that is gone is removed from the list.
 	DefaultKeepGone = 10 * time.Minute
 
 	probeInterval = 500 * time.Millisecond
 )
 
-// Options set up a Core; zero values take the defaults.
+// Options configures a Core; zero values take the defaults.
 type Options struct {
 	Lag      time.Duration
 	Silence  time.Duration
@@ -35,16 +42,16 @@
 // Message is an input of Core.Step.
 type Message interface{ message() }
 
-// Tick lets the core do what is due.
+// Tick makes the core process what is due.
 type Tick struct{}
 
-// Report is the heartbeat of machines; it registers them.
+// Report is a heartbeat of machines; the first one registers a machine.
 type Report struct{ Machines []objectstore.Machine }
 
 // ProbeDone answers Probe.
 type ProbeDone struct {
 	Name string
-	// Refused says that nothing listens at the address any more.
+	// Refused means that nothing listens at the address any more.
 	Refused bool
 }
 
@@ -52,25 +59,27 @@
 func (Report) message()    {}
 func (ProbeDone) message() {}
 
-// Probe asks whether anything still listens at a silent machine's address. A
-// process that is only paused does, so it is not listed as gone.
+// Probe asks the driver whether anything still listens at the address of a
+// machine without heartbeats. A paused process still listens, so it is not
+// listed as gone.
 type Probe struct {
 	Name    string
 	Address string
 }
 
-// Core holds the machines.
+// Core is the state machine of the machine list.
 type Core struct {
 	options Options
 	entries map[string]*entry
 }
 
 type entry struct {
-	machine objectstore.Machine
-	heard   time.Time
-	probeAt time.Time
-	// shown holds the changes that the lag still hides, and the one before.
-	shown []change
+	machine       objectstore.Machine
+	lastHeartbeat time.Time
+	probeAt       time.Time
+	// changes holds the change that is currently listed, followed by those that
+	// the lag still hides.
+	changes []change
 }
 
 type change struct {
@@ -78,7 +87,7 @@
 	machine objectstore.Machine
 }
 
-// New returns an empty list.
+// New returns an empty machine list.
 func New(options Options) *Core {
 	options.Lag = cmp.Or(options.Lag, DefaultLag)
 	options.Silence = cmp.Or(options.Silence, DefaultSilence)
@@ -86,59 +95,61 @@
 	return &Core{options: options, entries: map[string]*entry{}}
 }
 
-// Step takes a message and returns the probes that are wanted.
+// Step processes a message and returns the probes to send.
 func (c *Core) Step(now time.Time, message Message) []Probe {
 	switch m := message.(type) {
 	case Tick:
 	case Report:
 		for _, machine := range m.Machines {
-			c.heard(now, machine)
+			c.recordHeartbeat(now, machine)
 		}
 	case ProbeDone:
-		if entry := c.entries[m.Name]; entry != nil && m.Refused && c.silent(now, entry) {
+		if entry := c.entries[m.Name]; entry != nil && m.Refused && c.isSilent(now, entry) {
 			gone := entry.machine
 			gone.State = objectstore.MachineGone
-			entry.set(now, gone)
+			entry.setMachine(now, gone)
 		}
 	}
 	return c.probes(now)
 }
 
-func (c *Core) heard(now time.Time, machine objectstore.Machine) {
+func (c *Core) recordHeartbeat(now time.Time, machine objectstore.Machine) {
 	known := c.entries[machine.Name]
 	if known == nil {
 		known = &entry{}
 		c.entries[machine.Name] = known
 	}
-	known.heard = now
+	known.lastHeartbeat = now
 	known.probeAt = now.Add(c.options.Silence)
-	known.set(now, machine)
+	known.setMachine(now, machine)
 }
 
-func (e *entry) set(now time.Time, machine objectstore.Machine) {
-	if len(e.shown) > 0 && same(e.machine, machine) {
+func (e *entry) setMachine(now time.Time, machine objectstore.Machine) {
+	if len(e.changes) > 0 && sameMachine(e.machine, machine) {
 		return
 	}
 	e.machine = machine
-	e.shown = append(e.shown, change{at: now, machine: machine})
+	e.changes = append(e.changes, change{at: now, machine: machine})
 }
 
-func same(one, other objectstore.Machine) bool {
+func sameMachine(one, other objectstore.Machine) bool {
 	return one.Role == other.Role && one.Zone == other.Zone && one.Rack == other.Rack &&
 		one.State == other.State && one.Service == other.Service && one.Address == other.Address &&
 		one.Node == other.Node && maps.Equal(one.Extra, other.Extra)
 }
 
-func (c *Core) silent(now time.Time, entry *entry) bool {
-	return now.Sub(entry.heard) >= c.options.Silence
+func (c *Core) isSilent(now time.Time, entry *entry) bool {
+	return now.Sub(entry.lastHeartbeat) >= c.options.Silence
 }
 
+// probes returns the probes that are due, and removes machines that have been gone
+// for long enough.
 func (c *Core) probes(now time.Time) []Probe {
 	var probes []Probe
-	for _, name := range c.names() {
+	for _, name := range c.sortedNames() {
 		entry := c.entries[name]
 		if entry.machine.State == objectstore.MachineGone {
-			c.dropOld(now, name, entry)
+			c.removeExpired(now, name, entry)
 			continue
 		}
 		if !entry.probeAt.After(now) {
@@ -149,8 +160,8 @@
 	return probes
 }
 
-func (c *Core) dropOld(now time.Time, name string, entry *entry) {
-	if now.Sub(entry.heard) > c.options.KeepGone {
+func (c *Core) removeExpired(now time.Time, name string, entry *entry) {
+	if now.Sub(entry.lastHeartbeat) > c.options.KeepGone {
 		delete(c.entries, name)
 	}
 }
@@ -159,11 +170,12 @@
 	return cmp.Or(machine.Address, machine.Node.Caller, machine.Node.Peer)
 }
 
-func (c *Core) names() []string {
+func (c *Core) sortedNames() []string {
 	return slices.Sorted(maps.Keys(c.entries))
 }
 
-// NextWake is the earliest time at which a Tick is wanted; zero for none.
+// NextWake returns the earliest time at which a Tick is needed, or zero if none
+// is.
 func (c *Core) NextWake() time.Time {
 	var wake time.Time
 	for _, entry := range c.entries {
@@ -174,23 +186,23 @@
 	return wake
 }
 
-// List shows the machines as they were a lag ago, by name.
+// List returns the machines as they were one lag ago, sorted by name.
 func (c *Core) List(now time.Time) objectstore.MachineList {
 	asOf := now.Add(-c.options.Lag)
 	list := objectstore.MachineList{AsOfUnixMilli: asOf.UnixMilli(), Machines: []objectstore.Machine{}}
-	for _, name := range c.names() {
+	for _, name := range c.sortedNames() {
 		entry := c.entries[name]
 		entry.prune(asOf)
-		if !entry.shown[0].at.After(asOf) {
-			list.Machines = append(list.Machines, entry.shown[0].machine)
+		if !entry.changes[0].at.After(asOf) {
+			list.Machines = append(list.Machines, entry.changes[0].machine)
 		}
 	}
 	return list
 }
 
-// prune drops the changes that a later one, visible too, has replaced.
+// prune drops the changes that a later visible change has replaced.
 func (e *entry) prune(asOf time.Time) {
-	for len(e.shown) > 1 && !e.shown[1].at.After(asOf) {
-		e.shown = e.shown[1:]
+	for len(e.changes) > 1 && !e.changes[1].at.After(asOf) {
+		e.changes = e.changes[1:]
 	}
 }
--- a/internal/standin/machines/core_test.go
+++ b/internal/standin/machines/core_test.go
@@ -42,10 +42,10 @@
 	core := New(Options{Lag: time.Nanosecond, Silence: 2 * time.Second})
 	core.Step(at(0), Report{Machines: []objectstore.Machine{engine}})
 	if probes := core.Step(at(1.9), Tick{}); len(probes) != 0 {
-		t.Fatalf("probed at once: %v", probes)
+		t.Fatalf("probed before the silence has passed: %v", probes)
 	}
 	if wake := core.NextWake(); wake != at(2) {
-		t.Fatalf("wakes at %v", wake)
+		t.Fatalf("the next wake is at %v, want 2 s after the start", wake)
 	}
 	want := []Probe{{Name: "engine-0", Address: engine.Address}}
 	if diff := cmp.Diff(want, core.Step(at(2), Tick{})); diff != "" {
@@ -72,7 +72,7 @@
 	core.Step(at(2.1), Report{Machines: []objectstore.Machine{engine}})
 	core.Step(at(2.2), ProbeDone{Name: "engine-0", Refused: true})
 	if got := state(core, at(3)); got != objectstore.MachineLive {
-		t.Errorf("listed %s", got)
+		t.Errorf("a machine with a later heartbeat is listed %s", got)
 	}
 }
 
@@ -82,6 +82,6 @@
 	core.Step(at(5), ProbeDone{Name: "engine-0", Refused: true})
 	core.Step(at(61), Tick{})
 	if list := core.List(at(61)); len(list.Machines) != 0 {
-		t.Errorf("list %v", list)
+		t.Errorf("list is %v, want no machines", list)
 	}
 }
