--- a/internal/standin/weights/core.go
+++ b/internal/standin/weights/core.go
@@ -1,7 +1,10 @@
-// Package weights is the model of the platform's weight store: so many reads
-// begin a second, and so many run at full speed; more share that speed.
+// Package weights simulates the platform's weight store, from which engines read
+// model checkpoints. It limits the rate at which reads start and the number of
+// reads that run at full speed; beyond that number, all reads share the total
+// speed.
 //
-// Core is a deterministic state machine without I/O, goroutine or clock.
+// Core is a deterministic state machine: it does no I/O, starts no goroutine and
+// reads no clock. The HTTP driver (standin/httpdriver) and the simulator drive it.
 package weights
 
 import (
@@ -9,31 +12,31 @@
 	"time"
 )
 
-// Options set up a Core.
+// Options configures a Core.
 type Options struct {
-	// ReadsPerSecond bounds how often a read begins; 0 is without bound.
+	// ReadsPerSecond limits the rate at which reads start; 0 is unlimited.
 	ReadsPerSecond float64
-	// Concurrency is how many reads run at full speed; 0 is without bound.
+	// Concurrency is the number of reads that run at full speed; 0 is unlimited.
 	Concurrency int
 }
 
 // Message is an input of Core.Step.
 type Message interface{ message() }
 
-// Tick lets the core do what is due.
+// Tick makes the core process what is due.
 type Tick struct{}
 
-// Read asks for a checkpoint; answered by Done.
+// Read requests a checkpoint; answered by Done.
 type Read struct {
 	ID string
-	// FullSpeed is how long the read takes at full speed.
+	// FullSpeed is the duration of the read at full speed.
 	FullSpeed time.Duration
 }
 
-// Cancel takes a Read back.
+// Cancel cancels a Read.
 type Cancel struct{ ID string }
 
-// Slow divides the store's speed by a factor; 1 is full speed.
+// Slow divides the store's speed by a factor; 1 and less is full speed.
 type Slow struct{ Factor float64 }
 
 func (Tick) message()   {}
@@ -41,45 +44,46 @@
 func (Cancel) message() {}
 func (Slow) message()   {}
 
-// Done says that a read has ended.
+// Done reports that a read has completed.
 type Done struct{ ID string }
 
-// Stats counts what the store did.
+// Stats counts reads by state.
 type Stats struct {
 	Started   int `json:"started"`
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
 	Active    int `json:"active"`
 	Waiting   int `json:"waiting"`
-	// PeakActive is the most reads that ran at once.
+	// PeakActive is the highest number of concurrent reads so far.
 	PeakActive int `json:"peakActive"`
 }
 
-// Core holds the reads.
+// Core is the state machine of the weight store.
 type Core struct {
-	options Options
-	slow    float64
-	waiting []Read
-	active  []*activeRead // in the order of their begin
-	// nextStart is the earliest time at which a further read may begin.
+	options    Options
+	slowFactor float64
+	waiting    []Read
+	active     []*activeRead // in the order of their start
+	// nextStart is the earliest time at which the next read may start.
 	nextStart time.Time
-	// asOf is the time until which the active reads' progress is counted.
+	// asOf is the time up to which the progress of active reads is computed.
 	asOf  time.Time
 	stats Stats
 }
 
 type activeRead struct {
 	id string
-	// left is the time still needed at full speed.
-	left time.Duration
+	// remaining is the time that the read still needs at full speed.
+	remaining time.Duration
 }
 
-// New returns an idle store.
+// New returns a store without reads.
 func New(options Options) *Core {
-	return &Core{options: options, slow: 1}
+	return &Core{options: options, slowFactor: 1}
 }
 
-// Step does what is due until now, then takes the message.
+// Step processes everything due by now, then the message, and returns the reads
+// that have completed.
 func (c *Core) Step(now time.Time, message Message) []Done {
 	done := c.catchUp(now)
 	switch m := message.(type) {
@@ -89,23 +93,24 @@
 	case Cancel:
 		c.cancel(m.ID)
 	case Slow:
-		c.slow = max(m.Factor, 1)
+		c.slowFactor = max(m.Factor, 1)
 	}
 	return append(done, c.catchUp(now)...)
 }
 
-// NextWake is the earliest time at which a Tick is wanted; zero for none.
+// NextWake returns the earliest time at which a Tick is needed, or zero if none
+// is.
 func (c *Core) NextWake() time.Time {
 	var wake time.Time
 	if len(c.waiting) > 0 {
 		wake = later(c.nextStart, c.asOf)
 	}
 	if len(c.active) > 0 {
-		least := c.active[0].left
+		shortest := c.active[0].remaining
 		for _, read := range c.active {
-			least = min(least, read.left)
+			shortest = min(shortest, read.remaining)
 		}
-		end := c.asOf.Add(time.Duration(float64(least)/c.speed()) + 1)
+		end := c.asOf.Add(time.Duration(float64(shortest)/c.speed()) + 1)
 		if wake.IsZero() || end.Before(wake) {
 			wake = end
 		}
@@ -113,7 +118,7 @@
 	return wake
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (c *Core) Stats() Stats {
 	stats := c.stats
 	stats.Active, stats.Waiting = len(c.active), len(c.waiting)
@@ -121,7 +126,7 @@
 }
 
 func (c *Core) speed() float64 {
-	speed := 1 / c.slow
+	speed := 1 / c.slowFactor
 	if limit := c.options.Concurrency; limit > 0 && len(c.active) > limit {
 		speed *= float64(limit) / float64(len(c.active))
 	}
@@ -133,30 +138,32 @@
 	for {
 		wake := c.NextWake()
 		if wake.IsZero() || wake.After(now) {
-			c.progress(now)
+			c.advance(now)
 			return done
 		}
-		c.progress(wake)
-		done = append(done, c.collect()...)
-		c.start(wake)
+		c.advance(wake)
+		done = append(done, c.takeFinished()...)
+		c.startReads(wake)
 	}
 }
 
-func (c *Core) progress(to time.Time) {
+// advance accounts for the progress of the active reads up to a time.
+func (c *Core) advance(to time.Time) {
 	if !to.After(c.asOf) {
 		return
 	}
 	gained := time.Duration(float64(to.Sub(c.asOf)) * c.speed())
 	for _, read := range c.active {
-		read.left -= gained
+		read.remaining -= gained
 	}
 	c.asOf = to
 }
 
-func (c *Core) collect() []Done {
+// takeFinished removes the reads that have completed and returns them.
+func (c *Core) takeFinished() []Done {
 	var done []Done
 	c.active = slices.DeleteFunc(c.active, func(read *activeRead) bool {
-		if read.left > 0 {
+		if read.remaining > 0 {
 			return false
 		}
 		done = append(done, Done{ID: read.id})
@@ -166,11 +173,11 @@
 	return done
 }
 
-func (c *Core) start(now time.Time) {
+func (c *Core) startReads(now time.Time) {
 	for len(c.waiting) > 0 && !c.nextStart.After(now) {
 		next := c.waiting[0]
 		c.waiting = slices.Delete(c.waiting, 0, 1)
-		c.active = append(c.active, &activeRead{id: next.ID, left: next.FullSpeed})
+		c.active = append(c.active, &activeRead{id: next.ID, remaining: next.FullSpeed})
 		c.stats.Started++
 		c.stats.PeakActive = max(c.stats.PeakActive, len(c.active))
 		if c.options.ReadsPerSecond > 0 {
--- a/internal/standin/weights/core_test.go
+++ b/internal/standin/weights/core_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// run ticks the core at its wakes and returns when each read was done, to the
-// millisecond.
+// run ticks the core at its wake times until it is idle. It returns the time after
+// start at which each read completed, rounded to milliseconds.
 func run(core *Core) map[string]time.Duration {
 	done := map[string]time.Duration{}
 	for wake := core.NextWake(); !wake.IsZero(); wake = core.NextWake() {
@@ -34,13 +34,13 @@
 			map[string]time.Duration{"a": 4 * time.Second, "b": 2 * time.Second},
 		},
 		{
-			"more than full speed allows share it", Options{Concurrency: 1},
+			"reads beyond the limit share the speed", Options{Concurrency: 1},
 			[]Read{{"a", 4 * time.Second}, {"b", 2 * time.Second}},
-			// b has half the speed until 4 s; then a has 2 s left alone.
+			// Both run at half speed until b ends at 4 s; a then needs 2 s more alone.
 			map[string]time.Duration{"a": 6 * time.Second, "b": 4 * time.Second},
 		},
 		{
-			"begins are spaced by the rate", Options{ReadsPerSecond: 2},
+			"the rate limit spaces the starts", Options{ReadsPerSecond: 2},
 			[]Read{{"a", time.Second}, {"b", time.Second}, {"c", time.Second}},
 			map[string]time.Duration{"a": time.Second, "b": 1500 * time.Millisecond, "c": 2 * time.Second},
 		},
