--- a/internal/standin/service/core.go
+++ b/internal/standin/service/core.go
@@ -1,7 +1,10 @@
-// Package service is the model of a plain command server.
+// Package service simulates a command server: a back end that executes any call
+// in a fixed time and records it.
 //
-// Core is a deterministic state machine without I/O, goroutine or clock. It
-// may import fleet and standin/books.
+// Core is a deterministic state machine: it does no I/O, starts no goroutine and
+// reads no clock. The HTTP driver (standin/httpdriver) and the simulator drive it.
+//
+// It may import fleet and standin/books.
 package service
 
 import (
@@ -12,25 +15,26 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// Options set up a Core.
+// Options configures a Core.
 type Options struct {
 	Backend fleet.Backend
-	// ServiceTime is how long a call runs.
+	// ServiceTime is the duration of a call.
 	ServiceTime time.Duration
-	// Incarnation differs for each start.
+	// Incarnation must differ for each start of the server.
 	Incarnation uint64
 }
 
-// CallID names one call that a driver made, so that effects find its caller.
+// CallID identifies a call from the driver, so that effects can be routed back
+// to the caller.
 type CallID uint64
 
 // Message is an input of Core.Step.
 type Message interface{ message() }
 
-// Tick lets the core do what is due.
+// Tick makes the core process what is due.
 type Tick struct{}
 
-// Run asks for a call to be executed; answered by Answered or Refused.
+// Run executes a call; answered by Answered or Refused.
 type Run struct {
 	Call      CallID
 	RequestID fleet.RequestID
@@ -40,7 +44,8 @@
 	Path      string
 }
 
-// Leave makes the server say that it goes away; what runs goes on.
+// Leave makes the server announce its shutdown and refuse new calls; running
+// calls continue.
 type Leave struct{}
 
 func (Tick) message()  {}
@@ -50,25 +55,26 @@
 // Effect is an output of Core.Step.
 type Effect interface{ effect() }
 
-// Answered says that the call was executed.
+// Answered reports that a call was executed.
 type Answered struct {
 	Call   CallID
 	Answer Answer
 }
 
-// Refused says that the server leaves and nothing ran.
+// Refused reports that the server is shutting down and has not run the call.
 type Refused struct{ Call CallID }
 
 func (Answered) effect() {}
 func (Refused) effect()  {}
 
-// Answer is the JSON that a command server gives.
+// Answer is the JSON body of a command server's response.
 type Answer struct {
 	Service   string          `json:"service"`
 	Method    string          `json:"method"`
 	Path      string          `json:"path"`
 	RequestID fleet.RequestID `json:"requestId"`
-	// Executed counts the calls that this server has begun, this one included.
+	// Executed is the number of calls that this server had started when it
+	// started this one, including it.
 	Executed int `json:"executed"`
 }
 
@@ -76,7 +82,7 @@
 type Core struct {
 	options Options
 	book    books.Book
-	running []*execution // by end
+	running []*execution // sorted by end time
 	leaving bool
 }
 
@@ -86,15 +92,16 @@
 	endAt time.Time
 }
 
-// New returns an idle server.
+// New returns a server without running calls.
 func New(options Options) *Core {
 	options.Backend.Kind = fleet.KindService
 	return &Core{options: options, book: books.Book{Backend: options.Backend, Incarnation: options.Incarnation}}
 }
 
-// Step does what is due until now, then takes the message.
+// Step processes everything due by now, then the message, and returns the effects
+// of both.
 func (c *Core) Step(now time.Time, message Message) []Effect {
-	effects := c.end(now)
+	effects := c.finishDue(now)
 	switch m := message.(type) {
 	case Tick:
 	case Run:
@@ -102,17 +109,17 @@
 			c.book.TurnedAway = append(c.book.TurnedAway, books.TurnedAway{RequestID: m.RequestID, At: now})
 			return append(effects, Refused{Call: m.Call})
 		}
-		c.begin(now, m)
+		c.startExecution(now, m)
 	case Leave:
 		c.leaving = true
 		if c.book.LeavingSince.IsZero() {
 			c.book.LeavingSince = now
 		}
 	}
-	return append(effects, c.end(now)...)
+	return append(effects, c.finishDue(now)...)
 }
 
-func (c *Core) begin(now time.Time, run Run) {
+func (c *Core) startExecution(now time.Time, run Run) {
 	c.book.Executions = append(c.book.Executions, books.Execution{
 		RequestID: run.RequestID,
 		Attempt:   run.Attempt,
@@ -128,7 +135,7 @@
 	})
 }
 
-func (c *Core) end(now time.Time) []Effect {
+func (c *Core) finishDue(now time.Time) []Effect {
 	var effects []Effect
 	for len(c.running) > 0 && !c.running[0].endAt.After(now) {
 		ended := c.running[0]
@@ -145,7 +152,8 @@
 	return effects
 }
 
-// NextWake is the earliest time at which a Tick is wanted; zero for none.
+// NextWake returns the earliest time at which a Tick is needed, or zero if none
+// is.
 func (c *Core) NextWake() time.Time {
 	if len(c.running) == 0 {
 		return time.Time{}
@@ -153,17 +161,17 @@
 	return c.running[0].endAt
 }
 
-// Idle reports whether nothing runs.
+// Idle reports whether no call is running.
 func (c *Core) Idle() bool {
 	return len(c.running) == 0
 }
 
-// Leaving reports whether the server has said that it leaves.
+// Leaving reports whether the server has announced that it is shutting down.
 func (c *Core) Leaving() bool {
 	return c.leaving
 }
 
-// Book returns a copy of what the server recorded.
+// Book returns a copy of the server's records.
 func (c *Core) Book() books.Book {
 	book := c.book
 	book.Executions = slices.Clone(c.book.Executions)
