--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -1,6 +1,7 @@
-// Package faults holds the faults that can be switched on at a stand-in by
-// POST /lab/faults, and the HTTP middleware that carries out those of them
-// that lie between a caller and the stand-in.
+// Package faults defines the faults that can be injected into a stand-in, that is,
+// a simulated external system, by POST /lab/faults. Its HTTP middleware injects
+// the faults between a caller and the stand-in; standin/httpdriver wraps its
+// handlers in it and applies the other faults itself.
 //
 // It may import fleet and standin/engine.
 package faults
@@ -12,53 +13,54 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// Path is where each stand-in takes a Set by POST and shows it by GET.
+// Path is the path at which each stand-in accepts a Set by POST and returns the
+// active one by GET.
 const Path = "/lab/faults"
 
-// HeaderZone carries the caller's zone, so that a cut between zones can be
-// brought about.
+// HeaderZone carries the caller's zone, which the Cuts fault needs to partition
+// zones.
 const HeaderZone = "X-Zone"
 
-// PlatformZone is the zone that a cut names for the platform itself.
+// PlatformZone is the zone of the platform itself in a Cut.
 const PlatformZone fleet.Zone = "platform"
 
-// Set is all faults of one stand-in; a new set replaces the former one as a
-// whole. Durations are in nanoseconds.
+// Set holds all faults of one stand-in. A new set replaces the previous one
+// completely. Durations are in nanoseconds.
 type Set struct {
-	// Delay is added before a call is taken.
+	// Delay is added before a call is processed.
 	Delay time.Duration `json:"delay,omitempty"`
-	// Down closes each connection without an answer.
+	// Down closes each connection without a response.
 	Down bool `json:"down,omitempty"`
-	// Unavailable answers each call with 503.
+	// Unavailable answers every call with 503.
 	Unavailable bool `json:"unavailable,omitempty"`
-	// LoseAnswers is how many of the next changes (calls other than GET) are
-	// carried out and then left without an answer; -1 is all.
+	// LoseAnswers is the number of further changes (calls other than GET and
+	// HEAD) that are executed but get no response; -1 means all.
 	LoseAnswers int `json:"loseAnswers,omitempty"`
-	// Cuts refuses the callers of zones that are cut off.
+	// Cuts drops the connections of callers from zones that are cut off.
 	Cuts []Cut `json:"cuts,omitempty"`
-	// StaleReads freezes what the object API shows by reads and watches.
+	// StaleReads freezes the state that reads and watches of the object API show.
 	StaleReads bool `json:"staleReads,omitempty"`
-	// RestoreTo sets the object API back to an earlier version, once.
+	// RestoreTo resets the object API once to an earlier version; 0 is off.
 	RestoreTo uint64 `json:"restoreTo,omitempty"`
-	// StaleMachines freezes what the list of machines shows.
+	// StaleMachines freezes the machine list.
 	StaleMachines bool `json:"staleMachines,omitempty"`
 	// WeightsSlowFactor divides the weight store's speed; 0 and 1 are off.
 	WeightsSlowFactor float64 `json:"weightsSlowFactor,omitempty"`
-	// Leaving makes the back end say that it goes away; it can't be taken back.
+	// Leaving makes the back end announce its shutdown. It can't be undone.
 	Leaving bool `json:"leaving,omitempty"`
-	// Restart makes an engine forget everything, once.
+	// Restart restarts an engine once, so that it loses all its state.
 	Restart bool `json:"restart,omitempty"`
-	// Engine holds the faults within an engine.
+	// Engine holds the faults inside an engine.
 	Engine engine.Faults `json:"engine,omitzero"`
 }
 
-// Cut stops calls in one direction between two zones.
+// Cut blocks calls in one direction between two zones.
 type Cut struct {
 	From fleet.Zone `json:"from"`
 	To   fleet.Zone `json:"to"`
 }
 
-// CutsOff reports whether a call from one zone to the other is refused.
+// CutsOff reports whether calls from one zone to the other are blocked.
 func (s Set) CutsOff(from, to fleet.Zone) bool {
 	for _, cut := range s.Cuts {
 		if cut.From == from && cut.To == to {
--- a/internal/standin/faults/switch.go
+++ b/internal/standin/faults/switch.go
@@ -12,41 +12,41 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// labPrefix marks the calls of the laboratory, which no fault touches.
+// labPrefix is the path prefix of the test control API, which no fault affects.
 const labPrefix = "/lab/"
 
-// Switch holds the faults in force at one stand-in.
+// Switch holds the active faults of one stand-in and injects them into its calls.
 type Switch struct {
 	zone     fleet.Zone
 	onChange func(Set)
 
 	mutex   sync.Mutex
 	current Set
-	calls   map[*call]struct{}
+	calls   map[*activeCall]struct{}
 }
 
-// call is one call under way.
-type call struct {
+// activeCall is a call in progress.
+type activeCall struct {
 	from   fleet.Zone
 	cancel context.CancelFunc
 	cut    atomic.Bool
 }
 
-// NewSwitch returns a switch with all faults off. Each new set is handed to
-// onChange, which may be nil.
+// NewSwitch returns a switch with all faults off. onChange is called with each
+// new set; it may be nil.
 func NewSwitch(zone fleet.Zone, onChange func(Set)) *Switch {
-	return &Switch{zone: zone, onChange: onChange, calls: map[*call]struct{}{}}
+	return &Switch{zone: zone, onChange: onChange, calls: map[*activeCall]struct{}{}}
 }
 
-// Set replaces the faults in force. Calls under way that would now be refused
-// lose their connection.
+// Set replaces the active faults. Calls in progress whose zone is now cut off or
+// whose stand-in is now down lose their connection.
 func (s *Switch) Set(set Set) {
 	s.mutex.Lock()
 	s.current = set
-	for under := range s.calls {
-		if s.drops(under.from) {
-			under.cut.Store(true)
-			under.cancel()
+	for active := range s.calls {
+		if s.dropsCallsFrom(active.from) {
+			active.cut.Store(true)
+			active.cancel()
 		}
 	}
 	s.mutex.Unlock()
@@ -55,14 +55,14 @@
 	}
 }
 
-// Current returns the faults in force.
+// Current returns the active faults.
 func (s *Switch) Current() Set {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.current
 }
 
-// ServeHTTP shows the faults by GET and replaces them by POST.
+// ServeHTTP returns the active faults by GET and replaces them by POST.
 func (s *Switch) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodPost {
 		var set Set
@@ -78,62 +78,65 @@
 	_ = json.NewEncoder(writer).Encode(s.Current())
 }
 
-// Wrap puts the faults between callers and the handler.
+// Wrap returns a handler that injects the active faults into calls to next.
 func (s *Switch) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, labPrefix) {
 			next.ServeHTTP(writer, request)
 			return
 		}
-		under, ended := s.begin(&request)
-		defer ended()
+		active, unregister := s.register(&request)
+		defer unregister()
 		set := s.Current()
-		if !wait(request, set.Delay) {
+		if !waitDelay(request, set.Delay) {
 			panic(http.ErrAbortHandler)
 		}
 		switch {
 		case set.Unavailable:
 			http.Error(writer, "unavailable", http.StatusServiceUnavailable)
-		case s.losesAnswer(request):
-			next.ServeHTTP(&discard{header: http.Header{}}, request)
+		case s.consumeLostAnswer(request):
+			next.ServeHTTP(&discardWriter{header: http.Header{}}, request)
 			panic(http.ErrAbortHandler)
 		default:
 			next.ServeHTTP(writer, request)
 		}
-		if under.cut.Load() {
+		if active.cut.Load() {
 			panic(http.ErrAbortHandler)
 		}
 	})
 }
 
-// drops reports whether callers of a zone get no connection.
-func (s *Switch) drops(from fleet.Zone) bool {
+// dropsCallsFrom reports whether calls from a zone are dropped; the caller holds
+// the mutex.
+func (s *Switch) dropsCallsFrom(from fleet.Zone) bool {
 	return s.current.Down || s.current.CutsOff(from, s.zone)
 }
 
-// begin registers a call, and gives its request a context that ends when a
-// fault cuts the call. It drops the connection of a call that can't begin.
-func (s *Switch) begin(request **http.Request) (under *call, ended func()) {
+// register adds a call to the calls in progress and replaces its request by one
+// whose context ends when a fault cuts the call. It aborts a call that the active
+// faults drop.
+func (s *Switch) register(request **http.Request) (active *activeCall, unregister func()) {
 	ctx, cancel := context.WithCancel((*request).Context())
-	under = &call{from: fleet.Zone((*request).Header.Get(HeaderZone)), cancel: cancel}
+	active = &activeCall{from: fleet.Zone((*request).Header.Get(HeaderZone)), cancel: cancel}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.drops(under.from) {
+	if s.dropsCallsFrom(active.from) {
 		cancel()
 		panic(http.ErrAbortHandler)
 	}
 	*request = (*request).WithContext(ctx)
-	s.calls[under] = struct{}{}
-	return under, func() {
+	s.calls[active] = struct{}{}
+	return active, func() {
 		cancel()
 		s.mutex.Lock()
-		delete(s.calls, under)
+		delete(s.calls, active)
 		s.mutex.Unlock()
 	}
 }
 
-// losesAnswer counts one of the answers to be lost.
-func (s *Switch) losesAnswer(request *http.Request) bool {
+// consumeLostAnswer reports whether the response to the request is to be lost, and
+// if so counts it.
+func (s *Switch) consumeLostAnswer(request *http.Request) bool {
 	if request.Method == http.MethodGet || request.Method == http.MethodHead {
 		return false
 	}
@@ -148,7 +151,7 @@
 	return true
 }
 
-func wait(request *http.Request, delay time.Duration) bool {
+func waitDelay(request *http.Request, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
 	}
@@ -162,10 +165,10 @@
 	}
 }
 
-// discard takes an answer that no one gets.
-type discard struct{ header http.Header }
+// discardWriter discards a response.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header            { return d.header }
-func (d *discard) Write(data []byte) (int, error) { return len(data), nil }
-func (d *discard) WriteHeader(int)                {}
-func (d *discard) Flush()                         {}
+func (d *discardWriter) Header() http.Header            { return d.header }
+func (d *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (d *discardWriter) WriteHeader(int)                {}
+func (d *discardWriter) Flush()                         {}
