--- a/test/faults/actions_test.go
+++ b/test/faults/actions_test.go
@@ -20,30 +20,30 @@
 	"github.com/spanlanding/spanlanding/internal/traffic"
 )
 
-// pauseLeader stops the leader of a zone once an order of its was taken.
+// pauseLeader pauses the leader of a zone while an engine executes one of its load orders.
 func (f *testFleet) pauseLeader(zone fleet.Zone) *testNode {
 	f.Helper()
 	f.awaitLoading(f.enginesOf(zone))
-	leader := f.leaderOf(zone)
-	f.pause(leader)
+	leader := f.awaitLeader(zone)
+	f.pauseNode(leader)
 	return leader
 }
 
-// awaitSuccessor waits until the other node of the zone leads and an engine
-// has granted it a claim.
+// awaitSuccessor waits until the other node of the zone leads and an engine has
+// granted it a claim.
 func (f *testFleet) awaitSuccessor(former *testNode) *testNode {
 	f.Helper()
-	successor := f.otherOf(former)
-	eventually(f.T, "another leader of "+string(former.settings.Zone), func() bool {
+	successor := f.otherNodeInZone(former)
+	eventually(f.T, "new leader of zone "+string(former.settings.Zone), func() bool {
 		leader, fence := f.leaderSeenBy(successor)
-		return leader == successor && f.granted(former.settings.Zone, fence)
+		return leader == successor && f.holdsClaim(former.settings.Zone, fence)
 	})
-	f.Logf("%s leads in place of %s", successor.settings.Name, former.settings.Name)
+	f.Logf("%s leads instead of %s", successor.settings.Name, former.settings.Name)
 	return successor
 }
 
-// granted reports whether an engine of the zone holds the fence.
-func (f *testFleet) granted(zone fleet.Zone, fence string) bool {
+// holdsClaim reports whether an engine of the zone has granted a claim with the fence.
+func (f *testFleet) holdsClaim(zone fleet.Zone, fence string) bool {
 	for _, engine := range f.enginesOf(zone) {
 		if state, heard := engine.state(); heard && state.Fence.String() == fence {
 			return true
@@ -52,22 +52,22 @@
 	return false
 }
 
-// chat is a model version that the examples keep standing.
-var chat = fleet.ModelVersion{Model: "kurv-chat", Version: "v3"}
+// chatVersion is a model version for which the examples declare a minimum of one replica.
+var chatVersion = fleet.ModelVersion{Model: "kurv-chat", Version: "v3"}
 
-// moreChat declares one more standing replica, which the fleet has to decide.
-func (f *testFleet) moreChat(folder string) {
+// declareSecondChatReplica raises the declared number of replicas of chatVersion to two.
+func (f *testFleet) declareSecondChatReplica(folder string) {
 	f.Helper()
-	f.redeclare(folder, "capacity.yaml", "    matchLabels: {use: chat}\n  replicas: 1", "    matchLabels: {use: chat}\n  replicas: 2")
+	f.replaceOnce(folder, "capacity.yaml", "    matchLabels: {use: chat}\n  replicas: 1", "    matchLabels: {use: chat}\n  replicas: 2")
 }
 
-// awaitMoreChat waits until more than one replica is decided and loaded.
-func (f *testFleet) awaitMoreChat() {
+// awaitSecondChatReplica waits until more than one replica is decided and loaded.
+func (f *testFleet) awaitSecondChatReplica() {
 	f.Helper()
-	eventually(f.T, "a second replica of "+chat.String(), func() bool {
+	eventually(f.T, "second replica of "+chatVersion.String(), func() bool {
 		status, _ := f.status(f.nodes[0])
 		for _, model := range status.Models {
-			if model.Model == chat {
+			if model.Model == chatVersion {
 				return model.Decided > 1 && model.Ready > 1
 			}
 		}
@@ -75,14 +75,14 @@
 	})
 }
 
-// awaitMissing waits until a node no longer holds another for usable. It knows
-// of another zone's nodes by that zone's reports, so they become suspect only.
-func (f *testFleet) awaitMissing(observer, missed *testNode) {
+// awaitUnusable waits until a node no longer considers another one usable. Nodes of
+// another zone are known only by that zone's reports, so they become suspect at most.
+func (f *testFleet) awaitUnusable(observer, observed *testNode) {
 	f.Helper()
-	eventually(f.T, string(missed.settings.Name)+" is missed", func() bool {
+	eventually(f.T, string(observed.settings.Name)+" becomes unusable", func() bool {
 		status, heard := f.status(observer)
 		for _, member := range status.Members {
-			if member.Name == missed.settings.Name {
+			if member.Name == observed.settings.Name {
 				return !member.Usable()
 			}
 		}
@@ -90,13 +90,13 @@
 	})
 }
 
-// awaitAllotments waits until a node vouches for a record by which every zone
-// may load: its engines are admitted and some replicas allotted to it. The
-// first records name no engines, and the next ones allot nothing yet.
+// awaitAllotments waits until a node confirms an allotment record with which every
+// zone can load: its engines are admitted and it has replicas allotted. The first
+// records of a new fleet name no engines, and the next ones allot no replicas yet.
 func (f *testFleet) awaitAllotments(node *testNode) {
 	f.Helper()
 	control := peer.NewPool().To(node.settings.Listen.Peer).Control
-	eventually(f.T, string(node.settings.Name)+" vouches for allotments of all zones", func() bool {
+	eventually(f.T, string(node.settings.Name)+" confirms allotments for all zones", func() bool {
 		ctx, cancel := context.WithTimeout(f.Context(), time.Second)
 		defer cancel()
 		answer, err := control.Allotments(ctx, &peerpb.AllotmentsRequest{})
@@ -105,14 +105,14 @@
 		}
 		var record allotment.Record
 		if err := json.Unmarshal(answer.GetRecord(), &record); err != nil {
-			f.Fatalf("the record of allotments: %v", err)
+			f.Fatalf("decode the allotment record: %v", err)
 		}
-		return !slices.ContainsFunc(zones, func(zone fleet.Zone) bool { return !mayLoad(record, zone) })
+		return !slices.ContainsFunc(zones, func(zone fleet.Zone) bool { return !canLoad(record, zone) })
 	})
 }
 
-// mayLoad reports whether the record lets a leader of the zone load anything.
-func mayLoad(record allotment.Record, zone fleet.Zone) bool {
+// canLoad reports whether the record allows the zone's leader to load any model.
+func canLoad(record allotment.Record, zone fleet.Zone) bool {
 	if len(record.Engines(zone)) == 0 {
 		return false
 	}
@@ -124,13 +124,13 @@
 	return false
 }
 
-// latestTurnedAway is how long after a back end said that it leaves it last
-// had to refuse work, and how often it had to.
-func (f *testFleet) latestTurnedAway(url string) (time.Duration, int) {
+// refusedAfterLeaving returns how long after announcing that it leaves a back end last
+// refused work, and how often it did.
+func (f *testFleet) refusedAfterLeaving(url string) (time.Duration, int) {
 	f.Helper()
 	var book books.Book
 	if !get(url+"/lab/books", &book) {
-		f.Fatalf("the book at %s cannot be read", url)
+		f.Fatalf("cannot read the book at %s", url)
 	}
 	var latest time.Duration
 	for _, refused := range book.TurnedAway {
@@ -139,17 +139,17 @@
 	return latest, len(book.TurnedAway)
 }
 
-// slowEngines delays each call to the engines of a zone that comes from now on.
+// slowEngines delays every later call to the engines of a zone.
 func (f *testFleet) slowEngines(zone fleet.Zone, delay time.Duration) {
 	f.Helper()
 	for _, engine := range f.enginesOf(zone) {
-		f.faultsAt("http://"+engine.address, faults.Set{Delay: delay})
+		f.setFaults("http://"+engine.address, faults.Set{Delay: delay})
 	}
-	f.note(history.FaultInjected, string(zone), "engines slow by "+delay.String())
+	f.recordFault(history.FaultInjected, string(zone), "engines slow by "+delay.String())
 }
 
-// refusedOrders counts the orders that the engines of a zone refused for their
-// fence.
+// refusedOrders counts the orders that the engines of a zone refused because of a
+// stale fence.
 func (f *testFleet) refusedOrders(zone fleet.Zone) int {
 	count := 0
 	for _, engine := range f.enginesOf(zone) {
@@ -161,8 +161,8 @@
 	return count
 }
 
-// sentOrders is the node's own figure of the bytes of orders that it sent.
-var sentOrders = regexp.MustCompile(`(?m)^` + traffic.MetricCallBytes + `\{call="orders",channel="engine",direction="sent"\} (\S+)`)
+// sentOrderBytes matches the node's metric for the bytes of orders sent to engines.
+var sentOrderBytes = regexp.MustCompile(`(?m)^` + traffic.MetricCallBytes + `\{call="orders",channel="engine",direction="sent"\} (\S+)`)
 
 func (f *testFleet) orderBytes(node *testNode) float64 {
 	f.Helper()
@@ -171,11 +171,11 @@
 		f.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	figures, err := io.ReadAll(response.Body)
+	metrics, err := io.ReadAll(response.Body)
 	if err != nil {
 		f.Fatal(err)
 	}
-	found := sentOrders.FindSubmatch(figures)
+	found := sentOrderBytes.FindSubmatch(metrics)
 	if found == nil {
 		return 0
 	}
--- a/test/faults/evacuation_test.go
+++ b/test/faults/evacuation_test.go
@@ -16,62 +16,62 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// evacuationTime is how long the zone stays out of service, while some 40 requests
-// come.
-const evacuationTime = 2 * time.Second
+// evacuationDuration is how long the zone stays evacuated; about 40 requests arrive
+// in that time.
+const evacuationDuration = 2 * time.Second
 
-// TestEvacuatedZoneGetsNothing takes a zone out of service under load and takes
-// that back. While it is in force at all nodes no request, call or load begins at
-// the zone's back ends, by their own books; the rules hold throughout.
+// TestEvacuatedZoneGetsNothing evacuates a zone under load and ends the evacuation.
+// While it is in force at all nodes, no request, call or load may start at the zone's
+// back ends according to their books, and all rules must hold throughout.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	f := startFleet(t)
 	var from, to time.Time
-	f.underLoad(run{duration: changeTime, script: func(reached) {
-		f.declareZones(evacuationOfOsloB)
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(momentSignals) {
+		f.applyEvacuations(evacuationOfOsloB)
 		from = time.Now()
-		time.Sleep(evacuationTime)
+		time.Sleep(evacuationDuration)
 		to = time.Now()
-		f.declareZones(noEvacuation)
-	}, rules: []check.Rule{check.RuleConfig}})
-	f.judgeEvacuation(from, to)
+		f.applyEvacuations(noEvacuation)
+	}, requiredRules: []check.Rule{check.RuleConfig}})
+	f.checkEvacuation(from, to)
 }
 
 // TestEvacuationOutlivesNodesAndTheStore kills a node of the evacuated zone and one of
-// another while the store is down, and starts them anew: they know of the evacuation by
-// their peers, before they serve anybody.
+// another zone while the store is down, and restarts them. They must learn of the
+// evacuation from their peers before they serve any caller.
 func TestEvacuationOutlivesNodesAndTheStore(t *testing.T) {
 	f := startFleet(t)
 	eventually(t, "all nodes know all back ends", f.allKnowServices)
-	f.declareZones(evacuationOfOsloB)
+	f.applyEvacuations(evacuationOfOsloB)
 	from := time.Now()
-	f.begun = from
-	f.store(storeDown, "store-down")
+	f.loadStarted = from
+	f.setStoreFaults(storeDown, "store-down")
 	for _, zone := range []fleet.Zone{"oslo-b", "oslo-c"} {
-		killed := f.nodesOf(zone)[0]
+		killed := f.nodesIn(zone)[0]
 		f.killNode(killed)
 		f.startNode(killed)
 	}
 	calls := 0
-	for time.Since(from) < evacuationTime || !f.allReady() {
+	for time.Since(from) < evacuationDuration || !f.allReady() {
 		for _, node := range f.nodes {
-			// One that has just started refuses, or does not listen yet.
-			if f.answered("http://" + node.caller() + "/slots/7") {
+			// A restarting node refuses calls or does not listen yet.
+			if f.callSucceeds("http://" + node.caller() + "/slots/7") {
 				calls++
 			}
 		}
-		if time.Since(from) > patience {
-			t.Fatal("a node that was started anew does not serve")
+		if time.Since(from) > waitTimeout {
+			t.Fatal("a restarted node does not serve")
 		}
 	}
 	to := time.Now()
 	t.Logf("%d calls were answered", calls)
-	f.judgeEvacuation(from, to)
-	f.store(faults.Set{}, "")
-	f.declareZones(noEvacuation)
+	f.checkEvacuation(from, to)
+	f.setStoreFaults(faults.Set{}, "")
+	f.applyEvacuations(noEvacuation)
 }
 
-// answered reports whether a call was answered by a back end.
-func (f *testFleet) answered(url string) bool {
+// callSucceeds reports whether a back end answered the call with status 200.
+func (f *testFleet) callSucceeds(url string) bool {
 	response, err := client.Get(url)
 	if err != nil {
 		return false
@@ -80,8 +80,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// allKnowServices reports whether every node knows every server of a service: the list of
-// machines lags, and is not read while the store is down.
+// allKnowServices reports whether every node knows every server of a service. The
+// machine list lags behind and cannot be read while the store is down.
 func (f *testFleet) allKnowServices() bool {
 	for _, node := range f.nodes {
 		status, _ := f.status(node)
@@ -111,27 +111,27 @@
 	noEvacuation      = "# No zone is out of service.\n"
 )
 
-// judgeEvacuation demands that nothing began in the zone oslo-b between the times, and
-// that something did in the others.
-func (f *testFleet) judgeEvacuation(from, to time.Time) {
+// checkEvacuation requires that nothing started in the zone oslo-b between the two
+// times, and that something did in each other zone.
+func (f *testFleet) checkEvacuation(from, to time.Time) {
 	f.Helper()
 	for _, zone := range zones {
-		begun := f.begunIn(zone, from, to)
-		f.Logf("%s: %d requests, calls and loads in %s", zone, begun, to.Sub(from).Round(time.Millisecond))
-		if isEvacuated := zone == "oslo-b"; isEvacuated != (begun == 0) {
-			f.Errorf("%d requests, calls and loads began in %s", begun, zone)
+		started := f.startedIn(zone, from, to)
+		f.Logf("%s: %d requests, calls and loads in %s", zone, started, to.Sub(from).Round(time.Millisecond))
+		if isEvacuated := zone == "oslo-b"; isEvacuated != (started == 0) {
+			f.Errorf("%d requests, calls and loads started in %s", started, zone)
 		}
 	}
 }
 
-// declareZones applies the zones out of service and waits until they are so.
-func (f *testFleet) declareZones(content string) {
+// applyEvacuations applies a declaration of evacuations and waits until it is in force.
+func (f *testFleet) applyEvacuations(content string) {
 	f.Helper()
 	file := filepath.Join(f.folder, "zones.yaml")
 	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
 		f.Fatal(err)
 	}
-	code, version, problems := f.command("apply", "--platform", f.platform, "--owner", "zones", "--prune",
+	code, version, problems := f.runCommand("apply", "--platform", f.platform, "--owner", "zones", "--prune",
 		"--zones", "oslo-a,oslo-b,oslo-c", "-o", "version", file)
 	if code != operator.ExitDone {
 		f.Fatalf("apply of %q ended with %d: %s", content, code, problems)
@@ -143,18 +143,18 @@
 	f.awaitVersion(f.nodes[0], number)
 }
 
-// begunIn counts what began at the back ends of a zone within a time.
-func (f *testFleet) begunIn(zone fleet.Zone, from, to time.Time) int {
+// startedIn counts the executions and loads that started at a zone's back ends in a time range.
+func (f *testFleet) startedIn(zone fleet.Zone, from, to time.Time) int {
 	f.Helper()
 	within := func(at time.Time) bool { return at.After(from) && at.Before(to) }
 	count := 0
-	for url, of := range f.backendURLs() {
+	for url, backendZone := range f.backendURLs() {
 		var book books.Book
-		if of != zone {
+		if backendZone != zone {
 			continue
 		}
 		if !get(url+"/lab/books", &book) {
-			f.Fatalf("the book at %s cannot be read", url)
+			f.Fatalf("cannot read the book at %s", url)
 		}
 		for _, execution := range book.Executions {
 			if within(execution.Started) {
--- a/test/faults/fleet_test.go
+++ b/test/faults/fleet_test.go
@@ -21,14 +21,13 @@
 	"github.com/spanlanding/spanlanding/internal/operator"
 )
 
-// The size of each fleet: small, but with three zones, so that keepers of keys
-// lie in different ones, and with two nodes a zone, so that one can take over.
+// The size of each fleet is small, but has three zones, so that the keepers of a key
+// are in different zones, and two nodes per zone, so that one can take over.
 const (
 	nodesPerZone   = 2
 	enginesPerZone = 2
 	profile        = "fjordkurv"
-	// declaredVersions is the number of model versions that the profile's
-	// declarations offer.
+	// declaredVersions is the number of model versions in the profile's declarations.
 	declaredVersions = 10
 )
 
@@ -37,7 +36,7 @@
 	services = []string{"boxes", "slots"}
 )
 
-// Ports of a fleet; each fleet has a loopback address of its own.
+// Ports of a fleet; each fleet uses its own loopback address.
 const (
 	platformPort = 7000
 	enginePort   = 7100
@@ -46,7 +45,7 @@
 	portsPerNode = 4
 )
 
-// testNode is one node of the fleet, which may be started more than once.
+// testNode is a node of the fleet, which may be started more than once.
 type testNode struct {
 	*process
 	settings node.Settings
@@ -56,7 +55,7 @@
 func (n *testNode) caller() string   { return n.settings.Listen.Caller }
 func (n *testNode) operator() string { return n.settings.Listen.Operator }
 
-// testEngine is one engine in a process of its own.
+// testEngine is an engine that runs in its own process.
 type testEngine struct {
 	*process
 	backend string
@@ -64,14 +63,14 @@
 	address string
 }
 
-// state is what the engine says of itself, and false if it is not heard.
+// state returns the engine's reported state, and false if the engine does not answer.
 func (e *testEngine) state() (fleet.EngineState, bool) {
 	var state fleet.EngineState
-	heard := get("http://"+e.address+backend.PathEngineState, &state)
-	return state, heard
+	ok := get("http://"+e.address+backend.PathEngineState, &state)
+	return state, ok
 }
 
-// testFleet is a whole system as processes.
+// testFleet is a complete system whose parts run as processes.
 type testFleet struct {
 	*testing.T
 	folder   string
@@ -80,24 +79,24 @@
 	nodes    []*testNode
 	engines  []*testEngine
 	services int
-	log      []history.Fault
-	// races counts the races between operators.
-	races int
-	// begun is when the present load began, for what is printed.
-	begun time.Time
+	injected []history.Fault
+	// raceCount counts the races between operators.
+	raceCount int
+	// loadStarted is when the current load began; log messages give times relative to it.
+	loadStarted time.Time
 }
 
-var fleets atomic.Int32
+var fleetCount atomic.Int32
 
-// startFleet waits for its turn, starts a fleet and declares the examples. It
-// returns once every zone has a leader and every model version its decision.
+// startFleet waits for a free slot, starts a fleet and applies the example declarations.
+// It returns once every zone has a leader and replicas of every model version are decided.
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
 	t.Parallel()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
-	f := &testFleet{T: t, folder: newFolder(t), address: freeAddress(t)}
-	platform := f.at(platformPort)
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+	f := &testFleet{T: t, folder: newLogFolder(t), address: freeAddress(t)}
+	platform := f.hostPort(platformPort)
 	f.platform = "http://" + platform
 	startProcess(t, f.folder, "platform", spanlab, "platform", "--listen", platform,
 		"--load-rate", "4", "--load-concurrency", "13")
@@ -105,8 +104,8 @@
 	for _, zone := range zones {
 		f.startBackends(zone)
 	}
-	f.apply(f.declared("declared"), "start")
-	f.settleNodes()
+	f.apply(f.copyExamples("declared"), "start")
+	f.configureNodes()
 	for _, node := range f.nodes {
 		f.startNode(node)
 	}
@@ -114,8 +113,8 @@
 	return f
 }
 
-// newFolder is kept with the logs in it if the test fails.
-func newFolder(t *testing.T) string {
+// newLogFolder creates a folder for the logs, which is kept if the test fails.
+func newLogFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "spanlanding-fleet")
 	if err != nil {
@@ -123,7 +122,7 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("logs are in %s", folder)
+			t.Logf("logs: %s", folder)
 			return
 		}
 		_ = os.RemoveAll(folder)
@@ -131,11 +130,11 @@
 	return folder
 }
 
-// freeAddress gives each fleet a loopback address that no other one uses.
+// freeAddress returns a loopback address that no other fleet uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 200 {
-		number := fleets.Add(1)
+		number := fleetCount.Add(1)
 		address := fmt.Sprintf("127.%d.%d.1", 16+os.Getpid()%200, number%250)
 		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", address, platformPort))
 		if err != nil {
@@ -144,17 +143,17 @@
 		_ = listener.Close()
 		return address
 	}
-	t.Fatal("no loopback address is free")
+	t.Fatal("no free loopback address")
 	return ""
 }
 
-func (f *testFleet) at(port int) string {
+func (f *testFleet) hostPort(port int) string {
 	return fmt.Sprintf("%s:%d", f.address, port)
 }
 
 func (f *testFleet) awaitPort(address string) {
 	f.Helper()
-	eventually(f.T, "a listener at "+address, func() bool {
+	eventually(f.T, "listener at "+address, func() bool {
 		connection, err := net.Dial("tcp", address)
 		if err == nil {
 			_ = connection.Close()
@@ -163,13 +162,13 @@
 	})
 }
 
-// startBackends starts the engines of a zone, each in a process of its own,
-// and a server of each service.
+// startBackends starts the engines of a zone, each in its own process, and one server
+// of each service.
 func (f *testFleet) startBackends(zone fleet.Zone) {
 	f.Helper()
 	for number := range enginesPerZone {
 		name := fmt.Sprintf("%s-e%d-", zone, number)
-		address := f.at(enginePort + len(f.engines))
+		address := f.hostPort(enginePort + len(f.engines))
 		started := startProcess(f.T, f.folder, name+"0", spanlab, "engine", "--platform", f.platform,
 			"--zone", string(zone), "--name-prefix", name, "--listen", address, "--memory", "160GiB",
 			"--kv-reserve", "8GiB", "--load-seconds", "1", "--token-interval", "15ms")
@@ -178,13 +177,13 @@
 	for _, service := range services {
 		name := fmt.Sprintf("%s-%s-", zone, service)
 		startProcess(f.T, f.folder, name+"0", spanlab, "service", "--platform", f.platform, "--zone", string(zone),
-			"--service", service, "--name-prefix", name, "--listen", f.at(servicePort+f.services), "--service-time", "20ms")
+			"--service", service, "--name-prefix", name, "--listen", f.hostPort(servicePort+f.services), "--service-time", "20ms")
 		f.services++
 	}
 }
 
-// settleNodes works out the settings of all nodes.
-func (f *testFleet) settleNodes() {
+// configureNodes computes the settings of all nodes and writes them to files.
+func (f *testFleet) configureNodes() {
 	f.Helper()
 	gossip := make(map[fleet.Zone][]string)
 	for _, zone := range zones {
@@ -193,11 +192,11 @@
 			f.nodes = append(f.nodes, &testNode{settings: node.Settings{
 				Name: fleet.NodeName(fmt.Sprintf("%s-%d", zone, number)), Zone: zone, Platform: f.platform,
 				Listen: node.ListenSettings{
-					Caller: f.at(port), Operator: f.at(port + 1), Peer: f.at(port + 2), Gossip: f.at(port + 3),
+					Caller: f.hostPort(port), Operator: f.hostPort(port + 1), Peer: f.hostPort(port + 2), Gossip: f.hostPort(port + 3),
 				},
 				WeightStore: node.WeightStoreSettings{LoadsPerSecond: 4, ConcurrentLoads: 13},
 			}})
-			gossip[zone] = append(gossip[zone], f.at(port+3))
+			gossip[zone] = append(gossip[zone], f.hostPort(port+3))
 		}
 	}
 	for _, node := range f.nodes {
@@ -223,13 +222,13 @@
 	node.process = startProcess(f.T, f.folder, string(node.settings.Name), spanlanding, "node", "--settings", node.file)
 }
 
-// awaitDecisions returns once every zone has a leader that knows its back ends
-// and each declared model version has replicas decided.
+// awaitDecisions waits until every zone has a leader that knows its back ends and
+// replicas are decided for each declared model version.
 func (f *testFleet) awaitDecisions() {
 	f.Helper()
 	for _, node := range f.nodes {
 		eventually(f.T, "decisions at "+string(node.settings.Name), func() bool {
-			node.mustRun(f.T)
+			node.requireRunning(f.T)
 			status, up := f.status(node)
 			decided := 0
 			for _, model := range status.Models {
@@ -242,19 +241,19 @@
 	}
 }
 
-// status returns what a node says of itself, and false if it is not heard.
+// status returns a node's reported status, and false if the node does not answer.
 func (f *testFleet) status(node *testNode) (operator.Status, bool) {
 	var status operator.Status
-	heard := get("http://"+node.operator()+"/status", &status)
-	return status, heard
+	ok := get("http://"+node.operator()+"/status", &status)
+	return status, ok
 }
 
-// nodesOf lists the nodes of a zone.
-func (f *testFleet) nodesOf(zone fleet.Zone) []*testNode {
+// nodesIn lists the nodes of a zone.
+func (f *testFleet) nodesIn(zone fleet.Zone) []*testNode {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(node *testNode) bool { return node.settings.Zone != zone })
 }
 
-// leaderSeenBy returns the leader of the node's own zone as the node knows it.
+// leaderSeenBy returns the leader of the node's own zone and its fence as the node knows them.
 func (f *testFleet) leaderSeenBy(node *testNode) (*testNode, string) {
 	status, _ := f.status(node)
 	for _, zone := range status.Zones {
@@ -270,12 +269,12 @@
 	return nil, ""
 }
 
-// leaderOf waits until the nodes of a zone agree on the leader.
-func (f *testFleet) leaderOf(zone fleet.Zone) *testNode {
+// awaitLeader waits until all nodes of a zone agree on the leader.
+func (f *testFleet) awaitLeader(zone fleet.Zone) *testNode {
 	f.Helper()
 	var leader *testNode
-	eventually(f.T, "a leader of "+string(zone), func() bool {
-		members := f.nodesOf(zone)
+	eventually(f.T, "leader of zone "+string(zone), func() bool {
+		members := f.nodesIn(zone)
 		leader, _ = f.leaderSeenBy(members[0])
 		for _, member := range members[1:] {
 			if other, _ := f.leaderSeenBy(member); other != leader {
@@ -287,9 +286,9 @@
 	return leader
 }
 
-// otherOf is the node of the same zone beside the given one.
-func (f *testFleet) otherOf(node *testNode) *testNode {
-	members := f.nodesOf(node.settings.Zone)
+// otherNodeInZone returns the second node of the given node's zone.
+func (f *testFleet) otherNodeInZone(node *testNode) *testNode {
+	members := f.nodesIn(node.settings.Zone)
 	if members[0] == node {
 		return members[1]
 	}
--- a/test/faults/inject_test.go
+++ b/test/faults/inject_test.go
@@ -14,40 +14,40 @@
 	standinfaults "github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// note keeps a fault for the judge and shows it.
-func (f *testFleet) note(kind history.FaultKind, target, detail string) {
+// recordFault adds a fault to the fault log that the checks read, and logs it.
+func (f *testFleet) recordFault(kind history.FaultKind, target, detail string) {
 	fault := history.Fault{At: time.Now(), Kind: kind, Target: target, Detail: detail}
-	f.log = append(f.log, fault)
+	f.injected = append(f.injected, fault)
 	f.writeFaults()
-	f.Logf("injected after %s: %s %s %s", time.Since(f.begun).Round(time.Millisecond), kind, target, detail)
+	f.Logf("injected after %s: %s %s %s", time.Since(f.loadStarted).Round(time.Millisecond), kind, target, detail)
 }
 
 func (f *testFleet) killNode(node *testNode) {
 	f.Helper()
-	f.note(history.NodeKilled, node.caller(), string(node.settings.Name))
+	f.recordFault(history.NodeKilled, node.caller(), string(node.settings.Name))
 	node.kill()
 }
 
 func (f *testFleet) killEngine(engine *testEngine) {
 	f.Helper()
 	engine.kill()
-	f.note(history.EngineKilled, engine.backend, "")
+	f.recordFault(history.EngineKilled, engine.backend, "")
 }
 
-func (f *testFleet) pause(node *testNode) {
+func (f *testFleet) pauseNode(node *testNode) {
 	f.Helper()
-	f.note(history.NodePaused, node.caller(), string(node.settings.Name))
+	f.recordFault(history.NodePaused, node.caller(), string(node.settings.Name))
 	node.signal(f.T, syscall.SIGSTOP)
 }
 
-func (f *testFleet) resume(node *testNode) {
+func (f *testFleet) resumeNode(node *testNode) {
 	f.Helper()
 	node.signal(f.T, syscall.SIGCONT)
-	f.note(history.NodeContinued, node.caller(), string(node.settings.Name))
+	f.recordFault(history.NodeContinued, node.caller(), string(node.settings.Name))
 }
 
-// faultsAt sets the faults of one stand-in; the zero Set ends them.
-func (f *testFleet) faultsAt(url string, set standinfaults.Set) {
+// setFaults sets the faults of a stand-in; the zero Set clears them.
+func (f *testFleet) setFaults(url string, set standinfaults.Set) {
 	f.Helper()
 	body, err := json.Marshal(set)
 	if err != nil {
@@ -63,62 +63,62 @@
 	}
 }
 
-// store sets the faults of the platform.
-func (f *testFleet) store(set standinfaults.Set, detail string) {
+// setStoreFaults sets the faults of the platform; an empty detail records them as cleared.
+func (f *testFleet) setStoreFaults(set standinfaults.Set, detail string) {
 	f.Helper()
 	kind := history.FaultInjected
 	if detail == "" {
 		kind = history.FaultCleared
 	}
-	f.faultsAt(f.platform, set)
-	f.note(kind, "platform", detail)
+	f.setFaults(f.platform, set)
+	f.recordFault(kind, "platform", detail)
 }
 
-// cut parts a zone from the platform and from the back ends of the other
-// zones, both ways. The nodes' own connections stay.
-func (f *testFleet) cut(zone fleet.Zone, also standinfaults.Set) {
+// cutZone separates a zone from the platform and from the back ends of the other zones
+// in both directions. Connections between nodes are unaffected.
+func (f *testFleet) cutZone(zone fleet.Zone, platformFaults standinfaults.Set) {
 	f.Helper()
-	also.Cuts = []standinfaults.Cut{{From: zone, To: standinfaults.PlatformZone}}
-	f.faultsAt(f.platform, also)
-	for url, at := range f.backendURLs() {
+	platformFaults.Cuts = []standinfaults.Cut{{From: zone, To: standinfaults.PlatformZone}}
+	f.setFaults(f.platform, platformFaults)
+	for url, backendZone := range f.backendURLs() {
 		var cuts []standinfaults.Cut
 		for _, other := range zones {
-			if (at == zone) != (other == zone) {
-				cuts = append(cuts, standinfaults.Cut{From: other, To: at})
+			if (backendZone == zone) != (other == zone) {
+				cuts = append(cuts, standinfaults.Cut{From: other, To: backendZone})
 			}
 		}
-		f.faultsAt(url, standinfaults.Set{Cuts: cuts})
+		f.setFaults(url, standinfaults.Set{Cuts: cuts})
 	}
-	f.note(history.FaultInjected, string(zone), "zone-cut")
+	f.recordFault(history.FaultInjected, string(zone), "zone-cut")
 }
 
-// heal ends every fault of the stand-ins.
-func (f *testFleet) heal() {
+// clearFaults clears the faults of all stand-ins.
+func (f *testFleet) clearFaults() {
 	f.Helper()
-	f.faultsAt(f.platform, standinfaults.Set{})
+	f.setFaults(f.platform, standinfaults.Set{})
 	for url := range f.backendURLs() {
-		f.faultsAt(url, standinfaults.Set{})
+		f.setFaults(url, standinfaults.Set{})
 	}
-	f.note(history.FaultCleared, "all stand-ins", "")
+	f.recordFault(history.FaultCleared, "all stand-ins", "")
 }
 
-// backendURLs has the zone of each back end by its URL.
+// backendURLs maps the URL of each back end to its zone.
 func (f *testFleet) backendURLs() map[string]fleet.Zone {
 	urls := make(map[string]fleet.Zone)
 	for _, engine := range f.engines {
 		urls["http://"+engine.address] = engine.zone
 	}
 	for number := range f.services {
-		urls["http://"+f.at(servicePort+number)] = zones[number/len(services)]
+		urls["http://"+f.hostPort(servicePort+number)] = zones[number/len(services)]
 	}
 	return urls
 }
 
-// awaitLoading returns the first engine that loads a model.
+// awaitLoading returns the first engine seen loading a model.
 func (f *testFleet) awaitLoading(engines []*testEngine) *testEngine {
 	f.Helper()
 	var found *testEngine
-	eventually(f.T, "an engine that loads a model", func() bool {
+	eventually(f.T, "engine loading a model", func() bool {
 		for _, engine := range engines {
 			state, heard := engine.state()
 			loading := func(model fleet.LoadedModel) bool { return model.State == fleet.LoadLoading }
@@ -137,8 +137,8 @@
 	return slices.DeleteFunc(slices.Clone(f.engines), func(engine *testEngine) bool { return engine.zone != zone })
 }
 
-// loads counts the loads that the engines left took within a time.
-func (f *testFleet) loads(from, to time.Time) int {
+// countLoads counts the loads that the reachable engines started in a time range.
+func (f *testFleet) countLoads(from, to time.Time) int {
 	count := 0
 	for _, engine := range f.engines {
 		var book books.Book
--- a/test/faults/judge_test.go
+++ b/test/faults/judge_test.go
@@ -10,30 +10,30 @@
 	"github.com/spanlanding/spanlanding/internal/lab/scenario"
 )
 
-// TestJudgeFindsWhatIsBroken proves that a run over processes can fail. A node
-// is killed and nobody notes it, so that nothing explains the answers that
-// break; a planned stop is cut short by a second signal while streams run.
+// TestJudgeFindsWhatIsBroken proves that the checks can fail. A node is killed without a
+// record in the fault log, so that nothing explains the interrupted answers, and a
+// planned stop is cut short by a second signal while streams run.
 func TestJudgeFindsWhatIsBroken(t *testing.T) {
 	f := startFleet(t)
 	killed, cut := f.nodes[1], f.nodes[3]
-	summary := f.load(run{script: func(moment reached) {
+	summary := f.runLoad(loadRun{script: func(moment momentSignals) {
 		<-moment[scenario.MomentStopNode]
 		killed.kill()
-		f.note(history.NodeStopped, cut.caller(), string(cut.settings.Name))
+		f.recordFault(history.NodeStopped, cut.caller(), string(cut.settings.Name))
 		cut.signal(t, syscall.SIGTERM)
 		eventually(t, "the node drains", func() bool {
 			status, _ := f.status(cut)
 			return status.Draining
 		})
 		cut.signal(t, syscall.SIGTERM)
-		f.noteExit(cut)
+		f.recordExit(cut)
 	}})
-	f.mustBreak(summary, check.RuleEnded)
-	f.mustBreak(summary, check.RulePlannedStop)
+	f.requireBroken(summary, check.RuleEnded)
+	f.requireBroken(summary, check.RulePlannedStop)
 }
 
-// mustBreak demands that a rule was found broken.
-func (f *testFleet) mustBreak(summary report.Summary, rule check.Rule) {
+// requireBroken requires that the checks found a violation of the rule.
+func (f *testFleet) requireBroken(summary report.Summary, rule check.Rule) {
 	f.Helper()
 	found := 0
 	for _, verdict := range summary.Verdicts {
@@ -42,10 +42,10 @@
 		}
 		for _, finding := range verdict.Findings {
 			found++
-			f.Logf("found: %s: %s", rule, finding.Detail)
+			f.Logf("violation found: %s: %s", rule, finding.Detail)
 		}
 	}
 	if found == 0 {
-		f.Errorf("%s was not found broken", rule)
+		f.Errorf("no violation of %s was found", rule)
 	}
 }
--- a/test/faults/operators_test.go
+++ b/test/faults/operators_test.go
@@ -13,77 +13,76 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// raced is what one operator was told of one change.
-type raced struct {
+// raceResult is the result that one operator got for one change.
+type raceResult struct {
 	by       string
 	code     operator.ExitCode
 	result   operator.ApplyResult
 	problems string
 }
 
-// conflictsWanted is how many lost races each state of the store has to see,
-// racesAtMost how many races a run may take to see them.
+// requiredConflicts is the number of lost races required for each state of the store,
+// maxRaces the total number of races that a run may take.
 const (
-	conflictsWanted = 2
-	racesAtMost     = 30
+	requiredConflicts = 2
+	maxRaces          = 30
 )
 
-// TestOperatorsRace lets two operators change the same object at the same
-// time under load, through a store that is slow, so that both have read the
-// object before either writes, and then loses answers too. The loser must be
-// told who won, no accepted change may be lost, and all nodes end with the
-// last one in force.
+// TestOperatorsRace has two operators change the same object concurrently under load.
+// The store is slow, so that both read the object before either writes, and later loses
+// answers too. The loser must be told who won, no accepted change may be lost, and the
+// last accepted change must be in force at all nodes at the end.
 func TestOperatorsRace(t *testing.T) {
 	f := startFleet(t)
-	folders := []string{f.declared("first"), f.declared("second")}
+	folders := []string{f.copyExamples("first"), f.copyExamples("second")}
 	var last uint64
-	f.underLoad(run{duration: changeTime, script: func(reached) {
-		f.store(faults.Set{Delay: slowStore / 4}, "slow store")
-		f.raceUntilLost(folders)
-		f.store(faults.Set{Delay: slowStore / 4, LoseAnswers: -1}, "slow store that loses its answers")
-		last = f.raceUntilLost(folders)
-		f.store(faults.Set{}, "")
-	}, rules: []check.Rule{check.RuleConfig}})
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(momentSignals) {
+		f.setStoreFaults(faults.Set{Delay: slowStoreDelay / 4}, "slow store")
+		f.raceUntilConflicts(folders)
+		f.setStoreFaults(faults.Set{Delay: slowStoreDelay / 4, LoseAnswers: -1}, "slow store that loses its answers")
+		last = f.raceUntilConflicts(folders)
+		f.setStoreFaults(faults.Set{}, "")
+	}, requiredRules: []check.Rule{check.RuleConfig}})
 	f.awaitVersion(f.nodes[0], last)
 }
 
-// raceUntilLost races until enough changes lost, and returns the version of
-// the last accepted one.
-func (f *testFleet) raceUntilLost(folders []string) uint64 {
+// raceUntilConflicts runs races until enough changes were rejected with a conflict, and
+// returns the version of the last accepted change.
+func (f *testFleet) raceUntilConflicts(folders []string) uint64 {
 	f.Helper()
 	var last uint64
 	lost, accepted := 0, 0
-	for lost < conflictsWanted {
-		race := f.races
-		f.races++
-		if race == racesAtMost {
-			f.Fatalf("%d races were not enough", race)
+	for lost < requiredConflicts {
+		race := f.raceCount
+		f.raceCount++
+		if race == maxRaces {
+			f.Fatalf("%d races did not cause enough conflicts", race)
 		}
-		before := f.changes(0)
-		outcomes := f.race(folders, race)
-		made := f.changes(before[len(before)-1].Object.Version)
+		before := f.preferenceChanges(0)
+		outcomes := f.runRace(folders, race)
+		stored := f.preferenceChanges(before[len(before)-1].Object.Version)
 		for _, outcome := range outcomes {
 			if outcome.code == operator.ExitDone {
 				accepted++
-				f.checkWinner(outcome, made)
+				f.checkWinner(outcome, stored)
 				last = max(last, outcome.result.Version)
 				continue
 			}
 			lost++
 			f.checkLoser(outcome, outcomes)
 		}
-		if kept := len(made); kept != wins(outcomes) {
-			f.Errorf("race %d: the store took %d changes, %d were accepted", race, kept, wins(outcomes))
+		if kept := len(stored); kept != countAccepted(outcomes) {
+			f.Errorf("race %d: the store applied %d changes, %d were accepted", race, kept, countAccepted(outcomes))
 		}
 	}
-	f.Logf("operators: %d changes accepted, %d lost to another's", accepted, lost)
+	f.Logf("operators: %d changes accepted, %d rejected with a conflict", accepted, lost)
 	return last
 }
 
-// race lets one operator for each folder change the same number.
-func (f *testFleet) race(folders []string, race int) []raced {
+// runRace has one operator per folder change the same number concurrently.
+func (f *testFleet) runRace(folders []string, race int) []raceResult {
 	f.Helper()
-	outcomes := make([]raced, len(folders))
+	outcomes := make([]raceResult, len(folders))
 	for index, folder := range folders {
 		f.setWeight(folder, float64(index+1)/10+float64(race+1)/1000)
 	}
@@ -92,14 +91,14 @@
 		operators.Go(func() {
 			by := fmt.Sprintf("operator-%d-%d", race, index)
 			code, result, problems := f.tryApply(folder, by)
-			outcomes[index] = raced{by: by, code: code, result: result, problems: problems}
+			outcomes[index] = raceResult{by: by, code: code, result: result, problems: problems}
 		})
 	}
 	operators.Wait()
 	return outcomes
 }
 
-func wins(outcomes []raced) int {
+func countAccepted(outcomes []raceResult) int {
 	count := 0
 	for _, outcome := range outcomes {
 		if outcome.code == operator.ExitDone {
@@ -109,19 +108,19 @@
 	return count
 }
 
-// checkWinner demands that the store took the accepted change.
-func (f *testFleet) checkWinner(outcome raced, made []books.StoreChange) {
+// checkWinner requires that the store applied the accepted change.
+func (f *testFleet) checkWinner(outcome raceResult, stored []books.StoreChange) {
 	f.Helper()
-	for _, change := range made {
+	for _, change := range stored {
 		if change.Object.ChangedBy == outcome.by && change.Object.Version == outcome.result.Version {
 			return
 		}
 	}
-	f.Errorf("%s was told that version %d is its own; the store took %v", outcome.by, outcome.result.Version, made)
+	f.Errorf("%s was told that it wrote version %d; the store applied %v", outcome.by, outcome.result.Version, stored)
 }
 
-// checkLoser demands that a loser was told of a conflict and who won.
-func (f *testFleet) checkLoser(outcome raced, all []raced) {
+// checkLoser requires that the losing operator was told of the conflict and who won.
+func (f *testFleet) checkLoser(outcome raceResult, all []raceResult) {
 	f.Helper()
 	if outcome.code != operator.ExitConflict {
 		f.Errorf("%s ended with %d: %s", outcome.by, outcome.code, outcome.problems)
@@ -135,13 +134,12 @@
 	f.Errorf("%s lost and was told %q", outcome.by, outcome.problems)
 }
 
-// changes lists the changes of the preferences after a version, as the store
-// took them.
-func (f *testFleet) changes(since uint64) []books.StoreChange {
+// preferenceChanges lists the changes to preferences that the store applied after a version.
+func (f *testFleet) preferenceChanges(since uint64) []books.StoreChange {
 	f.Helper()
 	var all, changes []books.StoreChange
 	if !get(fmt.Sprintf("%s/lab/journal?since=%d", f.platform, since), &all) {
-		f.Fatal("the journal cannot be read")
+		f.Fatal("cannot read the journal")
 	}
 	for _, change := range all {
 		if change.Object.Kind == string(spec.KindPreferences) {
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -1,9 +1,9 @@
-// Package faults proves the rules of the brief on the built programs: it
-// starts platform, engines, services and nodes as processes on loopback, puts
-// load on them, brings faults about by signals and by the stand-ins' switches,
-// and judges each run by the back ends' own books.
+// Package faults tests the system's rules on the built programs. It starts the platform,
+// engines, services and nodes as processes on loopback addresses, puts load on them,
+// injects faults by signals and by the fault switches of the stand-ins, and checks each
+// run against the books that the back ends keep.
 //
-// It may import internal/lab, the stand-ins' wire types and internal/operator.
+// It may import internal/lab, the wire types of the stand-ins and internal/operator.
 package faults
 
 import (
@@ -19,23 +19,23 @@
 	"time"
 )
 
-// long also runs the pairs of faults that take longest.
+// long also enables the slowest tests of two concurrent faults.
 var long = flag.Bool("faults.long", false, "run the long pairs of faults too")
 
-// patience bounds the wait for what must come; no test asserts a time but
-// those that the rules themselves set.
-const patience = 90 * time.Second
+// waitTimeout bounds the wait for an expected event. No test asserts a duration other
+// than those that the rules themselves set.
+const waitTimeout = 90 * time.Second
 
 const pollInterval = 20 * time.Millisecond
 
-// sideBySide bounds the fleets that run at one time, so that a fleet's own
-// time limits are not spent on waiting for a processor.
-const sideBySide = 3
+// maxParallelFleets bounds the number of fleets that run at the same time, so that a
+// fleet does not exceed its own time limits while it waits for a processor.
+const maxParallelFleets = 3
 
 var (
 	spanlanding string
 	spanlab     string
-	places      = make(chan struct{}, sideBySide)
+	fleetSlots  = make(chan struct{}, maxParallelFleets)
 )
 
 func TestMain(m *testing.M) {
@@ -62,16 +62,16 @@
 
 const projectRoot = "../.."
 
-// process is one started program.
+// process is a started program.
 type process struct {
 	name    string
 	command *exec.Cmd
-	// ended is closed once the process has ended.
-	ended chan struct{}
-	once  sync.Once
+	// exited is closed once the process has exited.
+	exited chan struct{}
+	once   sync.Once
 }
 
-// startProcess runs a program whose output goes to a file of its name.
+// startProcess starts a program and appends its output to a log file named after it.
 func startProcess(t *testing.T, folder, name, program string, arguments ...string) *process {
 	t.Helper()
 	output, err := os.OpenFile(filepath.Join(folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -83,17 +83,17 @@
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	started := &process{name: name, command: command, ended: make(chan struct{})}
+	started := &process{name: name, command: command, exited: make(chan struct{})}
 	go func() {
 		_ = command.Wait()
 		_ = output.Close()
-		close(started.ended)
+		close(started.exited)
 	}()
 	t.Cleanup(started.kill)
 	return started
 }
 
-// signal sends a signal to this one process.
+// signal sends a signal to this process only.
 func (p *process) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
@@ -101,44 +101,44 @@
 	}
 }
 
-// kill ends the process without warning and waits until it is gone.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (p *process) kill() {
 	p.once.Do(func() {
 		if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			fmt.Fprintln(os.Stderr, "kill", p.name, err)
 		}
-		<-p.ended
+		<-p.exited
 	})
 }
 
-// mustRun fails the test if the process has ended by itself.
-func (p *process) mustRun(t *testing.T) {
+// requireRunning fails the test if the process has exited.
+func (p *process) requireRunning(t *testing.T) {
 	t.Helper()
 	select {
-	case <-p.ended:
-		t.Fatalf("%s ended with %s", p.name, p.command.ProcessState)
+	case <-p.exited:
+		t.Fatalf("%s exited unexpectedly: %s", p.name, p.command.ProcessState)
 	default:
 	}
 }
 
-// exitCode waits for the end of the process.
+// exitCode waits until the process exits and returns its exit code.
 func (p *process) exitCode(t *testing.T) int {
 	t.Helper()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return p.command.ProcessState.ExitCode()
-	case <-time.After(patience):
-		t.Fatalf("%s has not ended", p.name)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s has not exited", p.name)
 		return -1
 	}
 }
 
-// eventually polls until the condition holds.
+// eventually polls until the condition holds, and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/test/faults/refusal_test.go
+++ b/test/faults/refusal_test.go
@@ -9,13 +9,12 @@
 	"github.com/spanlanding/spanlanding/internal/lab/load"
 )
 
-// TestGivenUpRequestIsAnsweredAtOnce asks for a model that no engine can hold.
-// Its final answer must not be held back until near the deadline, and must say
-// when to come back.
+// TestGivenUpRequestIsAnsweredAtOnce requests a model that no engine can hold. The final
+// answer must not be delayed until near the deadline, and must say when to retry.
 func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
 	f := startFleet(t)
-	folder := f.declared("changed")
-	f.redeclare(folder, "models.yaml", "{name: v1, memory: 12GiB, checkpoint: 12GiB}", "{name: v1, memory: 500GiB, checkpoint: 500GiB}")
+	folder := f.copyExamples("changed")
+	f.replaceOnce(folder, "models.yaml", "{name: v1, memory: 12GiB, checkpoint: 12GiB}", "{name: v1, memory: 500GiB, checkpoint: 500GiB}")
 	f.awaitVersion(f.nodes[0], f.apply(folder, "too large").Version)
 	class := f.class("deployment/recipes")
 	for index, node := range f.nodes {
@@ -27,13 +26,13 @@
 		if record.Outcome != history.NotRun || record.RetryAfter == "" {
 			t.Errorf("request %d ended with %s %q, Retry-After %q", index, record.Outcome, record.Error, record.RetryAfter)
 		}
-		if near := record.Deadline / 2; record.Took() > near {
+		if limit := record.Deadline / 2; record.Took() > limit {
 			t.Errorf("request %d got its answer after %s of %s", index, record.Took(), record.Deadline)
 		}
 	}
 }
 
-// class finds a sort of traffic by its name.
+// class returns the traffic class with the given name.
 func (f *testFleet) class(name string) load.Class {
 	f.Helper()
 	collector := collect.New(collect.Options{Platform: f.platform})
@@ -47,6 +46,6 @@
 			return class
 		}
 	}
-	f.Fatalf("no class is called %s", name)
+	f.Fatalf("no traffic class is named %q", name)
 	return load.Class{}
 }
--- a/test/faults/run_test.go
+++ b/test/faults/run_test.go
@@ -21,46 +21,46 @@
 	"github.com/spanlanding/spanlanding/internal/operator"
 )
 
-// The load of each run. The seed fixes the plan of requests.
+// The load of each run. The seed determines the sequence of requests.
 const (
-	loadRate = 20
-	loadTime = 5 * time.Second
-	seed     = 7
+	loadRate     = 20
+	loadDuration = 5 * time.Second
+	seed         = 7
 )
 
-// always are the rules that every run has to exercise.
-var always = []check.Rule{
+// commonRules are the rules that every run must exercise.
+var commonRules = []check.Rule{
 	check.RuleReplicas, check.RuleMemory, check.RuleEnded, check.RuleOwnAnswer, check.RuleAtMostOnce,
 }
 
-// run is one load on the fleet with what is brought about meanwhile.
-type run struct {
-	// duration is how long requests are sent; loadTime if zero.
+// loadRun is a load on the fleet together with the faults injected during it.
+type loadRun struct {
+	// duration is how long requests are sent; zero means loadDuration.
 	duration time.Duration
-	// script is run once the first request is on its way.
+	// script is called once the first request has been sent.
 	script func(reached map[scenario.Moment]chan struct{})
-	// rules must come into play beside those that every run exercises.
-	rules []check.Rule
+	// requiredRules must be exercised in addition to commonRules.
+	requiredRules []check.Rule
 }
 
-// moments that scripts may wait for.
+// moments lists the moments that scripts may wait for.
 var moments = []scenario.Moment{scenario.MomentStart, scenario.MomentKillEngine, scenario.MomentChange, scenario.MomentStopNode}
 
-// underLoad puts load on the fleet, runs the script and demands that every rule
-// was kept.
-func (f *testFleet) underLoad(run run) {
+// loadAndCheck puts load on the fleet, runs the script and requires that every rule
+// held.
+func (f *testFleet) loadAndCheck(run loadRun) {
 	f.Helper()
-	f.judge(f.load(run), run.rules)
+	f.checkVerdicts(f.runLoad(run), run.requiredRules)
 }
 
-// load puts load on the fleet, runs the script and returns what was judged.
-func (f *testFleet) load(run run) report.Summary {
+// runLoad puts load on the fleet, runs the script and returns the summary of the checks.
+func (f *testFleet) runLoad(run loadRun) report.Summary {
 	f.Helper()
 	reached := make(map[scenario.Moment]chan struct{})
 	for _, moment := range moments {
 		reached[moment] = make(chan struct{})
 	}
-	options := f.options(cmp.Or(run.duration, loadTime), func(moment scenario.Moment) {
+	options := f.options(cmp.Or(run.duration, loadDuration), func(moment scenario.Moment) {
 		if signal := reached[moment]; signal != nil {
 			close(signal)
 		}
@@ -80,11 +80,11 @@
 	select {
 	case <-reached[scenario.MomentStart]:
 	case early := <-ended:
-		f.Fatalf("the load did not begin: %v", early.err)
+		f.Fatalf("the load did not start: %v", early.err)
 	}
-	f.begun = time.Now()
+	f.loadStarted = time.Now()
 	run.script(reached)
-	f.Logf("the script of faults took %s of %s", time.Since(f.begun).Round(time.Millisecond), options.Duration)
+	f.Logf("the fault script took %s of %s", time.Since(f.loadStarted).Round(time.Millisecond), options.Duration)
 	outcome := <-ended
 	if outcome.err != nil {
 		f.Fatal(outcome.err)
@@ -95,7 +95,7 @@
 func (f *testFleet) options(duration time.Duration, announce func(scenario.Moment)) scenario.Options {
 	options := scenario.Options{
 		Platform: f.platform, Profile: profile, Rate: loadRate, Duration: duration, Seed: seed,
-		Backends: f.liveBackends(), Ready: patience, FaultLog: f.faultLog(), Announce: announce,
+		Backends: f.liveBackends(), Ready: waitTimeout, FaultLog: f.faultLog(), Announce: announce,
 		HistoryFile: filepath.Join(f.folder, "history.jsonl"),
 	}
 	for _, node := range f.nodes {
@@ -109,7 +109,7 @@
 	live := f.services
 	for _, engine := range f.engines {
 		select {
-		case <-engine.ended:
+		case <-engine.exited:
 		default:
 			live++
 		}
@@ -121,13 +121,13 @@
 	return filepath.Join(f.folder, "faults.jsonl")
 }
 
-// writeFaults hands what was noted so far to the judge, which may read the
-// file at any time; so it changes in one step.
+// writeFaults writes the faults recorded so far for the checks, which may read the file
+// at any time; the file is therefore replaced atomically.
 func (f *testFleet) writeFaults() {
 	f.Helper()
 	var lines bytes.Buffer
 	encoder := json.NewEncoder(&lines)
-	for _, fault := range f.log {
+	for _, fault := range f.injected {
 		if err := encoder.Encode(fault); err != nil {
 			f.Fatal(err)
 		}
@@ -141,17 +141,17 @@
 	}
 }
 
-// judge prints each verdict and fails the test for each rule that was broken
-// or that had to come into play and did not.
-func (f *testFleet) judge(summary report.Summary, rules []check.Rule) {
+// checkVerdicts logs each verdict and fails the test for each rule that was violated or
+// that was required but not exercised.
+func (f *testFleet) checkVerdicts(summary report.Summary, rules []check.Rule) {
 	f.Helper()
-	f.Logf("requests: %d, outcomes %v, orders refused for their fence: %d",
+	f.Logf("requests: %d, outcomes %v, orders refused for a stale fence: %d",
 		summary.Requests, summary.Outcomes, summary.Loads.RefusedOrders)
-	required := slices.Concat(always, rules)
+	required := slices.Concat(commonRules, rules)
 	for _, verdict := range summary.Verdicts {
 		f.Logf("%-37s %-13s %d %s %v", verdict.Rule, verdict.State, verdict.Exercised, verdict.Unit, verdict.Notes)
 		for _, finding := range verdict.Findings {
-			f.Errorf("%s broken at %s: %s", verdict.Rule, finding.At.Format(time.RFC3339Nano), finding.Detail)
+			f.Errorf("%s violated at %s: %s", verdict.Rule, finding.At.Format(time.RFC3339Nano), finding.Detail)
 		}
 		if verdict.State == check.NotExercised && slices.Contains(required, verdict.Rule) {
 			f.Errorf("%s was not exercised", verdict.Rule)
@@ -159,25 +159,25 @@
 	}
 }
 
-// stop asks a node to stop as planned, waits for its end and notes the exit
-// code for the judge.
-func (f *testFleet) stop(node *testNode) {
+// stopNode stops a node gracefully, waits until it exits and records the exit code for
+// the checks.
+func (f *testFleet) stopNode(node *testNode) {
 	f.Helper()
-	f.note(history.NodeStopped, node.caller(), string(node.settings.Name))
+	f.recordFault(history.NodeStopped, node.caller(), string(node.settings.Name))
 	node.signal(f.T, syscall.SIGTERM)
-	f.noteExit(node)
+	f.recordExit(node)
 }
 
-// noteExit waits for the node's end.
-func (f *testFleet) noteExit(node *testNode) {
+// recordExit waits until the node exits and records its exit code.
+func (f *testFleet) recordExit(node *testNode) {
 	f.Helper()
-	f.note(history.NodeExited, node.caller(), strconv.Itoa(node.exitCode(f.T)))
+	f.recordFault(history.NodeExited, node.caller(), strconv.Itoa(node.exitCode(f.T)))
 }
 
-// command runs spanlanding and returns its exit code with all it wrote.
-func (f *testFleet) command(arguments ...string) (operator.ExitCode, string, string) {
+// runCommand runs spanlanding and returns its exit code, standard output and standard error.
+func (f *testFleet) runCommand(arguments ...string) (operator.ExitCode, string, string) {
 	f.Helper()
-	ctx, cancel := context.WithTimeout(f.Context(), patience)
+	ctx, cancel := context.WithTimeout(f.Context(), waitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, spanlanding, arguments...)
 	var output, problems bytes.Buffer
@@ -190,10 +190,10 @@
 	return operator.ExitCode(command.ProcessState.ExitCode()), output.String(), problems.String()
 }
 
-// tryApply applies a folder.
+// tryApply applies the declarations in a folder and returns the result.
 func (f *testFleet) tryApply(folder, by string) (operator.ExitCode, operator.ApplyResult, string) {
 	f.Helper()
-	code, output, problems := f.command("apply", "--platform", f.platform, "--by", by, "--owner", profile,
+	code, output, problems := f.runCommand("apply", "--platform", f.platform, "--by", by, "--owner", profile,
 		"--timeout", "30s", "-o", "json", folder)
 	var result operator.ApplyResult
 	if err := json.Unmarshal([]byte(output), &result); err != nil && code == operator.ExitDone {
@@ -202,7 +202,7 @@
 	return code, result, problems
 }
 
-// apply demands that a folder is accepted.
+// apply applies the declarations in a folder and fails the test if they are rejected.
 func (f *testFleet) apply(folder, by string) operator.ApplyResult {
 	f.Helper()
 	code, result, problems := f.tryApply(folder, by)
@@ -212,11 +212,11 @@
 	return result
 }
 
-// awaitVersion demands that a version comes into force at every live node.
-func (f *testFleet) awaitVersion(asked *testNode, version uint64) {
+// awaitVersion requires that a version comes into force at every live node.
+func (f *testFleet) awaitVersion(node *testNode, version uint64) {
 	f.Helper()
-	code, output, problems := f.command("wait", "--node", asked.operator(),
-		"--version", strconv.FormatUint(version, 10), "--timeout", patience.String())
+	code, output, problems := f.runCommand("wait", "--node", node.operator(),
+		"--version", strconv.FormatUint(version, 10), "--timeout", waitTimeout.String())
 	if code != operator.ExitDone {
 		f.Fatalf("wait for version %d ended with %d: %s%s", version, code, output, problems)
 	}
--- a/test/faults/single_test.go
+++ b/test/faults/single_test.go
@@ -10,54 +10,54 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// reached has the moments of a run that have come.
-type reached = map[scenario.Moment]chan struct{}
+// momentSignals has a channel for each moment of a run, closed when the moment is reached.
+type momentSignals = map[scenario.Moment]chan struct{}
 
-// takeoverTime is the length of loads during which a paused or dead leader is
+// takeoverDuration is the length of loads during which a paused or killed leader is
 // replaced.
-const takeoverTime = 7 * time.Second
+const takeoverDuration = 7 * time.Second
 
-// changeTime is the length of loads during which the declarations change.
-const changeTime = 6 * time.Second
+// changeDuration is the length of loads during which declarations change.
+const changeDuration = 6 * time.Second
 
-const slowStore = 800 * time.Millisecond
+const slowStoreDelay = 800 * time.Millisecond
 
 var (
 	storeDown = faults.Set{Unavailable: true}
-	// storeLoses carries out every change and answers none.
-	storeLoses = faults.Set{LoseAnswers: -1}
+	// storeLosesAnswers applies every change and answers none.
+	storeLosesAnswers = faults.Set{LoseAnswers: -1}
 )
 
 func TestNodeIsKilledUnderLoad(t *testing.T) {
 	f := startFleet(t)
-	f.underLoad(run{script: func(reached) {
+	f.loadAndCheck(loadRun{script: func(momentSignals) {
 		f.awaitLoading(f.engines)
 		f.killNode(f.nodes[1])
 	}})
 }
 
-// TestEngineIsKilledDuringALoad strikes while a load goes on; the model must
-// be loaded again elsewhere, and never once too often.
+// TestEngineIsKilledDuringALoad kills an engine while it loads a model. The model must be
+// loaded again elsewhere, without ever exceeding its number of replicas.
 func TestEngineIsKilledDuringALoad(t *testing.T) {
 	f := startFleet(t)
 	var killed time.Time
-	f.underLoad(run{script: func(reached) {
+	f.loadAndCheck(loadRun{script: func(momentSignals) {
 		f.killEngine(f.awaitLoading(f.engines))
 		killed = time.Now()
 	}})
-	if f.loads(killed, time.Now()) == 0 {
-		t.Error("nothing was loaded after the engine's death")
+	if f.countLoads(killed, time.Now()) == 0 {
+		t.Error("nothing was loaded after the engine was killed")
 	}
 }
 
-// TestLeaderIsPausedPastItsLease stops a leader when an order of its has just
-// been taken, lets another node lead, and lets the first one go on.
+// TestLeaderIsPausedPastItsLease pauses a leader right after one of its orders was
+// accepted, waits until another node leads, and resumes the former leader.
 func TestLeaderIsPausedPastItsLease(t *testing.T) {
 	f := startFleet(t)
-	f.underLoad(run{duration: takeoverTime, script: func(reached) {
+	f.loadAndCheck(loadRun{duration: takeoverDuration, script: func(momentSignals) {
 		leader := f.pauseLeader(zones[0])
 		successor := f.awaitSuccessor(leader)
-		f.resume(leader)
+		f.resumeNode(leader)
 		eventually(t, "the former leader follows", func() bool {
 			followed, _ := f.leaderSeenBy(leader)
 			return followed == successor
@@ -65,105 +65,105 @@
 	}})
 }
 
-// TestStoreIsDownDuringColdStarts takes the store away before the first
-// requests for most models come and gives it back after they were loaded. That
-// can only be where a record that lets zones load was written before.
+// TestStoreIsDownDuringColdStarts takes the store down before most models get their first
+// request and restores it after they were loaded. Loading then requires an allotment
+// record that was written before.
 func TestStoreIsDownDuringColdStarts(t *testing.T) {
 	f := startFleet(t)
 	for _, node := range f.nodes {
 		f.awaitAllotments(node)
 	}
-	f.underLoad(run{script: func(moment reached) {
-		f.store(storeDown, "store-down")
+	f.loadAndCheck(loadRun{script: func(moment momentSignals) {
+		f.setStoreFaults(storeDown, "store-down")
 		down := time.Now()
 		<-moment[scenario.MomentStopNode]
-		if f.loads(down, time.Now()) == 0 {
+		if f.countLoads(down, time.Now()) == 0 {
 			t.Error("nothing was loaded while the store was down")
 		}
-		f.store(faults.Set{}, "")
+		f.setStoreFaults(faults.Set{}, "")
 	}})
 }
 
-// TestStoreIsSlow changes the declarations through a slow store.
+// TestStoreIsSlow changes declarations while the store is slow.
 func TestStoreIsSlow(t *testing.T) {
 	f := startFleet(t)
-	folder := f.declared("changed")
+	folder := f.copyExamples("changed")
 	f.setWeight(folder, 0.6)
-	f.underLoad(run{duration: changeTime, script: func(reached) {
-		f.store(faults.Set{Delay: slowStore}, "store-slow")
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(momentSignals) {
+		f.setStoreFaults(faults.Set{Delay: slowStoreDelay}, "store-slow")
 		f.awaitVersion(f.nodes[0], f.apply(folder, "slow").Version)
-		f.store(faults.Set{}, "")
-	}, rules: []check.Rule{check.RuleConfig}})
+		f.setStoreFaults(faults.Set{}, "")
+	}, requiredRules: []check.Rule{check.RuleConfig}})
 }
 
-// TestStoreLosesAnswers lets the store carry out changes without an answer,
-// both an operator's and those of the record of allotments that it asks for.
+// TestStoreLosesAnswers makes the store apply changes without answering, both an
+// operator's change and the changes of the allotment record that follow from it.
 func TestStoreLosesAnswers(t *testing.T) {
 	f := startFleet(t)
-	folder := f.declared("changed")
+	folder := f.copyExamples("changed")
 	f.setWeight(folder, 0.6)
-	f.moreChat(folder)
-	f.underLoad(run{duration: changeTime, script: func(reached) {
-		f.store(storeLoses, "store-loses-answers")
+	f.declareSecondChatReplica(folder)
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(momentSignals) {
+		f.setStoreFaults(storeLosesAnswers, "store-loses-answers")
 		f.awaitVersion(f.nodes[0], f.apply(folder, "unheard").Version)
-		f.awaitMoreChat()
-		f.store(faults.Set{}, "")
-	}, rules: []check.Rule{check.RuleConfig}})
+		f.awaitSecondChatReplica()
+		f.setStoreFaults(faults.Set{}, "")
+	}, requiredRules: []check.Rule{check.RuleConfig}})
 }
 
-// TestZoneIsCutFromThePlatform parts a zone from the store and from the other
-// zones' back ends; its nodes still hear their peers.
+// TestZoneIsCutFromThePlatform separates a zone from the store and from the other zones'
+// back ends; its nodes still reach their peers.
 func TestZoneIsCutFromThePlatform(t *testing.T) {
 	f := startFleet(t)
-	folder := f.declared("changed")
+	folder := f.copyExamples("changed")
 	f.setWeight(folder, 0.6)
-	f.underLoad(run{duration: changeTime, script: func(moment reached) {
-		f.cut(zones[1], faults.Set{})
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(moment momentSignals) {
+		f.cutZone(zones[1], faults.Set{})
 		f.awaitVersion(f.nodes[0], f.apply(folder, "outside").Version)
 		<-moment[scenario.MomentChange]
-		f.heal()
-	}, rules: []check.Rule{check.RuleConfig}})
+		f.clearFaults()
+	}, requiredRules: []check.Rule{check.RuleConfig}})
 }
 
-// TestPlannedStopCutsNothing stops a node as planned while long streams run.
+// TestPlannedStopCutsNothing stops a node gracefully while long streams run.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	f := startFleet(t)
-	f.underLoad(run{script: func(moment reached) {
+	f.loadAndCheck(loadRun{script: func(moment momentSignals) {
 		<-moment[scenario.MomentStopNode]
-		f.stop(f.nodes[3])
-	}, rules: []check.Rule{check.RulePlannedStop}})
+		f.stopNode(f.nodes[3])
+	}, requiredRules: []check.Rule{check.RulePlannedStop}})
 }
 
-// TestLeavingBackEndsGetNoNewWork lets an engine that has just been sent a
-// load and a command server say that they leave. Both stay for the whole load,
-// so that whatever is sent to them late stands in their books.
+// TestLeavingBackEndsGetNoNewWork makes an engine that has just received a load order and
+// a service server announce that they leave. Both keep running for the whole load, so
+// that work sent to them too late is recorded in their books.
 func TestLeavingBackEndsGetNoNewWork(t *testing.T) {
 	f := startFleet(t)
-	var left []string
-	f.underLoad(run{duration: changeTime, script: func(reached) {
-		left = []string{"http://" + f.awaitLoading(f.engines).address, "http://" + f.at(servicePort)}
-		for _, url := range left {
-			f.faultsAt(url, faults.Set{Leaving: true})
-			f.note(history.FaultInjected, url, "leaving")
+	var leaving []string
+	f.loadAndCheck(loadRun{duration: changeDuration, script: func(momentSignals) {
+		leaving = []string{"http://" + f.awaitLoading(f.engines).address, "http://" + f.hostPort(servicePort)}
+		for _, url := range leaving {
+			f.setFaults(url, faults.Set{Leaving: true})
+			f.recordFault(history.FaultInjected, url, "leaving")
 		}
-	}, rules: []check.Rule{check.RuleLeaving}})
-	for _, url := range left {
-		latest, refused := f.latestTurnedAway(url)
+	}, requiredRules: []check.Rule{check.RuleLeaving}})
+	for _, url := range leaving {
+		latest, refused := f.refusedAfterLeaving(url)
 		t.Logf("%s refused %d times, last after %s", url, refused, latest.Round(time.Millisecond))
 	}
 }
 
-// TestAllNodesAreLostWhileTheStoreIsDown kills every node, starts them anew
-// without a store, and demands that the fleet works again after it is back.
+// TestAllNodesAreLostWhileTheStoreIsDown kills every node, restarts them without a store,
+// and requires that the fleet works again once the store is back.
 func TestAllNodesAreLostWhileTheStoreIsDown(t *testing.T) {
 	f := startFleet(t)
-	f.underLoad(run{script: func(moment reached) {
+	f.loadAndCheck(loadRun{script: func(moment momentSignals) {
 		<-moment[scenario.MomentChange]
 		for _, node := range f.nodes {
 			f.killNode(node)
 		}
 	}})
-	f.store(storeDown, "store-down")
+	f.setStoreFaults(storeDown, "store-down")
 	for _, node := range f.nodes {
 		f.startNode(node)
 	}
@@ -176,9 +176,9 @@
 			return up && status.UptimeSeconds > 2
 		})
 	}
-	f.store(faults.Set{}, "")
+	f.setStoreFaults(faults.Set{}, "")
 	f.awaitDecisions()
-	// The kills are over; nothing of the second load is excused by them.
-	f.log = nil
-	f.underLoad(run{script: func(reached) {}})
+	// The kills must not excuse violations during the second load.
+	f.injected = nil
+	f.loadAndCheck(loadRun{script: func(momentSignals) {}})
 }
