--- a/internal/verify/claim_test.go
+++ b/internal/verify/claim_test.go
@@ -8,83 +8,83 @@
 	"github.com/spanlanding/spanlanding/internal/claim"
 )
 
-// moves gives all that may happen next: any message is delivered, an asker's
-// time runs out, a granted call is told to have run or not, the table changes,
-// a keeper ends for good.
-func (w *claimModel) moves() []move[*claimModel] {
-	var moves []move[*claimModel]
+// transitions returns every possible next transition: a message is delivered, an
+// asker times out, the outcome of a granted call is reported, the keeper table
+// changes, or a keeper's process ends for good.
+func (w *claimModel) transitions() []transition[*claimModel] {
+	var transitions []transition[*claimModel]
 	for index, sent := range w.network {
 		asker, keeper := -1, sent.to
-		if sent.voted != nil {
+		if sent.vote != nil {
 			asker, keeper = sent.to, -1
 		}
 		next := w.clone(asker, keeper)
 		next.network = slices.Delete(next.network, index, index+1)
 		next.deliver(sent)
-		moves = append(moves, named(next, "%v", sent))
-		if w.repeats < w.bounds.repeats && sent.grant != nil {
-			again := w.clone(-1, keeper)
-			again.repeats++
-			again.deliver(sent)
-			moves = append(moves, named(again, "%v, doubled", sent))
+		transitions = append(transitions, newTransition(next, "%v", sent))
+		if w.duplicates < w.bounds.duplicates && sent.grant != nil {
+			duplicated := w.clone(-1, keeper)
+			duplicated.duplicates++
+			duplicated.deliver(sent)
+			transitions = append(transitions, newTransition(duplicated, "%v, delivered twice", sent))
 		}
 	}
 	for index := range w.askers {
-		moves = append(moves, w.askerMoves(index)...)
+		transitions = append(transitions, w.askerTransitions(index)...)
 	}
-	return append(moves, w.keeperMoves()...)
+	return append(transitions, w.keeperTransitions()...)
 }
 
-func (w *claimModel) askerMoves(index int) []move[*claimModel] {
-	var moves []move[*claimModel]
+func (w *claimModel) askerTransitions(index int) []transition[*claimModel] {
+	var transitions []transition[*claimModel]
 	asker := &w.askers[index]
-	if !asker.begun {
-		// Its table may be older than the newest.
+	if !asker.started {
+		// The asker may start with an older version of the table.
 		for version := 1; version <= w.version; version++ {
 			next := w.clone(index, -1)
-			next.askers[index].begun = true
+			next.askers[index].started = true
 			next.stepAsker(index, claim.Begin{Slot: w.bounds.slot(version)})
-			moves = append(moves, named(next, "asker %d begins in version %d", index, version))
+			transitions = append(transitions, newTransition(next, "asker %d starts in version %d", index, version))
 		}
-		return moves
+		return transitions
 	}
-	if asker.asked == nil && asker.timeouts < w.bounds.timeouts {
+	if asker.askedSeats == nil && asker.timeouts < w.bounds.timeouts {
 		next := w.clone(index, -1)
 		next.askers[index].timeouts++
 		next.askers[index].now = asker.core.NextWake()
 		next.stepAsker(index, claim.Tick{})
-		moves = append(moves, named(next, "time of asker %d runs out", index))
+		transitions = append(transitions, newTransition(next, "asker %d times out", index))
 	}
-	if !asker.granted || asker.told || !w.bounds.fails {
-		return moves
+	if !asker.granted || asker.completed || !w.bounds.allowFailures {
+		return transitions
 	}
 	outcomes := []claim.Outcome{claim.Ran, claim.NotRun}
 	for _, outcome := range outcomes {
 		next := w.clone(-1, -1)
-		next.askers[index].told = true
+		next.askers[index].completed = true
 		if outcome == claim.NotRun {
 			next.sent--
 		}
-		next.tell(asker.asked, claim.Complete{Key: callKey, Fingerprint: []byte("body"), Outcome: outcome,
+		next.sendComplete(asker.askedSeats, claim.Complete{Key: callKey, Fingerprint: []byte("body"), Outcome: outcome,
 			Attempt: fmt.Sprintf("attempt-%d", index), Window: keyWindow, Slot: asker.slot})
-		moves = append(moves, named(next, "call %d ends as %d", index, outcome))
+		transitions = append(transitions, newTransition(next, "call %d ends as %d", index, outcome))
 	}
-	return moves
+	return transitions
 }
 
-func (w *claimModel) keeperMoves() []move[*claimModel] {
-	var moves []move[*claimModel]
-	if w.version == 1 && w.bounds.changed != nil {
+func (w *claimModel) keeperTransitions() []transition[*claimModel] {
+	var transitions []transition[*claimModel]
+	if w.version == 1 && w.bounds.secondSeats != nil {
 		next := w.clone(-1, -1)
 		next.version++
-		// Others learn of it from these, or from askers.
-		joined := w.bounds.changed[len(w.bounds.changed)-1]
+		// Other keepers learn of the new version from this one or from askers.
+		joined := w.bounds.secondSeats[len(w.bounds.secondSeats)-1]
 		next.keepers[joined] = deepCopy(next.keepers[joined])
 		next.stepKeeper(joined, claim.SlotUpdate{Slot: w.bounds.slot(2)}, claimMessage{})
-		moves = append(moves, named(next, "the table changes"))
+		transitions = append(transitions, newTransition(next, "the table changes"))
 	}
 	for index := range w.bounds.ends {
-		// The last of the first seats end first.
+		// The seats of the first version end from the last to the first.
 		ending := 2 - index
 		if w.ends != index {
 			continue
@@ -92,70 +92,70 @@
 		next := w.clone(-1, -1)
 		next.ends++
 		next.ended[ending] = true
-		for _, other := range w.bounds.changed {
-			next.send(claimMessage{to: other, gone: &claim.ProcessEnded{Seat: keeperSeats[ending]}})
+		for _, other := range w.bounds.secondSeats {
+			next.send(claimMessage{to: other, processEnded: &claim.ProcessEnded{Seat: keeperSeats[ending]}})
 		}
-		moves = append(moves, named(next, "keeper %s ends", keeperSeats[ending].Name))
+		transitions = append(transitions, newTransition(next, "keeper %s ends", keeperSeats[ending].Name))
 	}
-	return moves
+	return transitions
 }
 
 func (m claimMessage) String() string {
 	switch {
 	case m.grant != nil:
-		return fmt.Sprintf("%s asks keeper %s in version %d", m.grant.Attempt, keeperSeats[m.to].Name, m.grant.Slot.Version)
-	case m.voted != nil:
-		return fmt.Sprintf("keeper %s answers asker %d: vote %d", m.voted.From.Name, m.to, m.voted.Reply.Vote)
+		return fmt.Sprintf("%s requests a grant from keeper %s in version %d", m.grant.Attempt, keeperSeats[m.to].Name, m.grant.Slot.Version)
+	case m.vote != nil:
+		return fmt.Sprintf("keeper %s replies to asker %d: vote %d", m.vote.From.Name, m.to, m.vote.Reply.Vote)
 	case m.complete != nil:
-		return fmt.Sprintf("keeper %s hears that %s ended as %d", keeperSeats[m.to].Name, m.complete.Attempt, m.complete.Outcome)
+		return fmt.Sprintf("keeper %s learns that %s ended as %d", keeperSeats[m.to].Name, m.complete.Attempt, m.complete.Outcome)
 	case m.seal != nil:
 		return fmt.Sprintf("keeper %s is asked for records by %s", keeperSeats[m.to].Name, keeperSeats[m.from].Name)
-	case m.handed != nil:
-		return fmt.Sprintf("keeper %s takes the records of %s", keeperSeats[m.to].Name, m.handed.From.Name)
-	case m.learn != nil:
-		return fmt.Sprintf("keeper %s learns version %d", keeperSeats[m.to].Name, m.learn.Slot.Version)
+	case m.sealAnswer != nil:
+		return fmt.Sprintf("keeper %s receives the records of %s", keeperSeats[m.to].Name, m.sealAnswer.From.Name)
+	case m.slotUpdate != nil:
+		return fmt.Sprintf("keeper %s learns version %d", keeperSeats[m.to].Name, m.slotUpdate.Slot.Version)
 	}
-	return fmt.Sprintf("keeper %s hears that %s ended", keeperSeats[m.to].Name, m.gone.Seat.Name)
+	return fmt.Sprintf("keeper %s learns that the process of %s ended", keeperSeats[m.to].Name, m.processEnded.Seat.Name)
 }
 
-func exploreClaims(bounds claimBounds, limit int) outcome {
-	return explore(space[*claimModel]{
-		initial: newClaims(&bounds),
-		moves:   (*claimModel).moves,
-		key:     (*claimModel).key,
-		broken:  (*claimModel).broken,
-		limit:   limit,
+func exploreClaims(bounds claimBounds, limit int) exploration {
+	return explore(searchSpace[*claimModel]{
+		initial:     newClaimModel(&bounds),
+		transitions: (*claimModel).transitions,
+		key:         (*claimModel).key,
+		violation:   (*claimModel).violation,
+		limit:       limit,
 	})
 }
 
 var claimModels = map[string]claimBounds{
-	"one version":            {slow: true},
-	"calls that fail":        {fails: true},
-	"doubled questions":      {repeats: 1, timeouts: 1},
-	"one seat is replaced":   {changed: []int{0, 1, 3}, ends: 1},
-	"all but one replaced":   {changed: []int{0, 3}},
-	"two seats end":          {changed: []int{0, 3}, ends: 2},
-	"seats move while alive": {changed: []int{0, 1, 3}},
+	"one version":            {delayReplies: true},
+	"calls that fail":        {allowFailures: true},
+	"duplicated requests":    {duplicates: 1, timeouts: 1},
+	"one seat is replaced":   {secondSeats: []int{0, 1, 3}, ends: 1},
+	"all but one replaced":   {secondSeats: []int{0, 3}},
+	"two seats end":          {secondSeats: []int{0, 3}, ends: 2},
+	"seats move while alive": {secondSeats: []int{0, 1, 3}},
 }
 
-// Keepers and askers cost more to copy than leaders: of claims a fifth of the
-// states is looked at.
-const claimShare = 5
+// States of the claim model cost more to copy than those of the leadership model, so
+// only a fifth as many are visited.
+const claimStatesDivisor = 5
 
 func TestNoOrderOfEventsSendsTwice(t *testing.T) {
 	for name, bounds := range claimModels {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			found := exploreClaims(bounds, *statesLimit/claimShare)
-			t.Log(found)
-			if found.broken != "" {
-				t.Error(found)
+			result := exploreClaims(bounds, *statesLimit/claimStatesDivisor)
+			t.Log(result)
+			if result.violation != "" {
+				t.Error(result)
 			}
 		})
 	}
 }
 
-// TestExplorationFindsPlantedDefectsOfClaims proves that it can fail.
+// TestExplorationFindsPlantedDefectsOfClaims proves that the exploration can fail.
 func TestExplorationFindsPlantedDefectsOfClaims(t *testing.T) {
 	defects := map[string]struct {
 		model   string
@@ -169,10 +169,10 @@
 			t.Parallel()
 			bounds := claimModels[planted.model]
 			bounds.defects = planted.defects
-			found := exploreClaims(bounds, defectsLimit)
-			t.Log(found)
-			if found.broken == "" {
-				t.Error("the planted defect was not found")
+			result := exploreClaims(bounds, defectsLimit)
+			t.Log(result)
+			if result.violation == "" {
+				t.Error("the exploration did not find the planted defect")
 			}
 		})
 	}
--- a/internal/verify/claim_world_test.go
+++ b/internal/verify/claim_world_test.go
@@ -24,22 +24,22 @@
 	{Name: "c", Boot: 1, Address: "c"}, {Name: "d", Boot: 1, Address: "d"},
 }
 
-// claimBounds keep the model finite.
+// claimBounds bounds the model to a finite number of states.
 type claimBounds struct {
-	// changed is the second version's seats, by index; none where the table
-	// does not change.
-	changed []int
-	// ends is how many keepers may end for good.
+	// secondSeats lists the seats of the table's second version by index; it is nil if
+	// the table does not change.
+	secondSeats []int
+	// ends is the number of keepers that may end for good.
 	ends int
-	// timeouts is how often each asker's time may run out.
+	// timeouts is how often each asker may time out.
 	timeouts int
-	// repeats is how many questions may come twice.
-	repeats int
-	// fails lets a call that was granted be proved not to have run.
-	fails bool
-	// slow lets answers of keepers take time; else they arrive at once.
-	slow    bool
-	defects claim.Defects
+	// duplicates is the number of grant requests that may be delivered twice.
+	duplicates int
+	// allowFailures lets a granted call be reported as not run.
+	allowFailures bool
+	// delayReplies sends the keepers' replies over the network; otherwise they arrive immediately.
+	delayReplies bool
+	defects      claim.Defects
 }
 
 func (b claimBounds) slot(version int) claim.Slot {
@@ -48,73 +48,73 @@
 		return first
 	}
 	second := claim.Slot{Version: 2, Previous: [][]claim.Seat{first.Seats}}
-	for _, index := range b.changed {
+	for _, index := range b.secondSeats {
 		second.Seats = append(second.Seats, keeperSeats[index])
 	}
 	return second
 }
 
-// askerState is one attempt for the key.
+// askerState is one attempt to get a grant for the key.
 type askerState struct {
-	core     *claim.Asker
-	begun    bool
-	now      time.Time
-	timeouts int
-	asked    []claim.Seat
-	slot     claim.Slot
-	granted  bool
-	told     bool
-	// encoded is the core's part of the key, made anew with each step.
+	core       *claim.Asker
+	started    bool
+	now        time.Time
+	timeouts   int
+	askedSeats []claim.Seat
+	slot       claim.Slot
+	granted    bool
+	completed  bool
+	// encoded is the encoding of the core in the state key, updated with each step.
 	encoded string
 }
 
-// claimMessage is one on its way; exactly one of the fields is set.
+// claimMessage is a message in flight; exactly one of its pointer fields is set.
 type claimMessage struct {
-	// to is a keeper, or an asker for votes.
-	to       int
-	asker    int
-	grant    *claim.Grant
-	voted    *claim.VoteReceived
-	complete *claim.Complete
-	seal     *claim.Seal
-	from     int
-	handed   *claim.SealAnswered
-	learn    *claim.SlotUpdate
-	gone     *claim.ProcessEnded
-	encoded  string
+	// to is the index of a keeper, or of an asker for votes.
+	to           int
+	asker        int
+	grant        *claim.Grant
+	vote         *claim.VoteReceived
+	complete     *claim.Complete
+	seal         *claim.Seal
+	from         int
+	sealAnswer   *claim.SealAnswered
+	slotUpdate   *claim.SlotUpdate
+	processEnded *claim.ProcessEnded
+	encoded      string
 }
 
-// claimModel is the whole state: two attempts for one key, and its keepers.
+// claimModel is a state of the model: two attempts for one key, and its keepers.
 type claimModel struct {
 	bounds  *claimBounds
 	askers  [askers]askerState
 	keepers [maxKeepers]*claim.Keeper
-	// encoded are the keepers' parts of the key.
-	encoded [maxKeepers]string
-	ended   [maxKeepers]bool
-	network []claimMessage
-	version int
-	ends    int
-	repeats int
-	// sent counts the calls that were sent and not proved not to have run.
+	// encoded holds the encodings of the keepers in the state key.
+	encoded    [maxKeepers]string
+	ended      [maxKeepers]bool
+	network    []claimMessage
+	version    int
+	ends       int
+	duplicates int
+	// sent counts the calls that were sent and not reported as not run.
 	sent int
 }
 
-func newClaims(bounds *claimBounds) *claimModel {
-	world := &claimModel{bounds: bounds, version: 1}
+func newClaimModel(bounds *claimBounds) *claimModel {
+	model := &claimModel{bounds: bounds, version: 1}
 	for index, seat := range keeperSeats {
-		world.keepers[index] = claim.NewKeeper(claim.KeeperOptions{Self: seat, Defects: bounds.defects})
+		model.keepers[index] = claim.NewKeeper(claim.KeeperOptions{Self: seat, Defects: bounds.defects})
 	}
-	for index := range world.askers {
-		world.askers[index] = askerState{now: beginning, core: claim.NewAsker(claim.AskerOptions{
+	for index := range model.askers {
+		model.askers[index] = askerState{now: startTime, core: claim.NewAsker(claim.AskerOptions{
 			Request:  claim.Request{Key: callKey, Fingerprint: []byte("body"), Window: keyWindow},
 			Attempt:  fmt.Sprintf("attempt-%d", index),
 			Node:     fleet.NodeName(fmt.Sprintf("n%d", index)),
-			Deadline: beginning.Add(time.Hour),
+			Deadline: startTime.Add(time.Hour),
 			Defects:  bounds.defects,
 		})}
 	}
-	return world
+	return model
 }
 
 func (w *claimModel) clone(asker, keeper int) *claimModel {
@@ -138,9 +138,9 @@
 			grant := effect.Grant
 			w.send(claimMessage{to: keeperIndex(effect.To), asker: index, grant: &grant})
 		case claim.Release:
-			w.tell(effect.To, effect.Complete)
+			w.sendComplete(effect.To, effect.Complete)
 		case claim.Finish:
-			asker.asked, asker.slot = effect.Asked, effect.Slot
+			asker.askedSeats, asker.slot = effect.Asked, effect.Slot
 			if effect.Decision.Verdict == claim.Granted {
 				asker.granted = true
 				w.sent++
@@ -149,7 +149,7 @@
 	}
 }
 
-func (w *claimModel) tell(to []claim.Seat, complete claim.Complete) {
+func (w *claimModel) sendComplete(to []claim.Seat, complete claim.Complete) {
 	for _, seat := range to {
 		w.send(claimMessage{to: keeperIndex(seat), complete: &complete})
 	}
@@ -161,39 +161,39 @@
 }
 
 func encode[T any](value *T) string {
-	return string(appendValue(nil, reflect.ValueOf(value), leftOut))
+	return string(appendValue(nil, reflect.ValueOf(value), ignoredFields))
 }
 
 func keeperIndex(seat claim.Seat) int { return slices.IndexFunc(keeperSeats[:], seat.SameProcess) }
 
-// stepKeeper feeds a keeper; its answer goes to the asker or to the keeper
-// that asked. Clocks of keepers stand still: no record expires.
+// stepKeeper passes an input to a keeper and sends its reply to the asker or keeper
+// that asked. Keepers' clocks stand still, so no record expires.
 func (w *claimModel) stepKeeper(index int, input claim.KeeperMessage, cause claimMessage) {
 	defer func() { w.encoded[index] = encode(w.keepers[index]) }()
-	for _, effect := range w.keepers[index].Step(beginning, input) {
+	for _, effect := range w.keepers[index].Step(startTime, input) {
 		switch effect := effect.(type) {
 		case claim.GrantReply:
-			w.answer(claimMessage{to: cause.asker, voted: &claim.VoteReceived{
+			w.reply(claimMessage{to: cause.asker, vote: &claim.VoteReceived{
 				From: keeperSeats[index], Version: cause.grant.Slot.Version, Reply: effect,
 			}})
 		case claim.RequestSeal:
 			w.send(claimMessage{to: keeperIndex(effect.To), from: index, seal: &claim.Seal{Slot: effect.Slot}})
 		case claim.SealReply:
-			w.answer(claimMessage{to: cause.from, handed: &claim.SealAnswered{
+			w.reply(claimMessage{to: cause.from, sealAnswer: &claim.SealAnswered{
 				Index: cause.seal.Slot.Index, Version: cause.seal.Slot.Version, From: keeperSeats[index], Reply: effect,
 			}})
 		}
 	}
 }
 
-// answer sends a keeper's answer. What a step changes is copied only where its
-// message goes, so one that arrives at once needs a copy of its receiver too.
-func (w *claimModel) answer(sent claimMessage) {
+// reply sends a keeper's reply. clone copies only the receiver of the delivered message,
+// so the receiver of a reply that arrives immediately must be copied here.
+func (w *claimModel) reply(sent claimMessage) {
 	switch {
-	case w.bounds.slow:
+	case w.bounds.delayReplies:
 		w.send(sent)
 		return
-	case sent.voted != nil:
+	case sent.vote != nil:
 		w.askers[sent.to].core = deepCopy(w.askers[sent.to].core)
 	default:
 		w.keepers[sent.to] = deepCopy(w.keepers[sent.to])
@@ -201,10 +201,10 @@
 	w.deliver(sent)
 }
 
-// deliver lets a message arrive; one to a keeper that ended is lost.
+// deliver delivers a message; one to a keeper that has ended is lost.
 func (w *claimModel) deliver(sent claimMessage) {
-	if sent.voted != nil {
-		w.stepAsker(sent.to, *sent.voted)
+	if sent.vote != nil {
+		w.stepAsker(sent.to, *sent.vote)
 		return
 	}
 	if w.ended[sent.to] {
@@ -217,25 +217,25 @@
 		w.stepKeeper(sent.to, *sent.complete, sent)
 	case sent.seal != nil:
 		w.stepKeeper(sent.to, *sent.seal, sent)
-	case sent.handed != nil:
-		w.stepKeeper(sent.to, *sent.handed, sent)
-	case sent.learn != nil:
-		w.stepKeeper(sent.to, *sent.learn, sent)
-	case sent.gone != nil:
-		w.stepKeeper(sent.to, *sent.gone, sent)
+	case sent.sealAnswer != nil:
+		w.stepKeeper(sent.to, *sent.sealAnswer, sent)
+	case sent.slotUpdate != nil:
+		w.stepKeeper(sent.to, *sent.slotUpdate, sent)
+	case sent.processEnded != nil:
+		w.stepKeeper(sent.to, *sent.processEnded, sent)
 	}
 }
 
-func (w *claimModel) broken() string {
+func (w *claimModel) violation() string {
 	if w.sent > 1 {
 		return fmt.Sprintf("%d calls were sent with one key", w.sent)
 	}
 	return ""
 }
 
-// leftOut are the fields that the key leaves out: constants, and what holds
-// for one step only.
-var leftOut = map[string]bool{"options": true, "random": true, "effects": true, "now": true, "nextSweep": true,
+// ignoredFields lists the fields that the state key leaves out: constants, and values
+// that matter during one step only.
+var ignoredFields = map[string]bool{"options": true, "random": true, "effects": true, "now": true, "nextSweep": true,
 	"RetryAfter": true, "KnownFor": true, "ExpiresIn": true, "AttemptEndsIn": true}
 
 func (w *claimModel) key() uint64 {
@@ -244,7 +244,7 @@
 	for index := range w.askers {
 		asker := &w.askers[index]
 		key = append(key, byte(asker.timeouts))
-		for _, flag := range []bool{asker.begun, asker.granted, asker.told} {
+		for _, flag := range []bool{asker.started, asker.granted, asker.completed} {
 			key = appendBool(key, flag)
 		}
 		key = append(key, asker.encoded...)
@@ -252,7 +252,7 @@
 	for index := range w.keepers {
 		key = append(appendBool(key, w.ended[index]), w.encoded[index]...)
 	}
-	key = append(key, byte(w.version), byte(w.ends), byte(w.repeats), byte(w.sent))
+	key = append(key, byte(w.version), byte(w.ends), byte(w.duplicates), byte(w.sent))
 	encoded := make([]string, 0, len(w.network))
 	for _, sent := range w.network {
 		encoded = append(encoded, sent.encoded)
@@ -264,11 +264,11 @@
 	return xxhash.Sum64(key)
 }
 
-// dropStale takes messages out of the network that change nothing any more.
+// dropStale removes the messages from the network that no longer have any effect.
 func (w *claimModel) dropStale() {
 	w.network = slices.DeleteFunc(w.network, func(sent claimMessage) bool {
-		if sent.voted != nil {
-			return w.askers[sent.to].asked != nil
+		if sent.vote != nil {
+			return w.askers[sent.to].askedSeats != nil
 		}
 		return w.ended[sent.to]
 	})
--- a/internal/verify/copy_test.go
+++ b/internal/verify/copy_test.go
@@ -13,9 +13,9 @@
 	"github.com/spanlanding/spanlanding/internal/claim"
 )
 
-// deepCopy returns an independent copy of what the pointer points to. Slots are
-// shared, since nobody changes one, and random sources: they only draw delays,
-// which the models leave out.
+// deepCopy returns an independent copy of the value that the pointer points to. Slots
+// are shared because they are never modified, and random sources because they only draw
+// delays, which the models leave out.
 func deepCopy[T any](original *T) *T {
 	copied := new(T)
 	reflect.ValueOf(copied).Elem().Set(copyValue(reflect.ValueOf(original).Elem()))
@@ -74,19 +74,19 @@
 	return copied
 }
 
-// addressable returns the value, or a copy of it that has an address.
+// addressable returns the value, or an addressable copy of it.
 func addressable(value reflect.Value) reflect.Value {
 	if value.CanAddr() {
 		return value
 	}
-	placed := reflect.New(value.Type()).Elem()
-	placed.Set(value)
-	return placed
+	copied := reflect.New(value.Type()).Elem()
+	copied.Set(value)
+	return copied
 }
 
-// appendValue encodes a value so that equal ones have equal encodings. Of times
-// it keeps only whether they are set, of slots the version; the named fields are left out.
-func appendValue(key []byte, value reflect.Value, without map[string]bool) []byte {
+// appendValue encodes a value so that equal values have equal encodings. It encodes only
+// whether a time is set and only the version of a slot, and leaves the ignored fields out.
+func appendValue(key []byte, value reflect.Value, ignored map[string]bool) []byte {
 	if value.Type() == reflect.TypeFor[time.Time]() {
 		return appendBool(key, !addressable(value).Addr().Interface().(*time.Time).IsZero())
 	}
@@ -98,21 +98,21 @@
 		if value.IsNil() {
 			return append(key, 0)
 		}
-		return appendValue(append(key, 1), value.Elem(), without)
+		return appendValue(append(key, 1), value.Elem(), ignored)
 	case reflect.Struct:
 		source := addressable(value)
 		for index := range source.NumField() {
-			if !without[source.Type().Field(index).Name] {
-				key = appendValue(key, settable(source.Field(index)), without)
+			if !ignored[source.Type().Field(index).Name] {
+				key = appendValue(key, settable(source.Field(index)), ignored)
 			}
 		}
 		return key
 	case reflect.Map:
-		return appendMap(key, value, without)
+		return appendMap(key, value, ignored)
 	case reflect.Slice:
 		key = binary.AppendUvarint(key, uint64(value.Len()))
 		for index := range value.Len() {
-			key = appendValue(key, value.Index(index), without)
+			key = appendValue(key, value.Index(index), ignored)
 		}
 		return key
 	case reflect.String:
@@ -126,34 +126,34 @@
 	case reflect.Float64:
 		return key
 	default:
-		panic(fmt.Sprintf("no encoding of %s", value.Type()))
+		panic(fmt.Sprintf("no encoding for type %s", value.Type()))
 	}
 }
 
-func appendMap(key []byte, value reflect.Value, without map[string]bool) []byte {
+func appendMap(key []byte, value reflect.Value, ignored map[string]bool) []byte {
 	encoded := make(map[string]reflect.Value, value.Len())
 	for entries := value.MapRange(); entries.Next(); {
-		encoded[string(appendValue(nil, entries.Key(), without))] = entries.Value()
+		encoded[string(appendValue(nil, entries.Key(), ignored))] = entries.Value()
 	}
 	key = binary.AppendUvarint(key, uint64(len(encoded)))
 	for _, name := range slices.Sorted(maps.Keys(encoded)) {
-		key = appendValue(append(key, name...), encoded[name], without)
+		key = appendValue(append(key, name...), encoded[name], ignored)
 	}
 	return key
 }
 
-// TestDeepCopyIsIndependent changes a copy at every depth.
+// TestDeepCopyIsIndependent changes a copy at several depths.
 func TestDeepCopyIsIndependent(t *testing.T) {
 	type inner struct{ names []string }
 	type outer struct {
 		hidden map[string]*inner
 		since  time.Time
 	}
-	original := &outer{hidden: map[string]*inner{"a": {names: []string{"x"}}}, since: beginning}
+	original := &outer{hidden: map[string]*inner{"a": {names: []string{"x"}}}, since: startTime}
 	before := appendValue(nil, reflect.ValueOf(original), nil)
 	copied := deepCopy(original)
 	if after := appendValue(nil, reflect.ValueOf(copied), nil); !slices.Equal(before, after) {
-		t.Error("the copy differs")
+		t.Error("the copy differs from the original")
 	}
 	copied.hidden["a"].names[0] = "y"
 	copied.hidden["b"] = &inner{}
@@ -161,6 +161,6 @@
 		t.Error("the original changed with the copy")
 	}
 	if after := appendValue(nil, reflect.ValueOf(copied), nil); slices.Equal(before, after) {
-		t.Error("the change is not in the encoding")
+		t.Error("the encoding does not reflect the change")
 	}
 }
--- a/internal/verify/explore_test.go
+++ b/internal/verify/explore_test.go
@@ -6,93 +6,93 @@
 	"testing"
 )
 
-// move is one thing that may happen next.
-type move[State any] struct {
+// transition is one possible step from a state to the next.
+type transition[State any] struct {
 	name  func() string
 	state State
 }
 
-// named is a move whose name is put together only where it is shown.
-func named[State any](state State, format string, arguments ...any) move[State] {
-	return move[State]{name: func() string { return fmt.Sprintf(format, arguments...) }, state: state}
+// newTransition returns a transition whose name is formatted only when it is printed.
+func newTransition[State any](state State, format string, arguments ...any) transition[State] {
+	return transition[State]{name: func() string { return fmt.Sprintf(format, arguments...) }, state: state}
 }
 
-// space is what explore goes through.
-type space[State any] struct {
+// searchSpace is the state space that explore searches.
+type searchSpace[State any] struct {
 	initial State
-	// moves gives all that may happen next; it must not change the state.
-	moves func(State) []move[State]
-	// key tells states apart; what it leaves out must not matter.
+	// transitions returns all possible transitions; it must not change the state.
+	transitions func(State) []transition[State]
+	// key identifies a state; what it leaves out must not affect any later behaviour.
 	key func(State) uint64
-	// broken describes the rule that the state breaks; empty for none.
-	broken func(State) string
-	// limit bounds the states looked at; 0 for all.
+	// violation describes the rule that the state violates, or is empty.
+	violation func(State) string
+	// limit bounds the number of states visited; 0 means no bound.
 	limit int
 }
 
-// outcome is what an exploration found.
-type outcome struct {
+// exploration is the result of a search.
+type exploration struct {
 	states int
 	depth  int
-	// whole is set where every state within the model's bounds was seen.
-	whole bool
-	// broken is the first rule broken, with the shortest way to it.
-	broken string
-	path   []string
+	// complete is set if every state within the model's bounds was visited.
+	complete bool
+	// violation is the first violation found, and path the shortest way to it.
+	violation string
+	path      []string
 }
 
-func (o outcome) String() string {
-	if o.broken == "" {
-		return fmt.Sprintf("%d states, depth %d, whole: %v", o.states, o.depth, o.whole)
+func (o exploration) String() string {
+	if o.violation == "" {
+		return fmt.Sprintf("%d states, depth %d, complete: %v", o.states, o.depth, o.complete)
 	}
-	return fmt.Sprintf("%s after %d moves (%d states):\n  %s", o.broken, len(o.path), o.states, strings.Join(o.path, "\n  "))
+	return fmt.Sprintf("%s after %d transitions (%d states):\n  %s", o.violation, len(o.path), o.states, strings.Join(o.path, "\n  "))
 }
 
-// visit is a state's place in the tree of first ways.
+// visit is a state's node in the tree of shortest paths.
 type visit struct {
 	parent int
 	name   func() string
 }
 
-// explore goes through the states breadth first.
-func explore[State any](space space[State]) outcome {
+// explore searches the state space breadth first.
+func explore[State any](space searchSpace[State]) exploration {
 	seen := map[uint64]bool{space.key(space.initial): true}
 	visits := []visit{{parent: -1}}
-	type open struct {
+	type frontierEntry struct {
 		state State
 		index int
 	}
-	frontier := []open{{state: space.initial}}
-	found := outcome{whole: true}
+	frontier := []frontierEntry{{state: space.initial}}
+	result := exploration{complete: true}
 	for len(frontier) > 0 {
-		var next []open
+		var next []frontierEntry
 		for _, current := range frontier {
-			for _, move := range space.moves(current.state) {
+			for _, move := range space.transitions(current.state) {
 				key := space.key(move.state)
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
 				visits = append(visits, visit{parent: current.index, name: move.name})
-				if broken := space.broken(move.state); broken != "" {
-					found.states, found.broken, found.path = len(visits), broken, path(visits)
-					return found
+				if violation := space.violation(move.state); violation != "" {
+					result.states, result.violation, result.path = len(visits), violation, path(visits)
+					return result
 				}
-				next = append(next, open{state: move.state, index: len(visits) - 1})
+				next = append(next, frontierEntry{state: move.state, index: len(visits) - 1})
 			}
 			if space.limit > 0 && len(visits) >= space.limit {
-				found.states, found.whole = len(visits), false
-				return found
+				result.states, result.complete = len(visits), false
+				return result
 			}
 		}
 		frontier = next
-		found.depth++
+		result.depth++
 	}
-	found.states = len(visits)
-	return found
+	result.states = len(visits)
+	return result
 }
 
-// path is the way to the newest state.
+// path returns the names of the transitions that lead to the newest state.
 func path(visits []visit) []string {
 	var names []string
 	for index := len(visits) - 1; visits[index].parent >= 0; index = visits[index].parent {
@@ -101,20 +101,21 @@
 	return names
 }
 
-// TestExploreFindsTheShortestWay shows that the search itself can fail a rule.
+// TestExploreFindsTheShortestWay proves that the search reports a violation with the
+// shortest path to it.
 func TestExploreFindsTheShortestWay(t *testing.T) {
-	counter := space[int]{
-		moves: func(state int) []move[int] {
-			return []move[int]{named((state+1)%10, "add"), named(state*2%10, "double")}
+	counter := searchSpace[int]{
+		transitions: func(state int) []transition[int] {
+			return []transition[int]{newTransition((state+1)%10, "add"), newTransition(state*2%10, "double")}
 		},
-		key:    func(state int) uint64 { return uint64(state) },
-		broken: func(state int) string { return map[bool]string{true: "eight"}[state == 8] },
+		key:       func(state int) uint64 { return uint64(state) },
+		violation: func(state int) string { return map[bool]string{true: "eight"}[state == 8] },
 	}
-	if got := explore(counter); len(got.path) != 4 || got.broken != "eight" {
+	if got := explore(counter); len(got.path) != 4 || got.violation != "eight" {
 		t.Errorf("found %v", got)
 	}
-	counter.broken = func(int) string { return "" }
-	if got := explore(counter); got.states != 10 || !got.whole {
+	counter.violation = func(int) string { return "" }
+	if got := explore(counter); got.states != 10 || !got.complete {
 		t.Errorf("found %v", got)
 	}
 }
--- a/internal/verify/leadership_core_test.go
+++ b/internal/verify/leadership_core_test.go
@@ -12,8 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/leadership"
 )
 
-// leadershipFields are the fields of leadership.Core that are maps, slices or
-// pointers, and whether the core changes what they hold: those are copied.
+// leadershipFields lists the fields of leadership.Core that are maps, slices or pointers,
+// and whether the core modifies what they refer to; those are copied.
 var leadershipFields = map[string]bool{
 	"addresses": false,
 	"gone":      false,
@@ -21,8 +21,8 @@
 	"effects":   false,
 }
 
-// TestLeadershipCoreIsCopiedWhole fails where the core gets a field that
-// copyCore would share between two states.
+// TestLeadershipCoreIsCopiedWhole fails if the core gets a field that two states
+// would share after copyCore.
 func TestLeadershipCoreIsCopiedWhole(t *testing.T) {
 	core := reflect.TypeFor[leadership.Core]()
 	for index := range core.NumField() {
@@ -30,30 +30,30 @@
 		switch field.Type.Kind() {
 		case reflect.Map, reflect.Slice, reflect.Pointer:
 			if _, known := leadershipFields[field.Name]; !known {
-				t.Errorf("copyCore does not know the field %s", field.Name)
+				t.Errorf("copyCore does not handle the field %s", field.Name)
 			}
 		default:
 		}
 	}
 }
 
-// fields are the places of a struct's fields by name.
-type fields map[string]int
+// fieldIndexes maps the names of a struct's fields to their indexes.
+type fieldIndexes map[string]int
 
-func fieldsOf(kind reflect.Type) fields {
-	places := make(fields)
+func fieldsOf(kind reflect.Type) fieldIndexes {
+	indexes := make(fieldIndexes)
 	for index := range kind.NumField() {
-		places[kind.Field(index).Name] = index
+		indexes[kind.Field(index).Name] = index
 	}
-	return places
+	return indexes
 }
 
-func (f fields) of(value reflect.Value, name string) reflect.Value {
-	place, found := f[name]
+func (f fieldIndexes) get(value reflect.Value, name string) reflect.Value {
+	index, found := f[name]
 	if !found {
-		panic("the core has no field " + name)
+		panic("leadership.Core has no field " + name)
 	}
-	return value.Field(place)
+	return value.Field(index)
 }
 
 var (
@@ -66,12 +66,12 @@
 	return reflect.TypeFor[leadership.Core]().Field(coreFields[name]).Type
 }
 
-// coreField reads an unexported field.
+// coreField returns a field of the core by name, including unexported ones.
 func coreField(core *leadership.Core, name string) reflect.Value {
-	return coreFields.of(reflect.ValueOf(core).Elem(), name)
+	return coreFields.get(reflect.ValueOf(core).Elem(), name)
 }
 
-// copyCore returns an independent copy.
+// copyCore returns an independent copy of the core.
 func copyCore(core *leadership.Core) *leadership.Core {
 	copied := *core
 	field := coreField(&copied, "engines")
@@ -89,12 +89,12 @@
 	return &copied
 }
 
-// settable lifts the bar on unexported fields.
+// settable returns the value without the restrictions of reflect on unexported fields.
 func settable(value reflect.Value) reflect.Value {
 	return reflect.NewAt(value.Type(), value.Addr().UnsafePointer()).Elem()
 }
 
-// The phases of a core that the model tells apart.
+// The phases of a core that the model distinguishes.
 const (
 	phaseIdle     = 0
 	phaseReading  = 1
@@ -105,9 +105,9 @@
 	return int(coreField(core, "phase").Int())
 }
 
-// appendCore encodes what bears on the core's further behaviour. Numbers of
-// questions count from the newest, and of times only their order to the
-// leader's clock matters, since that may jump to the next wake at any moment.
+// appendCore encodes everything that affects the core's further behaviour. Request IDs are
+// encoded relative to the newest one. Of times only their order relative to the leader's
+// clock matters, because the clock may jump to the next wake time at any moment.
 func appendCore(key []byte, core *leadership.Core, now time.Time) []byte {
 	sequence := core.LastRequestID()
 	passed := func(name string) uint64 {
@@ -123,7 +123,7 @@
 		sequence - coreField(core, "learnID").Uint(),
 		coreField(core, "followed").Uint(),
 		core.RoundRecord().Generation,
-		recordFields.of(coreField(core, "record"), "Generation").Uint(),
+		recordFields.get(coreField(core, "record"), "Generation").Uint(),
 		uint64(core.Fence()),
 		coreField(core, "highest").Uint(),
 	}
@@ -136,25 +136,25 @@
 		progress[entries.Key().String()] = entries.Value().Elem()
 	}
 	for _, name := range slices.Sorted(maps.Keys(progress)) {
-		key = appendProgress(append(key, name...), progress[name], sequence)
+		key = appendEngine(append(key, name...), progress[name], sequence)
 	}
 	return append(key, 0)
 }
 
 func modelsOf(engine reflect.Value) int {
-	return engineFields.of(engine, "state").FieldByName("Models").Len()
+	return engineFields.get(engine, "state").FieldByName("Models").Len()
 }
 
-func appendProgress(key []byte, engine reflect.Value, sequence uint64) []byte {
-	asked := engineFields.of(engine, "asked").Uint()
+func appendEngine(key []byte, engine reflect.Value, sequence uint64) []byte {
+	asked := engineFields.get(engine, "asked").Uint()
 	if asked != 0 {
 		asked = sequence - asked + 1
 	}
 	key = binary.AppendUvarint(key, asked)
-	key = binary.AppendUvarint(key, engineFields.of(engine, "incarnation").Uint())
+	key = binary.AppendUvarint(key, engineFields.get(engine, "incarnation").Uint())
 	key = binary.AppendUvarint(key, uint64(modelsOf(engine)))
 	for _, flag := range []string{"read", "granted", "verified"} {
-		key = appendBool(key, engineFields.of(engine, flag).Bool())
+		key = appendBool(key, engineFields.get(engine, flag).Bool())
 	}
 	return key
 }
@@ -166,13 +166,13 @@
 	return append(key, 0)
 }
 
-// incarnationOf is the engine's incarnation that the round's claim named.
+// incarnationOf returns the engine's incarnation that the round's claim named.
 func incarnationOf(core *leadership.Core, name fleet.BackendName) uint64 {
 	return engineNumber(core, name, "incarnation")
 }
 
-// askedOf is the number of the question that the engine's answer is awaited to.
-func askedOf(core *leadership.Core, name fleet.BackendName) uint64 {
+// pendingRequestID returns the ID of the request that the engine has not answered yet.
+func pendingRequestID(core *leadership.Core, name fleet.BackendName) uint64 {
 	return engineNumber(core, name, "asked")
 }
 
@@ -181,5 +181,5 @@
 	if !engine.IsValid() {
 		return 0
 	}
-	return engineFields.of(engine.Elem(), field).Uint()
+	return engineFields.get(engine.Elem(), field).Uint()
 }
--- a/internal/verify/leadership_moves_test.go
+++ b/internal/verify/leadership_moves_test.go
@@ -7,25 +7,25 @@
 	"github.com/spanlanding/spanlanding/internal/leadership"
 )
 
-// moves gives all that may happen next: any message is delivered, an engine
-// restarts, a leader's time runs out, the record changes or is heard, a leader
-// orders a load or an unload or confirms a limit. A leader that is paused is
-// one that nothing happens to; a message that is lost is never delivered.
-func (w *zoneModel) moves() []move[*zoneModel] {
-	var moves []move[*zoneModel]
+// transitions returns every possible next transition: a message is delivered, an engine
+// restarts, a leader's timer expires, the record changes or reaches a leader, a leader
+// orders a load or an unload or confirms a limit. A paused leader is one without
+// transitions, a lost message one that is never delivered.
+func (w *zoneModel) transitions() []transition[*zoneModel] {
+	var transitions []transition[*zoneModel]
 	for index, sent := range w.network {
-		if sent.kind == readAsked && phaseOf(w.leaders[sent.leader].core) == phaseReading {
+		if sent.kind == readRequest && phaseOf(w.leaders[sent.leader].core) == phaseReading {
 			continue
 		}
 		next := w.clone(sent.leader)
 		next.network = slices.Delete(next.network, index, index+1)
 		next.deliver(sent)
-		moves = append(moves, named(next, "%v", sent))
-		if w.repeats < w.bounds.repeats && (sent.kind == claimAsked || sent.kind >= loadOrdered) {
-			again := w.clone(sent.leader)
-			again.repeats++
-			again.deliver(sent)
-			moves = append(moves, named(again, "%v, doubled", sent))
+		transitions = append(transitions, newTransition(next, "%v", sent))
+		if w.duplicates < w.bounds.duplicates && (sent.kind == claimRequest || sent.kind >= loadOrder) {
+			duplicated := w.clone(sent.leader)
+			duplicated.duplicates++
+			duplicated.deliver(sent)
+			transitions = append(transitions, newTransition(duplicated, "%v, delivered twice", sent))
 		}
 	}
 	for engine := range w.bounds.engines {
@@ -33,53 +33,53 @@
 			next := w.clone(-1)
 			next.restarts++
 			next.engines[engine] = engineModel{incarnation: w.engines[engine].incarnation + 1}
-			moves = append(moves, named(next, "%s restarts", engineNames[engine]))
+			transitions = append(transitions, newTransition(next, "%s restarts", engineNames[engine]))
 		}
 	}
-	if w.stored < len(w.bounds.limits) {
+	if w.storedGeneration < len(w.bounds.limits) {
 		next := w.clone(-1)
-		next.stored++
-		moves = append(moves, named(next, "the record changes"))
+		next.storedGeneration++
+		transitions = append(transitions, newTransition(next, "the record changes"))
 	}
 	for index := range w.leaders {
-		moves = append(moves, w.leaderMoves(index)...)
+		transitions = append(transitions, w.leaderTransitions(index)...)
 	}
-	return moves
+	return transitions
 }
 
-func (w *zoneModel) leaderMoves(index int) []move[*zoneModel] {
+func (w *zoneModel) leaderTransitions(index int) []transition[*zoneModel] {
 	leader := &w.leaders[index]
 	phase := phaseOf(leader.core)
 	if phase == phaseReading {
-		return w.readMoves(index)
+		return w.readTransitions(index)
 	}
-	var moves []move[*zoneModel]
+	var transitions []transition[*zoneModel]
 	if !leader.core.NextWake().IsZero() && (phase != phaseIdle || leader.rounds < w.bounds.rounds) {
 		next := w.clone(index)
 		next.wake(index)
-		moves = append(moves, named(next, "%c's time runs out", 'A'+index))
+		transitions = append(transitions, newTransition(next, "timer of %c expires", 'A'+index))
 	}
-	if leader.heard < w.stored {
+	if leader.knownGeneration < w.storedGeneration {
 		next := w.clone(index)
-		next.leaders[index].heard = w.stored
-		next.step(index, leadership.RecordReceived{Record: w.bounds.record(w.stored)})
-		moves = append(moves, named(next, "%c hears the record", 'A'+index))
+		next.leaders[index].knownGeneration = w.storedGeneration
+		next.step(index, leadership.RecordReceived{Record: w.bounds.record(w.storedGeneration)})
+		transitions = append(transitions, newTransition(next, "%c receives the record", 'A'+index))
 	}
 	if !leader.core.Leading() {
-		return moves
+		return transitions
 	}
-	carried := int(leader.core.RoundRecord().Generation)
-	if !w.confirmed && carried == len(w.bounds.limits) && carried > 1 && leader.count() <= w.bounds.limits[carried-1] {
+	generation := int(leader.core.RoundRecord().Generation)
+	if !w.confirmed && generation == len(w.bounds.limits) && generation > 1 && leader.replicaCount() <= w.bounds.limits[generation-1] {
 		next := w.clone(-1)
 		next.confirmed = true
-		moves = append(moves, named(next, "%c confirms", 'A'+index))
+		transitions = append(transitions, newTransition(next, "%c confirms the limit", 'A'+index))
 	}
 	for engine := range w.bounds.engines {
-		if leader.held[engine] {
-			moves = append(moves, w.engineMoves(index, engine)...)
+		if leader.claimed[engine] {
+			transitions = append(transitions, w.engineTransitions(index, engine)...)
 		}
 	}
-	return moves
+	return transitions
 }
 
 func (w *zoneModel) wake(index int) {
@@ -87,20 +87,20 @@
 	w.step(index, leadership.Tick{})
 }
 
-// readMoves let some of the engines answer the first reads of a round at once,
-// the others not. That an engine changes after its answer and before another's
-// is the same as that it changes after both: a claim names what was read.
-func (w *zoneModel) readMoves(index int) []move[*zoneModel] {
-	var asked []message
+// readTransitions lets each subset of the engines answer the first reads of a round
+// immediately. An engine that changes after its own answer and before another one's is
+// equivalent to one that changes after both, because a claim names the state that was read.
+func (w *zoneModel) readTransitions(index int) []transition[*zoneModel] {
+	var requests []message
 	for _, sent := range w.network {
-		if sent.leader == index && sent.kind == readAsked {
-			asked = append(asked, sent)
+		if sent.leader == index && sent.kind == readRequest {
+			requests = append(requests, sent)
 		}
 	}
-	var moves []move[*zoneModel]
-	for answered := range 1 << len(asked) {
+	var transitions []transition[*zoneModel]
+	for answered := range 1 << len(requests) {
 		next := w.clone(index)
-		for place, sent := range asked {
+		for place, sent := range requests {
 			if answered&(1<<place) != 0 {
 				next.step(index, leadership.StateRead{ID: sent.id, Engine: engineNames[sent.engine], State: next.stateOf(sent.engine)})
 			}
@@ -109,17 +109,17 @@
 			next.wake(index)
 		}
 		if len(w.bounds.limits) == 1 {
-			// The record does not change: it may as well be learned at once.
-			next.learnAtOnce(index)
+			// The record does not change, so it can be learned immediately.
+			next.deliverLearnRequest(index)
 		}
-		moves = append(moves, named(next, "%c reads engines %b of %d", 'A'+index, answered, len(asked)))
+		transitions = append(transitions, newTransition(next, "%c reads engines %b of %d", 'A'+index, answered, len(requests)))
 	}
-	return moves
+	return transitions
 }
 
-func (w *zoneModel) learnAtOnce(index int) {
+func (w *zoneModel) deliverLearnRequest(index int) {
 	for place, sent := range w.network {
-		if sent.leader == index && sent.kind == learnAsked {
+		if sent.leader == index && sent.kind == learnRequest {
 			w.network = slices.Delete(w.network, place, place+1)
 			w.deliver(sent)
 			return
@@ -127,50 +127,50 @@
 	}
 }
 
-// engineMoves are those of a leader with an engine that it holds.
-func (w *zoneModel) engineMoves(index, engine int) []move[*zoneModel] {
+// engineTransitions returns the transitions of a leader with an engine that it has claimed.
+func (w *zoneModel) engineTransitions(index, engine int) []transition[*zoneModel] {
 	leader := &w.leaders[index]
-	seen := w.incarnationSeen(index, engine)
-	var moves []move[*zoneModel]
-	if w.engines[engine].incarnation != seen || w.engines[engine].fence > leader.core.Fence() {
+	incarnation := w.claimedIncarnation(index, engine)
+	var transitions []transition[*zoneModel]
+	if w.engines[engine].incarnation != incarnation || w.engines[engine].fence > leader.core.Fence() {
 		next := w.clone(index)
 		next.step(index, leadership.StateRead{Engine: engineNames[engine], State: next.stateOf(engine)})
-		moves = append(moves, named(next, "%c polls %s", 'A'+index, engineNames[engine]))
+		transitions = append(transitions, newTransition(next, "%c polls %s", 'A'+index, engineNames[engine]))
 	}
 	if w.orders >= w.bounds.orders {
-		return moves
+		return transitions
 	}
-	kind := loadOrdered
+	kind := loadOrder
 	switch {
-	case leader.holds[engine] && w.mayUnload(index, engine):
-		kind = unloadOrdered
-	case leader.holds[engine]:
-		return moves
-	case leader.count() >= w.bounds.limits[leader.heard-1]:
-		return moves
+	case leader.occupied[engine] && w.canUnload(index, engine):
+		kind = unloadOrder
+	case leader.occupied[engine]:
+		return transitions
+	case leader.replicaCount() >= w.bounds.limits[leader.knownGeneration-1]:
+		return transitions
 	}
 	next := w.clone(-1)
 	next.orders++
-	next.leaders[index].holds[engine] = true
-	ordered := message{kind: kind, leader: index, engine: engine, fence: leader.core.Fence(), incarnation: seen}
-	if w.bounds.repeats > 0 {
-		ordered.id = uint64(next.orders)
+	next.leaders[index].occupied[engine] = true
+	order := message{kind: kind, leader: index, engine: engine, fence: leader.core.Fence(), incarnation: incarnation}
+	if w.bounds.duplicates > 0 {
+		order.id = uint64(next.orders)
 	}
-	next.send(ordered)
-	return append(moves, named(next, "sent: %v", ordered))
+	next.send(order)
+	return append(transitions, newTransition(next, "sent: %v", order))
 }
 
-// mayUnload: a load that is still in flight must show first.
-func (w *zoneModel) mayUnload(index, engine int) bool {
+// canUnload reports whether the leader may order an unload: no load order may be in flight.
+func (w *zoneModel) canUnload(index, engine int) bool {
 	inFlight := slices.ContainsFunc(w.network, func(sent message) bool {
-		return sent.kind == loadOrdered && sent.leader == index && sent.engine == engine
+		return sent.kind == loadOrder && sent.leader == index && sent.engine == engine
 	})
 	return w.bounds.unloads && !inFlight
 }
 
-// incarnationSeen is the one that the leader's claim named: its orders name it
-// too.
-func (w *zoneModel) incarnationSeen(index, engine int) uint64 {
+// claimedIncarnation returns the engine incarnation that the leader's claim named; its
+// orders name the same one.
+func (w *zoneModel) claimedIncarnation(index, engine int) uint64 {
 	return incarnationOf(w.leaders[index].core, engineNames[engine])
 }
 
@@ -185,54 +185,54 @@
 		Fence:       fence,
 	}
 	if loaded {
-		state.Models = []fleet.LoadedModel{{Model: oneModel, State: fleet.LoadReady}}
+		state.Models = []fleet.LoadedModel{{Model: testModel, State: fleet.LoadReady}}
 	}
 	return state
 }
 
-// deliver lets a message arrive.
+// deliver delivers a message to its receiver.
 func (w *zoneModel) deliver(sent message) {
 	switch sent.kind {
-	case readAsked:
+	case readRequest:
 		engine := w.engines[sent.engine]
-		answer := message{kind: readAnswered, leader: sent.leader, engine: sent.engine, id: sent.id,
+		answer := message{kind: readReply, leader: sent.leader, engine: sent.engine, id: sent.id,
 			incarnation: engine.incarnation, fence: engine.fence, loaded: engine.loaded}
-		w.answer(answer)
-	case readAnswered:
+		w.reply(answer)
+	case readReply:
 		w.step(sent.leader, leadership.StateRead{ID: sent.id, Engine: engineNames[sent.engine],
 			State: engineState(sent.engine, sent.incarnation, sent.fence, sent.loaded)})
-	case learnAsked:
-		w.leaders[sent.leader].heard = w.stored
-		w.step(sent.leader, leadership.RecordLearned{ID: sent.id, Record: w.bounds.record(w.stored)})
-	case claimAsked:
-		w.claim(sent)
-	case claimAnswered:
-		w.takeClaimAnswer(sent)
-	case loadOrdered, unloadOrdered:
-		w.order(sent)
+	case learnRequest:
+		w.leaders[sent.leader].knownGeneration = w.storedGeneration
+		w.step(sent.leader, leadership.RecordLearned{ID: sent.id, Record: w.bounds.record(w.storedGeneration)})
+	case claimRequest:
+		w.handleClaim(sent)
+	case claimReply:
+		w.handleClaimReply(sent)
+	case loadOrder, unloadOrder:
+		w.handleOrder(sent)
 	}
 }
 
-func (w *zoneModel) answer(answer message) {
-	if !w.bounds.slow {
-		w.deliver(answer)
+func (w *zoneModel) reply(reply message) {
+	if !w.bounds.delayReplies {
+		w.deliver(reply)
 		return
 	}
-	w.send(answer)
+	w.send(reply)
 }
 
-func (w *zoneModel) claim(sent message) {
+func (w *zoneModel) handleClaim(sent message) {
 	engine := &w.engines[sent.engine]
-	answer := message{kind: claimAnswered, leader: sent.leader, engine: sent.engine, id: sent.id}
+	answer := message{kind: claimReply, leader: sent.leader, engine: sent.engine, id: sent.id}
 	if sent.incarnation == engine.incarnation && sent.fence > engine.fence {
 		engine.fence = sent.fence
 		answer.granted = true
 	}
 	answer.incarnation, answer.fence, answer.loaded = engine.incarnation, engine.fence, engine.loaded
-	w.answer(answer)
+	w.reply(answer)
 }
 
-func (w *zoneModel) takeClaimAnswer(sent message) {
+func (w *zoneModel) handleClaimReply(sent message) {
 	answer := leadership.ClaimAnswered{ID: sent.id, Engine: engineNames[sent.engine], Result: leadership.ClaimRefused, Fence: sent.fence}
 	if sent.granted {
 		answer.Result = leadership.ClaimGranted
@@ -241,9 +241,9 @@
 	w.step(sent.leader, answer)
 }
 
-// order is carried out once in an incarnation, and only under the fence and
-// incarnation that it names. The leader hears of a refusal, and of an unload.
-func (w *zoneModel) order(sent message) {
+// handleOrder executes an order once per incarnation, and only under the fence and
+// incarnation that it names. The leader learns of refusals and of completed unloads.
+func (w *zoneModel) handleOrder(sent message) {
 	engine := &w.engines[sent.engine]
 	leader := &w.leaders[sent.leader]
 	inRound := leader.core.Leading() && leader.core.Fence() == sent.fence
@@ -253,11 +253,11 @@
 		}
 		return
 	}
-	if bit := uint16(1) << sent.id; sent.id == 0 || engine.taken&bit == 0 {
-		engine.taken |= bit &^ 1
-		engine.loaded = sent.kind == loadOrdered
+	if bit := uint16(1) << sent.id; sent.id == 0 || engine.executedOrders&bit == 0 {
+		engine.executedOrders |= bit &^ 1
+		engine.loaded = sent.kind == loadOrder
 	}
-	if inRound && sent.kind == unloadOrdered {
-		leader.holds[sent.engine] = engine.loaded
+	if inRound && sent.kind == unloadOrder {
+		leader.occupied[sent.engine] = engine.loaded
 	}
 }
--- a/internal/verify/leadership_world_test.go
+++ b/internal/verify/leadership_world_test.go
@@ -20,25 +20,25 @@
 )
 
 var (
-	oneModel    = fleet.ModelVersion{Model: "m", Version: "1"}
+	testModel   = fleet.ModelVersion{Model: "m", Version: "1"}
 	engineNames = [maxEngines]fleet.BackendName{"x", "y", "w"}
-	beginning   = time.Unix(1000, 0)
+	startTime   = time.Unix(1000, 0)
 )
 
-// bounds keep the model finite.
+// bounds bounds the model to a finite number of states.
 type bounds struct {
-	engines, restarts, rounds, orders, repeats int
-	// limits are the zone's limit of the model in each generation, from 1 on,
-	// and added how many of the engines the record names in it.
-	limits, named []int
-	// slow lets answers to claims and second reads take time; else they arrive
-	// as the engine gives them.
-	slow bool
-	// unloads lets leaders unload too.
+	engines, restarts, rounds, orders, duplicates int
+	// limits holds the zone's limit of the model in each generation, starting with 1, and
+	// engineCounts the number of engines that the record names in it.
+	limits, engineCounts []int
+	// delayReplies sends the answers to claims and second reads over the network; otherwise
+	// they arrive immediately.
+	delayReplies bool
+	// unloads lets leaders order unloads as well.
 	unloads bool
-	// ahead begins where the record is the newest one, and A alone heard it.
-	ahead   bool
-	defects leadership.Defects
+	// firstLeaderAhead starts with the newest record stored and known to leader A only.
+	firstLeaderAhead bool
+	defects          leadership.Defects
 }
 
 func (b bounds) record(generation int) allotment.Record {
@@ -50,40 +50,40 @@
 	return allotment.Record{
 		Generation: uint64(generation),
 		Models: map[fleet.ModelVersion]allotment.Decision{
-			oneModel: {ReplicaLimit: share.Ceiling, Zones: map[fleet.Zone]allotment.Share{zone: share}},
+			testModel: {ReplicaLimit: share.Ceiling, Zones: map[fleet.Zone]allotment.Share{zone: share}},
 		},
-		Zones: map[fleet.Zone]allotment.ZoneEntry{zone: {Engines: engineNames[:b.named[generation-1]]}},
+		Zones: map[fleet.Zone]allotment.ZoneEntry{zone: {Engines: engineNames[:b.engineCounts[generation-1]]}},
 	}
 }
 
-// engineModel is an engine as its contract describes it.
+// engineModel models an engine as its contract describes it.
 type engineModel struct {
 	incarnation uint64
 	fence       fleet.Fence
 	loaded      bool
-	// taken are the orders carried out in this incarnation, a bit each.
-	taken uint16
+	// executedOrders is a bit set of the orders executed in this incarnation.
+	executedOrders uint16
 }
 
-// leaderModel is a core with a small placement of one model.
+// leaderModel combines a core with a minimal placement of one model.
 type leaderModel struct {
 	core   *leadership.Core
 	now    time.Time
 	rounds int
-	// heard is the generation of the newest record the leader has.
-	heard int
-	// held are the engines of the established round: what they hold, or are
-	// ordered to.
-	held, holds [maxEngines]bool
-	full        int
-	// encoded is the core's part of the key, made anew with each step.
+	// knownGeneration is the generation of the newest record that the leader knows.
+	knownGeneration int
+	// claimed marks the engines of the established round, occupied those that hold a
+	// replica or were ordered to load one.
+	claimed, occupied [maxEngines]bool
+	assumedFull       int
+	// encoded is the encoding of the core in the state key, updated with each step.
 	encoded []byte
 }
 
-func (l *leaderModel) count() int {
-	count := l.full
-	for engine, holds := range l.holds {
-		if l.held[engine] && holds {
+func (l *leaderModel) replicaCount() int {
+	count := l.assumedFull
+	for engine, holds := range l.occupied {
+		if l.claimed[engine] && holds {
 			count++
 		}
 	}
@@ -93,21 +93,21 @@
 type messageKind byte
 
 const (
-	readAsked messageKind = iota
-	readAnswered
-	learnAsked
-	claimAsked
-	claimAnswered
-	loadOrdered
-	unloadOrdered
+	readRequest messageKind = iota
+	readReply
+	learnRequest
+	claimRequest
+	claimReply
+	loadOrder
+	unloadOrder
 )
 
-// message is one on its way between a leader and an engine or the store. It
-// may take any time and come after any other.
+// message is a message in flight between a leader and an engine or the store. It may
+// take any time and arrive after any other.
 type message struct {
 	kind           messageKind
 	leader, engine int
-	// id is the number of the question, or of the order.
+	// id is the ID of the request or of the order.
 	id          uint64
 	incarnation uint64
 	fence       fleet.Fence
@@ -121,47 +121,47 @@
 		'A'+m.leader, kinds[m.kind], engineNames[m.engine], m.fence, m.incarnation, m.granted)
 }
 
-// zoneModel is the whole state.
+// zoneModel is a state of the model.
 type zoneModel struct {
-	bounds   *bounds
-	leaders  [leaders]leaderModel
-	engines  [maxEngines]engineModel
-	network  []message
-	stored   int
-	restarts int
-	orders   int
-	repeats  int
+	bounds           *bounds
+	leaders          [leaders]leaderModel
+	engines          [maxEngines]engineModel
+	network          []message
+	storedGeneration int
+	restarts         int
+	orders           int
+	duplicates       int
 	// confirmed is set once a leader has confirmed the newest limit.
 	confirmed bool
 }
 
 func newZone(bounds *bounds) *zoneModel {
-	world := &zoneModel{bounds: bounds, stored: 1}
+	model := &zoneModel{bounds: bounds, storedGeneration: 1}
 	addresses := make(map[fleet.BackendName]string)
 	for engine := range bounds.engines {
-		world.engines[engine].incarnation = 1
+		model.engines[engine].incarnation = 1
 		addresses[engineNames[engine]] = string(engineNames[engine])
 	}
-	for index := range world.leaders {
-		leader := &world.leaders[index]
-		leader.now = beginning
-		leader.heard = 1
+	for index := range model.leaders {
+		leader := &model.leaders[index]
+		leader.now = startTime
+		leader.knownGeneration = 1
 		leader.core = leadership.New(leadership.Options{
 			Self: fleet.NodeName(rune('A' + index)), Zone: zone, Holder: uint16(index + 1),
 			Settings: leadership.DefaultSettings(), Defects: bounds.defects,
 		})
-		world.step(index, leadership.EnginesListed{Addresses: addresses})
-		if bounds.ahead && index == 0 {
-			world.stored = len(bounds.limits)
-			leader.heard = world.stored
+		model.step(index, leadership.EnginesListed{Addresses: addresses})
+		if bounds.firstLeaderAhead && index == 0 {
+			model.storedGeneration = len(bounds.limits)
+			leader.knownGeneration = model.storedGeneration
 		}
-		world.step(index, leadership.RecordReceived{Record: bounds.record(leader.heard)})
-		world.step(index, leadership.LeadershipDesired{Lead: true})
+		model.step(index, leadership.RecordReceived{Record: bounds.record(leader.knownGeneration)})
+		model.step(index, leadership.LeadershipDesired{Lead: true})
 	}
-	return world
+	return model
 }
 
-// clone copies the state; the core only of the leader that is about to move.
+// clone copies the state, but only the core of the leader that takes the next step.
 func (w *zoneModel) clone(moving int) *zoneModel {
 	copied := *w
 	copied.network = slices.Clone(w.network)
@@ -171,23 +171,23 @@
 	return &copied
 }
 
-// step feeds a leader's core and carries its effects out.
+// step passes an input to a leader's core and applies its effects.
 func (w *zoneModel) step(index int, input leadership.Message) {
 	leader := &w.leaders[index]
 	for _, effect := range leader.core.Step(leader.now, input) {
 		switch effect := effect.(type) {
 		case leadership.ReadEngine:
-			w.send(message{kind: readAsked, leader: index, engine: engineIndex(effect.Engine), id: effect.ID})
+			w.send(message{kind: readRequest, leader: index, engine: engineIndex(effect.Engine), id: effect.ID})
 		case leadership.LearnRecord:
 			leader.rounds++
-			w.send(message{kind: learnAsked, leader: index, id: effect.ID})
+			w.send(message{kind: learnRequest, leader: index, id: effect.ID})
 		case leadership.SendClaim:
-			w.send(message{kind: claimAsked, leader: index, engine: engineIndex(effect.Engine), id: effect.ID,
+			w.send(message{kind: claimRequest, leader: index, engine: engineIndex(effect.Engine), id: effect.ID,
 				fence: effect.Fence, incarnation: effect.Incarnation})
 		case leadership.RoundEstablished:
-			w.established(leader, effect)
+			w.roundEstablished(leader, effect)
 		case leadership.RoundEnded:
-			leader.held, leader.holds, leader.full = [maxEngines]bool{}, [maxEngines]bool{}, 0
+			leader.claimed, leader.occupied, leader.assumedFull = [maxEngines]bool{}, [maxEngines]bool{}, 0
 		}
 	}
 	leader.encoded = nil
@@ -196,12 +196,12 @@
 	}
 }
 
-func (w *zoneModel) established(leader *leaderModel, round leadership.RoundEstablished) {
-	leader.full = len(round.AssumedFull)
+func (w *zoneModel) roundEstablished(leader *leaderModel, round leadership.RoundEstablished) {
+	leader.assumedFull = len(round.AssumedFull)
 	for name, state := range round.Held {
 		engine := engineIndex(name)
-		leader.held[engine] = true
-		leader.holds[engine] = len(state.Models) > 0
+		leader.claimed[engine] = true
+		leader.occupied[engine] = len(state.Models) > 0
 	}
 }
 
@@ -209,27 +209,27 @@
 
 func (w *zoneModel) send(sent message) { w.network = append(w.network, sent) }
 
-// dropStale takes messages out of the network that change nothing any more,
-// at a leader or at an engine.
+// dropStale removes the messages from the network that no longer have any effect on a
+// leader or an engine.
 func (w *zoneModel) dropStale() {
 	w.network = slices.DeleteFunc(w.network, func(sent message) bool {
 		core := w.leaders[sent.leader].core
 		engine := w.engines[sent.engine]
-		dead := sent.incarnation != engine.incarnation || sent.fence < engine.fence
+		stale := sent.incarnation != engine.incarnation || sent.fence < engine.fence
 		switch sent.kind {
-		case learnAsked:
+		case learnRequest:
 			return phaseOf(core) != phaseLearning
-		case loadOrdered, unloadOrdered:
-			return dead && (!core.Leading() || core.Fence() != sent.fence)
-		case claimAsked:
-			return (dead || sent.fence == engine.fence) && askedOf(core, engineNames[sent.engine]) != sent.id
+		case loadOrder, unloadOrder:
+			return stale && (!core.Leading() || core.Fence() != sent.fence)
+		case claimRequest:
+			return (stale || sent.fence == engine.fence) && pendingRequestID(core, engineNames[sent.engine]) != sent.id
 		default:
-			return askedOf(core, engineNames[sent.engine]) != sent.id
+			return pendingRequestID(core, engineNames[sent.engine]) != sent.id
 		}
 	})
 }
 
-// loaded is the true number of replicas.
+// loaded returns the actual number of replicas.
 func (w *zoneModel) loaded() int {
 	count := 0
 	for _, engine := range w.engines {
@@ -240,15 +240,15 @@
 	return count
 }
 
-// allowed is the most replicas that may be loaded.
+// allowed returns the maximum number of replicas that may be loaded.
 func (w *zoneModel) allowed() int {
 	if w.confirmed {
-		return w.bounds.limits[w.stored-1]
+		return w.bounds.limits[w.storedGeneration-1]
 	}
 	return slices.Max(w.bounds.limits)
 }
 
-func (w *zoneModel) broken() string {
+func (w *zoneModel) violation() string {
 	if loaded := w.loaded(); loaded > w.allowed() {
 		return fmt.Sprintf("%d replicas are loaded where %d are allowed", loaded, w.allowed())
 	}
@@ -261,27 +261,27 @@
 	for index := range w.leaders {
 		leader := &w.leaders[index]
 		key = append(key, leader.encoded...)
-		key = append(key, byte(leader.rounds), byte(leader.heard), byte(leader.full))
+		key = append(key, byte(leader.rounds), byte(leader.knownGeneration), byte(leader.assumedFull))
 		for engine := range maxEngines {
-			key = appendBool(appendBool(key, leader.held[engine]), leader.holds[engine])
+			key = appendBool(appendBool(key, leader.claimed[engine]), leader.occupied[engine])
 		}
 	}
 	for _, engine := range w.engines {
 		key = binary.AppendUvarint(key, engine.incarnation)
 		key = binary.AppendUvarint(key, uint64(engine.fence))
-		key = binary.AppendUvarint(appendBool(key, engine.loaded), uint64(engine.taken))
+		key = binary.AppendUvarint(appendBool(key, engine.loaded), uint64(engine.executedOrders))
 	}
-	key = append(key, byte(w.stored), byte(w.restarts), byte(w.orders), byte(w.repeats))
+	key = append(key, byte(w.storedGeneration), byte(w.restarts), byte(w.orders), byte(w.duplicates))
 	key = appendBool(key, w.confirmed)
 	return xxhash.Sum64(append(key, w.networkKey()...))
 }
 
-// networkKey does not depend on the order of the messages.
+// networkKey encodes the messages independently of their order.
 func (w *zoneModel) networkKey() []byte {
 	encoded := make([]string, 0, len(w.network))
 	for _, sent := range w.network {
 		id := sent.id
-		if sent.kind < loadOrdered {
+		if sent.kind < loadOrder {
 			id = w.leaders[sent.leader].core.LastRequestID() - id
 		}
 		one := []byte{byte(sent.kind), byte(sent.leader), byte(sent.engine)}
