--- a/internal/spec/ambiguity.go
+++ b/internal/spec/ambiguity.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// rank is what decides between two selectors that both match.
+// rank determines which of two matching selectors applies.
 type rank struct {
 	precedence int
 	conditions int
@@ -17,33 +17,33 @@
 	return rank{precedence: selector.Precedence, conditions: selector.Match.Conditions()}
 }
 
-// ambiguousSelectors reports pairs of which neither goes before the other
-// though one request can match both and they would treat it differently.
+// ambiguousSelectors reports pairs of selectors of the same rank that can match the same
+// request and would treat it differently.
 func (c *checker) ambiguousSelectors() {
 	byRank := make(map[rank][]*Object)
-	for _, object := range c.index.kinds(KindSelector) {
-		if c.faultyUnder(object, "spec.match") || c.faulty(object, "spec.precedence") || !object.written("spec.match") {
+	for _, object := range c.index.ofKind(KindSelector) {
+		if c.invalidUnder(object, "spec.match") || c.isInvalid(object, "spec.precedence") || !object.isSet("spec.match") {
 			continue
 		}
 		rank := rankOf(object.Spec.(*Selector))
 		byRank[rank] = append(byRank[rank], object)
 	}
 	for _, selectors := range byRank {
-		c.ambiguousAmong(selectors)
+		c.ambiguousInRank(selectors)
 	}
 }
 
-// ambiguousAmong compares selectors of one rank. A large fleet has many
-// thousands, nearly all told apart by one label; only those that agree on that
-// label, or do not name it, are compared.
-func (c *checker) ambiguousAmong(selectors []*Object) {
-	key := tellingLabel(selectors)
+// ambiguousInRank compares selectors of the same rank. A large fleet has many thousands,
+// nearly all distinguished by one label; only selectors that require the same value of
+// that label, or none, are compared.
+func (c *checker) ambiguousInRank(selectors []*Object) {
+	key := mostSelectiveLabel(selectors)
 	byValue := make(map[string][]*Object)
-	var loose []*Object
+	var withoutKey []*Object
 	for _, object := range selectors {
 		value, found := matchOf(object).MatchLabels[key]
 		if !found {
-			loose = append(loose, object)
+			withoutKey = append(withoutKey, object)
 			continue
 		}
 		for _, earlier := range byValue[value] {
@@ -51,14 +51,14 @@
 		}
 		byValue[value] = append(byValue[value], object)
 	}
-	for index, object := range loose {
-		for _, earlier := range loose[:index] {
+	for index, object := range withoutKey {
+		for _, earlier := range withoutKey[:index] {
 			c.ambiguousPair(object, earlier)
 		}
 	}
 	for _, same := range byValue {
 		for _, object := range same {
-			for _, other := range loose {
+			for _, other := range withoutKey {
 				c.ambiguousPair(object, other)
 			}
 		}
@@ -69,8 +69,8 @@
 	return selector.Spec.(*Selector).Match
 }
 
-// tellingLabel returns the label key that leaves the fewest pairs to compare.
-func tellingLabel(selectors []*Object) string {
+// mostSelectiveLabel returns the label key that leaves the fewest pairs to compare.
+func mostSelectiveLabel(selectors []*Object) string {
 	counts := make(map[string]map[string]int)
 	for _, object := range selectors {
 		for key, value := range matchOf(object).MatchLabels {
@@ -82,12 +82,12 @@
 	}
 	best, fewest := "", len(selectors)*len(selectors)
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
-		pairs, named := 0, 0
+		pairs, labelled := 0, 0
 		for _, count := range counts[key] {
 			pairs += count * count
-			named += count
+			labelled += count
 		}
-		pairs += (len(selectors) - named) * len(selectors)
+		pairs += (len(selectors) - labelled) * len(selectors)
 		if pairs < fewest {
 			best, fewest = key, pairs
 		}
@@ -95,8 +95,8 @@
 	return best
 }
 
-// ambiguousPair reports at the later of the two names, so that the finding
-// does not depend on the order of comparison.
+// ambiguousPair reports the pair at the selector whose name sorts last, so that the
+// finding does not depend on the order of comparison.
 func (c *checker) ambiguousPair(left, right *Object) {
 	if left.Metadata.Name == right.Metadata.Name || !ambiguous(left.Spec.(*Selector), right.Spec.(*Selector)) {
 		return
@@ -108,13 +108,13 @@
 		fmt.Sprintf("give them a different precedence or conditions that exclude each other; the other is at %s", right.Place("spec.match")))
 }
 
-// ambiguous expects selectors of the same rank.
+// ambiguous reports whether two selectors of the same rank are ambiguous.
 func ambiguous(left, right *Selector) bool {
 	return !sameEffect(left, right) && satisfiable(append(conditions(left.Match), conditions(right.Match)...))
 }
 
-// sameEffect reports whether it makes no difference which of two selectors is
-// taken. Limits count per selector, so selectors with limits always differ.
+// sameEffect reports whether two selectors treat requests identically. Limits count per
+// selector, so selectors with limits always differ.
 func sameEffect(left, right *Selector) bool {
 	return left.Limits == Limits{} && right.Limits == Limits{} &&
 		left.Priority == right.Priority && left.Deadline == right.Deadline &&
@@ -122,7 +122,7 @@
 		reflect.DeepEqual(left.Deployments, right.Deployments)
 }
 
-// conditions returns a selector's conditions in one form.
+// conditions returns all conditions of a selector as requirements.
 func conditions(selector LabelSelector) []Requirement {
 	all := slices.Clone(selector.MatchExpressions)
 	for key, value := range selector.MatchLabels {
@@ -131,8 +131,8 @@
 	return all
 }
 
-// satisfiable reports whether some labels fulfil all conditions. Keys do not
-// depend on each other, so each is looked at alone.
+// satisfiable reports whether some set of labels meets all conditions. Keys are
+// independent of each other, so each is checked separately.
 func satisfiable(all []Requirement) bool {
 	byKey := make(map[string][]Requirement)
 	for _, condition := range all {
@@ -146,8 +146,8 @@
 	return true
 }
 
-// keySatisfiable tries an absent label, each value that a condition names, and
-// one value that none names; no other value behaves differently.
+// keySatisfiable tries an absent label, each value that a condition names, and one
+// value that none names; all other values behave like the last one.
 func keySatisfiable(conditions []Requirement) bool {
 	const unnamed = "\x00"
 	key := conditions[0].Key
--- a/internal/spec/ambiguity_test.go
+++ b/internal/spec/ambiguity_test.go
@@ -20,8 +20,8 @@
 	return requirement
 }
 
-// TestSatisfiableAgreesWithTrial tries every labelling with two keys and four
-// values each, or none: enough for conditions that name three values.
+// TestSatisfiableAgreesWithTrial tries every combination of two keys, each absent or with
+// one of four values, which is enough for conditions that name three values.
 func TestSatisfiableAgreesWithTrial(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawRequirement), 0, 5).Draw(t, "conditions")
@@ -40,23 +40,23 @@
 			}
 		}
 		if got := satisfiable(all); got != found {
-			t.Fatalf("satisfiable(%v) = %v, trial says %v", all, got, found)
+			t.Fatalf("satisfiable(%v) = %v, exhaustive search says %v", all, got, found)
 		}
 	})
 }
 
-// TestAmbiguousPairsAreAllFound compares the pairs that are reported with
-// those that a comparison of all pairs finds.
+// TestAmbiguousPairsAreAllFound compares the number of reported pairs with the result of
+// comparing all pairs.
 func TestAmbiguousPairsAreAllFound(t *testing.T) {
 	labels := rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.SampledFrom([]string{"1", "2", "3"}), 0, 3)
 	rapid.Check(t, func(t *rapid.T) {
 		var selectors []*Object
 		for index := range rapid.IntRange(0, 8).Draw(t, "count") {
 			selectors = append(selectors, &Object{
-				Kind:     KindSelector,
-				Metadata: Metadata{Name: string(rune('a' + index))},
-				Spec:     &Selector{Match: LabelSelector{MatchLabels: labels.Draw(t, "labels")}, Priority: index},
-				places:   map[string]Position{"spec.match": {Line: index + 1}},
+				Kind:      KindSelector,
+				Metadata:  Metadata{Name: string(rune('a' + index))},
+				Spec:      &Selector{Match: LabelSelector{MatchLabels: labels.Draw(t, "labels")}, Priority: index},
+				positions: map[string]Position{"spec.match": {Line: index + 1}},
 			})
 		}
 		want := 0
--- a/internal/spec/broken_test.go
+++ b/internal/spec/broken_test.go
@@ -8,10 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write testdata/broken.txt anew; read the difference before it is committed")
+var update = flag.Bool("update", false, "rewrite testdata/broken.txt; review the diff before committing it")
 
-// TestBrokenFolderYieldsEveryFinding holds each line of examples/broken
-// against testdata/broken.txt: none may be missing and none added.
+// TestBrokenFolderYieldsEveryFinding compares the findings for examples/broken with
+// testdata/broken.txt line by line.
 func TestBrokenFolderYieldsEveryFinding(t *testing.T) {
 	const golden = "testdata/broken.txt"
 	t.Chdir("../..")
--- a/internal/spec/check.go
+++ b/internal/spec/check.go
@@ -9,9 +9,9 @@
 
 const (
 	maxNameBytes = 63
-	// callerPrefix is where callers reach models; no service may take it.
+	// callerPrefix is the path prefix of the model API; no service may use it.
 	callerPrefix = "/v1/"
-	// reservedLabelPrefix begins labels that operators' commands write.
+	// reservedLabelPrefix is the prefix of labels that the operators' commands write.
 	reservedLabelPrefix = "spanlanding."
 )
 
@@ -21,7 +21,7 @@
 	prefixPattern = regexp.MustCompile(`^(/[A-Za-z0-9._~-]+)+/$`)
 )
 
-// checker looks at each object and at what objects say of each other.
+// checker checks each object and the references between objects.
 type checker struct {
 	set      *Set
 	index    index
@@ -35,10 +35,10 @@
 	for _, object := range set.objects {
 		checker.object(object)
 	}
-	checker.pathPrefixes()
-	checker.preferencesOnce()
-	checker.zonesOnce()
-	checker.keysOnce()
+	checker.disjointPathPrefixes()
+	checker.singlePreferences()
+	checker.uniqueZones()
+	checker.uniqueKeys()
 	checker.ambiguousSelectors()
 	return checker.findings
 }
@@ -47,16 +47,16 @@
 	c.findings = append(c.findings, Finding{Position: object.Place(path), Problem: problem, Remedy: remedy})
 }
 
-// names checks each name's form and that it is declared once in its kind.
+// names checks the form of each name and that it is unique within its kind.
 func (c *checker) names() {
 	for _, object := range c.set.objects {
 		name := object.Metadata.Name
-		if object.written("metadata") {
+		if object.isSet("metadata") {
 			c.name(object, "metadata.name", name)
 		}
 		for key, value := range object.Metadata.Labels {
 			c.label(object, "metadata.labels."+key, key, value)
-			c.reserved(object, key)
+			c.reservedLabel(object, key)
 		}
 		if earlier := c.index.find(object.Kind, name); earlier != object && name != "" {
 			c.report(object, "metadata.name", object.Title()+" is declared twice",
@@ -65,15 +65,15 @@
 	}
 }
 
-// reserved reports labels that apply writes itself.
-func (c *checker) reserved(object *Object, key string) {
+// reservedLabel reports labels that only apply may write.
+func (c *checker) reservedLabel(object *Object, key string) {
 	if strings.HasPrefix(key, reservedLabelPrefix) {
 		c.report(object, "metadata.labels."+key, fmt.Sprintf("label %q begins with %s, which apply keeps for itself", key, reservedLabelPrefix), "take another key")
 	}
 }
 
 func (c *checker) name(object *Object, path, name string) {
-	if !c.required(object, path, "give a name such as nordlys-7b") || c.faulty(object, path) {
+	if !c.required(object, path, "give a name such as nordlys-7b") || c.isInvalid(object, path) {
 		return
 	}
 	if len(name) > maxNameBytes || !namePattern.MatchString(name) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// ValidLabel reports whether the text can be a label's key or value.
+// ValidLabel reports whether the text is valid as a label's key or value.
 func ValidLabel(text string) bool {
 	return len(text) <= maxNameBytes && labelPattern.MatchString(text)
 }
@@ -96,16 +96,16 @@
 	}
 }
 
-// written reports whether the document holds the field.
-func (o *Object) written(path string) bool {
-	_, found := o.places[path]
+// isSet reports whether the document contains the field.
+func (o *Object) isSet(path string) bool {
+	_, found := o.positions[path]
 	return found
 }
 
-// required reports a field that is not written. Written fields of a wrong
-// type were reported when they were read.
+// required reports a missing field and returns whether it is set. Fields of a wrong type
+// were reported when they were decoded.
 func (c *checker) required(object *Object, path, remedy string) bool {
-	if object.written(path) {
+	if object.isSet(path) {
 		return true
 	}
 	c.report(object, path, path+" is missing", remedy)
@@ -113,7 +113,7 @@
 }
 
 func (c *checker) object(object *Object) {
-	if !object.written("spec") {
+	if !object.isSet("spec") {
 		return
 	}
 	switch declared := object.Spec.(type) {
@@ -154,7 +154,7 @@
 		seen[version.Name] = true
 		c.size(object, path+".memory", version.Memory)
 		c.size(object, path+".checkpoint", version.Checkpoint)
-		c.fits(object, path+".memory", "the version", version.Memory)
+		c.fitsServer(object, path+".memory", "the version", version.Memory)
 	}
 	if model.ContextTokens < 0 {
 		c.report(object, "spec.contextTokens", "spec.contextTokens is below 0", "give the tokens of prompt and answer together, or leave it out for no bound")
@@ -169,24 +169,24 @@
 	if bounds.Max < 0 {
 		c.report(object, "spec.replicas.max", "spec.replicas.max is below 0", "give 1 or more, or leave it out for 1")
 	}
-	if most := max(bounds.Max, 1); bounds.Max >= 0 && bounds.Min > most {
-		c.report(object, "spec.replicas.min", fmt.Sprintf("spec.replicas.min is %d, above max, which is %d", bounds.Min, most), "raise max or lower min")
+	if maximum := max(bounds.Max, 1); bounds.Max >= 0 && bounds.Min > maximum {
+		c.report(object, "spec.replicas.min", fmt.Sprintf("spec.replicas.min is %d, above max, which is %d", bounds.Min, maximum), "raise max or lower min")
 	}
 }
 
 func (c *checker) size(object *Object, path string, size Bytes) {
-	if c.required(object, path, "give a size such as 14GiB") && size == 0 && !c.faulty(object, path) {
+	if c.required(object, path, "give a size such as 14GiB") && size == 0 && !c.isInvalid(object, path) {
 		c.report(object, path, path+" is 0", "give a size such as 14GiB")
 	}
 }
 
-// faulty reports whether the value was found unreadable already; such a value
-// is left at zero and must not be reported as zero too.
-func (c *checker) faulty(object *Object, path string) bool {
-	return object.faulty[path]
+// isInvalid reports whether decoding already reported the value; it is then left at
+// zero and must not be reported as zero as well.
+func (c *checker) isInvalid(object *Object, path string) bool {
+	return object.invalid[path]
 }
 
-func (c *checker) fits(object *Object, path, what string, memory Bytes) {
+func (c *checker) fitsServer(object *Object, path, what string, memory Bytes) {
 	if c.options.ServerMemory > 0 && memory > c.options.ServerMemory {
 		c.report(object, path, fmt.Sprintf("%s takes %s, which fits no server", what, memory),
 			fmt.Sprintf("the largest server has %s", c.options.ServerMemory))
@@ -195,20 +195,20 @@
 
 func (c *checker) adapter(object *Object, adapter *Adapter) {
 	c.size(object, "spec.memory", adapter.Memory)
-	c.fits(object, "spec.memory", "the adapter alone", adapter.Memory)
+	c.fitsServer(object, "spec.memory", "the adapter alone", adapter.Memory)
 	model := c.modelOf(object, adapter.Model)
 	if model == nil || adapter.Memory > c.options.ServerMemory {
 		return
 	}
 	for _, version := range model.Versions {
-		// What is too large without the adapter is reported at the model.
+		// A version that is too large without the adapter is reported at the model.
 		if version.Memory <= c.options.ServerMemory {
-			c.fits(object, "spec.memory", fmt.Sprintf("the adapter with %s@%s", adapter.Model, version.Name), version.Memory+adapter.Memory)
+			c.fitsServer(object, "spec.memory", fmt.Sprintf("the adapter with %s@%s", adapter.Model, version.Name), version.Memory+adapter.Memory)
 		}
 	}
 }
 
-// modelOf resolves spec.model and reports when it does not resolve.
+// modelOf resolves spec.model and reports it if it is missing or not declared.
 func (c *checker) modelOf(object *Object, name string) *Model {
 	if !c.required(object, "spec.model", "name a declared Model") {
 		return nil
@@ -222,7 +222,7 @@
 
 func (c *checker) resolve(object *Object, path string, kind Kind, name string) *Object {
 	found := c.index.find(kind, name)
-	if found == nil && !c.set.unread[reference{kind, name}] && !c.faulty(object, path) {
+	if found == nil && !c.set.unreadable[reference{kind, name}] && !c.isInvalid(object, path) {
 		c.report(object, path, fmt.Sprintf("%s names %s %q, which is not declared", path, kind, name),
 			"declared are: "+c.index.names(kind))
 	}
@@ -231,7 +231,7 @@
 
 func (c *checker) deployment(object *Object, deployment *Deployment) {
 	model := c.modelOf(object, deployment.Model)
-	if object.written("spec.adapter") {
+	if object.isSet("spec.adapter") {
 		c.deploymentAdapter(object, deployment)
 	}
 	if c.required(object, "spec.versions", "give at least one version with a weight") && len(deployment.Versions) == 0 {
@@ -253,16 +253,16 @@
 
 func (c *checker) weights(object *Object, deployment *Deployment, model *Model) {
 	sum, seen := 0, make(map[string]bool)
-	faulty := false
+	invalid := false
 	for index, version := range deployment.Versions {
 		path := fmt.Sprintf("spec.versions[%d]", index)
 		sum += max(version.Weight, 0)
 		if version.Weight < 0 {
-			faulty = true
+			invalid = true
 			c.report(object, path+".weight", fmt.Sprintf("%s.weight is below 0", path), "give 0 or more")
 		}
-		if !c.required(object, path+".weight", "give the share of the traffic, such as 100") || c.faulty(object, path+".weight") {
-			faulty = true
+		if !c.required(object, path+".weight", "give the share of the traffic, such as 100") || c.isInvalid(object, path+".weight") {
+			invalid = true
 		}
 		if !c.required(object, path+".name", "name a version of the model") {
 			continue
@@ -271,15 +271,15 @@
 			c.report(object, path+".name", fmt.Sprintf("version %q stands twice", version.Name), "keep one, with the sum of the weights")
 		}
 		seen[version.Name] = true
-		c.versionOf(object, path+".name", version.Name, deployment.Model, model)
+		c.versionExists(object, path+".name", version.Name, deployment.Model, model)
 	}
-	if len(deployment.Versions) > 0 && sum == 0 && !faulty {
+	if len(deployment.Versions) > 0 && sum == 0 && !invalid {
 		c.report(object, "spec.versions", "all weights are 0, so no version takes requests", "give at least one weight above 0")
 	}
 }
 
-func (c *checker) versionOf(object *Object, path, version, modelName string, model *Model) {
-	if model == nil || c.faulty(object, path) {
+func (c *checker) versionExists(object *Object, path, version, modelName string, model *Model) {
+	if model == nil || c.isInvalid(object, path) {
 		return
 	}
 	var known []string
--- a/internal/spec/check_evacuation.go
+++ b/internal/spec/check_evacuation.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// maxReasonBytes bounds the reason of an evacuation, which each node holds and
-// status shows on one line.
+// maxReasonBytes bounds the reason of an evacuation, which every node keeps in memory
+// and the status command shows on one line.
 const maxReasonBytes = 200
 
-// evacuation checks that the zone is one of the fleet, where its zones are
-// known: an evacuation of a misspelt zone would leave the one meant in service.
+// evacuation checks that the zone exists if the fleet's zones are known: with a misspelt
+// name the intended zone would stay in service.
 func (c *checker) evacuation(object *Object, evacuation *Evacuation) {
 	c.zone(object, "metadata.name", object.Metadata.Name)
 	if len(evacuation.Reason) > maxReasonBytes {
--- a/internal/spec/check_regions.go
+++ b/internal/spec/check_regions.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// region checks that a region has zones, and that they are of the fleet where its
-// zones are known.
+// region checks that a region has zones, and that they exist if the fleet's zones are
+// known.
 func (c *checker) region(object *Object, region *Region) {
-	if c.required(object, "spec.zones", "name the zones of the region") && len(region.Zones) == 0 && !c.faulty(object, "spec.zones") {
+	if c.required(object, "spec.zones", "name the zones of the region") && len(region.Zones) == 0 && !c.isInvalid(object, "spec.zones") {
 		c.report(object, "spec.zones", "spec.zones is empty, so nothing can run in the region", "name at least one zone")
 	}
 	for index, zone := range region.Zones {
@@ -19,7 +19,7 @@
 	}
 }
 
-// zone reports a zone that the fleet does not have, where its zones are known.
+// zone reports a zone that does not exist in the fleet, if the fleet's zones are known.
 func (c *checker) zone(object *Object, path, zone string) {
 	if zone == "" || len(c.options.Zones) == 0 || slices.Contains(c.options.Zones, zone) {
 		return
@@ -28,10 +28,10 @@
 		"its zones are: "+strings.Join(slices.Sorted(slices.Values(c.options.Zones)), ", "))
 }
 
-// zonesOnce reports zones that stand in a region twice, or in two regions.
-func (c *checker) zonesOnce() {
+// uniqueZones reports zones that are listed twice in a region or in two regions.
+func (c *checker) uniqueZones() {
 	first := make(map[string]Position)
-	for _, object := range c.index.kinds(KindRegion) {
+	for _, object := range c.index.ofKind(KindRegion) {
 		for index, zone := range object.Spec.(*Region).Zones {
 			path := fmt.Sprintf("spec.zones[%d]", index)
 			if earlier, found := first[zone]; found && zone != "" {
@@ -44,14 +44,14 @@
 	}
 }
 
-// regions checks what binds requests to regions. An empty list would let nothing run.
+// regions checks a restriction to regions. With an empty list nothing could run.
 func (c *checker) regions(object *Object, names []string) {
-	if object.written("spec.regions") && len(names) == 0 && !c.faulty(object, "spec.regions") {
+	if object.isSet("spec.regions") && len(names) == 0 && !c.isInvalid(object, "spec.regions") {
 		c.report(object, "spec.regions", "spec.regions is empty, so nothing may run", "name a Region, or leave it out for all")
 	}
 	for index, name := range names {
 		path := fmt.Sprintf("spec.regions[%d]", index)
-		if c.faulty(object, path) {
+		if c.isInvalid(object, path) {
 			continue
 		}
 		if slices.Contains(names[:index], name) {
--- a/internal/spec/check_selectors.go
+++ b/internal/spec/check_selectors.go
@@ -12,7 +12,7 @@
 		c.selectsDeployments(object, selector.Deployments)
 	}
 	c.labelSelector(object, "spec.match", selector.Match)
-	c.span(object, "spec.deadline", selector.Deadline)
+	c.duration(object, "spec.deadline", selector.Deadline)
 	c.limits(object, selector.Limits)
 	c.regions(object, selector.Regions)
 }
@@ -27,7 +27,7 @@
 	if capacity.Replicas < 0 {
 		c.report(object, "spec.replicas", "spec.replicas is below 0", "give 0 or more")
 	}
-	for _, deployment := range c.selected(capacity.Deployments) {
+	for _, deployment := range c.selectedDeployments(capacity.Deployments) {
 		c.capacityWithinBounds(object, capacity, deployment)
 	}
 }
@@ -38,14 +38,14 @@
 	if model == nil {
 		return
 	}
-	most := max(model.Spec.(*Model).Replicas.Max, 1)
-	if capacity.Replicas > most {
-		c.report(object, "spec.replicas", fmt.Sprintf("spec.replicas is %d, but model %q may have %d", capacity.Replicas, name, most),
+	maximum := max(model.Spec.(*Model).Replicas.Max, 1)
+	if capacity.Replicas > maximum {
+		c.report(object, "spec.replicas", fmt.Sprintf("spec.replicas is %d, but model %q may have %d", capacity.Replicas, name, maximum),
 			fmt.Sprintf("lower it or raise spec.replicas.max of the model at %s", model.Place("spec.replicas.max")))
 	}
 }
 
-func (c *checker) selected(selector LabelSelector) []*Object {
+func (c *checker) selectedDeployments(selector LabelSelector) []*Object {
 	var found []*Object
 	for _, deployment := range c.index.candidates(selector) {
 		if selector.Matches(deployment.Metadata.Labels) {
@@ -57,15 +57,15 @@
 
 func (c *checker) selectsDeployments(object *Object, selector LabelSelector) {
 	c.labelSelector(object, "spec.deployments", selector)
-	if len(c.selected(selector)) > 0 || c.faultyUnder(object, "spec.deployments") || c.unreadDeployments() {
+	if len(c.selectedDeployments(selector)) > 0 || c.invalidUnder(object, "spec.deployments") || c.hasUnreadableDeployments() {
 		return
 	}
 	c.report(object, "spec.deployments", "no declared deployment has these labels", "labels in use: "+c.deploymentLabels())
 }
 
-// faultyUnder reports whether something at or below the path was unreadable.
-func (c *checker) faultyUnder(object *Object, path string) bool {
-	for faulty := range object.faulty {
+// invalidUnder reports whether decoding reported a value at or below the path.
+func (c *checker) invalidUnder(object *Object, path string) bool {
+	for faulty := range object.invalid {
 		if strings.HasPrefix(faulty, path) {
 			return true
 		}
@@ -73,8 +73,8 @@
 	return false
 }
 
-func (c *checker) unreadDeployments() bool {
-	for unread := range c.set.unread {
+func (c *checker) hasUnreadableDeployments() bool {
+	for unread := range c.set.unreadable {
 		if unread.kind == KindDeployment {
 			return true
 		}
@@ -84,7 +84,7 @@
 
 func (c *checker) deploymentLabels() string {
 	var labels []string
-	for _, deployment := range c.index.kinds(KindDeployment) {
+	for _, deployment := range c.index.ofKind(KindDeployment) {
 		for key, value := range deployment.Metadata.Labels {
 			labels = append(labels, key+"="+value)
 		}
@@ -108,7 +108,7 @@
 	for index, requirement := range selector.MatchExpressions {
 		c.requirement(object, fmt.Sprintf("%s.matchExpressions[%d]", path, index), requirement)
 	}
-	if !c.faultyUnder(object, path) && !satisfiable(conditions(selector)) {
+	if !c.invalidUnder(object, path) && !satisfiable(conditions(selector)) {
 		c.report(object, path, "no labels fulfil these conditions together", "remove the conditions that exclude each other")
 	}
 }
@@ -117,7 +117,7 @@
 	c.required(object, path+".key", "give the label's key")
 	switch requirement.Operator {
 	case OperatorIn, OperatorNotIn:
-		if len(requirement.Values) == 0 && !c.faultyUnder(object, path+".values") {
+		if len(requirement.Values) == 0 && !c.invalidUnder(object, path+".values") {
 			c.report(object, path, fmt.Sprintf("%s has no values", requirement.Operator), "give values: with at least one")
 		}
 	case OperatorExists, OperatorDoesNotExist:
@@ -125,7 +125,7 @@
 			c.report(object, path+".values", fmt.Sprintf("%s takes no values", requirement.Operator), "remove values: or take In or NotIn")
 		}
 	default:
-		if !c.faulty(object, path+".operator") {
+		if !c.isInvalid(object, path+".operator") {
 			c.report(object, path+".operator", fmt.Sprintf("unknown operator %q", requirement.Operator), "give In, NotIn, Exists or DoesNotExist")
 		}
 	}
--- a/internal/spec/check_tenants.go
+++ b/internal/spec/check_tenants.go
@@ -11,13 +11,13 @@
 
 // tenant checks a tenant's keys, quota and regions.
 func (c *checker) tenant(object *Object, tenant *Tenant) {
-	if c.required(object, "spec.keys", "give the SHA-256 of at least one key, in hex") && len(tenant.Keys) == 0 && !c.faulty(object, "spec.keys") {
+	if c.required(object, "spec.keys", "give the SHA-256 of at least one key, in hex") && len(tenant.Keys) == 0 && !c.isInvalid(object, "spec.keys") {
 		c.report(object, "spec.keys", "spec.keys is empty, so nobody can call for the tenant", "give the SHA-256 of at least one key, in hex")
 	}
 	for index, key := range tenant.Keys {
 		path := fmt.Sprintf("spec.keys[%d]", index)
-		if digest, err := hex.DecodeString(key); (err != nil || len(digest) != keyHashBytes) && !c.faulty(object, path) {
-			// The text may be a key itself, which must not be shown.
+		if digest, err := hex.DecodeString(key); (err != nil || len(digest) != keyHashBytes) && !c.isInvalid(object, path) {
+			// The text may be the key itself, which must not appear in a finding.
 			c.report(object, path, "the text is no SHA-256 in hex", "give the 64 hex digits that sha256sum prints for the key, never the key")
 		}
 	}
@@ -27,19 +27,19 @@
 
 func (c *checker) quota(object *Object, quota TenantQuota) {
 	requests, tokens := "spec.quota.requestsPerSecond", "spec.quota.tokensPerSecond"
-	if !object.written("spec.quota") || c.faultyUnder(object, "spec.quota") {
+	if !object.isSet("spec.quota") || c.invalidUnder(object, "spec.quota") {
 		return
 	}
 	switch {
-	case object.written(requests) && object.written(tokens):
+	case object.isSet(requests) && object.isSet(tokens):
 		c.report(object, tokens, "the quota counts both requests and tokens", "keep one of the two rates")
 		return
-	case !object.written(requests) && !object.written(tokens):
+	case !object.isSet(requests) && !object.isSet(tokens):
 		c.report(object, "spec.quota", "the quota has no rate", "give requestsPerSecond or tokensPerSecond, or leave quota out for no bound")
 		return
 	}
 	for path, rate := range map[string]float64{requests: quota.RequestsPerSecond, tokens: quota.TokensPerSecond} {
-		if object.written(path) && !(rate > 0) {
+		if object.isSet(path) && !(rate > 0) {
 			c.report(object, path, fmt.Sprintf("%s is %v", path, rate), "give a rate above 0, or leave quota out for no bound")
 		}
 	}
@@ -48,10 +48,10 @@
 	}
 }
 
-// keysOnce reports keys that belong to two tenants, or stand twice.
-func (c *checker) keysOnce() {
+// uniqueKeys reports keys that belong to two tenants or are listed twice.
+func (c *checker) uniqueKeys() {
 	first := make(map[string]Position)
-	for _, object := range c.index.kinds(KindTenant) {
+	for _, object := range c.index.ofKind(KindTenant) {
 		for index, text := range object.Spec.(*Tenant).Keys {
 			path, key := fmt.Sprintf("spec.keys[%d]", index), strings.ToLower(text)
 			if earlier, found := first[key]; found && key != "" {
--- a/internal/spec/check_traffic.go
+++ b/internal/spec/check_traffic.go
@@ -7,7 +7,7 @@
 )
 
 func (c *checker) service(object *Object, service *Service) {
-	if c.required(object, "spec.pathPrefix", "give a prefix such as /turbines/") && !c.faulty(object, "spec.pathPrefix") {
+	if c.required(object, "spec.pathPrefix", "give a prefix such as /turbines/") && !c.isInvalid(object, "spec.pathPrefix") {
 		switch {
 		case !prefixPattern.MatchString(service.PathPrefix):
 			c.report(object, "spec.pathPrefix", fmt.Sprintf("%q is no path prefix", service.PathPrefix), "begin and end it with a slash, such as /turbines/")
@@ -21,17 +21,17 @@
 			c.report(object, path, fmt.Sprintf("%q is no method to declare repeatable", method), "give one of "+strings.Join(repeatableMethods, ", ")+"; GET and HEAD are repeatable anyway")
 		}
 	}
-	c.span(object, "spec.deadline", service.Deadline)
-	c.span(object, "spec.keyWindow", service.KeyWindow)
+	c.duration(object, "spec.deadline", service.Deadline)
+	c.duration(object, "spec.keyWindow", service.KeyWindow)
 	c.limits(object, service.Limits)
 	c.regions(object, service.Regions)
 }
 
-// repeatableMethods are those that a service may add to GET and HEAD.
+// repeatableMethods lists the methods that a service may add to GET and HEAD.
 var repeatableMethods = []string{"DELETE", "OPTIONS", "PATCH", "POST", "PUT"}
 
-func (c *checker) span(object *Object, path string, span Duration) {
-	if object.written(path) && span <= 0 && !c.faulty(object, path) {
+func (c *checker) duration(object *Object, path string, span Duration) {
+	if object.isSet(path) && span <= 0 && !c.isInvalid(object, path) {
 		c.report(object, path, fmt.Sprintf("%s is %s", path, span), "give a time span above 0, or leave it out for the default")
 	}
 }
@@ -54,17 +54,17 @@
 	}
 }
 
-func (c *checker) preferencesOnce() {
-	for index, object := range c.index.kinds(KindPreferences) {
+func (c *checker) singlePreferences() {
+	for index, object := range c.index.ofKind(KindPreferences) {
 		if index > 0 {
 			c.report(object, "", object.Title()+" is a second Preferences", "keep one object of this kind")
 		}
 	}
 }
 
-// pathPrefixes reports services that could take the same path.
-func (c *checker) pathPrefixes() {
-	services := c.index.kinds(KindService)
+// disjointPathPrefixes reports services whose prefixes could match the same path.
+func (c *checker) disjointPathPrefixes() {
+	services := c.index.ofKind(KindService)
 	for index, object := range services {
 		prefix := object.Spec.(*Service).PathPrefix
 		for _, earlier := range services[:index] {
--- a/internal/spec/decode.go
+++ b/internal/spec/decode.go
@@ -11,32 +11,32 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxDepth bounds the nesting of a document.
+// maxDepth bounds the nesting depth of a document.
 const maxDepth = 32
 
-// decoder fills typed structs from one document and collects every finding.
+// decoder decodes one document into typed structs and collects all findings.
 type decoder struct {
-	file   string
-	line   int
-	places map[string]Position
-	// faulty holds the paths whose value could not be read, or not wholly;
-	// unread only those of which nothing could.
-	faulty   map[string]bool
-	unread   map[string]bool
-	findings Findings
+	file      string
+	line      int
+	positions map[string]Position
+	// invalid holds the paths whose values could not be read completely, unreadable
+	// only those of which nothing could be read.
+	invalid    map[string]bool
+	unreadable map[string]bool
+	findings   Findings
 }
 
 func newDecoder(file string, line int) *decoder {
 	return &decoder{
 		file: file, line: line,
-		places: make(map[string]Position), faulty: make(map[string]bool), unread: make(map[string]bool),
+		positions: make(map[string]Position), invalid: make(map[string]bool), unreadable: make(map[string]bool),
 	}
 }
 
-// fault reports a value that could not be read.
-func (d *decoder) fault(path string, position Position, problem, remedy string) {
-	d.faulty[path] = true
-	d.unread[path] = true
+// reportInvalid reports a value that could not be read.
+func (d *decoder) reportInvalid(path string, position Position, problem, remedy string) {
+	d.invalid[path] = true
+	d.unreadable[path] = true
 	d.report(position, problem, remedy)
 }
 
@@ -49,7 +49,7 @@
 	return position
 }
 
-// start returns where the node begins.
+// start returns the position at which the node starts.
 func (d *decoder) start(node ast.Node) Position {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -70,15 +70,15 @@
 	d.findings = append(d.findings, Finding{Position: position, Problem: problem, Remedy: remedy})
 }
 
-// field is one key of a mapping.
+// field is a key of a mapping with its value.
 type field struct {
 	name     string
 	position Position
 	value    ast.Node
 }
 
-// fields returns the mapping's keys in order, each once. It reports keys that
-// stand twice, and returns false if the node is no mapping.
+// fields returns the mapping's keys in order, each once. It reports duplicate keys
+// and returns false if the node is not a mapping.
 func (d *decoder) fields(node ast.Node) ([]field, bool) {
 	var entries []*ast.MappingValueNode
 	switch typed := node.(type) {
@@ -119,10 +119,10 @@
 	}
 }
 
-// object decodes a document; it returns nil where the kind is not known.
+// object decodes a document; it returns nil if the kind is unknown.
 func (d *decoder) object(body ast.Node) *Object {
 	start := d.start(body)
-	d.places[""] = start
+	d.positions[""] = start
 	fields, ok := d.fields(body)
 	if !ok {
 		d.report(start, "the document is no mapping", "write kind:, metadata: and spec:")
@@ -135,7 +135,7 @@
 		switch field.name {
 		case "kind":
 			hasKind = true
-			d.places["kind"] = d.start(field.value)
+			d.positions["kind"] = d.start(field.value)
 			d.value(field.value, reflect.ValueOf(&object.Kind).Elem(), "kind", 1)
 		case "metadata":
 			metadataNode = field.value
@@ -156,7 +156,7 @@
 	object.Spec = newSpec(object.Kind)
 	if object.Spec == nil {
 		if object.Kind != "" {
-			d.report(d.places["kind"], fmt.Sprintf("unknown kind %q", object.Kind), "give one of "+kindList())
+			d.report(d.positions["kind"], fmt.Sprintf("unknown kind %q", object.Kind), "give one of "+kindList())
 		}
 		return nil
 	}
@@ -169,38 +169,38 @@
 }
 
 var (
-	bytesType    = reflect.TypeFor[Bytes]()
-	durationType = reflect.TypeFor[Duration]()
-	timeSpanType = reflect.TypeFor[time.Duration]()
+	bytesType      = reflect.TypeFor[Bytes]()
+	durationType   = reflect.TypeFor[Duration]()
+	goDurationType = reflect.TypeFor[time.Duration]()
 )
 
-// value decodes a node into the target and remembers where it stands.
+// value decodes a node into the target and records its position.
 func (d *decoder) value(node ast.Node, target reflect.Value, path string, depth int) {
 	position := d.start(node)
-	d.places[path] = position
+	d.positions[path] = position
 	switch node.(type) {
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode:
-		d.fault(path, position, "anchors, aliases and tags are not taken", "write the value out")
+		d.reportInvalid(path, position, "anchors, aliases and tags are not taken", "write the value out")
 		return
 	}
 	if depth > maxDepth {
-		d.fault(path, position, "nested too deeply", fmt.Sprintf("nest at most %d levels", maxDepth))
+		d.reportInvalid(path, position, "nested too deeply", fmt.Sprintf("nest at most %d levels", maxDepth))
 		return
 	}
 	switch {
 	case target.Type() == bytesType:
 		d.bytes(node, target, path)
-	case target.Type() == durationType, target.Type() == timeSpanType:
+	case target.Type() == durationType, target.Type() == goDurationType:
 		d.duration(node, target, path)
 	default:
-		d.byKind(node, target, path, depth)
+		d.byReflectKind(node, target, path, depth)
 	}
 }
 
-func (d *decoder) byKind(node ast.Node, target reflect.Value, path string, depth int) {
+func (d *decoder) byReflectKind(node ast.Node, target reflect.Value, path string, depth int) {
 	switch target.Kind() {
 	case reflect.Struct:
-		d.structure(node, target, path, depth)
+		d.structValue(node, target, path, depth)
 	case reflect.Map:
 		d.stringMap(node, target, path, depth)
 	case reflect.Slice:
@@ -210,13 +210,13 @@
 	case reflect.Int:
 		d.integer(node, target, path)
 	case reflect.Float64:
-		d.number(node, target, path)
+		d.float(node, target, path)
 	default:
 		panic("spec: no decoding for " + target.Type().String())
 	}
 }
 
-func (d *decoder) structure(node ast.Node, target reflect.Value, path string, depth int) {
+func (d *decoder) structValue(node ast.Node, target reflect.Value, path string, depth int) {
 	fields, ok := d.fields(node)
 	if !ok {
 		d.wrongType(node, path, "a mapping with "+strings.Join(fieldNames(target.Type()), ", "))
@@ -226,7 +226,7 @@
 		index, found := fieldIndex(target.Type(), field.name)
 		if !found {
 			names := fieldNames(target.Type())
-			d.faulty[path] = true
+			d.invalid[path] = true
 			d.report(field.position, fmt.Sprintf("unknown field %q", field.name), remedyForName(field.name, names))
 			continue
 		}
@@ -234,7 +234,7 @@
 	}
 }
 
-// joinPath names a field of the value at the path; the empty path is the
+// joinPath returns the path of a field of the value at path; the empty path is the
 // whole document.
 func joinPath(path, name string) string {
 	if path == "" {
--- a/internal/spec/decode_scalar.go
+++ b/internal/spec/decode_scalar.go
@@ -30,13 +30,13 @@
 	}
 	value, err := strconv.ParseInt(fmt.Sprint(typed.Value), 10, 32)
 	if err != nil {
-		d.fault(path, d.start(node), fmt.Sprintf("%s is %v, out of range", path, typed.Value), "give a number between -2147483648 and 2147483647")
+		d.reportInvalid(path, d.start(node), fmt.Sprintf("%s is %v, out of range", path, typed.Value), "give a number between -2147483648 and 2147483647")
 		return
 	}
 	target.SetInt(value)
 }
 
-func (d *decoder) number(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) float(node ast.Node, target reflect.Value, path string) {
 	switch typed := node.(type) {
 	case *ast.FloatNode:
 		target.SetFloat(typed.Value)
@@ -56,7 +56,7 @@
 	case *ast.StringNode, *ast.IntegerNode:
 		size, err := ParseBytes(node.GetToken().Value)
 		if err != nil {
-			d.fault(path, d.start(node), fmt.Sprintf("%s: %v", path, err), "give "+wanted)
+			d.reportInvalid(path, d.start(node), fmt.Sprintf("%s: %v", path, err), "give "+wanted)
 			return
 		}
 		target.SetInt(int64(size))
@@ -74,7 +74,7 @@
 	}
 	span, err := time.ParseDuration(typed.Value)
 	if err != nil {
-		d.fault(path, d.start(node), fmt.Sprintf("%s: %q is no time span", path, typed.Value), "give "+wanted)
+		d.reportInvalid(path, d.start(node), fmt.Sprintf("%s: %q is no time span", path, typed.Value), "give "+wanted)
 		return
 	}
 	target.SetInt(int64(span))
@@ -85,7 +85,7 @@
 	if what == "" {
 		what = "the document"
 	}
-	d.fault(path, d.start(node), fmt.Sprintf("%s is %s", what, nodeTypeName(node)), "give "+wanted)
+	d.reportInvalid(path, d.start(node), fmt.Sprintf("%s is %s", what, nodeTypeName(node)), "give "+wanted)
 }
 
 func nodeTypeName(node ast.Node) string {
--- a/internal/spec/document.go
+++ b/internal/spec/document.go
@@ -8,72 +8,72 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Places says where the fields of a decoded document stand, by paths such as
+// Places holds the positions of the fields of a decoded document, by paths such as
 // listen.caller or seeds[0].
 type Places struct {
-	positions map[string]Position
-	unread    map[string]bool
+	positions  map[string]Position
+	unreadable map[string]bool
 }
 
-// Of returns the place of the field, or of the nearest enclosing field that is
-// written down.
+// Of returns the position of the field, or of the nearest enclosing field in the
+// document.
 func (p Places) Of(path string) Position {
-	return nearestPlace(p.positions, path)
+	return nearestPosition(p.positions, path)
 }
 
-// Unread reports whether the field, or one around it, stands in the document
-// but could not be read; a finding says so already.
+// Unread reports whether the field or an enclosing one is in the document but could
+// not be read, which a finding reports already.
 func (p Places) Unread(path string) bool {
 	for {
-		if p.unread[path] {
+		if p.unreadable[path] {
 			return true
 		}
 		cut := strings.LastIndexAny(path, ".[")
 		if cut < 0 {
-			return p.unread[wholeDocument]
+			return p.unreadable[wholeDocument]
 		}
 		path = path[:cut]
 	}
 }
 
-// Move says that the field was given elsewhere, such as by a flag, which
-// stands in place of what the file says.
-func (p *Places) Move(path string, place Position) {
+// Move records that the field was set elsewhere, such as by a flag, which overrides
+// the value in the file.
+func (p *Places) Move(path string, position Position) {
 	if p.positions == nil {
-		*p = Places{positions: make(map[string]Position), unread: make(map[string]bool)}
+		*p = Places{positions: make(map[string]Position), unreadable: make(map[string]bool)}
 	}
-	p.positions[path] = place
-	delete(p.unread, path)
+	p.positions[path] = position
+	delete(p.unreadable, path)
 }
 
 // wholeDocument is the path of the document itself.
 const wholeDocument = ""
 
-// DecodeFile fills the struct that target points to from a file that holds one
-// YAML document.
+// DecodeFile decodes a file with a single YAML document into the struct that target
+// points to.
 func DecodeFile(file string, target any) (Places, Findings) {
 	content, findings := readFile(file)
 	if len(findings) > 0 {
-		return unreadPlaces(file), findings
+		return unreadablePlaces(file), findings
 	}
 	return DecodeDocument(file, content, target)
 }
 
-func unreadPlaces(file string) Places {
+func unreadablePlaces(file string) Places {
 	return Places{
-		positions: map[string]Position{wholeDocument: {File: file, Line: 1, Column: 1}},
-		unread:    map[string]bool{wholeDocument: true},
+		positions:  map[string]Position{wholeDocument: {File: file, Line: 1, Column: 1}},
+		unreadable: map[string]bool{wholeDocument: true},
 	}
 }
 
-// DecodeDocument is DecodeFile for content that is at hand.
+// DecodeDocument is like DecodeFile, but takes the file's content.
 func DecodeDocument(file string, content []byte, target any) (Places, Findings) {
 	parsed, err := parser.ParseBytes(content, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		return unreadPlaces(file), Findings{syntaxFinding(file, 0, err)}
+		return unreadablePlaces(file), Findings{syntaxFinding(file, 0, err)}
 	}
 	decoder := newDecoder(file, 0)
-	decoder.places[wholeDocument] = Position{File: file, Line: 1, Column: 1}
+	decoder.positions[wholeDocument] = Position{File: file, Line: 1, Column: 1}
 	decoded := false
 	for _, document := range parsed.Docs {
 		switch body := document.Body; {
@@ -85,5 +85,5 @@
 			decoder.value(body, reflect.ValueOf(target).Elem(), wholeDocument, 1)
 		}
 	}
-	return Places{positions: decoder.places, unread: decoder.unread}, decoder.findings
+	return Places{positions: decoder.positions, unreadable: decoder.unreadable}, decoder.findings
 }
--- a/internal/spec/findings.go
+++ b/internal/spec/findings.go
@@ -9,16 +9,15 @@
 	"github.com/joomcode/errorx"
 )
 
-// Position is a place in a file; lines and columns count from 1. What was not
-// given in a file, such as a flag, has neither.
+// Position is a place in a file; lines and columns start at 1. Values that were not
+// given in a file, such as flags, have line and column 0.
 type Position struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
 }
 
-// String returns the form file:line:column, or the file's part alone where
-// there is no line.
+// String returns file:line:column, or only the file if there is no line.
 func (p Position) String() string {
 	if p.Line == 0 {
 		return p.File
@@ -34,12 +33,12 @@
 	)
 }
 
-// Finding is one mistake in the declarations.
+// Finding is an error in the declarations.
 type Finding struct {
 	Position
-	// Problem says what is wrong.
+	// Problem describes the error.
 	Problem string `json:"problem"`
-	// Remedy says what would be right.
+	// Remedy describes how to correct it.
 	Remedy string `json:"remedy"`
 }
 
@@ -48,7 +47,7 @@
 	return fmt.Sprintf("%s: %s; %s", f.Position, f.Problem, f.Remedy)
 }
 
-// Findings are all mistakes of one pass, sorted by place.
+// Findings is a list of findings.
 type Findings []Finding
 
 // String returns one line for each finding.
@@ -62,11 +61,11 @@
 
 var (
 	errorNamespace = errorx.NewNamespace("spec")
-	// ErrInvalid is the type of the error that carries findings.
+	// ErrInvalid is the type of errors that contain findings.
 	ErrInvalid = errorNamespace.NewType("invalid")
 )
 
-// Err returns nil without findings, else an error of type ErrInvalid whose
+// Err returns nil if there are no findings, otherwise an error of type ErrInvalid whose
 // message has one line for each finding.
 func (f Findings) Err() error {
 	if len(f) == 0 {
@@ -75,7 +74,7 @@
 	return ErrInvalid.New("%d findings\n%s", len(f), f)
 }
 
-// Sorted returns the findings by their places, each once.
+// Sorted returns the findings sorted by position, without duplicates.
 func (f Findings) Sorted() Findings {
 	return slices.Clone(f).sorted()
 }
--- a/internal/spec/fuzz_test.go
+++ b/internal/spec/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzParse holds that no content makes reading panic, that each finding
-// points into the content, and that what is valid reads back the same.
+// FuzzParse checks that no content makes the parser panic, that each finding has a
+// position and texts, and that the JSON of valid declarations decodes and encodes unchanged.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{"../../examples/*/*.yaml", "testdata/seeds/*.yaml"} {
 		files, err := filepath.Glob(pattern)
@@ -26,23 +26,23 @@
 		set, findings := Options{ServerMemory: 48 << 30}.Parse("fuzz.yaml", content)
 		for _, finding := range findings {
 			if finding.Line < 1 || finding.Column < 1 || finding.Problem == "" || finding.Remedy == "" {
-				t.Errorf("finding without place or text: %#v", finding)
+				t.Errorf("finding without position or text: %#v", finding)
 			}
 		}
 		if len(findings) > 0 {
 			return
 		}
 		for _, declared := range set.Objects() {
-			readBack(t, declared)
+			requireCanonical(t, declared)
 		}
 	})
 }
 
-// readBack holds that an object's JSON is in its one form.
-func readBack(t *testing.T, declared Declared) {
+// requireCanonical checks that an object's JSON is in its canonical form.
+func requireCanonical(t *testing.T, declared Declared) {
 	canonical, err := Canonical(declared.Kind, declared.Spec)
 	if err != nil {
-		t.Fatalf("%s does not read back: %v", declared.Spec, err)
+		t.Fatalf("%s cannot be decoded: %v", declared.Spec, err)
 	}
 	if string(canonical) != string(declared.Spec) {
 		t.Fatalf("not canonical: %s became %s", declared.Spec, canonical)
--- a/internal/spec/index.go
+++ b/internal/spec/index.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// labelPair is one label with its value.
+// labelPair is a label's key and value.
 type labelPair struct {
 	key   string
 	value string
 }
 
-// index finds objects; a large fleet declares many thousands.
+// index finds objects by kind, name and label; a large fleet declares many thousands.
 type index struct {
-	byKind   map[Kind][]*Object
-	byName   map[reference]*Object
-	labelled map[labelPair][]*Object
+	byKind  map[Kind][]*Object
+	byName  map[reference]*Object
+	byLabel map[labelPair][]*Object
 }
 
-// newIndex sorts each kind by name. Of objects with one name the first that
-// was read is found.
+// newIndex sorts the objects of each kind by name. Of objects with the same name, find
+// returns the one that was read first.
 func newIndex(objects []*Object) index {
 	index := index{
-		byKind:   make(map[Kind][]*Object),
-		byName:   make(map[reference]*Object),
-		labelled: make(map[labelPair][]*Object),
+		byKind:  make(map[Kind][]*Object),
+		byName:  make(map[reference]*Object),
+		byLabel: make(map[labelPair][]*Object),
 	}
 	for _, object := range objects {
 		key := reference{object.Kind, object.Metadata.Name}
@@ -40,7 +40,7 @@
 	for _, deployment := range index.byKind[KindDeployment] {
 		for key, value := range deployment.Metadata.Labels {
 			pair := labelPair{key, value}
-			index.labelled[pair] = append(index.labelled[pair], deployment)
+			index.byLabel[pair] = append(index.byLabel[pair], deployment)
 		}
 	}
 	return index
@@ -50,7 +50,7 @@
 	return strings.Compare(left.Metadata.Name, right.Metadata.Name)
 }
 
-func (i index) kinds(kind Kind) []*Object {
+func (i index) ofKind(kind Kind) []*Object {
 	return i.byKind[kind]
 }
 
@@ -58,19 +58,19 @@
 	return i.byName[reference{kind, name}]
 }
 
-// candidates returns deployments among which are all that the selector can
-// choose: those with one of the labels it asks for, or all.
+// candidates returns a superset of the deployments that the selector matches: those
+// with one of the labels it requires, or all.
 func (i index) candidates(selector LabelSelector) []*Object {
 	best := i.byKind[KindDeployment]
 	for key, value := range selector.MatchLabels {
-		if labelled := i.labelled[labelPair{key, value}]; len(labelled) < len(best) {
+		if labelled := i.byLabel[labelPair{key, value}]; len(labelled) < len(best) {
 			best = labelled
 		}
 	}
 	return best
 }
 
-// names lists the names of a kind, for remedies.
+// names lists the names of a kind for use in remedies.
 func (i index) names(kind Kind) string {
 	var names []string
 	for _, object := range i.byKind[kind] {
--- a/internal/spec/load.go
+++ b/internal/spec/load.go
@@ -16,27 +16,27 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxFileBytes bounds a declaration file.
+// maxFileBytes bounds the size of a declaration file.
 const maxFileBytes = 16 << 20
 
-// Options are facts from outside that declarations are checked against.
+// Options hold facts about the fleet that declarations are checked against.
 type Options struct {
-	// ServerMemory is the accelerator memory of the largest server that
-	// models may take; 0 is unknown.
+	// ServerMemory is the accelerator memory available to models on the largest server;
+	// 0 means unknown.
 	ServerMemory Bytes
-	// Zones are the zones of the fleet; none where they are not known.
+	// Zones lists the zones of the fleet; empty means unknown.
 	Zones []string
 }
 
-// Load reads files, and folders with their sub-folders (*.yaml and *.yml), and
-// checks them. All findings of all files come together.
+// Load reads and checks files, and folders with their subfolders (*.yaml and *.yml).
+// It returns the findings of all files together.
 func Load(paths []string) (Set, Findings) {
 	return Options{}.Load(paths)
 }
 
-// Load reads and checks as the function Load does.
+// Load is like the function Load, but checks against the options.
 func (o Options) Load(paths []string) (Set, Findings) {
-	loader := loader{set: Set{unread: make(map[reference]bool)}}
+	loader := loader{set: Set{unreadable: make(map[reference]bool)}}
 	for _, path := range paths {
 		loader.loadPath(path)
 	}
@@ -46,7 +46,7 @@
 
 // Parse reads and checks the content of one file.
 func (o Options) Parse(file string, content []byte) (Set, Findings) {
-	loader := loader{set: Set{unread: make(map[reference]bool)}}
+	loader := loader{set: Set{unreadable: make(map[reference]bool)}}
 	loader.loadContent(file, content)
 	loader.findings = append(loader.findings, check(&loader.set, o)...)
 	return loader.set, loader.findings.sorted()
@@ -90,9 +90,9 @@
 }
 
 func (l *loader) loadFile(file string) {
-	content, found := readFile(file)
-	l.findings = append(l.findings, found...)
-	if len(found) == 0 {
+	content, findings := readFile(file)
+	l.findings = append(l.findings, findings...)
+	if len(findings) == 0 {
 		l.loadContent(file, content)
 	}
 }
@@ -113,14 +113,14 @@
 	return content, nil
 }
 
-// document is one YAML document of a file; Line is the file's line before it.
+// document is one YAML document of a file; line is the number of lines before it.
 type document struct {
 	text []byte
 	line int
 }
 
-// splitDocuments cuts a file at its "---" lines, so that a syntax error in one
-// document does not hide what is wrong in the others.
+// splitDocuments splits a file at its "---" lines, so that a syntax error in one
+// document does not hide findings in the others.
 func splitDocuments(content []byte) []document {
 	var documents []document
 	current := document{}
@@ -172,11 +172,11 @@
 	l.findings = append(l.findings, syntaxFinding(file, document.line, err))
 	kind, name := kindLine.FindSubmatch(document.text), nameLine.FindSubmatch(document.text)
 	if kind != nil && name != nil {
-		l.set.unread[reference{Kind(kind[1]), string(name[1])}] = true
+		l.set.unreadable[reference{Kind(kind[1]), string(name[1])}] = true
 	}
 }
 
-// syntaxFinding says where a document that starts after the line is not YAML.
+// syntaxFinding returns the finding for a syntax error in a document that starts after the line.
 func syntaxFinding(file string, line int, err error) Finding {
 	position := Position{File: file, Line: line + 1, Column: 1}
 	message := err.Error()
@@ -203,8 +203,8 @@
 	if object == nil {
 		return
 	}
-	object.places = decoder.places
-	object.faulty = decoder.faulty
+	object.positions = decoder.positions
+	object.invalid = decoder.invalid
 	l.set.objects = append(l.set.objects, object)
 }
 
--- a/internal/spec/match.go
+++ b/internal/spec/match.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Matches reports whether all conditions hold for the labels. A selector
-// without conditions matches every label set. NotIn holds where the key is
-// missing; an unknown operator never holds.
+// Matches reports whether the labels meet all conditions. A selector without
+// conditions matches all labels. NotIn also matches if the key is missing; an
+// unknown operator never matches.
 func (s LabelSelector) Matches(labels map[string]string) bool {
 	for key, value := range s.MatchLabels {
 		if actual, found := labels[key]; !found || actual != value {
@@ -19,7 +19,7 @@
 	return true
 }
 
-// Conditions counts the conditions of the selector.
+// Conditions returns the number of conditions of the selector.
 func (s LabelSelector) Conditions() int {
 	return len(s.MatchLabels) + len(s.MatchExpressions)
 }
--- a/internal/spec/quantity.go
+++ b/internal/spec/quantity.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// byteUnits are the suffixes of a size, longest first.
+// byteUnits lists the suffixes of sizes, longest first.
 var byteUnits = []struct {
 	suffix string
 	factor int64
@@ -19,7 +19,7 @@
 	{"B", 1},
 }
 
-// ParseBytes reads a size such as 14GiB, 1.5GiB, 300MB or 4096.
+// ParseBytes parses a size such as 14GiB, 1.5GiB, 300MB or 4096.
 func ParseBytes(text string) (Bytes, error) {
 	number, factor := text, int64(1)
 	for _, unit := range byteUnits {
@@ -45,7 +45,7 @@
 	return Bytes(size), nil
 }
 
-// String returns the size in the largest binary unit that divides it.
+// String formats the size in the largest binary unit that divides it.
 func (b Bytes) String() string {
 	for _, unit := range byteUnits[:4] {
 		if b != 0 && int64(b)%unit.factor == 0 {
@@ -55,12 +55,12 @@
 	return strconv.FormatInt(int64(b), 10)
 }
 
-// MarshalJSON writes the size as a number of bytes.
+// MarshalJSON encodes the size as a number of bytes.
 func (b Bytes) MarshalJSON() ([]byte, error) {
 	return strconv.AppendInt(nil, int64(b), 10), nil
 }
 
-// UnmarshalJSON reads a number of bytes or a string such as "14GiB".
+// UnmarshalJSON decodes a number of bytes or a string such as "14GiB".
 func (b *Bytes) UnmarshalJSON(data []byte) error {
 	if len(data) == 0 || data[0] != '"' {
 		return json.Unmarshal(data, (*int64)(b))
@@ -77,17 +77,17 @@
 	return nil
 }
 
-// String returns Go's form such as 1m30s.
+// String returns the form of Go durations, such as 1m30s.
 func (d Duration) String() string {
 	return time.Duration(d).String()
 }
 
-// MarshalJSON writes Go's form such as "1m30s".
+// MarshalJSON encodes the duration as a string such as "1m30s".
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON reads Go's form such as "1m30s" or a number of nanoseconds.
+// UnmarshalJSON decodes a string such as "1m30s" or a number of nanoseconds.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	if len(data) == 0 || data[0] != '"' {
 		return json.Unmarshal(data, (*int64)(d))
--- a/internal/spec/set.go
+++ b/internal/spec/set.go
@@ -8,65 +8,65 @@
 	"strings"
 )
 
-// Declared is one object as the store takes it.
+// Declared is an object in the form that the store takes.
 type Declared struct {
 	Kind   Kind              `json:"kind"`
 	Name   string            `json:"name"`
 	Labels map[string]string `json:"labels,omitempty"`
-	// Spec is canonical: the same declaration gives the same bytes.
+	// Spec is canonical: equal declarations have equal bytes.
 	Spec json.RawMessage `json:"spec"`
 }
 
-// Object is one declaration with its place.
+// Object is a declaration with the positions of its fields.
 type Object struct {
 	Kind     Kind
 	Metadata Metadata
 	// Spec points to the struct of the kind, such as *Model.
 	Spec any
-	// places holds where each field's value stands, by a path such as
+	// positions holds the position of each field's value by a path such as
 	// spec.versions[0].memory; the empty path is the document itself.
-	places map[string]Position
-	// faulty holds the paths at which reading already found a mistake.
-	faulty map[string]bool
+	positions map[string]Position
+	// invalid holds the paths at which decoding already reported a finding.
+	invalid map[string]bool
 }
 
-// Place returns where the field of the path stands, or the nearest enclosing
-// field that is written down.
+// Place returns the position of the field, or of the nearest enclosing field in the
+// document.
 func (o *Object) Place(path string) Position {
-	return nearestPlace(o.places, path)
+	return nearestPosition(o.positions, path)
 }
 
-func nearestPlace(places map[string]Position, path string) Position {
+func nearestPosition(positions map[string]Position, path string) Position {
 	for {
-		if position, found := places[path]; found {
+		if position, found := positions[path]; found {
 			return position
 		}
 		cut := strings.LastIndexAny(path, ".[")
 		if cut < 0 {
-			return places[""]
+			return positions[""]
 		}
 		path = path[:cut]
 	}
 }
 
-// Title names the object as messages do, such as Model "nordlys".
+// Title returns the kind and quoted name as used in messages, such as Model "nordlys".
 func (o *Object) Title() string {
 	return fmt.Sprintf("%s %q", o.Kind, o.Metadata.Name)
 }
 
-// kindOrder lists the kinds so that each comes after those it refers to. An
-// evacuation refers to none and goes first: apply stops at the first write that
-// does not succeed, and a zone must not stay in service for that.
+// kindOrder lists the kinds so that each follows those it refers to. Evacuation refers
+// to none and is first: apply stops at the first failed write, and such a failure must
+// not keep a zone in service that is to be evacuated.
 var kindOrder = []Kind{
 	KindEvacuation, KindRegion, KindTenant, KindModel, KindAdapter, KindDeployment, KindCapacity, KindService, KindPreferences, KindSelector,
 }
 
-// Kinds returns the declared kinds, each after those that it refers to.
+// Kinds returns the declared kinds, each after those it refers to.
 func Kinds() []Kind {
 	return slices.Clone(kindOrder)
 }
 
-// newSpec returns a pointer to a zero spec of the kind, or nil.
+// newSpec returns a pointer to a zero spec of the kind, or nil if the kind is unknown.
 func newSpec(kind Kind) any {
 	switch kind {
 	case KindModel:
@@ -94,12 +94,12 @@
 	}
 }
 
-// Set is all declarations of one pass.
+// Set holds all declarations that were read together.
 type Set struct {
 	objects []*Object
-	// unread holds kind and name of documents that could not be parsed, so
-	// that references to them are not reported as dangling too.
-	unread map[reference]bool
+	// unreadable holds kind and name of documents that could not be parsed, so that
+	// references to them are not reported as dangling as well.
+	unreadable map[reference]bool
 }
 
 type reference struct {
@@ -107,8 +107,8 @@
 	name string
 }
 
-// Objects returns the declarations in an order in which none refers to a
-// later one; within a kind they are sorted by name.
+// Objects returns the declarations in an order in which none refers to a later one;
+// within a kind they are sorted by name.
 func (s Set) Objects() []Declared {
 	declared := make([]Declared, 0, len(s.objects))
 	for _, kind := range kindOrder {
@@ -122,7 +122,7 @@
 func (o *Object) declared() Declared {
 	encoded, err := json.Marshal(o.Spec)
 	if err != nil {
-		panic(fmt.Sprintf("spec: %s does not encode: %v", o.Title(), err))
+		panic(fmt.Sprintf("spec: cannot encode %s: %v", o.Title(), err))
 	}
 	return Declared{Kind: o.Kind, Name: o.Metadata.Name, Labels: maps.Clone(o.Metadata.Labels), Spec: encoded}
 }
@@ -138,7 +138,7 @@
 	return found
 }
 
-// Canonical returns the JSON of a kind's spec in its one form.
+// Canonical returns the canonical JSON of a kind's spec.
 func Canonical(kind Kind, raw json.RawMessage) (json.RawMessage, error) {
 	target := newSpec(kind)
 	if target == nil {
--- a/internal/spec/set_test.go
+++ b/internal/spec/set_test.go
@@ -35,12 +35,12 @@
 		t.Errorf("%s differs from %s", left, right)
 	}
 	if _, err := Canonical("Nothing", []byte(`{}`)); err == nil {
-		t.Error("an unknown kind was taken")
+		t.Error("an unknown kind was accepted")
 	}
 }
 
-// largeFolder declares adapters with a deployment and a selector each.
-func largeFolder(adapters int) []byte {
+// largeDeclarations declares adapters with a deployment and a selector each.
+func largeDeclarations(adapters int) []byte {
 	var content bytes.Buffer
 	fmt.Fprintln(&content, "kind: Model\nmetadata: {name: base}\nspec: {versions: [{name: v1, memory: 1GiB, checkpoint: 1GiB}]}")
 	for index := range adapters {
@@ -52,7 +52,7 @@
 }
 
 func BenchmarkParseFutureSize(b *testing.B) {
-	content := largeFolder(8700)
+	content := largeDeclarations(8700)
 	for b.Loop() {
 		if _, findings := (Options{}).Parse("large.yaml", content); len(findings) > 0 {
 			b.Fatal(findings[0])
--- a/internal/spec/suggest.go
+++ b/internal/spec/suggest.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// remedyForName proposes the known name that is nearest to the given one.
+// remedyForName suggests the known name closest to the given one, or lists the known names.
 func remedyForName(given string, known []string) string {
 	best, bestDistance := "", len(given)/2+1
 	for _, name := range known {
@@ -19,8 +19,7 @@
 	return "known are " + strings.Join(known, ", ")
 }
 
-// editDistance counts the single-byte changes that turn one text into the
-// other.
+// editDistance returns the Levenshtein distance between two texts, in bytes.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for column := range row {
