--- a/internal/spec/check_selectors.go
+++ b/internal/spec/check_selectors.go
@@ -65,8 +65,8 @@
 
 // invalidUnder reports whether decoding reported a value at or below the path.
 func (c *checker) invalidUnder(object *Object, path string) bool {
-	for faulty := range object.invalid {
-		if strings.HasPrefix(faulty, path) {
+	for invalidPath := range object.invalid {
+		if strings.HasPrefix(invalidPath, path) {
 			return true
 		}
 	}
@@ -74,8 +74,8 @@
 }
 
 func (c *checker) hasUnreadableDeployments() bool {
-	for unread := range c.set.unreadable {
-		if unread.kind == KindDeployment {
+	for document := range c.set.unreadable {
+		if document.kind == KindDeployment {
 			return true
 		}
 	}
--- a/test/faults/actions_test.go
+++ b/test/faults/actions_test.go
@@ -45,7 +45,7 @@
 // holdsClaim reports whether an engine of the zone has granted a claim with the fence.
 func (f *testFleet) holdsClaim(zone fleet.Zone, fence string) bool {
 	for _, engine := range f.enginesOf(zone) {
-		if state, heard := engine.state(); heard && state.Fence.String() == fence {
+		if state, ok := engine.state(); ok && state.Fence.String() == fence {
 			return true
 		}
 	}
@@ -80,13 +80,13 @@
 func (f *testFleet) awaitUnusable(observer, observed *testNode) {
 	f.Helper()
 	eventually(f.T, string(observed.settings.Name)+" becomes unusable", func() bool {
-		status, heard := f.status(observer)
+		status, ok := f.status(observer)
 		for _, member := range status.Members {
 			if member.Name == observed.settings.Name {
 				return !member.Usable()
 			}
 		}
-		return heard
+		return ok
 	})
 }
 
--- a/test/faults/inject_test.go
+++ b/test/faults/inject_test.go
@@ -120,9 +120,9 @@
 	var found *testEngine
 	eventually(f.T, "engine loading a model", func() bool {
 		for _, engine := range engines {
-			state, heard := engine.state()
+			state, ok := engine.state()
 			loading := func(model fleet.LoadedModel) bool { return model.State == fleet.LoadLoading }
-			if heard && slices.ContainsFunc(state.Models, loading) {
+			if ok && slices.ContainsFunc(state.Models, loading) {
 				found = engine
 				return true
 			}
