--- a/test/platform/builds_test.go
+++ b/test/platform/builds_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// olderBuild is the commit of the landing before, which runs beside this one while machines are
-// replaced.
-const olderBuild = "5e8a55b"
+// olderCommit is the previous release, which runs next to the current build during a rolling
+// upgrade.
+const olderCommit = "5e8a55b"
 
 var olderBinary struct {
 	once   sync.Once
@@ -23,9 +23,9 @@
 	reason string
 }
 
-// older is the program of the landing before, built from the repository's history; reason says
-// why there is none.
-func older() (path, reason string) {
+// buildOlder builds the previous release from the repository's history. If that is not
+// possible, reason says why.
+func buildOlder() (path, reason string) {
 	olderBinary.once.Do(func() {
 		folder := filepath.Join(filepath.Dir(binary), "older")
 		if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -33,7 +33,7 @@
 			return
 		}
 		path := filepath.Join(folder, "spanlanding")
-		steps := fmt.Sprintf("git -C ../.. archive %s | tar -x -C %s && cd %s && go build -o %s ./cmd/spanlanding", olderBuild, folder, folder, path)
+		steps := fmt.Sprintf("git -C ../.. archive %s | tar -x -C %s && cd %s && go build -o %s ./cmd/spanlanding", olderCommit, folder, folder, path)
 		if output, err := exec.Command("sh", "-c", steps).CombinedOutput(); err != nil {
 			olderBinary.reason = strings.TrimSpace(string(output)) + ": " + err.Error()
 			return
@@ -45,32 +45,32 @@
 
 const (
 	twoBuilds = "two-builds"
-	// upgradePause is the time between two machines that are replaced.
+	// upgradePause is the time between the replacement of two nodes.
 	upgradePause = 1500 * time.Millisecond
 )
 
-// setBuild lets the node run the build from its next start on.
+// setBuild selects the build that the node runs from its next start on.
 func (s *soak) setBuild(c *control, path string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.binary = path
 	if path != binary {
-		s.ranOlder[c.name] = true
+		s.ranOlderBuild[c.name] = true
 	}
 }
 
-// swapBuild replaces a node's machine by one that runs the other build.
+// swapBuild replaces a node by one that runs the other build.
 func (s *soak) swapBuild(c *control) {
-	path, reason := older()
+	path, reason := buildOlder()
 	if reason != "" {
-		s.t.Logf("no older build to run beside this one: %s", reason)
+		s.t.Logf("no older build available: %s", reason)
 		return
 	}
 	if c.binary == path {
 		path = binary
 	}
 	s.mu.Lock()
-	wentBack := s.wentBack
+	wentBack := s.storeRolledBack
 	s.mu.Unlock()
 	if wentBack && path != binary {
 		return
@@ -79,31 +79,31 @@
 	s.stopNode(c)
 }
 
-// startedBuild is the build that a node names as it starts.
+// startedBuild matches the build that a node logs at startup.
 var startedBuild = regexp.MustCompile(` build=\S+`)
 
-// TestTwoBuildsSideBySide: half of the nodes run the landing before; they are replaced one after
-// the other, with the lead on each side, changes of the configuration and the store away in the
-// middle, and then back again. No rule is broken by either.
+// TestTwoBuildsSideBySide: half of the nodes run the previous release. Nodes are replaced
+// one by one, first to one build and then to the other, so that each build leads once, with
+// a configuration change and a store outage in between. Neither build may violate a rule.
 func TestTwoBuildsSideBySide(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
-	path, reason := older()
+	path, reason := buildOlder()
 	if reason != "" {
-		t.Skipf("%s is not in the history, or cannot be built: %s", olderBuild, reason)
+		t.Skipf("%s is not in the history, or cannot be built: %s", olderCommit, reason)
 	}
-	s := startSoak(t, soakOptions{seed: 1, time: time.Second, nodes: keptNodes, kinds: firstKinds(), isRelayed: true, slack: keptSlack})
-	calm := s.play(func() {
+	s := startSoak(t, soakOptions{seed: 1, duration: time.Second, nodes: keptNodes, kinds: firstKinds(), hasProxies: true, slack: keptSlack})
+	calm := s.run(func() {
 		for i, c := range s.controls {
 			if i%2 == 0 {
 				s.swapBuild(c)
 				time.Sleep(upgradePause)
 			}
 		}
-		s.busy.Wait()
+		s.activeFaults.Wait()
 		for _, to := range []string{path, binary} {
-			s.storeFault("down", upgradePause, func(on bool) { s.store.down = on })
+			s.storeFault("down", upgradePause, func(on bool) { s.store.unavailable = on })
 			time.Sleep(upgradePause / 2)
 			s.changeConfiguration()
 			for _, c := range s.controls {
@@ -113,11 +113,11 @@
 					time.Sleep(upgradePause)
 				}
 			}
-			s.busy.Wait()
-			time.Sleep(soakContact)
+			s.activeFaults.Wait()
+			time.Sleep(soakReconnect)
 		}
 	})
-	s.end(calm)
+	s.finish(calm)
 	led := map[string]bool{}
 	for _, n := range s.nodes {
 		for life := range strings.SplitSeq(n.log(), "event=node_started") {
@@ -127,6 +127,6 @@
 		}
 	}
 	if len(led) != 2 {
-		t.Errorf("the lead was with %v, want this build and the older one", led)
+		t.Errorf("builds that led: %v, want this one and the older one", led)
 	}
 }
--- a/test/platform/doc.go
+++ b/test/platform/doc.go
@@ -1,4 +1,5 @@
-// Package platform holds tests of nodes as processes on a stand-in of the
-// operators' platform: an object store with revisions and watches, and servers
-// that hold models and take counted orders. Everything is on loopback.
+// Package platform holds end-to-end tests that run nodes as separate processes against an
+// in-process fake of the operator's platform: an object store with revisions and watches,
+// and servers that hold models and accept sequence-numbered orders. All traffic is on
+// loopback.
 package platform
--- a/test/platform/fleet_test.go
+++ b/test/platform/fleet_test.go
@@ -15,36 +15,36 @@
 	"testing"
 )
 
-// fleet is some nodes on one stand-in platform.
+// fleet is a set of node processes that share one fake platform.
 type fleet struct {
-	t      *testing.T
-	store  *store
-	ports  [4]int
-	folder string
-	nodes  []*node
-	// isQuiet leaves the nodes' logs out of what a failed test prints.
-	isQuiet bool
+	t     *testing.T
+	store *store
+	ports [4]int
+	dir   string
+	nodes []*node
+	// hidesLogs omits the nodes' logs from the output of a failed test.
+	hidesLogs bool
 }
 
 type node struct {
-	fleet    *fleet
-	name     string
-	ip       string
-	settings string
-	process  *exec.Cmd
-	ended    chan error
-	// binary is the program that it runs from its next start on; empty is the one under test.
+	fleet        *fleet
+	name         string
+	ip           string
+	settingsPath string
+	cmd          *exec.Cmd
+	exited       chan error
+	// binary is the program to run from the next start on; empty means the build under test.
 	binary string
-	// arguments are further ones of the command.
+	// arguments are additional command-line arguments.
 	arguments []string
-	// toPeers is the way of others to the node, and toStore that of the node to
-	// the store; nil without relays.
-	toPeers, toStore *way
-	mu               sync.Mutex
-	output           bytes.Buffer
+	// peerProxy forwards other nodes' traffic to this node, and storeProxy this node's traffic
+	// to the store; both are nil without proxies.
+	peerProxy, storeProxy *proxy
+	mu                    sync.Mutex
+	output                bytes.Buffer
 }
 
-// Write keeps what the node logs.
+// Write appends process output to the captured log.
 func (n *node) Write(text []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +57,7 @@
 	return n.output.String()
 }
 
-const settingsForm = `nodeName = %q
+const settingsTemplate = `nodeName = %q
 ip = %q
 zone = "z"
 internalPorts = [%d, %d]
@@ -87,33 +87,33 @@
 
 func newFleetWithSeeds(t *testing.T, count int, seeds string) *fleet {
 	t.Helper()
-	return newFleetWith(t, fleetOptions{count: count, seeds: seeds})
+	return newFleetWithOptions(t, fleetOptions{count: count, seeds: seeds})
 }
 
-// fleetOptions set up a fleet.
+// fleetOptions configures a fleet.
 type fleetOptions struct {
 	count int
 	seeds string
-	// firstIP is the last part of the address of the first node; 0 is 1.
+	// firstIP is the last octet of the first node's address; 0 means 1.
 	firstIP int
-	// isRelayed puts relays between nodes, and between each and the store.
-	isRelayed bool
-	// zones are those of the nodes, as ZONE=REGION; empty is the same one for all.
+	// hasProxies puts proxies between the nodes and between each node and the store.
+	hasProxies bool
+	// zones lists each node's zone as ZONE=REGION; empty puts all nodes in one zone.
 	zones []string
-	// hasMetrics lets nodes serve their figures behind the first internal port.
+	// hasMetrics makes nodes serve metrics on the port after the first internal port.
 	hasMetrics bool
-	// bounds are further lines of the settings' bounds.
+	// bounds holds additional lines of the [bounds] section.
 	bounds string
 }
 
-func newFleetWith(t *testing.T, options fleetOptions) *fleet {
+func newFleetWithOptions(t *testing.T, options fleetOptions) *fleet {
 	t.Helper()
 	s, address := newStore(t)
-	f := &fleet{t: t, store: s, folder: t.TempDir()}
+	f := &fleet{t: t, store: s, dir: t.TempDir()}
 	for i := range f.ports {
 		f.ports[i] = freePort(t)
 	}
-	t.Cleanup(f.end)
+	t.Cleanup(f.cleanup)
 	for i := range options.count {
 		ip := "127.0.0." + strconv.Itoa(max(1, options.firstIP)+i)
 		n := &node{fleet: f, name: "node-" + strconv.Itoa(i+1), ip: ip}
@@ -121,13 +121,13 @@
 		if options.hasMetrics {
 			n.arguments = append(n.arguments, "--metrics", fmt.Sprintf("%d/metrics", f.ports[0]+1))
 		}
-		if options.isRelayed {
-			storeAddress = n.relay(t, address)
+		if options.hasProxies {
+			storeAddress = n.addProxies(t, address)
 		}
-		n.settings = filepath.Join(f.folder, n.name+".toml")
-		text := fmt.Sprintf(settingsForm, n.name, ip, f.ports[0], f.ports[0]+1, options.seeds, ip, f.ports[1], ip, f.ports[2], storeAddress)
+		n.settingsPath = filepath.Join(f.dir, n.name+".toml")
+		text := fmt.Sprintf(settingsTemplate, n.name, ip, f.ports[0], f.ports[0]+1, options.seeds, ip, f.ports[1], ip, f.ports[2], storeAddress)
 		text = strings.Replace(text, "[bounds]\n", "[bounds]\n"+options.bounds, 1)
-		if err := os.WriteFile(n.settings, []byte(options.place(text, i)), 0o600); err != nil {
+		if err := os.WriteFile(n.settingsPath, []byte(options.setZone(text, i)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, n)
@@ -136,8 +136,8 @@
 	return f
 }
 
-// place puts the node of a number into its zone.
-func (o fleetOptions) place(settings string, number int) string {
+// setZone writes the zone of the node with this index into its settings.
+func (o fleetOptions) setZone(settings string, number int) string {
 	if len(o.zones) == 0 {
 		return settings
 	}
@@ -150,50 +150,52 @@
 	return settings
 }
 
-// relay puts the node behind relays and returns the store's address for it.
-func (n *node) relay(t *testing.T, store string) string {
-	hidden := fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[3])
-	n.arguments = append(n.arguments, "--peers-listen", hidden)
-	n.toPeers = newPeerWay(t, fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[0]), hidden)
-	n.toStore = newWay(t, "127.0.0.1:0", store)
-	return n.toStore.address()
+// addProxies puts proxies in front of the node and its store connection, and returns the
+// store address that the node has to use.
+func (n *node) addProxies(t *testing.T, store string) string {
+	directAddress := fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[3])
+	n.arguments = append(n.arguments, "--peers-listen", directAddress)
+	n.peerProxy = newPeerProxy(t, fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[0]), directAddress)
+	n.storeProxy = newProxy(t, "127.0.0.1:0", store)
+	return n.storeProxy.address()
 }
 
-// end kills all nodes and shows what they wrote where the test failed.
-func (f *fleet) end() {
+// cleanup kills all nodes and prints their logs if the test failed.
+func (f *fleet) cleanup() {
 	for _, n := range f.nodes {
-		_ = n.process.Process.Kill()
+		_ = n.cmd.Process.Kill()
 	}
-	if f.t.Failed() && !f.isQuiet {
+	if f.t.Failed() && !f.hidesLogs {
 		for _, n := range f.nodes {
 			f.t.Logf("%s:\n%s", n.name, n.log())
 		}
 	}
 }
 
-// Ports of nodes lie below those that the system gives to connections which name
-// none: one of these took a node's port before the node had opened it.
+// Node ports lie below the ephemeral port range: an outgoing connection could otherwise take
+// a node's port before the node opens it.
 const (
-	firstPort = 12000
-	portCount = 18000
-	portTries = 100
+	firstPort    = 12000
+	portCount    = 18000
+	portAttempts = 100
 )
 
-// freePort is a port that nobody has by TCP or UDP.
+// freePort returns a port that is free for both TCP and UDP.
 func freePort(t *testing.T) int {
 	t.Helper()
-	for range portTries {
+	for range portAttempts {
 		port := firstPort + rand.IntN(portCount)
-		if isFree(port) {
+		if isPortFree(port) {
 			return port
 		}
 	}
-	t.Fatalf("no free port in %d tries", portTries)
+	t.Fatalf("no free port in %d tries", portAttempts)
 	return 0
 }
 
-// isFree looks at all addresses: nodes of another run have others than this one's.
-func isFree(port int) bool {
+// isPortFree checks all addresses, since nodes of another test run use other addresses than
+// this run.
+func isPortFree(port int) bool {
 	address := net.JoinHostPort("0.0.0.0", strconv.Itoa(port))
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/test/platform/limit_test.go
+++ b/test/platform/limit_test.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	// limitWindow is the time over which what reaches a server is summed, limitOverage by how much
-	// the sum may pass what the server's limit allows, and limitSlack how many requests more.
+	// limitWindow is the sliding window over which contacts of a server are counted. The count
+	// may exceed the server's limit by the factor limitOverage plus limitSlack requests.
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	// limitKnown is the time after a server first named a limit by which it holds.
-	limitKnown = 1500 * time.Millisecond
+	// limitSettleTime is the time after a server first announces a limit by which nodes must
+	// respect it.
+	limitSettleTime = 1500 * time.Millisecond
 )
 
-// allowedInWindow is what may reach a server that names the limit, from all nodes, in any window.
+// allowedInWindow is the maximum number of contacts from all nodes in any window.
 func allowedInWindow(perSecond float64) int {
 	return int(math.Floor(limitOverage*perSecond*limitWindow.Seconds() + limitSlack))
 }
 
-// reach is something that reached a server: a request, an order, or the question for a report.
-type reach struct {
-	at   time.Time
-	path string
-	born int64
-	// id is that of a request, and limit what the answer named.
+// contact is anything that reached a server: a request, an order, or a report query.
+type contact struct {
+	at      time.Time
+	path    string
+	startID int64
+	// id is the request ID, and limit what the response announced.
 	id, limit string
 }
 
-// nameLimit lets the server name a limit in all answers from now on; below 0 it names none.
-func (m *modelServer) nameLimit(perSecond float64) {
+// setRateLimit makes the server announce a limit in all responses; a negative value
+// announces none.
+func (m *modelServer) setRateLimit(perSecond float64) {
 	m.set(func() {
-		m.limit = ""
+		m.rateLimit = ""
 		if perSecond >= 0 {
-			m.limit = strconv.FormatFloat(perSecond, 'g', -1, 64)
+			m.rateLimit = strconv.FormatFloat(perSecond, 'g', -1, 64)
 		}
 	})
 }
 
-// reachedSince is all that reached the server from a moment on.
-func (m *modelServer) reachedSince(from time.Time) []reach {
+// contactsSince returns the contacts from the given time on.
+func (m *modelServer) contactsSince(from time.Time) []contact {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(m.reached), func(came reach) bool { return came.at.Before(from) })
+	return slices.DeleteFunc(slices.Clone(m.contacts), func(came contact) bool { return came.at.Before(from) })
 }
 
-// worstWindow is the most of it that came within any window.
-func worstWindow(came []reach) (worst []reach) {
+// busiestWindow returns the contacts of the window that has the most.
+func busiestWindow(came []contact) (worst []contact) {
 	first := 0
 	for last := range came {
 		for came[last].at.Sub(came[first].at) >= limitWindow {
@@ -66,8 +68,8 @@
 	return worst
 }
 
-// countPaths counts what came by its path.
-func countPaths(came []reach) map[string]int {
+// countPaths counts contacts by path.
+func countPaths(came []contact) map[string]int {
 	counts := make(map[string]int)
 	for _, one := range came {
 		counts[one.path]++
@@ -75,8 +77,9 @@
 	return counts
 }
 
-// pressPath lets callers at each node send requests one after the other, with a pause between.
-func (f *fleet) pressPath(callers int, path, model string, pause time.Duration) (stop func() []reply) {
+// startPathLoad starts callers at each node that send requests back to back, with a pause in
+// between.
+func (f *fleet) startPathLoad(callers int, path, model string, pause time.Duration) (stop func() []reply) {
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -91,7 +94,7 @@
 					case <-time.After(pause):
 					}
 					id := n.name + "/" + path + strconv.Itoa(caller) + "-" + strconv.Itoa(number)
-					got := n.sendRequest(sending{id: id, path: path, model: model, body: "body", deadline: 3 * time.Second})
+					got := n.sendRequest(callerRequest{id: id, path: path, model: model, body: "body", deadline: 3 * time.Second})
 					mu.Lock()
 					replies = append(replies, got)
 					mu.Unlock()
@@ -102,13 +105,13 @@
 	return func() []reply { close(done); group.Wait(); return replies }
 }
 
-// A server in need named a limit of 1 request a second for all nodes together, in each of its
-// answers, and got ten times that: nodes passed such answers on and chose the server at once and
-// anew, since nobody read what they named. Callers' requests were not all of it. In the worst 4 s of
-// the incident 12 requests came, and of callers 8; the rest were orders and questions for reports of
-// the leader, so bounding callers alone would have broken the limit again. Lines of three nodes within
-// two milliseconds settled it, for they show each node told, and the same three again 0.1 s later; the
-// last one is a call of the leader, which had been told as well:
+// TestServerThatNamesALimitGetsNoMoreThanThat: a server announced a limit of 1 request a
+// second for all nodes together in each response and received ten times that, because nodes
+// ignored the announcement and kept choosing the server. Caller requests were only part of
+// the traffic: of 12 contacts in the worst 4 s, 8 were caller requests and the rest were
+// orders and report queries of the leader, so limiting callers alone would still exceed the
+// limit. Each node had been told, as these log lines show (the last is a call of the
+// leader):
 //
 //	event=request_answered node=node-2 status=200 server=i-commands-1 waited_ms=0.0 took_ms=0.5 server_limit=1
 //	event=request_answered node=node-1 status=200 server=i-commands-1 waited_ms=0.0 took_ms=0.4 server_limit=1
@@ -121,21 +124,21 @@
 		newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1"),
 		newServerIn(t, f.store, "z", "i-models-2", "models", 50*time.Millisecond, "m2"),
 	}
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	f.nodes[0].sendOwn(0, "/chat/x", "m1")
+	f.nodes[0].sendNamed(0, "/chat/x", "m1")
 	limited := []*modelServer{commands[0], models[0]}
 	const perSecond = 1
 	for _, m := range limited {
-		m.nameLimit(perSecond)
+		m.setRateLimit(perSecond)
 	}
 	named := time.Now()
-	stopCommands := f.pressPath(2, "/command/x", "", 100*time.Millisecond)
-	stopChat := f.pressPath(2, "/chat/x", "m1", 100*time.Millisecond)
-	time.Sleep(limitKnown + 2*limitWindow)
+	stopCommands := f.startPathLoad(2, "/command/x", "", 100*time.Millisecond)
+	stopChat := f.startPathLoad(2, "/chat/x", "m1", 100*time.Millisecond)
+	time.Sleep(limitSettleTime + 2*limitWindow)
 	for _, got := range stopCommands() {
 		if got.status != http.StatusOK {
-			t.Errorf("a command: %+v, though another server names no limit", got)
+			t.Errorf("a command got %+v, although another server has no limit", got)
 		}
 	}
 	served, asked := 0, stopChat()
@@ -144,7 +147,7 @@
 		case got.status == http.StatusOK:
 			served++
 		case got.status != http.StatusServiceUnavailable || got.retryAfter == "":
-			t.Errorf("%+v, want an answer or a refusal that says when to come back", got)
+			t.Errorf("%+v, want 200, or 503 with Retry-After", got)
 		}
 	}
 	t.Logf("%d of %d streams were served", served, len(asked))
@@ -152,45 +155,46 @@
 		t.Error("no stream was served")
 	}
 	for _, m := range limited {
-		came := m.reachedSince(named.Add(limitKnown))
-		worst := worstWindow(came)
-		t.Logf("%s: %d in the worst 4 s, %v", m.id, len(worst), countPaths(worst))
+		came := m.contactsSince(named.Add(limitSettleTime))
+		worst := busiestWindow(came)
+		t.Logf("%s: %d contacts in the busiest 4 s: %v", m.id, len(worst), countPaths(worst))
 		if len(worst) > allowedInWindow(perSecond) {
-			t.Errorf("%s names a limit of %d a second, and %d requests reached it in 4 s (%v); %d are allowed",
+			t.Errorf("%s announced a limit of %d a second and was contacted %d times in 4 s (%v); %d are allowed",
 				m.id, perSecond, len(worst), countPaths(worst), allowedInWindow(perSecond))
 		}
 	}
 }
 
-// TestLimitFallsRisesAndEnds: nodes go by what the server names now, and serve as before once it names
-// nothing, also where nothing was sent meanwhile.
+// TestLimitFallsRisesAndEnds: nodes follow the limit that the server currently announces,
+// and serve without one once it stops announcing it, even if nothing was sent in between.
 func TestLimitFallsRisesAndEnds(t *testing.T) {
 	f := newFleet(t, 2)
 	m := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	f.nodes[0].sendOwn(0, "/chat/x", "m1")
-	stop := f.pressPath(2, "/chat/x", "m1", 50*time.Millisecond)
+	f.nodes[0].sendNamed(0, "/chat/x", "m1")
+	stop := f.startPathLoad(2, "/chat/x", "m1", 50*time.Millisecond)
 	for _, perSecond := range []float64{8, 1, 5} {
-		m.nameLimit(perSecond)
+		m.setRateLimit(perSecond)
 		changed := time.Now()
-		// A rise is heard with the next request that is granted, at the rate before.
-		time.Sleep(limitKnown + limitWindow + time.Second)
-		came := worstWindow(m.reachedSince(changed.Add(limitKnown)))
-		t.Logf("%v a second: %d in the worst window", perSecond, len(came))
+		// Nodes learn of a raised limit with the next granted request, which still waits for the old
+		// rate.
+		time.Sleep(limitSettleTime + limitWindow + time.Second)
+		came := busiestWindow(m.contactsSince(changed.Add(limitSettleTime)))
+		t.Logf("%v a second: %d in the busiest window", perSecond, len(came))
 		if len(came) > allowedInWindow(perSecond) {
 			t.Errorf("%d requests in 4 s at a limit of %v a second (%v); %d are allowed", len(came), perSecond, countPaths(came), allowedInWindow(perSecond))
 		}
 		if len(came) < int(perSecond*limitWindow.Seconds()/2) {
-			t.Errorf("%d requests in 4 s at a limit of %v a second: callers press, and most of it goes unused", len(came), perSecond)
+			t.Errorf("%d requests in 4 s at a limit of %v a second: most of the limit goes unused under full load", len(came), perSecond)
 		}
 	}
-	m.nameLimit(1)
-	time.Sleep(limitKnown)
+	m.setRateLimit(1)
+	time.Sleep(limitSettleTime)
 	stop()
-	m.nameLimit(-1)
+	m.setRateLimit(-1)
 	for _, n := range f.nodes {
-		eventually(t, n.name+" serves as before", func() bool {
+		eventually(t, n.name+" serves without a limit", func() bool {
 			started := time.Now()
 			for _, got := range n.sendMany(int(started.UnixMilli()), 5, "/chat/x", "m1") {
 				if got.status != http.StatusOK {
@@ -202,19 +206,19 @@
 	}
 }
 
-// TestLimitHoldsWhileNodesFail: the node that grants is killed, and another one stands still. What
-// they send counts, too.
+// TestLimitHoldsWhileNodesFail kills each node in turn, including the one that grants
+// requests, and then freezes one. Requests of failed nodes still count towards the limit.
 func TestLimitHoldsWhileNodesFail(t *testing.T) {
 	f := newFleet(t, 3)
 	m := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	f.nodes[0].sendOwn(0, "/chat/x", "m1")
+	f.nodes[0].sendNamed(0, "/chat/x", "m1")
 	const perSecond = 1
-	m.nameLimit(perSecond)
+	m.setRateLimit(perSecond)
 	named := time.Now()
-	stop := f.pressPath(2, "/chat/x", "m1", 50*time.Millisecond)
-	time.Sleep(limitKnown + time.Second)
+	stop := f.startPathLoad(2, "/chat/x", "m1", 50*time.Millisecond)
+	time.Sleep(limitSettleTime + time.Second)
 	for _, n := range f.nodes {
 		n.kill()
 		time.Sleep(time.Second)
@@ -226,32 +230,32 @@
 	f.nodes[1].signal(syscall.SIGCONT)
 	time.Sleep(limitWindow)
 	stop()
-	came := worstWindow(m.reachedSince(named.Add(limitKnown)))
-	t.Logf("%d in the worst window, %v", len(came), countPaths(came))
+	came := busiestWindow(m.contactsSince(named.Add(limitSettleTime)))
+	t.Logf("%d contacts in the busiest window: %v", len(came), countPaths(came))
 	if len(came) > allowedInWindow(perSecond) {
-		t.Errorf("%d requests in 4 s (%v); %d are allowed", len(came), countPaths(came), allowedInWindow(perSecond))
+		t.Errorf("%d contacts in 4 s (%v); %d are allowed", len(came), countPaths(came), allowedInWindow(perSecond))
 	}
 	if served := m.runCount(); served < 8 {
-		t.Errorf("%d streams ran in some 15 s at 1 a second", served)
+		t.Errorf("%d streams ran in about 15 s at 1 a second", served)
 	}
 }
 
-// TestLimitEndsWithItsStart: a server that starts again under its identity names nothing, and is
-// bounded by nothing.
+// TestLimitEndsWithItsStart: the limit does not apply to a server that restarted under the
+// same identity and announces none.
 func TestLimitEndsWithItsStart(t *testing.T) {
 	f := newFleet(t, 2)
 	m := newServer(t, f.store, "i-commands-1", "commands", 0)
-	m.set(func() { m.born = 1000 })
-	m.enter(f.store, "ready")
-	f.store.put("config", "main", configuration(1))
+	m.set(func() { m.startID = 1000 })
+	m.register(f.store, "ready")
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	m.nameLimit(0)
+	m.setRateLimit(0)
 	for _, n := range f.nodes {
 		n.sendMany(0, 3, "/command/x", "")
 	}
-	m.startAgain(f.store)
+	m.restart(f.store)
 	for _, n := range f.nodes {
-		eventually(t, n.name+" serves as before", func() bool {
+		eventually(t, n.name+" serves without a limit", func() bool {
 			started := time.Now()
 			for _, got := range n.sendMany(int(started.UnixMilli()), 5, "/command/x", "") {
 				if got.status != http.StatusOK {
--- a/test/platform/network_test.go
+++ b/test/platform/network_test.go
@@ -15,29 +15,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// fault is what is wrong on a way between two processes.
+// fault describes what is wrong with a network link between two processes.
 type fault struct {
-	// delay holds back each piece, in either direction.
+	// delay postpones each chunk, in either direction.
 	delay time.Duration
-	// deafTo drops what goes towards the process behind the relay, and deafFrom
-	// what comes from it; connections stay open. Both are silence.
-	deafTo, deafFrom bool
-	// refuse closes new connections at once.
+	// blockTo blocks bytes to the process behind the proxy, and blockFrom bytes from it.
+	// Connections stay open, so either side sees only silence.
+	blockTo, blockFrom bool
+	// refuse closes new connections immediately.
 	refuse bool
-	// loss is the share of datagrams dropped.
+	// loss is the fraction of datagrams that are dropped.
 	loss float64
-	// holds bounds deafTo to pieces that have the text, and what comes after them on
-	// their connections.
-	holds string
-	// openedBefore bounds the fault to connections that were opened before; zero does
-	// not. They go silent while new ones work.
+	// containing limits blockTo to chunks that contain the text and to what follows them on the
+	// same connection.
+	containing string
+	// openedBefore limits the fault to connections opened before that time, so that these go
+	// silent while new ones work; zero means all connections.
 	openedBefore time.Time
 }
 
-// way is a relay on loopback in front of one process: connections and, where it
-// has them, datagrams go through it, as long as its fault lets them. Faults may
-// concern one sender alone, by its address.
-type way struct {
+// proxy is a loopback proxy in front of one process. It forwards connections and, where
+// configured, datagrams, subject to the current fault. A fault may apply to a single sender,
+// identified by its address.
+type proxy struct {
 	target   string
 	listener net.Listener
 	packets  *net.UDPConn
@@ -48,26 +48,26 @@
 	conns  []net.Conn
 }
 
-// everybody is the sender in a fault that concerns all.
-const everybody = ""
+// anySender selects faults that apply to all senders.
+const anySender = ""
 
-// newWay relays connections at the address to the target; ":0" is any port.
-func newWay(t *testing.T, address, target string) *way {
+// newProxy forwards connections from the address to the target; port 0 picks a free port.
+func newProxy(t *testing.T, address, target string) *proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &way{target: target, listener: listener, faults: make(map[string]fault), random: rand.New(rand.NewPCG(1, 1))}
+	w := &proxy{target: target, listener: listener, faults: make(map[string]fault), random: rand.New(rand.NewPCG(1, 1))}
 	t.Cleanup(func() { _ = listener.Close(); w.reset() })
 	go w.accept()
 	return w
 }
 
-// newPeerWay relays datagrams as well.
-func newPeerWay(t *testing.T, address, target string) *way {
+// newPeerProxy additionally forwards datagrams.
+func newPeerProxy(t *testing.T, address, target string) *proxy {
 	t.Helper()
-	w := newWay(t, address, target)
+	w := newProxy(t, address, target)
 	local, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		t.Fatal(err)
@@ -76,24 +76,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = w.packets.Close() })
-	go w.passPackets()
+	go w.forwardPackets()
 	return w
 }
 
-func (w *way) address() string { return w.listener.Addr().String() }
+func (w *proxy) address() string { return w.listener.Addr().String() }
 
-// set puts a fault in place for a sender, or ends it with the zero fault.
-func (w *way) set(sender string, f fault) {
+// set installs a fault for a sender; the zero fault removes it.
+func (w *proxy) set(sender string, f fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults[sender] = f
 }
 
-// of is the fault for what a sender opened at the time.
-func (w *way) of(sender string, opened time.Time) fault {
+// faultFor returns the fault that applies to a connection or datagram of the sender opened
+// at the given time.
+func (w *proxy) faultFor(sender string, opened time.Time) fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, concerned := range []string{sender, everybody} {
+	for _, concerned := range []string{sender, anySender} {
 		f := w.faults[concerned]
 		if f != (fault{}) && (f.openedBefore.IsZero() || opened.Before(f.openedBefore)) {
 			return f
@@ -102,14 +103,14 @@
 	return fault{}
 }
 
-func (w *way) isLost(f fault) bool {
+func (w *proxy) dropsPacket(f fault) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return f.deafTo || w.random.Float64() < f.loss
+	return f.blockTo || w.random.Float64() < f.loss
 }
 
-// reset ends all connections without a word.
-func (w *way) reset() {
+// reset resets all connections.
+func (w *proxy) reset() {
 	w.mu.Lock()
 	conns := slices.Clone(w.conns)
 	w.conns = nil
@@ -122,52 +123,52 @@
 	}
 }
 
-func (w *way) accept() {
+func (w *proxy) accept() {
 	for {
 		conn, err := w.listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.relay(conn)
+		go w.forward(conn)
 	}
 }
 
-func (w *way) relay(near net.Conn) {
-	sender, _, _ := strings.Cut(near.RemoteAddr().String(), ":")
+func (w *proxy) forward(client net.Conn) {
+	sender, _, _ := strings.Cut(client.RemoteAddr().String(), ":")
 	opened := time.Now()
-	if w.of(sender, opened).refuse {
-		_ = near.Close()
+	if w.faultFor(sender, opened).refuse {
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", w.target)
+	upstream, err := net.Dial("tcp", w.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
 	w.mu.Lock()
-	w.conns = append(w.conns, near, far)
+	w.conns = append(w.conns, client, upstream)
 	w.mu.Unlock()
-	go w.copy(far, near, func(piece []byte) (fault, bool) {
-		f := w.of(sender, opened)
-		return f, f.deafTo && bytes.Contains(piece, []byte(f.holds))
+	go w.copy(upstream, client, func(piece []byte) (fault, bool) {
+		f := w.faultFor(sender, opened)
+		return f, f.blockTo && bytes.Contains(piece, []byte(f.containing))
 	})
-	w.copy(near, far, func([]byte) (fault, bool) { f := w.of(sender, opened); return f, f.deafFrom })
-	w.forget(near, far)
+	w.copy(client, upstream, func([]byte) (fault, bool) { f := w.faultFor(sender, opened); return f, f.blockFrom })
+	w.removeConns(client, upstream)
 }
 
-func (w *way) forget(ended ...net.Conn) {
+func (w *proxy) removeConns(ended ...net.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conns = slices.DeleteFunc(w.conns, func(conn net.Conn) bool { return slices.Contains(ended, conn) })
 }
 
-// heldPause is the time between looks whether a deaf direction passes again: TCP
-// sends again what was lost, so silence holds bytes back, and drops them only where
-// the sender has reset the connection. A sender that closed it has its bytes sent on.
-const heldPause = 20 * time.Millisecond
+// blockedPollInterval is the interval at which a blocked direction is checked again. TCP
+// retransmits lost segments, so a block delays bytes; they are lost only if the sender has
+// reset the connection. After an ordinary close they are still delivered.
+const blockedPollInterval = 20 * time.Millisecond
 
-// copy passes bytes on until either end closes.
-func (w *way) copy(to, from net.Conn, state func(piece []byte) (f fault, deaf bool)) {
+// copy forwards bytes until either end closes.
+func (w *proxy) copy(to, from net.Conn, state func(piece []byte) (f fault, deaf bool)) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 16<<10)
@@ -178,7 +179,7 @@
 			time.Sleep(f.delay)
 			isHeld := deaf
 			for ; deaf; _, deaf = state(buffer[:count]) {
-				time.Sleep(heldPause)
+				time.Sleep(blockedPollInterval)
 			}
 			if isHeld && isReset(from) {
 				return
@@ -193,7 +194,7 @@
 	}
 }
 
-// isReset reports whether the other end has reset the connection.
+// isReset reports whether the peer has reset the connection.
 func isReset(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
@@ -212,7 +213,7 @@
 	return err != nil || state == unix.BPF_TCP_CLOSE
 }
 
-func (w *way) passPackets() {
+func (w *proxy) forwardPackets() {
 	target, err := net.ResolveUDPAddr("udp4", w.target)
 	if err != nil {
 		return
@@ -223,8 +224,8 @@
 		if err != nil {
 			return
 		}
-		f := w.of(sender.IP.String(), time.Now())
-		if w.isLost(f) {
+		f := w.faultFor(sender.IP.String(), time.Now())
+		if w.dropsPacket(f) {
 			continue
 		}
 		packet := slices.Clone(buffer[:count])
@@ -232,7 +233,8 @@
 	}
 }
 
-// TestWayHarmsWhatItIsToldTo: a relay that passes all on proves nothing.
+// TestWayHarmsWhatItIsToldTo checks that each fault takes effect: a proxy that forwards
+// everything would make the other tests meaningless.
 func TestWayHarmsWhatItIsToldTo(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -248,7 +250,7 @@
 			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	w := newWay(t, "127.0.0.1:0", listener.Addr().String())
+	w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
 	dial := func() net.Conn {
 		conn, err := net.Dial("tcp", w.address())
 		if err != nil {
@@ -264,31 +266,31 @@
 	}
 	conn := dial()
 	if !echoes(conn) {
-		t.Error("a sound way does not pass")
+		t.Error("a proxy without a fault does not forward")
 	}
-	for name, f := range map[string]fault{"deaf to": {deafTo: true}, "deaf from": {deafFrom: true}, "slow": {delay: time.Second}} {
+	for name, f := range map[string]fault{"deaf to": {blockTo: true}, "deaf from": {blockFrom: true}, "slow": {delay: time.Second}} {
 		w.set("127.0.0.1", f)
 		if echoes(dial()) {
-			t.Errorf("%s: passes", name)
+			t.Errorf("fault %q: the proxy still forwards", name)
 		}
 		w.set("127.0.0.1", fault{})
 	}
-	w.set(everybody, fault{refuse: true})
+	w.set(anySender, fault{refuse: true})
 	if echoes(dial()) {
-		t.Error("a way that refuses passes")
+		t.Error("a proxy that refuses connections still forwards")
 	}
-	w.set(everybody, fault{})
+	w.set(anySender, fault{})
 	w.reset()
 	if echoes(conn) {
-		t.Error("a connection that was reset passes")
+		t.Error("a connection still forwards after a reset")
 	}
 	if !echoes(dial()) {
-		t.Error("a new connection does not pass after a reset")
+		t.Error("a new connection does not forward after a reset")
 	}
 }
 
-// TestWayHoldsBytesAsAKernelDoes: what was written before an ordinary close arrives once
-// the way is sound again, and what was written before a reset does not.
+// TestWayHoldsBytesAsAKernelDoes: bytes written before an ordinary close arrive once the
+// fault is removed, and bytes written before a reset do not.
 func TestWayHoldsBytesAsAKernelDoes(t *testing.T) {
 	for name, c := range map[string]struct{ resets, arrives bool }{"closed": {false, true}, "reset": {true, false}} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -304,20 +306,20 @@
 			text, _ := io.ReadAll(conn)
 			got <- string(text)
 		}()
-		w := newWay(t, "127.0.0.1:0", listener.Addr().String())
+		w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
 		conn, err := net.Dial("tcp", w.address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.set(everybody, fault{deafTo: true})
+		w.set(anySender, fault{blockTo: true})
 		_, _ = conn.Write([]byte("order"))
-		time.Sleep(5 * heldPause)
+		time.Sleep(5 * blockedPollInterval)
 		if c.resets {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 		}
 		_ = conn.Close()
-		time.Sleep(5 * heldPause)
-		w.set(everybody, fault{})
+		time.Sleep(5 * blockedPollInterval)
+		w.set(anySender, fault{})
 		if text := <-got; (text == "order") != c.arrives {
 			t.Errorf("%s: %q arrived", name, text)
 		}
@@ -325,8 +327,8 @@
 	}
 }
 
-// TestWaySilencesOpenConnectionsAlone: one that was opened before goes silent, and a new
-// one works.
+// TestWaySilencesOpenConnectionsAlone: with openedBefore set, older connections go silent
+// and new ones work.
 func TestWaySilencesOpenConnectionsAlone(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -342,8 +344,8 @@
 			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	for name, f := range map[string]fault{"to": {deafTo: true}, "from": {deafFrom: true}} {
-		w := newWay(t, "127.0.0.1:0", listener.Addr().String())
+	for name, f := range map[string]fault{"to": {blockTo: true}, "from": {blockFrom: true}} {
+		w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
 		echoes := func(conn net.Conn) bool {
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -355,19 +357,19 @@
 			t.Fatal(err)
 		}
 		if !echoes(before) {
-			t.Fatalf("%s: a sound way does not pass", name)
+			t.Fatalf("%s: a proxy without a fault does not forward", name)
 		}
 		f.openedBefore = time.Now()
-		w.set(everybody, f)
+		w.set(anySender, f)
 		after, err := net.Dial("tcp", w.address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if echoes(before) {
-			t.Errorf("%s: a connection passes that was opened before", name)
+			t.Errorf("%s: a connection opened before the fault still forwards", name)
 		}
 		if !echoes(after) {
-			t.Errorf("%s: a new connection does not pass", name)
+			t.Errorf("%s: a new connection does not forward", name)
 		}
 		_ = before.Close()
 		_ = after.Close()
--- a/test/platform/node_test.go
+++ b/test/platform/node_test.go
@@ -15,43 +15,43 @@
 	"time"
 )
 
-// binary is the program under test, built once.
+// binary is the path of the program under test, built once by TestMain.
 var binary string
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "spanlanding-platform")
+	dir, err := os.MkdirTemp("", "spanlanding-platform")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	binary = filepath.Join(folder, "spanlanding")
+	binary = filepath.Join(dir, "spanlanding")
 	if output, err := exec.Command("go", "build", "-o", binary, "../../cmd/spanlanding").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, output)
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
 func (n *node) start() {
-	n.process = exec.Command(cmp.Or(n.binary, binary), append([]string{"edge"}, n.arguments...)...)
-	n.process.Env = append(os.Environ(), "SPANLANDING_BOOT="+n.settings)
-	n.process.Stdout, n.process.Stderr = n, n
-	if err := n.process.Start(); err != nil {
+	n.cmd = exec.Command(cmp.Or(n.binary, binary), append([]string{"edge"}, n.arguments...)...)
+	n.cmd.Env = append(os.Environ(), "SPANLANDING_BOOT="+n.settingsPath)
+	n.cmd.Stdout, n.cmd.Stderr = n, n
+	if err := n.cmd.Start(); err != nil {
 		n.fleet.t.Fatal(err)
 	}
-	n.ended = make(chan error, 1)
-	process, ended := n.process, n.ended
+	n.exited = make(chan error, 1)
+	process, ended := n.cmd, n.exited
 	go func() { ended <- process.Wait() }()
 }
 
 func (n *node) kill() {
-	_ = n.process.Process.Kill()
-	<-n.ended
+	_ = n.cmd.Process.Kill()
+	<-n.exited
 }
 
-func (n *node) signal(signal os.Signal) { _ = n.process.Process.Signal(signal) }
+func (n *node) signal(signal os.Signal) { _ = n.cmd.Process.Signal(signal) }
 
 func (n *node) isReady() bool {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/api/readyz", n.ip, n.fleet.ports[2]))
@@ -73,16 +73,16 @@
 
 func (n *node) send(path, model string) reply {
 	requestNumber++
-	return n.sendRequest(sending{id: "r" + strconv.Itoa(requestNumber), path: path, model: model, body: "body", deadline: 8 * time.Second})
+	return n.sendRequest(callerRequest{id: "r" + strconv.Itoa(requestNumber), path: path, model: model, body: "body", deadline: 8 * time.Second})
 }
 
-// sending is a request as a caller sends it; model is empty for commands.
-type sending struct {
+// callerRequest is a request as a caller sends it; model is empty for commands.
+type callerRequest struct {
 	id, path, model, body string
 	deadline              time.Duration
 }
 
-func (n *node) sendRequest(r sending) reply {
+func (n *node) sendRequest(r callerRequest) reply {
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", n.ip, n.fleet.ports[1], r.path), strings.NewReader(r.body))
 	if err != nil {
 		return reply{err: err}
@@ -104,18 +104,19 @@
 	return reply{status: response.StatusCode, body: string(text), retryAfter: response.Header.Get("Retry-After"), err: err}
 }
 
-// eventually waits for a condition; the bound is far beyond what it takes.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until the condition holds. The 10 s limit is far longer than any
+// condition takes.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within 10 s: %s", what)
+	t.Fatalf("condition not met within 10 s: %s", what)
 }
 
-func configuration(version int, extra ...map[string]any) map[string]any {
+func newConfig(version int, extra ...map[string]any) map[string]any {
 	routes := []map[string]any{
 		{"name": "command", "host": "host.example", "pathPrefix": "/command/", "type": "unsafe", "service": "commands", "maxAttempts": 1},
 		{"name": "chat", "host": "host.example", "pathPrefix": "/chat/", "type": "streaming", "service": "models", "goalMs": 5000, "timeoutMs": 8000, "maxAttempts": 1, "sticky": true},
@@ -144,18 +145,18 @@
 	}
 }
 
-// TestNodesServeLoadAndStop is the whole path over processes: not ready before
-// the configuration is known, commands, a cold model and its adapter, a change
-// of the configuration past a deaf watch, a reload, and a planned stop.
+// TestNodesServeLoadAndStop covers the main path with real processes: not ready without a
+// configuration, commands, loading a model and its adapter on demand, a configuration change
+// that watches miss, a settings reload, and a graceful stop.
 func TestNodesServeLoadAndStop(t *testing.T) {
 	f := newFleet(t, 2)
 	commands := newServer(t, f.store, "i-commands", "commands", 0)
 	models := newServer(t, f.store, "i-models", "models", 200*time.Millisecond)
 	eventually(t, "a node without a configuration answers 503", func() bool { return f.nodes[0].send("/command/x", "").status == http.StatusServiceUnavailable })
 	if f.nodes[0].isReady() {
-		t.Error("ready without a configuration")
+		t.Error("the node is ready without a configuration")
 	}
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	for _, n := range f.nodes {
 		if got := n.send("/command/x", ""); got.status != http.StatusOK || got.body != "done by i-commands" {
@@ -178,21 +179,21 @@
 	}
 }
 
-// changeConfiguration changes it while watches hear nothing and the history is
-// dropped.
+// changeConfiguration changes the configuration while watches deliver nothing, and then
+// drops the store's history.
 func (f *fleet) changeConfiguration() {
-	f.store.set(func() { f.store.deaf = true })
+	f.store.set(func() { f.store.muteWatches = true })
 	added := map[string]any{"name": "new", "host": "host.example", "pathPrefix": "/new/", "type": "safe", "service": "commands"}
-	f.store.put("config", "main", configuration(5, added))
+	f.store.put("config", "main", newConfig(5, added))
 	f.store.compact()
-	f.store.set(func() { f.store.deaf = false })
+	f.store.set(func() { f.store.muteWatches = false })
 	for _, n := range f.nodes {
 		eventually(f.t, "version 5 is in force at "+n.name, func() bool { return strings.Contains(n.log(), "event=config_in_force node="+n.name+" version=5") })
 	}
-	f.store.put("config", "main", configuration(4))
+	f.store.put("config", "main", newConfig(4))
 }
 
-// stopWhileStreaming stops the first node in the middle of an answer.
+// stopWhileStreaming stops the first node gracefully in the middle of a response.
 func (f *fleet) stopWhileStreaming(models *modelServer) {
 	models.mu.Lock()
 	models.streamPause = 100 * time.Millisecond
@@ -203,23 +204,23 @@
 	eventually(f.t, "the stream runs", func() bool { return models.runCount() > before })
 	f.nodes[0].signal(syscall.SIGTERM)
 	if got := <-answered; got.err != nil || strings.Count(got.body, "id: ") != 5 {
-		f.t.Errorf("a planned stop cut %+v", got)
+		f.t.Errorf("a graceful stop interrupted the response: %+v", got)
 	}
 	eventually(f.t, "the node is not ready", func() bool { return !f.nodes[0].isReady() })
-	if err := <-f.nodes[0].ended; err != nil {
-		f.t.Errorf("a planned stop ended with %v", err)
+	if err := <-f.nodes[0].exited; err != nil {
+		f.t.Errorf("a graceful stop ended with %v", err)
 	}
 	if strings.Contains(f.nodes[1].log(), "version=4") {
-		f.t.Error("the configuration went back")
+		f.t.Error("a node went back to an older version of the configuration")
 	}
 }
 
-// TestOrdersHaveOneHolder kills the leader and lets answers of the store be
-// lost, and reads the orders at the server.
+// TestOrdersHaveOneHolder kills the leader and drops store responses, then checks at the
+// server that fencing tokens never go back and that no two holders overlap.
 func TestOrdersHaveOneHolder(t *testing.T) {
 	f := newFleet(t, 3)
 	models := newServer(t, f.store, "i-models", "models", 50*time.Millisecond)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	served := func(model string) func() bool {
 		return func() bool { return f.nodes[2].send("/chat/x", model).status == http.StatusOK }
@@ -227,21 +228,22 @@
 	eventually(t, "m1 answers", served("m1"))
 	holder := f.leader()
 	holder.kill()
-	f.store.set(func() { f.store.lost = true })
+	f.store.set(func() { f.store.dropResponses = true })
 	time.Sleep(300 * time.Millisecond)
-	f.store.set(func() { f.store.lost = false })
+	f.store.set(func() { f.store.dropResponses = false })
 	holder.start()
 	eventually(t, "m2 answers under some leader", served("m2"))
 	eventually(t, "m1 answers again", served("m1"))
 	checkOrders(t, models.ordersTaken())
 }
 
-// TestEachRenewalRaisesTheRevision: a store does not count a write that changes
-// nothing, and a successor that saw no renewal would take the lease too soon.
+// TestEachRenewalRaisesTheRevision: the store does not raise the revision for a write that
+// changes nothing, so a renewal with equal content would be invisible and a successor would
+// take the lease too early.
 func TestEachRenewalRaisesTheRevision(t *testing.T) {
 	f := newFleet(t, 1)
 	newServer(t, f.store, "i-models", "models", 50*time.Millisecond)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	revision := func() int64 {
 		f.store.mu.Lock()
@@ -255,12 +257,12 @@
 	}
 }
 
-// TestHangupDoesNotEndAStoppingNode: settings may change while a node stops; the
-// hangup found no taker any more and ended the process, with what it was serving.
+// TestHangupDoesNotEndAStoppingNode: a stopping node no longer handled SIGHUP, so a settings
+// reload during the stop killed the process along with its requests.
 func TestHangupDoesNotEndAStoppingNode(t *testing.T) {
 	f := newFleet(t, 1)
 	newServer(t, f.store, "i-commands", "commands", 0)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	n := f.nodes[0]
 	n.signal(syscall.SIGTERM)
@@ -268,22 +270,23 @@
 	eventually(t, "it is draining", func() bool { return strings.Contains(n.log(), "event=node_draining") })
 	n.signal(syscall.SIGHUP)
 	if got := n.send("/command/x", ""); got.status != http.StatusOK {
-		t.Errorf("status %d (%v) of a stopping node after a hangup, want 200", got.status, got.err)
+		t.Errorf("status %d (%v) from a stopping node after SIGHUP, want 200", got.status, got.err)
 	}
-	if err := <-n.ended; err != nil {
-		t.Errorf("a planned stop ended with %v", err)
+	if err := <-n.exited; err != nil {
+		t.Errorf("a graceful stop ended with %v", err)
 	}
 }
 
-// TestNodesFindEachOtherWithoutSeeds: the lease's holder leads to the others.
+// TestNodesFindEachOtherWithoutSeeds: without usable seeds, nodes discover each other
+// through the holder of the lease.
 func TestNodesFindEachOtherWithoutSeeds(t *testing.T) {
 	f := newFleetWithSeeds(t, 3, `"127.0.0.99:1"`)
 	newServer(t, f.store, "i-commands", "commands", 0)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	for _, n := range f.nodes {
 		for _, other := range f.nodes {
-			eventually(t, n.name+" hears "+other.name, func() bool {
+			eventually(t, n.name+" discovers "+other.name, func() bool {
 				return n == other || strings.Contains(n.log(), "event=peer_alive node="+n.name+" peer="+other.name)
 			})
 		}
@@ -303,28 +306,29 @@
 func checkOrders(t *testing.T, orders []order) {
 	t.Helper()
 	if len(orders) < 3 {
-		t.Errorf("%d orders, want some", len(orders))
+		t.Errorf("%d orders, want at least 3", len(orders))
 	}
 	for i := 1; i < len(orders); i++ {
 		before, after := orders[i-1], orders[i]
 		switch {
 		case after.FencingToken < before.FencingToken:
-			t.Errorf("order %d: token %d after %d", i, after.FencingToken, before.FencingToken)
+			t.Errorf("order %d: fencing token %d after %d", i, after.FencingToken, before.FencingToken)
 		case after.Holder != before.Holder && after.FencingToken == before.FencingToken:
-			t.Errorf("order %d: %s and %s with one token", i, before.Holder, after.Holder)
+			t.Errorf("order %d: %s and %s share a fencing token", i, before.Holder, after.Holder)
 		case after.Holder != before.Holder && after.at.Sub(before.at) < 600*time.Millisecond:
-			t.Errorf("order %d: %s takes turns with %s within the lease", i, after.Holder, before.Holder)
+			t.Errorf("order %d: %s ordered within the lease of %s", i, after.Holder, before.Holder)
 		}
 	}
 }
 
-// TestBadEntriesAreReportedAndPassedOver: the rest goes on working.
+// TestBadEntriesAreReportedAndPassedOver: unreadable entries are logged and ignored, and
+// everything else keeps working.
 func TestBadEntriesAreReportedAndPassedOver(t *testing.T) {
 	f := newFleet(t, 1)
 	newServer(t, f.store, "i-commands", "commands", 0)
 	f.store.put("servers", "i-nowhere", map[string]any{"service": "commands", "state": "ready"})
 	f.store.put("servers", "i-nonsense", "text")
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	n := f.nodes[0]
 	for _, place := range []string{"servers/i-nowhere", "servers/i-nonsense", "config/main"} {
@@ -340,26 +344,26 @@
 	f.refuseBadSettings()
 }
 
-// refuseBadSettings damages the settings of a running node and of a fresh one.
+// refuseBadSettings writes invalid settings for a running node and for a newly started one.
 func (f *fleet) refuseBadSettings() {
 	n := f.nodes[0]
-	if err := os.WriteFile(n.settings, []byte("nodeName = [\n"), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsPath, []byte("nodeName = [\n"), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	n.signal(syscall.SIGHUP)
-	eventually(f.t, "damaged settings are refused", func() bool { return strings.Contains(n.log(), "event=settings_refused") })
+	eventually(f.t, "invalid settings are refused", func() bool { return strings.Contains(n.log(), "event=settings_refused") })
 	if got := n.send("/command/x", ""); got.status != http.StatusOK {
 		f.t.Errorf("status %d, want 200 under the last good settings", got.status)
 	}
-	if err := os.WriteFile(n.settings, []byte("nodeName = \"x\"\nip = \"here\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsPath, []byte("nodeName = \"x\"\nip = \"here\"\n"), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	fresh := exec.Command(binary, "edge")
-	fresh.Env = append(os.Environ(), "SPANLANDING_BOOT="+n.settings)
+	fresh.Env = append(os.Environ(), "SPANLANDING_BOOT="+n.settingsPath)
 	output, err := fresh.CombinedOutput()
 	for _, finding := range []string{"zone: missing", "ip:", "listen.frontend", "internalPorts", "bounds.graceS"} {
 		if err == nil || !strings.Contains(string(output), finding) {
-			f.t.Errorf("a fresh node does not report %q: %s", finding, output)
+			f.t.Errorf("a newly started node does not report %q: %s", finding, output)
 		}
 	}
 }
--- a/test/platform/poison_test.go
+++ b/test/platform/poison_test.go
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// poisonBody is the body under which a crashing server ends.
+// poisonBody is the request body on which a crashing server crashes.
 const poisonBody = "poison"
 
-// crashingServer is a stand-in of a model server that ends as it runs a poison request,
-// with all that it runs, and starts anew at the same address under another identity.
+// crashingServer is a fake model server that crashes on a poison request, along with
+// everything it runs, and restarts at the same address under another identity.
 type crashingServer struct {
 	t       *testing.T
 	store   *store
 	address string
-	// downFor is the time until it starts anew, and number that of its starts.
+	// downFor is the delay before the restart, and number counts the starts.
 	downFor time.Duration
 	number  int
-	books   *poisonBooks
-	// keepsID starts it anew under the identity that it had.
+	log     *poisonLog
+	// keepsID restarts the server under the same identity.
 	keepsID bool
 
 	mu      sync.Mutex
@@ -38,44 +38,44 @@
 	server  *httptest.Server
 }
 
-// nobody stands for a server that has ended.
-const nobody = "i-nobody"
+// downID is the identity of a crashed server.
+const downID = "i-nobody"
 
-// poisonBooks are what happened at all servers.
-type poisonBooks struct {
+// poisonLog records what happened at all servers.
+type poisonLog struct {
 	mu sync.Mutex
-	// sent are the times at which poison requests reached a server, and ended those at
-	// which servers ended under them, by body.
-	sent, ended map[string][]time.Time
-	// endedAt are the servers that ended under each body.
-	endedAt map[[2]string]bool
+	// sentAt holds when poison requests reached a server, and crashedAt when servers crashed on
+	// them, by body.
+	sentAt, crashedAt map[string][]time.Time
+	// crashed holds the body and server of each crash.
+	crashed map[[2]string]bool
 }
 
-func (b *poisonBooks) noteSent(body string) {
+func (b *poisonLog) recordSent(body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sent[body] = append(b.sent[body], time.Now())
+	b.sentAt[body] = append(b.sentAt[body], time.Now())
 }
 
-// noteEnded books a server that ended; it may have ended under several requests, and
-// under several copies of one.
-func (b *poisonBooks) noteEnded(body, serverID string) {
+// recordCrash records that a server crashed. A server may crash while it runs several poison
+// requests or several copies of one; each body counts once per server.
+func (b *poisonLog) recordCrash(body, serverID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.endedAt[[2]string{body, serverID}] {
+	if b.crashed[[2]string{body, serverID}] {
 		return
 	}
-	b.endedAt[[2]string{body, serverID}] = true
-	b.ended[body] = append(b.ended[body], time.Now())
+	b.crashed[[2]string{body, serverID}] = true
+	b.crashedAt[body] = append(b.crashedAt[body], time.Now())
 }
 
-func newPoisonBooks() *poisonBooks {
-	return &poisonBooks{sent: make(map[string][]time.Time), ended: make(map[string][]time.Time), endedAt: make(map[[2]string]bool)}
+func newPoisonLog() *poisonLog {
+	return &poisonLog{sentAt: make(map[string][]time.Time), crashedAt: make(map[string][]time.Time), crashed: make(map[[2]string]bool)}
 }
 
-func newCrashingServer(t *testing.T, s *store, books *poisonBooks, downFor time.Duration) *crashingServer {
+func newCrashingServer(t *testing.T, s *store, books *poisonLog, downFor time.Duration) *crashingServer {
 	t.Helper()
-	return (&crashingServer{t: t, store: s, books: books, downFor: downFor}).start()
+	return (&crashingServer{t: t, store: s, log: books, downFor: downFor}).start()
 }
 
 func (c *crashingServer) start() *crashingServer {
@@ -103,16 +103,16 @@
 	c.current = &modelServer{
 		id: fmt.Sprintf("i-%s-%d", c.address[strings.LastIndex(c.address, ":")+1:], c.number), service: "models", address: c.address, zone: "z",
 		loadTime: 50 * time.Millisecond, streamPause: 20 * time.Millisecond,
-		models: map[string]map[string]bool{"m1": {}}, runs: make(map[string]int), ranAt: make(map[string]time.Time),
+		models: map[string]map[string]bool{"m1": {}}, runs: make(map[string]int), startedAt: make(map[string]time.Time),
 	}
 	if c.keepsID {
-		c.current.id, c.current.born = "i-"+c.address[strings.LastIndex(c.address, ":")+1:], time.Now().UnixMilli()
+		c.current.id, c.current.startID = "i-"+c.address[strings.LastIndex(c.address, ":")+1:], time.Now().UnixMilli()
 	}
 	c.server = httptest.NewUnstartedServer(c)
 	_ = c.server.Listener.Close()
 	c.server.Listener = listener
 	c.server.Start()
-	c.current.enter(c.store, "ready")
+	c.current.register(c.store, "ready")
 }
 
 // ServeHTTP implements http.Handler.
@@ -120,7 +120,7 @@
 	c.mu.Lock()
 	current := c.current
 	c.mu.Unlock()
-	if current.id == nobody {
+	if current.id == downID {
 		panic(http.ErrAbortHandler)
 	}
 	body, _ := io.ReadAll(request.Body)
@@ -130,25 +130,25 @@
 		current.ServeHTTP(writer, request)
 		return
 	}
-	c.books.noteSent(string(body))
+	c.log.recordSent(string(body))
 	writer.Header().Set("Request-Id", request.Header.Get("Request-Id"))
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(writer).Flush()
 	time.Sleep(30 * time.Millisecond)
-	c.books.noteEnded(string(body), current.start())
+	c.log.recordCrash(string(body), current.startName())
 	c.crash(current)
 	panic(http.ErrAbortHandler)
 }
 
-// crash ends the server, unless it has ended already, and starts it anew.
+// crash stops the server, unless it has already crashed, and restarts it after downFor.
 func (c *crashingServer) crash(current *modelServer) {
 	c.mu.Lock()
 	if c.current != current {
 		c.mu.Unlock()
 		return
 	}
-	c.current = &modelServer{id: nobody}
+	c.current = &modelServer{id: downID}
 	server := c.server
 	c.mu.Unlock()
 	_ = server.Listener.Close()
@@ -157,65 +157,66 @@
 		c.store.remove("servers", current.id)
 		listener, err := net.Listen("tcp", c.address)
 		if err != nil {
-			c.t.Errorf("start anew: %v", err)
+			c.t.Errorf("restart: %v", err)
 			return
 		}
 		c.startOn(listener)
 	})
 }
 
-// crashNow ends the server for no request's sake.
+// crashNow crashes the server without a poison request.
 func (c *crashingServer) crashNow() {
 	c.mu.Lock()
 	current := c.current
 	c.mu.Unlock()
-	if current.id != nobody {
+	if current.id != downID {
 		c.crash(current)
 	}
 }
 
-// sendBody sends a request for a model with a body.
+// sendBody sends a model request with the given body.
 func (n *node) sendBody(id, body string) reply {
-	return n.sendRequest(sending{id: id, path: "/chat/x", model: "m1", body: body, deadline: 3 * time.Second})
+	return n.sendRequest(callerRequest{id: id, path: "/chat/x", model: "m1", body: body, deadline: 3 * time.Second})
 }
 
 const (
 	poisonServers = 12
-	// crashesBorne is the number of servers that one request may end.
-	crashesBorne = 3
-	// furtherBorne is how often it may reach servers after that.
-	furtherBorne = 3
-	// tellTime is the time after which all nodes have to know of a poison request.
-	tellTime = time.Second
-	// poisonPause is the time between two repeats of one poison request.
+	// maxCrashes is the number of servers that one request may crash.
+	maxCrashes = 3
+	// maxLateSends is how often it may still reach a server after that.
+	maxLateSends = 3
+	// poisonKnownWithin is the time within which all nodes must know of a poison request.
+	poisonKnownWithin = time.Second
+	// poisonPause is the time between two repeats of a poison request.
 	poisonPause = 150 * time.Millisecond
 )
 
-// poisonedFleet is a fleet before servers that crash, with callers beside that send
-// requests of their own, each again and again until it is answered.
+// poisonedFleet is a fleet in front of crashing servers, with other callers that repeat each
+// of their requests until it is answered.
 type poisonedFleet struct {
 	*fleet
-	books   *poisonBooks
+	books   *poisonLog
 	servers []*crashingServer
-	// sent are the callers' requests, again those sent again, and barred those that were
-	// refused as poison requests.
-	sent, again, barred atomic.Int64
+	// sent counts the harmless requests, retried their retries, and refusedAsPoison those that
+	// were refused as poison requests.
+	sent, retried, refusedAsPoison atomic.Int64
 }
 
 const (
-	// innocentPause is the time between two requests of the callers of one of sixteen
-	// nodes, and innocentTries how often one is sent at the most.
-	innocentPause = 60 * time.Millisecond
-	innocentTries = 2
+	// harmlessPause is the time between two harmless requests at each node in a fleet of
+	// sixteen; it scales with the number of nodes. harmlessAttempts bounds the attempts of one
+	// request.
+	harmlessPause    = 60 * time.Millisecond
+	harmlessAttempts = 2
 )
 
 func startPoisonFleet(t *testing.T, nodes, servers int) *poisonedFleet {
-	f := &poisonedFleet{fleet: newFleet(t, nodes), books: newPoisonBooks()}
-	f.isQuiet = true
+	f := &poisonedFleet{fleet: newFleet(t, nodes), books: newPoisonLog()}
+	f.hidesLogs = true
 	for range servers {
 		f.servers = append(f.servers, newCrashingServer(t, f.store, f.books, 500*time.Millisecond))
 	}
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -226,8 +227,8 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(innocentPause * time.Duration(nodes) / 16):
-					callers.Go(func() { f.callInnocently(n, number) })
+				case <-time.After(harmlessPause * time.Duration(nodes) / 16):
+					callers.Go(func() { f.sendHarmless(n, number) })
 				}
 			}
 		})
@@ -235,17 +236,17 @@
 	return f
 }
 
-// callInnocently sends a request that ends no server until it is answered.
-func (f *poisonedFleet) callInnocently(n *node, number int) {
+// sendHarmless sends a request that crashes no server, with retries.
+func (f *poisonedFleet) sendHarmless(n *node, number int) {
 	f.sent.Add(1)
 	body := fmt.Sprintf("innocent %s %d", n.name, number)
-	for try := range innocentTries {
+	for try := range harmlessAttempts {
 		if try > 0 {
-			f.again.Add(1)
+			f.retried.Add(1)
 		}
 		got := n.sendBody(fmt.Sprintf("i%s-%d-%d", n.name, number, try), body)
 		if strings.Contains(got.body, "poison") {
-			f.barred.Add(1)
+			f.refusedAsPoison.Add(1)
 		}
 		if got.status == http.StatusOK && got.err == nil {
 			return
@@ -253,9 +254,9 @@
 	}
 }
 
-// TestPoisonRequestEndsThreeServersAtMost: a request that ends each server that runs it
-// comes again and again, at any node. It ends three, and is sent to no server from then
-// on; nobody else is barred, and it is told at once that it did not run.
+// TestPoisonRequestEndsThreeServersAtMost: a request that crashes every server that runs it
+// is repeated at all nodes. It crashes three servers and reaches none from then on. It is
+// refused immediately as not run, and no other request is blocked.
 func TestPoisonRequestEndsThreeServersAtMost(t *testing.T) {
 	f := startPoisonFleet(t, 4, poisonServers)
 	random := rand.New(rand.NewPCG(1, 32))
@@ -263,71 +264,71 @@
 		n := f.nodes[random.IntN(len(f.nodes))]
 		got := n.sendBody("p"+strconv.Itoa(number), poisonBody)
 		if number >= 10 && (got.status != http.StatusServiceUnavailable || got.retryAfter != "") {
-			t.Errorf("repeat %d: status %d, Retry-After %q, want 503 without", number, got.status, got.retryAfter)
+			t.Errorf("repeat %d: status %d, Retry-After %q, want 503 without Retry-After", number, got.status, got.retryAfter)
 		}
 		time.Sleep(poisonPause)
 	}
 	f.books.check(t, poisonBody, 0)
-	if barred := f.barred.Load(); barred > 0 {
-		t.Errorf("%d innocent requests were barred", barred)
+	if barred := f.refusedAsPoison.Load(); barred > 0 {
+		t.Errorf("%d harmless requests were refused as poison requests", barred)
 	}
 }
 
-// check judges by the servers' books.
-func (b *poisonBooks) check(t *testing.T, body string, beyond int) {
+// check checks the crashes and late sends of a poison request.
+func (b *poisonLog) check(t *testing.T, body string, beyond int) {
 	t.Helper()
-	if late := b.checkEnded(t, body, beyond); late > beyond {
-		t.Errorf("%q reached servers %d times %v and more after it had ended the third", body, late, tellTime)
+	if late := b.checkCrashes(t, body, beyond); late > beyond {
+		t.Errorf("%q reached servers %d times more than %v after its third crash", body, late, poisonKnownWithin)
 	}
 }
 
-// checkEnded returns how often the request reached a server when all nodes had to know.
-func (b *poisonBooks) checkEnded(t *testing.T, body string, beyond int) int {
+// checkCrashes checks the number of crashes, and returns how often the request reached a
+// server after all nodes had to know of it.
+func (b *poisonLog) checkCrashes(t *testing.T, body string, beyond int) int {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ended, sent := b.ended[body], b.sent[body]
-	if len(ended) > crashesBorne+beyond {
-		t.Errorf("%q ended %d servers, want %d at most", body, len(ended), crashesBorne+beyond)
+	ended, sent := b.crashedAt[body], b.sentAt[body]
+	if len(ended) > maxCrashes+beyond {
+		t.Errorf("%q crashed %d servers, want at most %d", body, len(ended), maxCrashes+beyond)
 	}
-	if len(ended) < crashesBorne {
-		t.Errorf("%q ended %d servers only", body, len(ended))
+	if len(ended) < maxCrashes {
+		t.Errorf("%q crashed only %d servers", body, len(ended))
 		return 0
 	}
 	late := 0
 	for _, at := range sent {
-		if at.Sub(ended[crashesBorne-1]) > tellTime {
+		if at.Sub(ended[maxCrashes-1]) > poisonKnownWithin {
 			late++
 		}
 	}
 	return late
 }
 
-// A larger run, which takes a minute, is asked for:
-// go test ./test/platform -run TestManyPoisonRequests -poison.many 50 -poison.nodes 48.
+// Parameters of a larger run, which takes a minute: go test ./test/platform -run
+// TestManyPoisonRequests -poison.many 50 -poison.nodes 48.
 var (
-	poisonMany  = flag.Int("poison.many", 0, "how many poison requests come side by side in a larger run; 0 is not at all")
-	poisonNodes = flag.Int("poison.nodes", 4, "the number of nodes of a larger run")
+	poisonMany  = flag.Int("poison.many", 0, "number of concurrent poison requests in a larger run; 0 skips it")
+	poisonNodes = flag.Int("poison.nodes", 4, "number of nodes in a larger run")
 )
 
-// poisonPlay is a run in which poison requests come side by side.
-type poisonPlay struct {
+// poisonLoad describes a run with concurrent poison requests.
+type poisonLoad struct {
 	nodes, requests, rounds, servers int
-	// copies of each come at once in each round, at nodes that are drawn.
+	// copies of each request are sent at once in each round, to random nodes.
 	copies int
-	// otherCrashes is the time between two servers that crash for reasons of their own;
-	// 0 is not at all.
+	// otherCrashes is the time between two crashes for other reasons; 0 means none.
 	otherCrashes time.Duration
 }
 
-// run plays it, with a node killed in the middle: its successor has to hear from the others
-// what is barred.
-func (p poisonPlay) run(t *testing.T) {
+// run executes the load and restarts one node halfway, which has to learn the blocked
+// requests from the other nodes.
+func (p poisonLoad) run(t *testing.T) {
 	f := startPoisonFleet(t, p.nodes, p.servers)
 	stop := make(chan struct{})
 	var crashes, repeats sync.WaitGroup
 	if p.otherCrashes > 0 {
-		crashes.Go(func() { f.crashAnyhow(p.otherCrashes, stop) })
+		crashes.Go(func() { f.crashRandomly(p.otherCrashes, stop) })
 	}
 	for request := range p.requests {
 		repeats.Go(func() {
@@ -351,19 +352,19 @@
 	crashes.Wait()
 	total := 0
 	for request := range p.requests {
-		// Two that come in one moment, before anything is known, may end two servers that
-		// count as one, and one that ended under another of them counts less.
-		f.books.check(t, fmt.Sprint(poisonBody, request), furtherBorne)
-		total += len(f.books.ended[fmt.Sprint(poisonBody, request)])
+		// Two poison requests that run at the same time, before either is known, may crash two
+		// servers that count as one, and a crash while another poison request ran counts less.
+		f.books.check(t, fmt.Sprint(poisonBody, request), maxLateSends)
+		total += len(f.books.crashedAt[fmt.Sprint(poisonBody, request)])
 	}
-	t.Logf("%d poison requests, %d times a server ended under one; %d others sent, %d of them again", p.requests, total, f.sent.Load(), f.again.Load())
-	if barred := f.barred.Load(); barred > 0 {
-		t.Errorf("%d innocent requests were barred", barred)
+	t.Logf("%d poison requests, %d crashes; %d harmless requests sent, %d retries", p.requests, total, f.sent.Load(), f.retried.Load())
+	if barred := f.refusedAsPoison.Load(); barred > 0 {
+		t.Errorf("%d harmless requests were refused as poison requests", barred)
 	}
 }
 
-// crashAnyhow crashes a server that is drawn, again and again.
-func (f *poisonedFleet) crashAnyhow(pause time.Duration, stop chan struct{}) {
+// crashRandomly repeatedly crashes a random server.
+func (f *poisonedFleet) crashRandomly(pause time.Duration, stop chan struct{}) {
 	random := rand.New(rand.NewPCG(7, 34))
 	for {
 		select {
@@ -375,21 +376,22 @@
 	}
 }
 
-// TestPoisonRequestsSideBySide: each ends few servers, nothing of them reaches a server
-// once it is known, and nobody else is barred, though others' servers crash, too.
+// TestPoisonRequestsSideBySide: each poison request crashes few servers and reaches none
+// once it is known, and no other request is blocked, although servers also crash for other
+// reasons.
 func TestPoisonRequestsSideBySide(t *testing.T) {
-	poisonPlay{nodes: 4, requests: 5, rounds: 30, servers: 20, copies: 2, otherCrashes: 700 * time.Millisecond}.run(t)
+	poisonLoad{nodes: 4, requests: 5, rounds: 30, servers: 20, copies: 2, otherCrashes: 700 * time.Millisecond}.run(t)
 }
 
 func TestManyPoisonRequests(t *testing.T) {
 	if *poisonMany == 0 {
-		t.Skip("not asked for: -poison.many 50")
+		t.Skip("skipped by default; use -poison.many 50")
 	}
-	poisonPlay{nodes: *poisonNodes, requests: *poisonMany, rounds: 40, servers: 40, copies: 1, otherCrashes: 700 * time.Millisecond}.run(t)
+	poisonLoad{nodes: *poisonNodes, requests: *poisonMany, rounds: 40, servers: 40, copies: 1, otherCrashes: 700 * time.Millisecond}.run(t)
 }
 
-// TestBarOutlivesALossOfAllNodes: all lose their power at once; those that start anew bar
-// what was barred, once one of them leads.
+// TestBarOutlivesALossOfAllNodes: after all nodes are killed at once, the restarted nodes
+// block the same requests as soon as one of them leads.
 func TestBarOutlivesALossOfAllNodes(t *testing.T) {
 	f := startPoisonFleet(t, 3, poisonServers)
 	books := f.books
@@ -398,8 +400,8 @@
 		time.Sleep(poisonPause)
 	}
 	books.check(t, poisonBody, 0)
-	// The leader writes what is barred with its next renewal.
-	eventually(t, "the lease holds what is barred", func() bool {
+	// The leader writes the blocked requests with its next lease renewal.
+	eventually(t, "the lease contains the blocked requests", func() bool {
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
 		return strings.Contains(string(f.store.objects["leases"]["leader"].Spec), "barredMs")
@@ -411,7 +413,7 @@
 		n.start()
 	}
 	f.awaitReady()
-	eventually(t, "some node bars the request again", func() bool {
+	eventually(t, "some node blocks the request again", func() bool {
 		for _, n := range f.nodes {
 			if strings.Count(n.log(), "event=request_barred") > 1 {
 				return true
@@ -419,7 +421,7 @@
 		}
 		return false
 	})
-	time.Sleep(2 * tellTime)
+	time.Sleep(2 * poisonKnownWithin)
 	for number, n := range f.nodes {
 		if got := n.sendBody("c"+strconv.Itoa(number), poisonBody); got.status != http.StatusServiceUnavailable {
 			t.Errorf("%s: status %d, want 503", n.name, got.status)
@@ -428,5 +430,5 @@
 	books.check(t, poisonBody, 0)
 }
 
-// start names one start of a server.
-func (m *modelServer) start() string { return fmt.Sprint(m.id, "@", m.born) }
+// startName identifies one start of the server.
+func (m *modelServer) startName() string { return fmt.Sprint(m.id, "@", m.startID) }
--- a/test/platform/rollback_test.go
+++ b/test/platform/rollback_test.go
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// lostWrites is how many revisions the store goes back by.
+// lostWrites is the number of revisions that a rollback of the store loses.
 const lostWrites = 60
 
-// loseWrites lets the store go back over revisions that nodes have seen.
-func (f *fleet) loseWrites() {
-	copied := f.store.copyNow()
-	f.passRevisions(lostWrites)
-	f.store.goBack(copied)
+// rollBackStore restores the store to a snapshot that is older than revisions that nodes
+// have seen.
+func (f *fleet) rollBackStore() {
+	copied := f.store.snapshot()
+	f.advanceRevisions(lostWrites)
+	f.store.restore(copied)
 }
 
-// passRevisions raises the revision by entries that nobody uses, until all nodes that ask the
-// store have seen the last of them.
-func (f *fleet) passRevisions(count int) {
+// advanceRevisions raises the revision by writing an unused entry, and waits until all nodes
+// have seen the last write.
+func (f *fleet) advanceRevisions(count int) {
 	last := int64(0)
 	for range count {
 		last = f.store.put("servers", "i-unused", map[string]any{"n": last})
 	}
-	time.Sleep(revisionsSeen)
+	time.Sleep(watchDelay)
 }
 
-// revisionsSeen is far beyond the time after which watches have told nodes of a change.
-const revisionsSeen = 1500 * time.Millisecond
+// watchDelay is far longer than watches take to deliver a change.
+const watchDelay = 1500 * time.Millisecond
 
 // sendCommands sends commands through each node and returns how many reached the server.
 func (f *fleet) sendCommands(to *modelServer) int {
@@ -40,39 +41,41 @@
 	for _, n := range f.nodes {
 		for range burst {
 			if got := n.send("/command/x", ""); got.status != http.StatusOK {
-				f.t.Errorf("%s: %+v, though a server takes commands", n.name, got)
+				f.t.Errorf("%s: %+v, although a server runs commands", n.name, got)
 			}
 		}
 	}
 	return to.runCount() - before
 }
 
-// A server that leaves after the store has gone back is still chosen.
+// TestServerThatLeavesAfterStoreRollbackGetsNoNewWork: nodes kept choosing a server that
+// started draining after the store had been rolled back.
 func TestServerThatLeavesAfterStoreRollbackGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 3)
 	leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
 	newServer(t, f.store, "i-commands-2", "commands", 0)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	f.loseWrites()
-	leaver.enter(f.store, "draining")
-	eventually(t, "nobody sends to the server that leaves", func() bool { return f.sendCommands(leaver) == 0 })
+	f.rollBackStore()
+	leaver.register(f.store, "draining")
+	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(leaver) == 0 })
 	if came := f.sendCommands(leaver); came > 0 {
-		t.Errorf("%d commands reached a server that leaves", came)
+		t.Errorf("%d commands reached a draining server", came)
 	}
 }
 
-// No order is given after the store has gone back, until all nodes start anew.
+// TestOrdersGoOnAfterStoreRollback: after a rollback of the store, no order was given until
+// all nodes had restarted.
 func TestOrdersGoOnAfterStoreRollback(t *testing.T) {
 	f := newFleet(t, 3)
 	server := newServer(t, f.store, "i-models-1", "models", 50*time.Millisecond)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	for number, model := range []string{"m1", "m2", "m1"} {
 		eventually(t, model+" is loaded, rollbacks before: "+strconv.Itoa(number), func() bool {
 			return f.nodes[number].send("/chat/x", model).status == http.StatusOK
 		})
-		f.loseWrites()
+		f.rollBackStore()
 	}
 	last := order{}
 	for _, taken := range server.ordersTaken() {
@@ -83,51 +86,52 @@
 	}
 }
 
-// What was accepted before the store went back reverts by the copy, at nodes that knew it or at one
-// that starts then.
+// TestAcceptedOutlivesStoreRollback: state that nodes had accepted reverted to the restored
+// snapshot, both at nodes that knew it and at nodes started afterwards.
 func TestAcceptedOutlivesStoreRollback(t *testing.T) {
-	for name, hangsOn := range map[string]bool{"watches end": false, "watches hang on": true} {
+	for name, ignoresRollback := range map[string]bool{"watches end": false, "watches hang on": true} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleetWith(t, fleetOptions{count: 3, seeds: `"127.0.0.1:1"`, bounds: evacuateLine})
-			f.store.set(func() { f.store.hangsOn = hangsOn })
+			f := newFleetWithOptions(t, fleetOptions{count: 3, seeds: `"127.0.0.1:1"`, bounds: evacuateLine})
+			f.store.set(func() { f.store.ignoresRollback = ignoresRollback })
 			leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
 			ended := newServer(t, f.store, "i-commands-2", "commands", 0)
 			evacuated := newServerIn(t, f.store, "a", "i-commands-3", "commands", 0)
 			newServer(t, f.store, "i-commands-4", "commands", 0)
-			f.store.put("config", "main", configuration(1))
+			f.store.put("config", "main", newConfig(1))
 			f.awaitReady()
-			copied := f.store.copyNow()
-			leaver.enter(f.store, "draining")
+			copied := f.store.snapshot()
+			leaver.register(f.store, "draining")
 			f.store.remove("servers", ended.id)
 			f.store.put("evacuations", "a", map[string]any{})
-			f.store.put("config", "main", configuration(2, map[string]any{
+			f.store.put("config", "main", newConfig(2, map[string]any{
 				"name": "added", "host": "host.example", "pathPrefix": "/added/", "type": "safe", "service": "commands", "maxAttempts": 1,
 			}))
-			f.passRevisions(lostWrites)
+			f.advanceRevisions(lostWrites)
 			unused := []*modelServer{leaver, ended, evacuated}
-			eventually(t, "all is in force", func() bool { return f.keepsTo(unused...) })
-			f.store.goBack(copied)
+			eventually(t, "all changes are in force", func() bool { return f.keepsAccepted(unused...) })
+			f.store.restore(copied)
 			starting := f.nodes[2]
 			starting.kill()
-			starting.seedWith(f.nodes[0], f.nodes[1])
+			starting.setSeeds(f.nodes[0], f.nodes[1])
 			starting.start()
-			eventually(t, "the node that starts is ready", starting.isReady)
-			f.passRevisions(2 * lostWrites)
-			if !f.keepsTo(unused...) {
-				t.Error("the copy takes back what was accepted")
+			eventually(t, "the restarted node is ready", starting.isReady)
+			f.advanceRevisions(2 * lostWrites)
+			if !f.keepsAccepted(unused...) {
+				t.Error("the restored snapshot reverted accepted changes")
 			}
-			leaver.enter(f.store, "draining")
+			leaver.register(f.store, "draining")
 			f.store.remove("servers", ended.id)
 			f.store.put("evacuations", "a", map[string]any{})
-			if !f.keepsTo(unused...) {
-				t.Error("what was written again does not hold")
+			if !f.keepsAccepted(unused...) {
+				t.Error("changes that were written again are not in force")
 			}
 		})
 	}
 }
 
-// keepsTo reports whether all nodes serve the added route, and none sends to the servers.
-func (f *fleet) keepsTo(unused ...*modelServer) bool {
+// keepsAccepted reports whether all nodes serve the added route and send nothing to the
+// given servers.
+func (f *fleet) keepsAccepted(unused ...*modelServer) bool {
 	before := 0
 	for _, server := range unused {
 		before += server.runCount()
@@ -145,9 +149,9 @@
 	return keeps && after == before
 }
 
-// seedWith names the nodes as seeds, from the node's next start on.
-func (n *node) seedWith(seeds ...*node) {
-	text, err := os.ReadFile(n.settings)
+// setSeeds configures the given nodes as seeds, effective from the node's next start.
+func (n *node) setSeeds(seeds ...*node) {
+	text, err := os.ReadFile(n.settingsPath)
 	if err != nil {
 		n.fleet.t.Fatal(err)
 	}
@@ -156,25 +160,26 @@
 		named = append(named, fmt.Sprintf("%q", fmt.Sprintf("%s:%d", seed.ip, n.fleet.ports[0])))
 	}
 	settings := regexp.MustCompile(`(?m)^seeds = .*$`).ReplaceAllString(string(text), "seeds = ["+strings.Join(named, ", ")+"]")
-	if err := os.WriteFile(n.settings, []byte(settings), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsPath, []byte(settings), 0o600); err != nil {
 		n.fleet.t.Fatal(err)
 	}
 }
 
-// A server that left before the store went back is taken for ready again by the copy.
+// TestLeavingOutlivesStoreRollback: a server that had left before a rollback of the store
+// counted as ready again because of the restored snapshot.
 func TestLeavingOutlivesStoreRollback(t *testing.T) {
 	f := newFleet(t, 3)
 	leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
 	newServer(t, f.store, "i-commands-2", "commands", 0)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	copied := f.store.copyNow()
-	leaver.enter(f.store, "draining")
-	f.passRevisions(lostWrites)
-	eventually(t, "nobody sends to the server that leaves", func() bool { return f.sendCommands(leaver) == 0 })
-	f.store.goBack(copied)
-	f.passRevisions(2 * lostWrites)
+	copied := f.store.snapshot()
+	leaver.register(f.store, "draining")
+	f.advanceRevisions(lostWrites)
+	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(leaver) == 0 })
+	f.store.restore(copied)
+	f.advanceRevisions(2 * lostWrites)
 	if came := f.sendCommands(leaver); came > 0 {
-		t.Errorf("%d commands reached a server that leaves", came)
+		t.Errorf("%d commands reached a draining server", came)
 	}
 }
--- a/test/platform/server_test.go
+++ b/test/platform/server_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-type heldModel struct {
+type loadedModel struct {
 	Name     string   `json:"name"`
 	Version  int64    `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// order is one order as it came.
+// order is an order as the server received it.
 type order struct {
 	Operation     string `json:"operation"`
 	Model         string `json:"model"`
@@ -30,11 +30,11 @@
 	at            time.Time
 }
 
-// modelServer is a stand-in of a server that holds models, or, without loads,
-// of one that takes commands.
+// modelServer is a fake of a server that holds models or, when nothing is loaded, of one
+// that runs commands.
 type modelServer struct {
 	id, service, address string
-	// zone is z unless it is set before the entry is written.
+	// zone defaults to z; change it before the entry is registered.
 	zone        string
 	loadTime    time.Duration
 	streamPause time.Duration
@@ -45,56 +45,57 @@
 	busy     bool
 	orders   []order
 	runs     map[string]int
-	// headOf is the head of each request that ran.
-	headOf map[string]http.Header
-	// ranAt is when each request began to run last.
-	ranAt map[string]time.Time
-	// reachedAt is when a request, an order or the question for a report came last.
-	reachedAt time.Time
-	// weightMB is the memory of a model and memoryMB that of the server; without
-	// them loads are not bounded.
-	weightMB, memoryMB float64
-	// loads are the times at which models began to load, and overloads the loads
-	// that did not fit.
+	// headers holds the header of each request that ran, by request ID.
+	headers map[string]http.Header
+	// startedAt is when each request last started to run, by request ID.
+	startedAt map[string]time.Time
+	// lastContactAt is when a request, an order or a report query last arrived.
+	lastContactAt time.Time
+	// modelMB is the memory that each model takes, and memoryMB that of the server; zero means
+	// unlimited.
+	modelMB, memoryMB float64
+	// loads holds the start time of each model load, and overloads counts the loads that
+	// exceeded the server's memory.
 	loads     []time.Time
 	overloads int
-	// loading is the model under way.
+	// loading is the model being loaded.
 	loading string
-	// loseAnswers runs requests and resets their connections; fail answers them
+	// resetResponses runs requests and then resets their connections; failRequests answers them
 	// with an error.
-	loseAnswers, fail bool
-	// onPoison takes poison requests; nil runs them as any other.
+	resetResponses, failRequests bool
+	// onPoison handles poison requests; if nil, they run like any other request.
 	onPoison func(writer http.ResponseWriter, request *http.Request, body string)
-	// cameAt and coldUntil are when a server came that is cold at first, and until when
-	// it is; zero for others.
-	cameAt, coldUntil time.Time
-	// way is the relay in front of the server; nil without one.
-	way *way
-	// isLeaving lets all answers say that the server goes away.
-	isLeaving bool
-	// restFor is the rest that it asks for as it turns all requests away; 0 is none.
-	restFor time.Duration
-	// limit is the rate limit that all answers name; empty is none. reached is all that reached the
-	// server since it first named one.
-	limit   string
-	reached []reach
-	// isDown lets it answer nobody.
+	// coldSince and coldUntil delimit the cold-start phase; zero for servers without one.
+	coldSince, coldUntil time.Time
+	// proxy is the proxy in front of the server, or nil.
+	proxy *proxy
+	// isDraining marks every response with the header that says the server is leaving.
+	isDraining bool
+	// retryAfter is the back-off that the server asks for while it rejects all requests; 0 means
+	// it rejects none.
+	retryAfter time.Duration
+	// rateLimit is the limit that every response announces; empty means none. contacts holds
+	// everything that reached the server since it first announced a limit.
+	rateLimit string
+	contacts  []contact
+	// isDown makes the server abort every request.
 	isDown bool
-	// server is what serves it; nil where nobody ends its connections.
-	server *httptest.Server
-	// born is when it started, in Unix milliseconds; 0 is not told.
-	born int64
-	// arrivals are the requests that reached it since it first left or wanted rest.
+	// httpServer is set where the test closes the server's connections.
+	httpServer *httptest.Server
+	// startID is the start time in Unix milliseconds; 0 means it is not reported.
+	startID int64
+	// arrivals holds the requests that arrived since the server first announced draining or a
+	// back-off.
 	arrivals []arrival
 }
 
-// arrival is a request that reached a server, and what the server answered of itself.
+// arrival is a request that reached a server, with what the server's response announced.
 type arrival struct {
-	id        string
-	at        time.Time
-	born      int64
-	isLeaving bool
-	rest      time.Duration
+	id         string
+	at         time.Time
+	startID    int64
+	isDraining bool
+	retryAfter time.Duration
 }
 
 func newServer(t *testing.T, s *store, id, service string, loadTime time.Duration) *modelServer {
@@ -102,12 +103,12 @@
 	return newServerIn(t, s, "z", id, service, loadTime)
 }
 
-// newServerIn is a server of a zone, which holds the models.
+// newServerIn starts a server in a zone with the given models loaded.
 func newServerIn(t *testing.T, s *store, zone, id, service string, loadTime time.Duration, models ...string) *modelServer {
 	t.Helper()
 	m := &modelServer{
 		id: id, service: service, zone: zone, loadTime: loadTime,
-		models: make(map[string]map[string]bool), runs: make(map[string]int), ranAt: make(map[string]time.Time),
+		models: make(map[string]map[string]bool), runs: make(map[string]int), startedAt: make(map[string]time.Time),
 	}
 	for _, model := range models {
 		m.models[model] = make(map[string]bool)
@@ -115,14 +116,14 @@
 	server := httptest.NewServer(m)
 	t.Cleanup(server.Close)
 	m.address = strings.TrimPrefix(server.URL, "http://")
-	m.enter(s, "ready")
+	m.register(s, "ready")
 	return m
 }
 
-// enter writes the server's entry.
-func (m *modelServer) enter(s *store, state string) {
+// register writes the server's entry into the store.
+func (m *modelServer) register(s *store, state string) {
 	m.mu.Lock()
-	models, born := m.held(), m.born
+	models, born := m.loadedModels(), m.startID
 	m.mu.Unlock()
 	entry := map[string]any{
 		"service": m.service, "address": m.address, "zone": m.zone, "version": "v1", "slots": 8, "state": state, "models": models, "sequence": 1,
@@ -134,22 +135,22 @@
 	s.put("servers", m.id, entry)
 }
 
-// startAgain ends the server, and starts it under the identity that it had: it holds and knows
-// nothing of before, and its counts start anew.
-func (m *modelServer) startAgain(s *store) {
+// restart restarts the server under the same identity: without models or other state, and
+// with its sequence number back at zero.
+func (m *modelServer) restart(s *store) {
 	m.set(func() {
 		m.models = make(map[string]map[string]bool)
 		m.sequence, m.busy, m.loading = 0, false, ""
-		m.isLeaving, m.restFor, m.limit = false, 0, ""
-		m.born++
+		m.isDraining, m.retryAfter, m.rateLimit = false, 0, ""
+		m.startID++
 	})
-	m.enter(s, "ready")
+	m.register(s, "ready")
 }
 
-func (m *modelServer) held() []heldModel {
-	held := []heldModel{}
+func (m *modelServer) loadedModels() []loadedModel {
+	held := []loadedModel{}
 	for name, adapters := range m.models {
-		model := heldModel{Name: name, Version: 1, Adapters: []string{}}
+		model := loadedModel{Name: name, Version: 1, Adapters: []string{}}
 		for adapter := range adapters {
 			model.Adapters = append(model.Adapters, adapter)
 		}
@@ -166,40 +167,40 @@
 		return
 	}
 	m.mu.Lock()
-	m.reachedAt = time.Now()
+	m.lastContactAt = time.Now()
 	if m.isDown {
 		m.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	if m.isLeaving {
+	if m.isDraining {
 		writer.Header().Set("Server-Leaving", "1")
 	}
-	if m.limit != "" || len(m.reached) > 0 {
-		m.reached = append(m.reached, reach{
-			at: m.reachedAt, path: request.URL.Path, born: m.born, id: request.Header.Get("Request-Id"), limit: m.limit,
+	if m.rateLimit != "" || len(m.contacts) > 0 {
+		m.contacts = append(m.contacts, contact{
+			at: m.lastContactAt, path: request.URL.Path, startID: m.startID, id: request.Header.Get("Request-Id"), limit: m.rateLimit,
 		})
 	}
-	if m.limit != "" {
-		writer.Header().Set("Server-Limit", m.limit)
+	if m.rateLimit != "" {
+		writer.Header().Set("Server-Limit", m.rateLimit)
 	}
 	m.mu.Unlock()
 	switch request.URL.Path {
 	case "/api/report":
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		report := map[string]any{"models": m.held(), "busy": m.busy, "sequence": m.sequence}
-		if m.born > 0 {
-			report["born"] = m.born
+		report := map[string]any{"models": m.loadedModels(), "busy": m.busy, "sequence": m.sequence}
+		if m.startID > 0 {
+			report["born"] = m.startID
 		}
 		_ = json.NewEncoder(writer).Encode(report)
 	case "/api/order":
-		m.order(writer, request)
+		m.handleOrder(writer, request)
 	default:
-		m.request(writer, request)
+		m.handleRequest(writer, request)
 	}
 }
 
-func (m *modelServer) order(writer http.ResponseWriter, request *http.Request) {
+func (m *modelServer) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var wanted order
 	if json.NewDecoder(request.Body).Decode(&wanted) != nil || wanted.Holder == "" || wanted.FencingToken == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
@@ -225,12 +226,12 @@
 		m.models[wanted.Model][wanted.Adapter] = true
 	default:
 		m.busy = true
-		m.beginLoad(wanted.Model)
-		born := m.born
+		m.recordLoad(wanted.Model)
+		born := m.startID
 		time.AfterFunc(m.loadTime, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			if m.born != born {
+			if m.startID != born {
 				return
 			}
 			m.busy = false
@@ -241,26 +242,26 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// beginLoad books a load. The lock is held.
-func (m *modelServer) beginLoad(model string) {
+// recordLoad records the start of a load. m.mu is held.
+func (m *modelServer) recordLoad(model string) {
 	m.loads = append(m.loads, time.Now())
 	m.loading = model
-	if m.memoryMB > 0 && float64(len(m.models)+1)*m.weightMB > m.memoryMB {
+	if m.memoryMB > 0 && float64(len(m.models)+1)*m.modelMB > m.memoryMB {
 		m.overloads++
 	}
 }
 
-func (m *modelServer) request(writer http.ResponseWriter, request *http.Request) {
+func (m *modelServer) handleRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Request-Id")
 	body, _ := io.ReadAll(request.Body)
 	writer.Header().Set("Request-Id", id)
 	model, adapter, _ := strings.Cut(request.Header.Get("Model"), "/")
 	m.mu.Lock()
-	if m.isLeaving || m.restFor > 0 || len(m.arrivals) > 0 {
-		m.arrivals = append(m.arrivals, arrival{id: id, at: time.Now(), born: m.born, isLeaving: m.isLeaving, rest: m.restFor})
+	if m.isDraining || m.retryAfter > 0 || len(m.arrivals) > 0 {
+		m.arrivals = append(m.arrivals, arrival{id: id, at: time.Now(), startID: m.startID, isDraining: m.isDraining, retryAfter: m.retryAfter})
 	}
-	if m.restFor > 0 {
-		rest := m.restFor
+	if m.retryAfter > 0 {
+		rest := m.retryAfter
 		m.mu.Unlock()
 		writer.Header().Set("Not-Executed", "1")
 		writer.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
@@ -279,17 +280,17 @@
 		return
 	}
 	m.runs[id]++
-	if m.headOf == nil {
-		m.headOf = make(map[string]http.Header)
+	if m.headers == nil {
+		m.headers = make(map[string]http.Header)
 	}
-	m.headOf[id] = request.Header.Clone()
-	m.ranAt[id] = time.Now()
-	loseAnswer, fail := m.loseAnswers, m.fail
+	m.headers[id] = request.Header.Clone()
+	m.startedAt[id] = time.Now()
+	loseAnswer, fail := m.resetResponses, m.failRequests
 	m.mu.Unlock()
 	writer.Header().Set("Server-Stamp", m.id)
 	switch {
 	case loseAnswer:
-		reset(writer)
+		resetConnection(writer)
 		return
 	case fail:
 		writer.WriteHeader(http.StatusInternalServerError)
--- a/test/platform/soak_callers_test.go
+++ b/test/platform/soak_callers_test.go
@@ -29,29 +29,29 @@
 	slowRead = 60 * time.Millisecond
 )
 
-// manner is how a kept caller sends and reads.
-type manner int
+// callerBehavior is how a kept caller sends and reads.
+type callerBehavior int
 
 const (
-	plainly manner = iota
-	// withLongBody sends the body in pieces.
-	withLongBody
-	// readingSlowly takes the answer in small reads.
-	readingSlowly
-	// leaving goes away in the middle of the answer, or of the body.
-	leaving
+	normal callerBehavior = iota
+	// slowUpload sends the body in pieces.
+	slowUpload
+	// slowDownload takes the answer in small reads.
+	slowDownload
+	// disconnects goes away in the middle of the answer, or of the body.
+	disconnects
 )
 
-var allManners = []manner{plainly, withLongBody, readingSlowly, leaving}
+var allBehaviors = []callerBehavior{normal, slowUpload, slowDownload, disconnects}
 
-// call starts all callers.
-func (s *soak) call() {
+// startCallers starts all callers.
+func (s *soak) startCallers() {
 	s.startCaller(s.callPooled)
 	for i, c := range s.controls {
-		s.startCaller(func() { s.askReady(c) })
+		s.startCaller(func() { s.pollReadiness(c) })
 		s.startCaller(func() { s.probeKeys(c.node) })
 		for j := range keptPerNode {
-			s.startCaller(func() { s.keep(c.node, uint64(i*keptPerNode+j)) })
+			s.startCaller(func() { s.sendOnKeptConns(c.node, uint64(i*keptPerNode+j)) })
 		}
 	}
 }
@@ -64,8 +64,8 @@
 	}()
 }
 
-// isOver reports whether the callers are to end.
-func (s *soak) isOver() bool {
+// isStopping reports whether the callers are to end.
+func (s *soak) isStopping() bool {
 	select {
 	case <-s.stop:
 		return true
@@ -79,24 +79,24 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	ticker := time.NewTicker(time.Second / pooledRate)
 	defer ticker.Stop()
-	for number := 0; !s.isOver(); number++ {
+	for number := 0; !s.isStopping(); number++ {
 		<-ticker.C
 		n := s.nodes[random.IntN(len(s.nodes))]
-		request := s.request(n, fmt.Sprintf("s%d", number), random)
-		s.startCaller(func() { s.note(n, request, s.send(client, request)) })
+		request := s.drawRequest(n, fmt.Sprintf("s%d", number), random)
+		s.startCaller(func() { s.recordOutcome(n, request, s.send(client, request)) })
 	}
 }
 
 // soakRequest is one request of a caller.
 type soakRequest struct {
 	id, route, model, path string
-	manner                 manner
+	behavior               callerBehavior
 	sending                time.Duration
 }
 
-// request draws what is asked for.
-func (s *soak) request(n *node, id string, random *rand.Rand) soakRequest {
-	version := s.addedRoute(random)
+// drawRequest draws what is asked for.
+func (s *soak) drawRequest(n *node, id string, random *rand.Rand) soakRequest {
+	version := s.pickAddedRoute(random)
 	switch drawn := random.IntN(6); {
 	case drawn < 3:
 		return soakRequest{id: id, route: "models", path: "/chat/x", model: fmt.Sprintf("m%d", min(random.IntN(soakModels), random.IntN(soakModels)))}
@@ -113,7 +113,7 @@
 	soakKey    = "k-soak-2b6d"
 )
 
-func (r soakRequest) head(n *node, body io.Reader, length int64) *http.Request {
+func (r soakRequest) build(n *node, body io.Reader, length int64) *http.Request {
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", n.ip, n.fleet.ports[1], r.path), body)
 	if err != nil {
 		panic(err)
@@ -135,37 +135,37 @@
 	return request
 }
 
-// end reads an answer's status and text.
-func (r soakRequest) end(status int, text []byte, err error) served {
-	end := served{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
-	end.isBarred = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
-	end.whole = strings.HasPrefix(string(text), "done by i-")
+// outcome reads an answer's status and text.
+func (r soakRequest) outcome(status int, text []byte, err error) outcome {
+	end := outcome{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
+	end.refusedAsPoison = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
+	end.bodyComplete = strings.HasPrefix(string(text), "done by i-")
 	if r.model != "" {
-		end.whole = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
+		end.bodyComplete = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
 	}
 	return end
 }
 
-func (s *soak) send(client *http.Client, r soakRequest) func(n *node) served {
-	return func(n *node) served {
-		response, err := client.Do(r.head(n, strings.NewReader("body"), 4))
+func (s *soak) send(client *http.Client, r soakRequest) func(n *node) outcome {
+	return func(n *node) outcome {
+		response, err := client.Do(r.build(n, strings.NewReader("body"), 4))
 		if err != nil {
-			return r.end(0, nil, err)
+			return r.outcome(0, nil, err)
 		}
 		defer response.Body.Close()
 		text, err := io.ReadAll(response.Body)
-		return r.end(response.StatusCode, text, err)
+		return r.outcome(response.StatusCode, text, err)
 	}
 }
 
-// note sends one request and books its end.
-func (s *soak) note(n *node, r soakRequest, send func(n *node) served) served {
+// recordOutcome sends one request and books its end.
+func (s *soak) recordOutcome(n *node, r soakRequest, send func(n *node) outcome) outcome {
 	sent := time.Now()
 	end := send(n)
 	end.node, end.sent, end.done = n.name, sent, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends = append(s.ends, end)
+	s.outcomes = append(s.outcomes, end)
 	return end
 }
 
@@ -182,21 +182,21 @@
 	answerTimeout = soakDeadline + 5*time.Second
 )
 
-// keep sends on one connection after the other, each held until the node ends it.
-func (s *soak) keep(n *node, number uint64) {
+// sendOnKeptConns sends on one connection after the other, each held until the node ends it.
+func (s *soak) sendOnKeptConns(n *node, number uint64) {
 	random := rand.New(rand.NewPCG(s.options.seed, 0xcee9+number))
-	for sent := 0; !s.isOver(); {
+	for sent := 0; !s.isStopping(); {
 		conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[1]), dialTimeout)
 		if err != nil {
 			time.Sleep(keptPause)
 			continue
 		}
 		kept := keptConn{Conn: conn, reader: bufio.NewReader(conn)}
-		for isOpen := true; isOpen && !s.isOver(); sent++ {
-			r := s.request(n, fmt.Sprintf("k%d-%d", number, sent), random)
-			r.manner = allManners[random.IntN(len(allManners))]
-			end := s.note(n, r, func(n *node) served { return kept.exchange(n, r) })
-			isOpen = end.err == nil && !end.left
+		for isOpen := true; isOpen && !s.isStopping(); sent++ {
+			r := s.drawRequest(n, fmt.Sprintf("k%d-%d", number, sent), random)
+			r.behavior = allBehaviors[random.IntN(len(allBehaviors))]
+			end := s.recordOutcome(n, r, func(n *node) outcome { return kept.exchange(n, r) })
+			isOpen = end.err == nil && !end.callerLeft
 			time.Sleep(time.Duration(random.Float64() * float64(keptPause)))
 		}
 		_ = conn.Close()
@@ -204,36 +204,36 @@
 }
 
 // exchange sends one request on the connection and reads its answer.
-func (k keptConn) exchange(n *node, r soakRequest) served {
+func (k keptConn) exchange(n *node, r soakRequest) outcome {
 	_ = k.SetDeadline(time.Now().Add(answerTimeout))
 	body, length := io.Reader(strings.NewReader("body")), int64(4)
-	if r.manner == withLongBody {
+	if r.behavior == slowUpload {
 		r.sending = bodyPieces * bodyPause
 		body, length = &slowBody{pieces: bodyPieces}, int64(bodyPieces*len(bodyPiece))
 	}
-	request := r.head(n, body, length)
+	request := r.build(n, body, length)
 	if err := request.Write(k); err != nil {
-		return r.end(0, nil, err)
+		return r.outcome(0, nil, err)
 	}
 	response, err := http.ReadResponse(k.reader, request)
 	if err != nil {
-		return r.end(0, nil, err)
+		return r.outcome(0, nil, err)
 	}
 	defer response.Body.Close()
-	if r.manner == leaving {
+	if r.behavior == disconnects {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
-		end := r.end(response.StatusCode, nil, nil)
-		end.left = true
+		end := r.outcome(response.StatusCode, nil, nil)
+		end.callerLeft = true
 		return end
 	}
-	if r.manner == readingSlowly {
+	if r.behavior == slowDownload {
 		response.Body = struct {
 			io.Reader
 			io.Closer
 		}{slowReader{response.Body}, response.Body}
 	}
 	text, err := io.ReadAll(response.Body)
-	return r.end(response.StatusCode, text, err)
+	return r.outcome(response.StatusCode, text, err)
 }
 
 const bodyPiece = "a piece of a long body "
@@ -264,9 +264,9 @@
 	isReady bool
 }
 
-func (s *soak) askReady(c *control) {
+func (s *soak) pollReadiness(c *control) {
 	client := &http.Client{Timeout: time.Second}
-	for !s.isOver() {
+	for !s.isStopping() {
 		at := time.Now()
 		response, err := client.Get(fmt.Sprintf("http://%s:%d/api/readyz", c.ip, s.ports[2]))
 		isReady := err == nil && response.StatusCode == http.StatusOK
--- a/test/platform/soak_cold_test.go
+++ b/test/platform/soak_cold_test.go
@@ -11,8 +11,8 @@
 	coldReturns  = "servers-return-cold"
 	soakColdTime = 3 * time.Second
 	soakColdPerS = 4
-	// mostWhileSoakCold is what a cold server may receive in any second from all nodes.
-	mostWhileSoakCold = soakColdPerS*coldOverage + coldSlack
+	// maxSoakColdRate is what a cold server may receive in any second from all nodes.
+	maxSoakColdRate = soakColdPerS*coldOverage + coldSlack
 	// coldMargin is left at the end of a cold time: servers and nodes count it apart.
 	coldMargin = 200 * time.Millisecond
 )
@@ -21,7 +21,7 @@
 func coldKind() kind {
 	return kind{coldReturns, 2, func(s *soak, d drawnFault) {
 		number := 0
-		for _, m := range s.staying() {
+		for _, m := range s.activeServers() {
 			if m.service != "models" {
 				continue
 			}
@@ -32,19 +32,19 @@
 	}}
 }
 
-// limitsCold reports whether servers of this run come back cold: the others play as they did
+// hasColdServers reports whether servers of this run come back cold: the others play as they did
 // when their seeds were kept.
-func (s *soak) limitsCold() bool {
+func (s *soak) hasColdServers() bool {
 	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldReturns })
 }
 
-// judgeCold looks for a cold server that received more in a second than it bears. Nodes that
+// checkCold looks for a cold server that received more in a second than it bears. Nodes that
 // are cut off, frozen or new are not excused. The server's lock is held.
-func (s *soak) judgeCold(m *modelServer) {
+func (s *soak) checkCold(m *modelServer) {
 	if m.coldUntil.IsZero() {
 		return
 	}
-	if worst := m.worstSecond(m.cameAt, m.coldUntil.Add(-coldMargin)); worst > mostWhileSoakCold {
-		s.find("COLD: %s received %d requests in a second while it was cold", m.id, worst)
+	if worst := m.busiestSecond(m.coldSince, m.coldUntil.Add(-coldMargin)); worst > maxSoakColdRate {
+		s.report("COLD: %s received %d requests in a second while it was cold", m.id, worst)
 	}
 }
--- a/test/platform/soak_control_test.go
+++ b/test/platform/soak_control_test.go
@@ -13,54 +13,54 @@
 type control struct {
 	*node
 	mu sync.Mutex
-	// life counts the starts; running is set while the process of the newest one is
+	// startCount counts the starts; running is set while the process of the newest one is
 	// there, and done closes as it ends.
-	life    int
-	running bool
-	done    chan struct{}
-	exit    error
+	startCount int
+	running    bool
+	done       chan struct{}
+	exit       error
 	// disturbed is set where the process was frozen or killed in this life, and
-	// asked where it was told to stop.
-	disturbed, asked bool
-	// ownExits are ends of the process that nobody asked for.
-	ownExits []error
+	// stopRequested where it was told to stop.
+	disturbed, stopRequested bool
+	// unexpectedExits are ends of the process that nobody asked for.
+	unexpectedExits []error
 }
 
-// errEnded is the end of a process with status 0.
-var errEnded = errors.New("status 0")
+// errExitZero is the end of a process with status 0.
+var errExitZero = errors.New("status 0")
 
 func newControl(n *node) *control {
 	c := &control{node: n}
-	c.follow()
+	c.watchProcess()
 	return c
 }
 
-// follow takes over the process that was just started. The lock is held, or nobody
+// watchProcess takes over the process that was just started. The lock is held, or nobody
 // else knows c.
-func (c *control) follow() {
-	c.life++
-	c.running, c.disturbed, c.asked, c.exit = true, false, false, nil
-	done, ended := make(chan struct{}), c.ended
+func (c *control) watchProcess() {
+	c.startCount++
+	c.running, c.disturbed, c.stopRequested, c.exit = true, false, false, nil
+	done, ended := make(chan struct{}), c.exited
 	c.done = done
 	go func() {
 		err := <-ended
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.running, c.exit = false, err
-		if !c.disturbed && !c.asked {
-			c.ownExits = append(c.ownExits, fmt.Errorf("life %d: %w", c.life, cmp.Or(err, errEnded)))
+		if !c.disturbed && !c.stopRequested {
+			c.unexpectedExits = append(c.unexpectedExits, fmt.Errorf("life %d: %w", c.startCount, cmp.Or(err, errExitZero)))
 		}
 		close(done)
 	}()
 }
 
-// ensure starts the process unless it runs.
-func (c *control) ensure() {
+// startIfStopped starts the process unless it runs.
+func (c *control) startIfStopped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.running {
 		c.start()
-		c.follow()
+		c.watchProcess()
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// end kills the process if it runs, and waits for that.
-func (c *control) end() {
+// stopByKill kills the process if it runs, and waits for that.
+func (c *control) stopByKill() {
 	c.mu.Lock()
 	if !c.running {
 		c.mu.Unlock()
@@ -81,20 +81,20 @@
 	}
 	c.disturbed = true
 	done := c.done
-	_ = c.process.Process.Kill()
+	_ = c.cmd.Process.Kill()
 	c.mu.Unlock()
 	<-done
 }
 
-// ask tells the process to stop. It returns nil where there is none, or it was
+// requestStop tells the process to stop. It returns nil where there is none, or it was
 // told already.
-func (c *control) ask() (done chan struct{}) {
+func (c *control) requestStop() (done chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.running || c.asked {
+	if !c.running || c.stopRequested {
 		return nil
 	}
-	c.asked = true
+	c.stopRequested = true
 	c.node.signal(syscall.SIGTERM)
 	return c.done
 }
@@ -108,9 +108,9 @@
 	}
 }
 
-// how is how the process of this life stands.
-func (c *control) how() (running, disturbed, asked bool, exit error) {
+// state is state the process of this life stands.
+func (c *control) state() (running, disturbed, asked bool, exit error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.running, c.disturbed, c.asked, c.exit
+	return c.running, c.disturbed, c.stopRequested, c.exit
 }
--- a/test/platform/soak_home_test.go
+++ b/test/platform/soak_home_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// homeKind changes the regions that commands may run in; runs that draw it have two zones
+// allowedRegionsKind changes the regions that commands may run in; runs that draw it have two zones
 // and regions, of servers and of nodes.
-const homeKind = "home-moves"
+const allowedRegionsKind = "home-moves"
 
 // soakRegions are those of soakZones.
 var soakRegions = [2]string{"north", "south"}
 
-// soakHome is where commands may run from a version on; without regions it is everywhere.
-type soakHome struct {
+// regionRule is where commands may run from a version on; without regions it is everywhere.
+type regionRule struct {
 	at      time.Time
 	regions []string
 }
 
-func (o soakOptions) movesHome() bool {
-	return slices.ContainsFunc(o.kinds, func(k kind) bool { return k.name == homeKind })
+func (o soakOptions) changesRegions() bool {
+	return slices.ContainsFunc(o.kinds, func(k kind) bool { return k.name == allowedRegionsKind })
 }
 
 // nodeZones are the zones of the nodes, with their regions.
@@ -32,41 +32,41 @@
 	return zones
 }
 
-// leastBounded is how long commands are bounded to a region at the least: until that must
+// minRegionLimit is how long commands are bounded to a region at the least: until that must
 // be in force, and a time after it.
-const leastBounded = applyWithin + 3*time.Second
+const minRegionLimit = configApplyBound + 3*time.Second
 
-// moveHome bounds commands to one region or the other for a time; then they may run
+// limitToRegion bounds commands to one region or the other for a time; then they may run
 // everywhere again. One bound holds at a time.
-func (s *soak) moveHome(drawn drawnFault) {
+func (s *soak) limitToRegion(drawn drawnFault) {
 	region := soakRegions[drawn.server%len(soakRegions)]
 	s.mu.Lock()
-	isBounded := len(s.homes) > 0 && len(s.homes[len(s.homes)-1].regions) > 0
+	isBounded := len(s.allowedRegions) > 0 && len(s.allowedRegions[len(s.allowedRegions)-1].regions) > 0
 	if !isBounded {
-		s.homes = append(s.homes, soakHome{regions: []string{region}})
+		s.allowedRegions = append(s.allowedRegions, regionRule{regions: []string{region}})
 	}
 	s.mu.Unlock()
 	if isBounded {
 		return
 	}
-	lasts := leastBounded + drawn.took
-	s.trouble(atServer, "", "commands may run in "+region+" alone", lasts+applyWithin)
+	lasts := minRegionLimit + drawn.duration
+	s.disturb(serverScope, "", "commands may run in "+region+" alone", lasts+configApplyBound)
 	s.changeConfiguration()
-	s.later(lasts, func() {
+	s.runAfter(lasts, func() {
 		s.mu.Lock()
-		s.homes = append(s.homes, soakHome{})
+		s.allowedRegions = append(s.allowedRegions, regionRule{})
 		s.mu.Unlock()
 		s.changeConfiguration()
 	})
 }
 
-// putHome writes where commands may run into a configuration, and notes when. The lock is
+// setAllowedRegions writes where commands may run into a configuration, and notes when. The lock is
 // held.
-func (s *soak) putHome(config map[string]any) {
-	if len(s.homes) == 0 {
-		s.homes = append(s.homes, soakHome{})
+func (s *soak) setAllowedRegions(config map[string]any) {
+	if len(s.allowedRegions) == 0 {
+		s.allowedRegions = append(s.allowedRegions, regionRule{})
 	}
-	current := &s.homes[len(s.homes)-1]
+	current := &s.allowedRegions[len(s.allowedRegions)-1]
 	if current.at.IsZero() {
 		current.at = time.Now()
 	}
@@ -78,30 +78,30 @@
 // mayRunAt reports whether a command may run in the region at the time, by any version that
 // may be in force then. The lock is held.
 func (s *soak) mayRunAt(region string, at time.Time) bool {
-	for i, home := range s.homes {
-		isOver := i+1 < len(s.homes) && !s.homes[i+1].at.IsZero() && at.Sub(s.homes[i+1].at) > applyWithin+s.options.slack
+	for i, home := range s.allowedRegions {
+		isOver := i+1 < len(s.allowedRegions) && !s.allowedRegions[i+1].at.IsZero() && at.Sub(s.allowedRegions[i+1].at) > configApplyBound+s.options.slack
 		if !isOver && (len(home.regions) == 0 || slices.Contains(home.regions, region)) {
 			return true
 		}
 	}
-	return len(s.homes) == 0
+	return len(s.allowedRegions) == 0
 }
 
-// judgeHome looks for commands that began where no version in force lets them, by nodes in
+// checkRegions looks for commands that began where no version in force lets them, by nodes in
 // touch while the store was sound. The server's lock is held.
-func (s *soak) judgeHome(m *modelServer) {
+func (s *soak) checkRegions(m *modelServer) {
 	if m.service != "commands" {
 		return
 	}
 	region := soakRegions[max(0, slices.Index(soakZones, m.zone))]
-	for _, end := range s.ends {
-		at, ran := m.ranAt[end.id]
+	for _, end := range s.outcomes {
+		at, ran := m.startedAt[end.id]
 		if !ran || end.route == "added" || s.mayRunAt(region, at) {
 			continue
 		}
-		from := at.Add(-soakContact)
-		if !s.isTroubled(m.id, from, at, onWayToServer) && !s.isTroubled(end.node, from, at, atNode) && !s.isTroubled("", from, at, atStore) {
-			s.find("HOME: %s in %s ran %s of %s", m.id, region, end.id, end.node)
+		from := at.Add(-soakReconnect)
+		if !s.isDisturbed(m.id, from, at, serverLinkScope) && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+			s.report("HOME: %s in %s ran %s of %s", m.id, region, end.id, end.node)
 		}
 	}
 }
--- a/test/platform/soak_kept_test.go
+++ b/test/platform/soak_kept_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// keptSeed is a run that failed once, or that showed what the soak can find.
-type keptSeed struct {
+// regressionSeed is a run that failed once, or that showed what the soak can find.
+type regressionSeed struct {
 	seed uint64
 	// kinds are those that it draws; "first" is those of firstKinds, "second" and "third" those of secondKinds and thirdKinds.
 	kinds string
-	// time is how long it draws faults; keptTime where it is 0.
-	time time.Duration
-	// mostBarred is that of soakOptions.
-	mostBarred int
+	// duration is how long it draws faults; keptTime where it is 0.
+	duration time.Duration
+	// maxPoisonRefusals is that of soakOptions.
+	maxPoisonRefusals int
 	// cause is why it failed, and on which code.
 	cause string
 }
 
-// keptSeeds are played by the short soak.
-var keptSeeds = []keptSeed{
+// regressionSeeds are played by the short soak.
+var regressionSeeds = []regressionSeed{
 	{seed: 6, kinds: "store-tells-at-once", cause: "incident 0003: 2 of 8 living servers taken to work by all nodes, before news were dated by the last event"},
 	{seed: 4, kinds: "store-lapse,store-deaf-lapse,store-down,kill", cause: "lapsed entries taken for gone, before bc2b274: 6 of 8 living servers"},
 	{seed: 202, kinds: "first", cause: "all kinds of then: a node that had heard all servers as news was not ready for more than seven seconds"},
-	{seed: 9410, kinds: "second", time: 10 * time.Second, mostBarred: 100, cause: "all kinds of then: callers who send alike were barred for 20 s, as theirs ran on the three servers that a poison request ended; 201 refused as poison requests"},
-	{seed: 13002, kinds: "third", time: 10 * time.Second, cause: "all kinds of today: a node that was frozen over a step back of the store told an evacuation on that had ended; 4 of 8 living servers taken to work"},
+	{seed: 9410, kinds: "second", duration: 10 * time.Second, maxPoisonRefusals: 100, cause: "all kinds of then: callers who send alike were barred for 20 s, as theirs ran on the three servers that a poison request ended; 201 refused as poison requests"},
+	{seed: 13002, kinds: "third", duration: 10 * time.Second, cause: "all kinds of today: a node that was frozen over a step back of the store told an evacuation on that had ended; 4 of 8 living servers taken to work"},
 	{seed: 513, kinds: "first", cause: "all kinds of then: a word on a held entry went on at the choice of servers alone; 1 of 8 living servers taken to work"},
 }
 
@@ -44,15 +44,15 @@
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
-	for _, kept := range keptSeeds {
-		kinds, err := kindsNamed(kept.kinds)
+	for _, kept := range regressionSeeds {
+		kinds, err := parseKinds(kept.kinds)
 		if err != nil {
 			t.Fatalf("kept seed %d (%s): %v", kept.seed, kept.cause, err)
 		}
 		t.Run(fmt.Sprint(kept.seed), func(t *testing.T) {
 			runSoak(t, soakOptions{
-				seed: kept.seed, time: cmp.Or(kept.time, keptTime), nodes: keptNodes, kinds: kinds, isRelayed: true, slack: keptSlack,
-				mostBarred: kept.mostBarred,
+				seed: kept.seed, duration: cmp.Or(kept.duration, keptTime), nodes: keptNodes, kinds: kinds, hasProxies: true, slack: keptSlack,
+				maxPoisonRefusals: kept.maxPoisonRefusals,
 			})
 		})
 	}
@@ -60,17 +60,17 @@
 
 // TestSoakRefusesWhatItCannotPlay: unknown kinds, no time, too many processes.
 func TestSoakRefusesWhatItCannotPlay(t *testing.T) {
-	if _, err := kindsNamed("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
+	if _, err := parseKinds("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
 		t.Errorf("an unknown kind gives %v", err)
 	}
-	sound := soakOptions{time: time.Second, nodes: 3, kinds: allKinds()}
+	sound := soakOptions{duration: time.Second, nodes: 3, kinds: allKinds()}
 	if err := sound.check(); err != nil {
 		t.Errorf("a sound run gives %v", err)
 	}
 	for name, change := range map[string]func(o *soakOptions){
-		"no time":        func(o *soakOptions) { o.time = 0 },
+		"no time":        func(o *soakOptions) { o.duration = 0 },
 		"no nodes":       func(o *soakOptions) { o.nodes = 0 },
-		"too many nodes": func(o *soakOptions) { o.nodes = mostNodes + 1 },
+		"too many nodes": func(o *soakOptions) { o.nodes = maxNodes + 1 },
 		"no kinds":       func(o *soakOptions) { o.kinds = nil },
 	} {
 		options := sound
--- a/test/platform/soak_keys_test.go
+++ b/test/platform/soak_keys_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// keyPeriod is the time between two questions whether a withdrawn key is served.
-const keyPeriod = 300 * time.Millisecond
+// keyProbeInterval is the time between two questions whether a withdrawn key is served.
+const keyProbeInterval = 300 * time.Millisecond
 
 // keyProbe is a command that was sent with a key which had been withdrawn.
 type keyProbe struct {
@@ -25,17 +25,17 @@
 // probeKeys asks a node on one kept connection with the key that was withdrawn last.
 func (s *soak) probeKeys(n *node) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	for number := 0; !s.isOver(); number++ {
-		time.Sleep(keyPeriod)
+	for number := 0; !s.isStopping(); number++ {
+		time.Sleep(keyProbeInterval)
 		s.mu.Lock()
-		version, withdrawn := s.version-1, s.written[s.version]
+		version, withdrawn := s.version-1, s.configTimes[s.version]
 		s.mu.Unlock()
 		if version < 1 {
 			continue
 		}
 		probe := keyProbe{node: n.name, withdrawn: withdrawn, sent: time.Now()}
 		r := soakRequest{id: fmt.Sprintf("%s-key-%d", n.name, number), path: "/command/x"}
-		request := r.head(n, strings.NewReader("body"), 4)
+		request := r.build(n, strings.NewReader("body"), 4)
 		request.Header.Set("Api-Key", versionKey(version))
 		if response, err := client.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
@@ -49,12 +49,12 @@
 	}
 }
 
-// judgeKeys reads whether a node in touch served a key after its time.
-func (s *soak) judgeKeys() {
+// checkKeys reads whether a node in touch served a key after its time.
+func (s *soak) checkKeys() {
 	for _, probe := range s.keyProbes {
-		late := probe.sent.Sub(probe.withdrawn) > applyWithin+s.options.slack
+		late := probe.sent.Sub(probe.withdrawn) > configApplyBound+s.options.slack
 		if late && probe.status == http.StatusOK && s.isCalm(probe.node, probe.withdrawn, probe.done) {
-			s.find("CONFIG: %s served a key %v after it was withdrawn", probe.node, probe.sent.Sub(probe.withdrawn))
+			s.report("CONFIG: %s served a key %v after it was withdrawn", probe.node, probe.sent.Sub(probe.withdrawn))
 		}
 	}
 }
--- a/test/platform/soak_planted_test.go
+++ b/test/platform/soak_planted_test.go
@@ -14,31 +14,31 @@
 // which nothing is wrong.
 func TestSoakJudgeFindsWhatIsBroken(t *testing.T) {
 	at := func(after time.Duration) time.Time { return time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC).Add(after) }
-	fine := served{id: "a", node: "node-1", route: "command", sent: at(0), done: at(time.Second), status: 200, whole: true}
+	fine := outcome{id: "a", node: "node-1", route: "command", sent: at(0), done: at(time.Second), status: 200, bodyComplete: true}
 	cases := []struct {
 		rule  string
 		plant func(s *soak)
 	}{
 		{"", func(*soak) {}},
 		{"TWICE", func(s *soak) { s.servers[0].runs["a"] = 2 }},
-		{"REFUSED", func(s *soak) { s.ends[0].status = 503 }},
-		{"MIXED", func(s *soak) { s.ends[0].whole = false; s.ends[1].whole = true }},
-		{"DENIED", func(s *soak) { s.ends[0].status = 404 }},
-		{"late", func(s *soak) { s.ends[0].done = at(soakDeadline + time.Second) }},
-		{"LOST", func(s *soak) { s.ends[0].err = io.ErrUnexpectedEOF }},
-		{"LOST", func(s *soak) { s.ends[1].err, s.ends[1].done = io.EOF, at(time.Minute+lossSlack) }},
+		{"REFUSED", func(s *soak) { s.outcomes[0].status = 503 }},
+		{"MIXED", func(s *soak) { s.outcomes[0].bodyComplete = false; s.outcomes[1].bodyComplete = true }},
+		{"DENIED", func(s *soak) { s.outcomes[0].status = 404 }},
+		{"late", func(s *soak) { s.outcomes[0].done = at(soakDeadline + time.Second) }},
+		{"LOST", func(s *soak) { s.outcomes[0].err = io.ErrUnexpectedEOF }},
+		{"LOST", func(s *soak) { s.outcomes[1].err, s.outcomes[1].done = io.EOF, at(time.Minute+lossSlack) }},
 		{"LOST", func(s *soak) {
-			s.ends[0].err = io.ErrUnexpectedEOF
-			s.troubles = []span{{place: plannedAtNode, node: "node-1", from: at(0), to: at(time.Second)}, {place: atStore, from: at(0), to: at(time.Second)}}
+			s.outcomes[0].err = io.ErrUnexpectedEOF
+			s.disturbances = []disturbance{{scope: plannedNodeScope, node: "node-1", from: at(0), to: at(time.Second)}, {scope: storeScope, from: at(0), to: at(time.Second)}}
 		}},
-		{"GRACE", func(s *soak) { s.controls[0].running = true; s.judgeStop(s.controls[0]) }},
-		{"GRACE", func(s *soak) { s.controls[0].exit = io.EOF; s.judgeStop(s.controls[0]) }},
-		{"RECOVER", func(s *soak) { s.ends[1].status = 502 }},
+		{"GRACE", func(s *soak) { s.controls[0].running = true; s.checkStop(s.controls[0]) }},
+		{"GRACE", func(s *soak) { s.controls[0].exit = io.EOF; s.checkStop(s.controls[0]) }},
+		{"RECOVER", func(s *soak) { s.outcomes[1].status = 502 }},
 		{"CONFIG", func(s *soak) {
-			s.keyProbes = []keyProbe{{node: "node-1", withdrawn: at(0), sent: at(applyWithin + time.Second), done: at(applyWithin + time.Second), status: 200}}
+			s.keyProbes = []keyProbe{{node: "node-1", withdrawn: at(0), sent: at(configApplyBound + time.Second), done: at(configApplyBound + time.Second), status: 200}}
 		}},
 		{"UNASKED", func(s *soak) {
-			s.servers[0].headOf = map[string]http.Header{"a": {"Tenant": {soakTenant}, "Api-Key": {soakKey}}}
+			s.servers[0].headers = map[string]http.Header{"a": {"Tenant": {soakTenant}, "Api-Key": {soakKey}}}
 		}},
 		{"LIMIT", func(s *soak) { s.servers[0].overloads = 1 }},
 		{"ONE", func(s *soak) {
@@ -52,151 +52,154 @@
 				{Holder: "x", FencingToken: 1, at: at(0)}, {Holder: "y", FencingToken: 2, at: at(4 * time.Second)}, {Holder: "x", FencingToken: 1, at: at(6 * time.Second)},
 			}
 		}},
-		{"DRAIN", func(s *soak) { s.left["i"] = at(0); s.servers[0].ranAt["a"] = at(soakDrain + time.Millisecond) }},
+		{"DRAIN", func(s *soak) {
+			s.drainedAt["i"] = at(0)
+			s.servers[0].startedAt["a"] = at(soakDrain + time.Millisecond)
+		}},
 		{"", func(s *soak) {
-			s.left["i"] = at(0)
-			s.servers[0].ranAt["a"] = at(soakDrain + time.Millisecond)
-			s.troubles = []span{{place: atStore, from: at(0), to: at(time.Second)}}
+			s.drainedAt["i"] = at(0)
+			s.servers[0].startedAt["a"] = at(soakDrain + time.Millisecond)
+			s.disturbances = []disturbance{{scope: storeScope, from: at(0), to: at(time.Second)}}
 		}},
 		{"", func(s *soak) {
-			s.left["i"] = at(0)
-			s.servers[0].ranAt["a"] = at(soakDrain + time.Millisecond)
-			s.troubles = []span{{place: onWayToServer, node: "i", from: at(0), to: at(time.Second)}}
+			s.drainedAt["i"] = at(0)
+			s.servers[0].startedAt["a"] = at(soakDrain + time.Millisecond)
+			s.disturbances = []disturbance{{scope: serverLinkScope, node: "i", from: at(0), to: at(time.Second)}}
 		}},
 		{"DRAIN", func(s *soak) {
-			s.left["i"] = at(0)
-			s.servers[0].ranAt["a"] = at(soakDrain + time.Millisecond)
-			s.troubles = []span{{place: onWayToServer, node: "j", from: at(0), to: at(time.Second)}}
+			s.drainedAt["i"] = at(0)
+			s.servers[0].startedAt["a"] = at(soakDrain + time.Millisecond)
+			s.disturbances = []disturbance{{scope: serverLinkScope, node: "j", from: at(0), to: at(time.Second)}}
 		}},
 		{"DRAIN", func(s *soak) {
-			s.left["i"] = at(-soakDrain - time.Millisecond)
-			s.servers[0].ranAt["a"] = at(time.Second)
-			s.troubles = []span{{place: onWayToServer, node: "i", from: at(0), to: at(time.Second)}}
+			s.drainedAt["i"] = at(-soakDrain - time.Millisecond)
+			s.servers[0].startedAt["a"] = at(time.Second)
+			s.disturbances = []disturbance{{scope: serverLinkScope, node: "i", from: at(0), to: at(time.Second)}}
 		}},
 		{"HOME", func(s *soak) {
-			s.servers[0].service, s.servers[0].zone, s.servers[0].ranAt["a"] = "commands", soakZones[1], at(applyWithin+2*time.Millisecond)
-			s.homes = []soakHome{{at: at(-time.Minute)}, {at: at(0), regions: []string{soakRegions[0]}}}
+			s.servers[0].service, s.servers[0].zone, s.servers[0].startedAt["a"] = "commands", soakZones[1], at(configApplyBound+2*time.Millisecond)
+			s.allowedRegions = []regionRule{{at: at(-time.Minute)}, {at: at(0), regions: []string{soakRegions[0]}}}
 		}},
 		{"", func(s *soak) {
-			s.servers[0].service, s.servers[0].zone, s.servers[0].ranAt["a"] = "commands", soakZones[1], at(applyWithin-time.Millisecond)
-			s.homes = []soakHome{{at: at(-time.Minute)}, {at: at(0), regions: []string{soakRegions[0]}}}
+			s.servers[0].service, s.servers[0].zone, s.servers[0].startedAt["a"] = "commands", soakZones[1], at(configApplyBound-time.Millisecond)
+			s.allowedRegions = []regionRule{{at: at(-time.Minute)}, {at: at(0), regions: []string{soakRegions[0]}}}
 		}},
 		{"", func(s *soak) {
-			s.servers[0].service, s.servers[0].zone, s.servers[0].ranAt["a"] = "commands", soakZones[1], at(applyWithin+2*time.Millisecond)
-			s.homes = []soakHome{{at: at(-time.Minute), regions: []string{soakRegions[0]}}, {at: at(0), regions: []string{soakRegions[1]}}}
+			s.servers[0].service, s.servers[0].zone, s.servers[0].startedAt["a"] = "commands", soakZones[1], at(configApplyBound+2*time.Millisecond)
+			s.allowedRegions = []regionRule{{at: at(-time.Minute), regions: []string{soakRegions[0]}}, {at: at(0), regions: []string{soakRegions[1]}}}
 		}},
 		{"", func(s *soak) {
-			s.servers[0].service, s.servers[0].zone, s.servers[0].ranAt["a"] = "commands", soakZones[1], at(applyWithin+2*time.Millisecond)
-			s.homes = []soakHome{{at: at(0), regions: []string{soakRegions[0]}}}
-			s.troubles = []span{{place: atStore, from: at(0), to: at(time.Second)}}
+			s.servers[0].service, s.servers[0].zone, s.servers[0].startedAt["a"] = "commands", soakZones[1], at(configApplyBound+2*time.Millisecond)
+			s.allowedRegions = []regionRule{{at: at(0), regions: []string{soakRegions[0]}}}
+			s.disturbances = []disturbance{{scope: storeScope, from: at(0), to: at(time.Second)}}
 		}},
 		{"COLD", func(s *soak) {
-			s.servers[0].cameAt, s.servers[0].coldUntil = at(0), at(soakColdTime)
-			for i := range 1 + int(mostWhileSoakCold) {
+			s.servers[0].coldSince, s.servers[0].coldUntil = at(0), at(soakColdTime)
+			for i := range 1 + int(maxSoakColdRate) {
 				id := fmt.Sprint("cold", i)
-				s.servers[0].ranAt[id], s.servers[0].runs[id] = at(time.Duration(1+i)*50*time.Millisecond), 1
+				s.servers[0].startedAt[id], s.servers[0].runs[id] = at(time.Duration(1+i)*50*time.Millisecond), 1
 			}
 		}},
 		{"", func(s *soak) {
-			s.servers[0].cameAt, s.servers[0].coldUntil = at(0), at(soakColdTime)
-			for i := range int(mostWhileSoakCold) {
+			s.servers[0].coldSince, s.servers[0].coldUntil = at(0), at(soakColdTime)
+			for i := range int(maxSoakColdRate) {
 				id := fmt.Sprint("cold", i)
-				s.servers[0].ranAt[id], s.servers[0].runs[id] = at(time.Duration(1+i)*50*time.Millisecond), 1
+				s.servers[0].startedAt[id], s.servers[0].runs[id] = at(time.Duration(1+i)*50*time.Millisecond), 1
 			}
 		}},
-		{"DRAIN", func(s *soak) { tellLeaving(s, at(0), at(time.Second+soakDrain+time.Millisecond)) }},
-		{"", func(s *soak) { tellLeaving(s, at(0), at(time.Second+soakDrain)) }},
+		{"DRAIN", func(s *soak) { plantDraining(s, at(0), at(time.Second+soakDrain+time.Millisecond)) }},
+		{"", func(s *soak) { plantDraining(s, at(0), at(time.Second+soakDrain)) }},
 		{"", func(s *soak) {
-			tellLeaving(s, at(0), at(time.Second+soakDrain+time.Millisecond))
-			s.troubles = []span{{place: atNode, node: "node-1", from: at(0), to: at(2 * time.Second)}}
+			plantDraining(s, at(0), at(time.Second+soakDrain+time.Millisecond))
+			s.disturbances = []disturbance{{scope: nodeScope, node: "node-1", from: at(0), to: at(2 * time.Second)}}
 		}},
 		{"BUDGET", func(s *soak) {
-			askForRest(s, at(0), at(restGrace), at(time.Second), at(longestSoakRest-time.Millisecond))
+			plantRetryAfter(s, at(0), at(retryAfterGrace), at(time.Second), at(maxSoakRetryAfter-time.Millisecond))
 		}},
 		{"", func(s *soak) {
-			askForRest(s, at(0), at(restGrace-time.Millisecond), at(time.Second), at(2*time.Second))
+			plantRetryAfter(s, at(0), at(retryAfterGrace-time.Millisecond), at(time.Second), at(2*time.Second))
 		}},
-		{"", func(s *soak) { askForRest(s, at(0), at(time.Second), at(2*time.Second), at(longestSoakRest)) }},
+		{"", func(s *soak) { plantRetryAfter(s, at(0), at(time.Second), at(2*time.Second), at(maxSoakRetryAfter)) }},
 		{"", func(s *soak) {
-			askForRest(s, at(0), at(time.Second), at(time.Second), at(time.Second))
-			s.troubles = []span{{place: onWayToServer, node: "i", from: at(0), to: at(time.Second)}}
+			plantRetryAfter(s, at(0), at(time.Second), at(time.Second), at(time.Second))
+			s.disturbances = []disturbance{{scope: serverLinkScope, node: "i", from: at(0), to: at(time.Second)}}
 		}},
-		{"RATE", func(s *soak) { s.reachLimited(at(0), 12) }},
-		{"", func(s *soak) { s.reachLimited(at(0), 11) }},
+		{"RATE", func(s *soak) { s.plantRateLimit(at(0), 12) }},
+		{"", func(s *soak) { s.plantRateLimit(at(0), 11) }},
 		{"", func(s *soak) {
-			s.reachLimited(at(0), 12)
-			s.troubles = []span{{place: atNode, node: "node-1", from: at(2 * time.Second), to: at(3 * time.Second)}}
+			s.plantRateLimit(at(0), 12)
+			s.disturbances = []disturbance{{scope: nodeScope, node: "node-1", from: at(2 * time.Second), to: at(3 * time.Second)}}
 		}},
 		{"EVAC", func(s *soak) {
 			s.evacuations = []soakEvacuation{{zone: "z", declared: at(0)}}
-			s.servers[0].ranAt["a"] = at(soakEvacuate + time.Millisecond)
+			s.servers[0].startedAt["a"] = at(soakEvacuationBound + time.Millisecond)
 		}},
 		{"EVAC", func(s *soak) {
 			s.evacuations = []soakEvacuation{{zone: "z", declared: at(0)}}
-			s.servers[0].orders = []order{{Holder: "node-1", Operation: "load", FencingToken: 1, at: at(soakEvacuate + time.Millisecond)}}
+			s.servers[0].orders = []order{{Holder: "node-1", Operation: "load", FencingToken: 1, at: at(soakEvacuationBound + time.Millisecond)}}
 		}},
 		{"", func(s *soak) {
-			s.evacuations = []soakEvacuation{{zone: "z", declared: at(0), over: at(soakEvacuate + time.Second)}, {zone: "y", declared: at(0)}}
-			s.servers[0].ranAt["a"] = at(soakEvacuate + 2*time.Second)
+			s.evacuations = []soakEvacuation{{zone: "z", declared: at(0), ended: at(soakEvacuationBound + time.Second)}, {zone: "y", declared: at(0)}}
+			s.servers[0].startedAt["a"] = at(soakEvacuationBound + 2*time.Second)
 		}},
 		{"", func(s *soak) {
 			s.evacuations = []soakEvacuation{{zone: "z", declared: at(0)}}
-			s.servers[0].ranAt["a"] = at(soakEvacuate + time.Millisecond)
-			s.troubles = []span{{place: atNode, node: "node-1", from: at(0), to: at(time.Second)}}
+			s.servers[0].startedAt["a"] = at(soakEvacuationBound + time.Millisecond)
+			s.disturbances = []disturbance{{scope: nodeScope, node: "node-1", from: at(0), to: at(time.Second)}}
 		}},
 		{"CEILING", func(s *soak) {
-			for i := range soakLoads + 1 {
+			for i := range maxSoakLoads + 1 {
 				s.servers[0].loads = append(s.servers[0].loads, at(time.Duration(i)*100*time.Millisecond))
 			}
 		}},
 		{"CONFIG", func(s *soak) { s.version = 4 }},
-		{"CONFIG", func(s *soak) { s.written[3] = at(-applyWithin - time.Second) }},
+		{"CONFIG", func(s *soak) { s.configTimes[3] = at(-configApplyBound - time.Second) }},
 		{"CONFIG", func(s *soak) {
-			for range fewestAdded {
-				s.ends = append(s.ends, served{id: "c", route: "added", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 502})
+			for range minAddedRequests {
+				s.outcomes = append(s.outcomes, outcome{id: "c", route: "added", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 502})
 			}
-			s.ends = append(s.ends, slices.Repeat(s.ends[1:2], 10*fewestAdded)...)
+			s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 10*minAddedRequests)...)
 		}},
 		{"SHORT", func(s *soak) {
-			for i := range fewestRefused {
+			for i := range minRefusals {
 				sent := at(time.Duration(i+10) * time.Second)
-				s.ends = append(s.ends, served{id: "d", route: "command", node: "node-1", sent: sent, done: sent, status: 503})
+				s.outcomes = append(s.outcomes, outcome{id: "d", route: "command", node: "node-1", sent: sent, done: sent, status: 503})
 			}
-			s.ends = append(s.ends, slices.Repeat(s.ends[1:2], 10*fewestRefused)...)
+			s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 10*minRefusals)...)
 		}},
 		{"BUDGET", func(s *soak) {
 			known := &soakPoison{ended: []time.Time{at(0), at(1), at(2)}}
-			for range furtherBorne + 1 {
-				known.sends = append(known.sends, poisonSend{node: "node-1", at: at(soakContact + time.Second)})
+			for range maxLateSends + 1 {
+				known.sends = append(known.sends, poisonSend{node: "node-1", at: at(soakReconnect + time.Second)})
 			}
 			s.poisons["poison 0"] = known
 		}},
 		{"", func(s *soak) {
 			known := &soakPoison{ended: []time.Time{at(0), at(1), at(2)}}
-			for range furtherBorne + 1 {
-				known.sends = append(known.sends, poisonSend{node: "node-1", at: at(soakContact + time.Second)})
+			for range maxLateSends + 1 {
+				known.sends = append(known.sends, poisonSend{node: "node-1", at: at(soakReconnect + time.Second)})
 			}
 			s.poisons["poison 0"] = known
-			s.troubles = []span{{place: atNode, node: "node-1", from: at(soakContact), to: at(soakContact + time.Second)}}
+			s.disturbances = []disturbance{{scope: nodeScope, node: "node-1", from: at(soakReconnect), to: at(soakReconnect + time.Second)}}
 		}},
 		{"BARRED", func(s *soak) {
-			for _, after := range []time.Duration{0, longestBarred / 2, longestBarred + time.Second} {
-				s.ends = append(s.ends, served{id: "m", model: "m0", route: "models", node: "node-1", sent: at(after), done: at(after), status: 503, isBarred: true})
+			for _, after := range []time.Duration{0, maxPoisonBlock / 2, maxPoisonBlock + time.Second} {
+				s.outcomes = append(s.outcomes, outcome{id: "m", model: "m0", route: "models", node: "node-1", sent: at(after), done: at(after), status: 503, refusedAsPoison: true})
 			}
-			s.ends = append(s.ends, slices.Repeat(s.ends[1:2], 40)...)
+			s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 40)...)
 		}},
 		{"", func(s *soak) {
-			for _, after := range []time.Duration{0, longestBarred / 2, longestBarred + time.Second} {
-				s.ends = append(s.ends, served{id: "m", model: "m0", route: "models", node: "node-1", sent: at(after), done: at(after), status: 503, isBarred: true})
+			for _, after := range []time.Duration{0, maxPoisonBlock / 2, maxPoisonBlock + time.Second} {
+				s.outcomes = append(s.outcomes, outcome{id: "m", model: "m0", route: "models", node: "node-1", sent: at(after), done: at(after), status: 503, refusedAsPoison: true})
 			}
-			s.ends = append(s.ends, served{id: "n", model: "m0", route: "models", node: "node-1", sent: at(longestBarred), done: at(longestBarred), status: 200, whole: true})
-			s.ends = append(s.ends, slices.Repeat(s.ends[1:2], 40)...)
+			s.outcomes = append(s.outcomes, outcome{id: "n", model: "m0", route: "models", node: "node-1", sent: at(maxPoisonBlock), done: at(maxPoisonBlock), status: 200, bodyComplete: true})
+			s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 40)...)
 		}},
-		{"BARRED", func(s *soak) { s.options.mostBarred = 2; s.refuseBarred(3) }},
-		{"", func(s *soak) { s.options.mostBarred = 3; s.refuseBarred(3) }},
+		{"BARRED", func(s *soak) { s.options.maxPoisonRefusals = 2; s.plantPoisonRefusals(3) }},
+		{"", func(s *soak) { s.options.maxPoisonRefusals = 3; s.plantPoisonRefusals(3) }},
 		{"READY", func(s *soak) { s.probes["node-1"] = []probe{{at: at(0)}, {at: at(time.Second)}} }},
-		{"SERVERS", func(s *soak) { s.nodes[0].ip, s.nodes[0].fleet = "127.0.0.1", s.fleet; s.judgeBeliefs() }},
-		{"EXIT", func(s *soak) { s.controls[0].ownExits = []error{io.EOF} }},
+		{"SERVERS", func(s *soak) { s.nodes[0].ip, s.nodes[0].fleet = "127.0.0.1", s.fleet; s.checkUsableServers() }},
+		{"EXIT", func(s *soak) { s.controls[0].unexpectedExits = []error{io.EOF} }},
 		{"CONFIG", func(s *soak) {
 			_, _ = s.nodes[0].Write([]byte("event=config_in_force version=2\nevent=config_in_force version=3\n"))
 		}},
@@ -208,10 +211,10 @@
 		s := newSoak(&fleet{t: t, nodes: []*node{n}}, soakOptions{seed: 1})
 		s.version = 3
 		s.controls = []*control{{node: n}}
-		s.servers = []*modelServer{{id: "i", zone: "z", runs: map[string]int{"a": 1}, ranAt: make(map[string]time.Time)}}
-		s.ends = []served{fine, {id: "b", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 200, whole: true}}
+		s.servers = []*modelServer{{id: "i", zone: "z", runs: map[string]int{"a": 1}, startedAt: make(map[string]time.Time)}}
+		s.outcomes = []outcome{fine, {id: "b", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 200, bodyComplete: true}}
 		c.plant(s)
-		s.judge(at(0))
+		s.checkAll(at(0))
 		rules := make(map[string]bool)
 		for _, finding := range s.findings {
 			rule, _, _ := strings.Cut(finding, ":")
@@ -223,44 +226,44 @@
 	}
 }
 
-// tellLeaving lets the answer to the first request say that its server leaves, and another be
+// plantDraining lets the answer to the first request say that its server leaves, and another be
 // sent to it at a time.
-func tellLeaving(s *soak, at, again time.Time) {
-	s.servers[0].arrivals = []arrival{{id: "a", at: at, isLeaving: true}}
-	s.reach(again, arrival{isLeaving: true})
+func plantDraining(s *soak, at, again time.Time) {
+	s.servers[0].arrivals = []arrival{{id: "a", at: at, isDraining: true}}
+	s.addArrival(again, arrival{isDraining: true})
 }
 
-// askForRest lets a server turn the first request away and ask for the longest rest, and others
+// plantRetryAfter lets a server turn the first request away and ask for the longest rest, and others
 // reach it at the times.
-func askForRest(s *soak, at time.Time, others ...time.Time) {
-	s.servers[0].arrivals = []arrival{{id: "a", at: at, rest: longestSoakRest}}
+func plantRetryAfter(s *soak, at time.Time, others ...time.Time) {
+	s.servers[0].arrivals = []arrival{{id: "a", at: at, retryAfter: maxSoakRetryAfter}}
 	for _, other := range others {
-		s.reach(other, arrival{})
+		s.addArrival(other, arrival{})
 	}
 }
 
-// reach lets a request of the first node reach the first server.
-func (s *soak) reach(at time.Time, came arrival) {
+// addArrival lets a request of the first node addArrival the first server.
+func (s *soak) addArrival(at time.Time, came arrival) {
 	came.id, came.at = fmt.Sprint("again", len(s.servers[0].arrivals)), at
 	s.servers[0].arrivals = append(s.servers[0].arrivals, came)
 	s.servers[0].runs[came.id] = 1
-	s.ends = append(s.ends, served{id: came.id, node: "node-1", route: "command", sent: at, done: at, status: 200, whole: true})
+	s.outcomes = append(s.outcomes, outcome{id: came.id, node: "node-1", route: "command", sent: at, done: at, status: 200, bodyComplete: true})
 }
 
-// reachLimited lets a server name a limit of 1 a second to the first request, and others reach it later,
+// plantRateLimit lets a server name a limit of 1 a second to the first request, and others reach it later,
 // within one window.
-func (s *soak) reachLimited(at time.Time, others int) {
-	s.servers[0].reached = []reach{{id: "a", at: at, path: "/command/x", limit: "1"}}
+func (s *soak) plantRateLimit(at time.Time, others int) {
+	s.servers[0].contacts = []contact{{id: "a", at: at, path: "/command/x", limit: "1"}}
 	for number := range others {
 		came := at.Add(3*time.Second + time.Duration(number)*100*time.Millisecond)
-		s.reach(came, arrival{})
-		s.servers[0].reached = append(s.servers[0].reached, reach{id: s.ends[len(s.ends)-1].id, at: came, path: "/command/x", limit: "1"})
+		s.addArrival(came, arrival{})
+		s.servers[0].contacts = append(s.servers[0].contacts, contact{id: s.outcomes[len(s.outcomes)-1].id, at: came, path: "/command/x", limit: "1"})
 	}
 }
 
-// refuseBarred enters requests that were refused as poison requests, among others that were served.
-func (s *soak) refuseBarred(count int) {
-	refused := served{id: "m", model: "m0", route: "models", node: "node-1", sent: s.ends[0].sent, done: s.ends[0].sent, status: 503, isBarred: true}
-	s.ends = append(s.ends, slices.Repeat(s.ends[1:2], 40)...)
-	s.ends = append(s.ends, slices.Repeat([]served{refused}, count)...)
+// plantPoisonRefusals enters requests that were refused as poison requests, among others that were served.
+func (s *soak) plantPoisonRefusals(count int) {
+	refused := outcome{id: "m", model: "m0", route: "models", node: "node-1", sent: s.outcomes[0].sent, done: s.outcomes[0].sent, status: 503, refusedAsPoison: true}
+	s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 40)...)
+	s.outcomes = append(s.outcomes, slices.Repeat([]outcome{refused}, count)...)
 }
--- a/test/platform/soak_rollback_test.go
+++ b/test/platform/soak_rollback_test.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// storeGoesBack lets the store come back from a copy; what the operator and the servers wrote is
+// storeRollbackKind lets the store come back from a copy; what the operator and the servers wrote is
 // written again.
-const storeGoesBack = "store-goes-back"
+const storeRollbackKind = "store-goes-back"
 
-// returnTime is how long after a return the calls to the store are counted.
-const returnTime = 3 * time.Second
+// callCountPeriod is how long after a return the calls to the store are counted.
+const callCountPeriod = 3 * time.Second
 
 func rollbackKinds() []kind {
-	return []kind{{storeGoesBack, 2, func(s *soak, d drawnFault) { s.goBack(d) }}}
+	return []kind{{storeRollbackKind, 2, func(s *soak, d drawnFault) { s.rollBackStore(d) }}}
 }
 
-// goBack copies the store, lets it be away for a moment after the drawn time, and come back from
+// rollBackStore copies the store, lets it be away for a moment after the drawn time, and come back from
 // the copy. The landing before knows of no eras: none of it runs beside.
-func (s *soak) goBack(drawn drawnFault) {
+func (s *soak) rollBackStore(drawn drawnFault) {
 	s.mu.Lock()
-	isPlayed := len(s.ranOlder) == 0
-	s.wentBack = s.wentBack || isPlayed
+	isPlayed := len(s.ranOlderBuild) == 0
+	s.storeRolledBack = s.storeRolledBack || isPlayed
 	s.mu.Unlock()
 	if !isPlayed {
 		return
 	}
-	copied := s.store.copyNow()
-	s.later(drawn.took, func() {
+	copied := s.store.snapshot()
+	s.runAfter(drawn.duration, func() {
 		away := drawn.pauses[0]
-		s.trouble(atStore, "", "store comes back from a copy", away+drawn.pauses[1])
-		s.store.set(func() { s.store.down = true })
-		s.later(away, func() {
-			s.store.goBack(copied)
-			s.store.set(func() { s.store.down = false })
+		s.disturb(storeScope, "", "store comes back from a copy", away+drawn.pauses[1])
+		s.store.set(func() { s.store.unavailable = true })
+		s.runAfter(away, func() {
+			s.store.restore(copied)
+			s.store.set(func() { s.store.unavailable = false })
 			for i, m := range s.allServers() {
-				s.later(drawn.pauses[i%len(drawn.pauses)]/2, func() { s.writeServerAgain(m) })
+				s.runAfter(drawn.pauses[i%len(drawn.pauses)]/2, func() { s.rewriteServer(m) })
 			}
-			before := s.store.callsMade()
-			s.later(returnTime, func() {
-				s.t.Logf("%d nodes made %d calls in %v after the store came back", len(s.controls), s.store.callsMade()-before, returnTime)
+			before := s.store.callCount()
+			s.runAfter(callCountPeriod, func() {
+				s.t.Logf("%d nodes made %d calls in %v after the store came back", len(s.controls), s.store.callCount()-before, callCountPeriod)
 			})
 		})
-		s.later(away+drawn.pauses[1]/2, s.writeConfigurationAgain)
+		s.runAfter(away+drawn.pauses[1]/2, s.rewriteConfiguration)
 	})
 }
 
@@ -49,31 +49,31 @@
 	return append([]*modelServer(nil), s.servers...)
 }
 
-// writeConfigurationAgain writes what the operator had written last.
-func (s *soak) writeConfigurationAgain() {
+// rewriteConfiguration writes what the operator had written last.
+func (s *soak) rewriteConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.put("config", "main", s.config)
 	for _, zone := range soakZones {
 		s.store.remove("evacuations", zone)
 	}
-	if count := len(s.evacuations); count > 0 && s.evacuations[count-1].over.IsZero() {
+	if count := len(s.evacuations); count > 0 && s.evacuations[count-1].ended.IsZero() {
 		s.store.put("evacuations", s.evacuations[count-1].zone, map[string]any{})
 	}
 }
 
-// writeServerAgain writes what the server says now, unless its entry is away for another reason.
-func (s *soak) writeServerAgain(m *modelServer) {
+// rewriteServer writes what the server says now, unless its entry is away for another reason.
+func (s *soak) rewriteServer(m *modelServer) {
 	s.mu.Lock()
-	leftAt, left := s.left[m.id]
+	leftAt, left := s.drainedAt[m.id]
 	lapsed, crashed := s.lapsed[m.id], s.crashed[m.id]
 	s.mu.Unlock()
 	switch {
 	case crashed, left && time.Since(leftAt) > soakDrain:
 		s.store.remove("servers", m.id)
 	case left:
-		m.enter(s.store, "draining")
+		m.register(s.store, "draining")
 	case !lapsed:
-		m.enter(s.store, "ready")
+		m.register(s.store, "ready")
 	}
 }
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// heldTime is how long orders are held: longer than it takes until the next holder gives
+// orderHoldTime is how long orders are held: longer than it takes until the next holder gives
 // its first order, which is the lease, the quiet time between holders, their margin and
 // the candidates' delays.
-const heldTime = 6 * time.Second
+const orderHoldTime = 6 * time.Second
 
-// untilOrdered is the time that the holder needs to learn what servers lost, and to
+// reorderTime is the time that the holder needs to learn what servers lost, and to
 // order it anew. It may order for a second and more after it is cut off from the store.
-const untilOrdered = 200 * time.Millisecond
+const reorderTime = 200 * time.Millisecond
 
 // holdOrders lets the servers lose their models, holds what the holder of the lease then
 // orders on its way to all of them, and takes the lease from it. What it ordered and gave
 // up is set free once another has the lease. One is held at a time.
 func (s *soak) holdOrders() {
 	s.mu.Lock()
-	isHeld := time.Now().Before(s.heldUntil)
+	isHeld := time.Now().Before(s.ordersHeldUntil)
 	if !isHeld {
-		s.heldUntil = time.Now().Add(untilOrdered + heldTime)
+		s.ordersHeldUntil = time.Now().Add(reorderTime + orderHoldTime)
 	}
 	s.mu.Unlock()
-	c := s.holder()
+	c := s.leaseHolder()
 	if isHeld || c == nil {
 		return
 	}
-	s.trouble(atServer, "", "servers lose their models", untilOrdered+heldTime)
-	held := fault{deafTo: true, holds: fmt.Sprintf("%q:%q", "holder", c.name)}
-	for _, m := range s.staying() {
-		if m.way == nil {
+	s.disturb(serverScope, "", "servers lose their models", reorderTime+orderHoldTime)
+	held := fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)}
+	for _, m := range s.activeServers() {
+		if m.proxy == nil {
 			continue
 		}
-		m.way.set(everybody, held)
-		s.later(untilOrdered+heldTime, func() { m.way.set(everybody, fault{}) })
+		m.proxy.set(anySender, held)
+		s.runAfter(reorderTime+orderHoldTime, func() { m.proxy.set(anySender, fault{}) })
 		m.loseModels()
-		m.enter(s.store, "ready")
+		m.register(s.store, "ready")
 	}
-	s.later(untilOrdered, func() {
-		s.harm(c, c.toStore, everybody, "its orders are held, and it is cut off from the store", heldTime, fault{refuse: true}, true)
+	s.runAfter(reorderTime, func() {
+		s.faultLink(c, c.storeProxy, anySender, "its orders are held, and it is cut off from the store", orderHoldTime, fault{refuse: true}, true)
 	})
 }
 
@@ -54,8 +54,8 @@
 	clear(m.models)
 }
 
-// holder is the node that wrote the lease last; nil where none did.
-func (s *soak) holder() *control {
+// leaseHolder is the node that wrote the lease last; nil where none did.
+func (s *soak) leaseHolder() *control {
 	s.store.mu.Lock()
 	text := s.store.objects["leases"]["leader"].Spec
 	s.store.mu.Unlock()
@@ -73,45 +73,45 @@
 	return nil
 }
 
-// silentTime is how long connections stay silent: nobody waits that long for one.
-const silentTime = 8 * time.Second
+// silenceTime is how long connections stay silent: nobody waits that long for one.
+const silenceTime = 8 * time.Second
 
 // silence lets the connections that are open go silent, in a direction that is drawn,
 // while new ones work. Node, or server, is whom it concerns.
-func (s *soak) silence(drawn drawnFault, w *way, name, what string) {
+func (s *soak) silence(drawn drawnFault, w *proxy, name, what string) {
 	if w == nil {
 		return
 	}
 	direction, f := silentDirection(drawn)
 	f.openedBefore = time.Now()
-	s.trouble(atNode, name, fmt.Sprintf("%s silent %s", what, direction), silentTime)
-	w.set(everybody, f)
-	s.later(silentTime, func() { w.set(everybody, fault{}) })
+	s.disturb(nodeScope, name, fmt.Sprintf("%s silent %s", what, direction), silenceTime)
+	w.set(anySender, f)
+	s.runAfter(silenceTime, func() { w.set(anySender, fault{}) })
 }
 
 func silentDirection(drawn drawnFault) (direction string, f fault) {
 	switch drawn.server % 3 {
 	case 0:
-		return "one way", fault{deafTo: true}
+		return "one way", fault{blockTo: true}
 	case 1:
-		return "the other way", fault{deafFrom: true}
+		return "the other way", fault{blockFrom: true}
 	default:
-		return "both ways", fault{deafTo: true, deafFrom: true}
+		return "both ways", fault{blockTo: true, blockFrom: true}
 	}
 }
 
 func (s *soak) silenceServer(drawn drawnFault) {
-	staying := s.staying()
+	staying := s.activeServers()
 	m := staying[(drawn.server/3)%len(staying)]
-	if m.way == nil {
+	if m.proxy == nil {
 		return
 	}
 	direction, f := silentDirection(drawn)
 	f.openedBefore = time.Now()
-	s.trouble(atServer, "", fmt.Sprintf("connections to %s silent %s", m.id, direction), silentTime)
-	s.trouble(onWayToServer, m.id, "its connections are silent", silentTime)
-	m.way.set(everybody, f)
-	s.later(silentTime, func() { m.way.set(everybody, fault{}) })
+	s.disturb(serverScope, "", fmt.Sprintf("connections to %s silent %s", m.id, direction), silenceTime)
+	s.disturb(serverLinkScope, m.id, "its connections are silent", silenceTime)
+	m.proxy.set(anySender, f)
+	s.runAfter(silenceTime, func() { m.proxy.set(anySender, fault{}) })
 }
 
 // A holder of the lease ended while its orders were under way behind cut ways; the next holder ordered,
@@ -126,15 +126,15 @@
 		t.Skip("takes a minute")
 	}
 	for name, end := range map[string]func(s *soak, c *control){
-		"it is killed":         func(s *soak, c *control) { s.kill(c, heldTime) },
+		"it is killed":         func(s *soak, c *control) { s.kill(c, orderHoldTime) },
 		"it stops, as planned": func(s *soak, c *control) { s.stopNode(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startSoak(t, soakOptions{seed: 1, nodes: keptNodes, kinds: firstKinds(), isRelayed: true, slack: keptSlack})
-			s.end(s.play(func() {
+			s := startSoak(t, soakOptions{seed: 1, nodes: keptNodes, kinds: firstKinds(), hasProxies: true, slack: keptSlack})
+			s.finish(s.run(func() {
 				for range 2 {
 					s.endHolderWithOrdersHeld(end)
-					time.Sleep(soakContact)
+					time.Sleep(soakReconnect)
 				}
 			}))
 		})
@@ -146,23 +146,23 @@
 func (s *soak) endHolderWithOrdersHeld(end func(s *soak, c *control)) {
 	var c *control
 	eventually(s.t, "somebody gives orders", func() bool {
-		c = s.holder()
-		return c != nil && slices.ContainsFunc(s.staying(), func(m *modelServer) bool {
+		c = s.leaseHolder()
+		return c != nil && slices.ContainsFunc(s.activeServers(), func(m *modelServer) bool {
 			given := m.ordersTaken()
 			return len(given) > 0 && given[len(given)-1].Holder == c.name
 		})
 	})
-	s.trouble(atServer, "", "servers lose their models", untilOrdered+heldTime)
-	for _, m := range s.staying() {
-		m.way.set(everybody, fault{deafTo: true, holds: fmt.Sprintf("%q:%q", "holder", c.name)})
+	s.disturb(serverScope, "", "servers lose their models", reorderTime+orderHoldTime)
+	for _, m := range s.activeServers() {
+		m.proxy.set(anySender, fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)})
 		m.loseModels()
-		m.enter(s.store, "ready")
+		m.register(s.store, "ready")
 	}
-	time.Sleep(untilOrdered)
+	time.Sleep(reorderTime)
 	end(s, c)
-	time.Sleep(heldTime)
-	for _, m := range s.staying() {
-		m.way.set(everybody, fault{})
+	time.Sleep(orderHoldTime)
+	for _, m := range s.activeServers() {
+		m.proxy.set(anySender, fault{})
 	}
-	s.busy.Wait()
+	s.activeFaults.Wait()
 }
--- a/test/platform/soak_starts_test.go
+++ b/test/platform/soak_starts_test.go
@@ -5,44 +5,44 @@
 const (
 	sameIDAgain = "same-id-again"
 	otherWriter = "other-writer"
-	// longestDown is the time for which a server that starts again under its identity is away,
+	// maxRestartTime is the time for which a server that starts again under its identity is away,
 	// at the most.
-	longestDown = 1500 * time.Millisecond
+	maxRestartTime = 1500 * time.Millisecond
 )
 
 // startKinds are servers that start again under the identity that they had, entries that no
 // server wrote, and machines that run the landing before.
 func startKinds() []kind {
 	return []kind{
-		{sameIDAgain, 2, func(s *soak, d drawnFault) { s.startAgain(d) }},
-		{otherWriter, 1, func(s *soak, d drawnFault) { s.writeForeign(d) }},
+		{sameIDAgain, 2, func(s *soak, d drawnFault) { s.restartServer(d) }},
+		{otherWriter, 1, func(s *soak, d drawnFault) { s.writeForeignEntry(d) }},
 		{twoBuilds, 1, func(s *soak, d drawnFault) { s.swapBuild(d.node) }},
 	}
 }
 
-// startAgain ends a server with all that runs there, and starts it again under its identity.
-func (s *soak) startAgain(drawn drawnFault) {
-	staying := s.staying()
+// restartServer ends a server with all that runs there, and starts it again under its identity.
+func (s *soak) restartServer(drawn drawnFault) {
+	staying := s.activeServers()
 	m := staying[drawn.server%len(staying)]
-	down := time.Duration(drawn.share * float64(longestDown))
-	s.trouble(atServer, "", m.id+" starts again under its identity", down)
+	down := time.Duration(drawn.share * float64(maxRestartTime))
+	s.disturb(serverScope, "", m.id+" starts again under its identity", down)
 	m.set(func() { m.isDown = true })
-	m.server.CloseClientConnections()
-	s.later(down, func() {
+	m.httpServer.CloseClientConnections()
+	s.runAfter(down, func() {
 		m.set(func() { m.isDown = false })
 		s.mu.Lock()
-		_, left := s.left[m.id]
+		_, left := s.drainedAt[m.id]
 		s.mu.Unlock()
 		if !left {
-			m.startAgain(s.store)
+			m.restart(s.store)
 		}
 	})
 }
 
-// writeForeign lets another writer write over a server's entry, and enter one that names a server
+// writeForeignEntry lets another writer write over a server's entry, and enter one that names a server
 // which nobody may use.
-func (s *soak) writeForeign(drawn drawnFault) {
-	staying := s.staying()
+func (s *soak) writeForeignEntry(drawn drawnFault) {
+	staying := s.activeServers()
 	m := staying[drawn.server%len(staying)]
 	trap := newServer(s.t, s.store, "i-trap", m.service, 0)
 	s.mu.Lock()
@@ -54,26 +54,26 @@
 		"no entry", 7,
 	}
 	entry := foreign[drawn.server%len(foreign)]
-	s.trouble(atServer, "", m.id+" has an entry of another writer", drawn.took)
+	s.disturb(serverScope, "", m.id+" has an entry of another writer", drawn.duration)
 	s.store.put("servers", trap.id, entry)
-	s.lapseEntry(m)
+	s.expireEntry(m)
 	s.store.put("servers", m.id, entry)
-	s.later(drawn.took, func() {
+	s.runAfter(drawn.duration, func() {
 		s.store.remove("servers", trap.id)
-		s.renewEntry(m)
+		s.restoreEntry(m)
 	})
 }
 
-// judgeTraps looks for work at servers that only entries of another writer named. Nodes of the
+// checkTraps looks for work at servers that only entries of another writer named. Nodes of the
 // landing before read those.
-func (s *soak) judgeTraps() {
-	if len(s.ranOlder) > 0 {
+func (s *soak) checkTraps() {
+	if len(s.ranOlderBuild) > 0 {
 		return
 	}
 	for _, trap := range s.traps {
 		trap.mu.Lock()
-		if !trap.reachedAt.IsZero() {
-			s.find("ROUTE: a server was reached that only an entry of another writer named")
+		if !trap.lastContactAt.IsZero() {
+			s.report("ROUTE: a server was reached that only an entry of another writer named")
 		}
 		trap.mu.Unlock()
 	}
--- a/test/platform/store_test.go
+++ b/test/platform/store_test.go
@@ -29,56 +29,56 @@
 }
 
 type event struct {
-	Object object `json:"object"`
-	Gone   bool   `json:"gone"`
-	kind   string
-	at     int64
+	Object   object `json:"object"`
+	Gone     bool   `json:"gone"`
+	kind     string
+	revision int64
 }
 
-// store is a stand-in of the platform's store: linearizable, with one counter
-// of revisions and a history that can be dropped.
+// store is a fake of the platform's object store: linearizable, with one revision counter
+// and a history that can be compacted.
 type store struct {
-	mu      sync.Mutex
-	objects map[string]map[string]object
-	history []event
-	at      int64
-	oldest  int64
-	changed chan struct{}
-	// down refuses calls, deaf holds watches without a word, and lost does
-	// writes without an answer. late does writes without an answer, and only
-	// after that time.
-	down, deaf, lost bool
-	late             time.Duration
-	// held keeps watches waiting; then one answer tells all that happened.
-	held bool
-	// era counts how often the store went back to a copy; answers name it.
+	mu             sync.Mutex
+	objects        map[string]map[string]object
+	history        []event
+	at             int64
+	oldestRevision int64
+	changed        chan struct{}
+	// unavailable rejects calls, muteWatches makes watches deliver nothing, and dropResponses
+	// applies writes without answering. A positive writeDelay resets the connection and applies
+	// the write after that time.
+	unavailable, muteWatches, dropResponses bool
+	writeDelay                              time.Duration
+	// holdWatches delays watch responses; once released, a single response carries all events.
+	holdWatches bool
+	// era counts how often the store was restored from a snapshot; responses carry it.
 	era int64
-	// calls counts what it was asked.
+	// calls counts the requests received.
 	calls int
-	// hangsOn lets watches wait on over a step back, as if they had not noticed.
-	hangsOn bool
+	// ignoresRollback keeps watches waiting across a restore instead of ending them.
+	ignoresRollback bool
 }
 
-// storeCopy is what a store goes back to.
-type storeCopy struct {
+// storeSnapshot is a state that the store can be restored to.
+type storeSnapshot struct {
 	objects map[string]map[string]object
 	history []event
 	at      int64
 }
 
-// copyNow copies what the store holds.
-func (s *store) copyNow() storeCopy {
+// snapshot copies the store's current state.
+func (s *store) snapshot() storeSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	copied := storeCopy{objects: make(map[string]map[string]object), history: slices.Clone(s.history), at: s.at}
+	copied := storeSnapshot{objects: make(map[string]map[string]object), history: slices.Clone(s.history), at: s.at}
 	for kind, objects := range s.objects {
 		copied.objects[kind] = maps.Clone(objects)
 	}
 	return copied
 }
 
-// goBack puts the copy in place of all that was written since.
-func (s *store) goBack(to storeCopy) {
+// restore discards everything written since the snapshot and starts a new era.
+func (s *store) restore(to storeSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects = make(map[string]map[string]object)
@@ -86,37 +86,37 @@
 		s.objects[kind] = maps.Clone(objects)
 	}
 	s.history, s.at = slices.Clone(to.history), to.at
-	s.oldest = min(s.oldest, s.at)
+	s.oldestRevision = min(s.oldestRevision, s.at)
 	s.era++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// head names the era in an answer.
-type head struct {
+// eraWriter adds the era header to a response.
+type eraWriter struct {
 	http.ResponseWriter
 	store *store
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (h head) WriteHeader(status int) {
-	h.Header().Set("Store-Era", strconv.FormatInt(h.store.eraNow(), 10))
+func (h eraWriter) WriteHeader(status int) {
+	h.Header().Set("Store-Era", strconv.FormatInt(h.store.currentEra(), 10))
 	h.ResponseWriter.WriteHeader(status)
 }
 
-// answer writes a body in the era. The lock is held.
-func (s *store) answer(writer http.ResponseWriter, body any) {
+// writeJSON writes a response body with the era header. s.mu is held.
+func (s *store) writeJSON(writer http.ResponseWriter, body any) {
 	writer.Header().Set("Store-Era", strconv.FormatInt(s.era, 10))
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func (s *store) callsMade() int {
+func (s *store) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *store) eraNow() int64 {
+func (s *store) currentEra() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
@@ -130,7 +130,7 @@
 	return s, strings.TrimPrefix(server.URL, "http://")
 }
 
-// put writes as the operator or a server does.
+// put writes an object unconditionally, as the operator or a server would.
 func (s *store) put(kind, name string, spec any) int64 {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -148,12 +148,12 @@
 		s.objects[kind] = make(map[string]object)
 	}
 	s.objects[kind][written.Metadata.Name] = written
-	s.record(event{Object: written, kind: kind, at: s.at})
+	s.appendEvent(event{Object: written, kind: kind, revision: s.at})
 	return written
 }
 
-func (s *store) record(happened event) {
-	s.history = append(s.history, happened)
+func (s *store) appendEvent(added event) {
+	s.history = append(s.history, added)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -163,7 +163,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.oldest = s.at
+	s.oldestRevision = s.at
 }
 
 func (s *store) set(change func()) {
@@ -176,11 +176,11 @@
 func (s *store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	parts := strings.Split(strings.Trim(strings.TrimPrefix(request.URL.Path, "/api/objects"), "/"), "/")
 	s.mu.Lock()
-	down, lost := s.down, s.lost
+	down, lost := s.unavailable, s.dropResponses
 	s.calls++
 	s.mu.Unlock()
-	whole := writer
-	writer = head{ResponseWriter: writer, store: s}
+	rawWriter := writer
+	writer = eraWriter{ResponseWriter: writer, store: s}
 	switch {
 	case down:
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -191,7 +191,7 @@
 	case request.Method == http.MethodGet:
 		s.list(writer, parts[0])
 	default:
-		s.change(writer, whole, request, parts, lost)
+		s.change(writer, rawWriter, request, parts, lost)
 	}
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	defer s.mu.Unlock()
-	s.answer(writer, found)
+	s.writeJSON(writer, found)
 }
 
 func (s *store) list(writer http.ResponseWriter, kind string) {
@@ -215,7 +215,7 @@
 		items = append(items, found)
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Metadata.Name < items[j].Metadata.Name })
-	s.answer(writer, map[string]any{"items": items, "more": false, "at": s.at})
+	s.writeJSON(writer, map[string]any{"items": items, "more": false, "at": s.at})
 }
 
 func (s *store) watch(writer http.ResponseWriter, request *http.Request, kind string) {
@@ -224,32 +224,33 @@
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		isAhead := from > s.at && !s.hangsOn
-		if (from < s.oldest || isAhead) && !s.deaf {
+		isAhead := from > s.at && !s.ignoresRollback
+		if (from < s.oldestRevision || isAhead) && !s.muteWatches {
 			s.mu.Unlock()
 			writer.WriteHeader(http.StatusGone)
 			return
 		}
 		events := []event{}
 		for _, happened := range s.history {
-			if happened.kind == kind && happened.at > from && !s.deaf {
+			if happened.kind == kind && happened.revision > from && !s.muteWatches {
 				events = append(events, happened)
 			}
 		}
-		changed, at, held := s.changed, s.at, s.held
-		if s.deaf {
-			// What is not heard is not passed over: the caller goes on behind it.
+		changed, at, held := s.changed, s.at, s.holdWatches
+		if s.muteWatches {
+			// Muted events are not skipped: the position does not advance, so the caller gets them
+			// later.
 			at = from
 		}
 		s.mu.Unlock()
 		if held {
-			time.Sleep(heldPause)
+			time.Sleep(blockedPollInterval)
 			continue
 		}
 		answer := func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.answer(writer, map[string]any{"events": events, "at": at})
+			s.writeJSON(writer, map[string]any{"events": events, "at": at})
 		}
 		if len(events) > 0 {
 			answer()
@@ -266,15 +267,15 @@
 	}
 }
 
-func (s *store) change(writer, whole http.ResponseWriter, request *http.Request, parts []string, lost bool) {
+func (s *store) change(writer, rawWriter http.ResponseWriter, request *http.Request, parts []string, lost bool) {
 	var wanted object
 	if json.NewDecoder(request.Body).Decode(&wanted) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if late := s.lateness(); late > 0 {
-		reset(whole)
-		time.AfterFunc(late, func() { s.changeLate(request.Method, parts[0], wanted) })
+	if late := s.currentWriteDelay(); late > 0 {
+		resetConnection(rawWriter)
+		time.AfterFunc(late, func() { s.applyDelayedWrite(request.Method, parts[0], wanted) })
 		return
 	}
 	s.mu.Lock()
@@ -287,26 +288,27 @@
 	}
 	defer s.mu.Unlock()
 	if exists && bytes.Equal(found.Spec, wanted.Spec) {
-		// What changes nothing does not raise the revision.
-		s.answer(writer, found)
+		// A write that changes nothing does not raise the revision.
+		s.writeJSON(writer, found)
 		return
 	}
 	written := s.write(parts[0], wanted)
 	if lost {
-		reset(whole)
+		resetConnection(rawWriter)
 		return
 	}
-	s.answer(writer, written)
+	s.writeJSON(writer, written)
 }
 
-func (s *store) lateness() time.Duration {
+func (s *store) currentWriteDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late
+	return s.writeDelay
 }
 
-// changeLate does a write whose caller heard nothing, if its condition still holds.
-func (s *store) changeLate(method, kind string, wanted object) {
+// applyDelayedWrite applies a write whose caller got no answer, if its precondition still
+// holds.
+func (s *store) applyDelayedWrite(method, kind string, wanted object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found, exists := s.objects[kind][wanted.Metadata.Name]
@@ -316,8 +318,8 @@
 	s.write(kind, wanted)
 }
 
-// reset ends a connection without an answer.
-func reset(writer http.ResponseWriter) {
+// resetConnection resets the connection without a response.
+func resetConnection(writer http.ResponseWriter) {
 	hijacker, ok := writer.(http.Hijacker)
 	if !ok {
 		return
@@ -328,7 +330,7 @@
 	}
 }
 
-// remove drops an object, as a server's entry goes.
+// remove deletes an object, as when a server's entry expires.
 func (s *store) remove(kind, name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -338,6 +340,6 @@
 	}
 	delete(s.objects[kind], name)
 	s.at++
-	s.record(event{Object: found, Gone: true, kind: kind, at: s.at})
+	s.appendEvent(event{Object: found, Gone: true, kind: kind, revision: s.at})
 	return s.at
 }
--- a/test/platform/tenants_test.go
+++ b/test/platform/tenants_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// tenantRequests counts the requests, for their ids.
+// tenantRequests numbers the requests, for their IDs.
 var tenantRequests atomic.Int64
 
-// tenantCaller calls one node on a connection that it keeps.
+// tenantCaller calls one node over a keep-alive connection.
 type tenantCaller struct {
 	node   *node
 	client *http.Client
@@ -25,7 +25,7 @@
 	return &tenantCaller{node: n, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
-// call sends a command with further headers, and returns its id.
+// call sends a command with additional headers, and returns its ID and the reply.
 func (c *tenantCaller) call(headers ...string) (id string, got reply) {
 	id = "t" + strconv.FormatInt(tenantRequests.Add(1), 10)
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d/command/x", c.node.ip, c.node.fleet.ports[1]), strings.NewReader("body"))
@@ -47,21 +47,21 @@
 	return id, reply{status: response.StatusCode, body: string(text), retryAfter: response.Header.Get("Retry-After"), err: err}
 }
 
-func withTenants(version int, tenants ...map[string]any) map[string]any {
-	told := configuration(version)
-	told["tenants"] = tenants
-	return told
+func tenantConfig(version int, tenants ...map[string]any) map[string]any {
+	config := newConfig(version)
+	config["tenants"] = tenants
+	return config
 }
 
 func (m *modelServer) headerOf(id string) http.Header {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.headOf[id]
+	return m.headers[id]
 }
 
-// TestTenantsOverNodes: keys are asked for and not passed on, a withdrawn one is denied
-// everywhere, also on kept connections, and no log has any; and all nodes together keep
-// a tenant below its quota.
+// TestTenantsOverNodes: API keys are required and not forwarded, a withdrawn key is rejected
+// everywhere, including on keep-alive connections, keys never appear in logs, and a tenant
+// stays within its quota over all nodes.
 func TestTenantsOverNodes(t *testing.T) {
 	const oldKey, newKey, busyKey = "k-old-5f1c", "k-new-77aa", "k-busy-09d2"
 	north := map[string]any{"name": "north", "apiKeys": []string{oldKey, newKey}}
@@ -70,7 +70,7 @@
 	}
 	f := newFleet(t, 3)
 	commands := newServer(t, f.store, "i-commands", "commands", 0)
-	f.store.put("config", "main", withTenants(1, north, busy))
+	f.store.put("config", "main", tenantConfig(1, north, busy))
 	f.awaitReady()
 	var callers []*tenantCaller
 	for _, n := range f.nodes {
@@ -79,25 +79,25 @@
 	for _, caller := range callers {
 		for _, headers := range [][]string{{}, {"Api-Key", "k-unknown"}, {"Api-Key", oldKey, "Api-Key", newKey}} {
 			if id, got := caller.call(headers...); got.status != http.StatusUnauthorized || commands.headerOf(id) != nil {
-				t.Errorf("%s with %q: status %d, want 401 and no run", caller.node.name, headers, got.status)
+				t.Errorf("%s with %q: status %d, want 401, and the request not run", caller.node.name, headers, got.status)
 			}
 		}
 		id, got := caller.call("Api-Key", oldKey, "Tenant", "busy", "Hold", "h1", "kv-from", "x/y", "Connection", "Tenant")
 		sent := commands.headerOf(id)
 		if got.status != http.StatusOK || sent.Get("Tenant") != "north" || len(sent["Tenant"]) != 1 || sent.Get("Api-Key") != "" || sent.Get("Hold") != "" || sent.Get("Kv-From") != "" {
-			t.Errorf("%s: status %d, the server was told %v", caller.node.name, got.status, sent)
+			t.Errorf("%s: status %d, the server got the header %v", caller.node.name, got.status, sent)
 		}
 	}
-	f.keepBelowQuota(callers, busyKey)
+	f.checkQuota(callers, busyKey)
 	north["apiKeys"] = []string{newKey}
-	f.store.put("config", "main", withTenants(2, north, busy))
+	f.store.put("config", "main", tenantConfig(2, north, busy))
 	for _, caller := range callers {
 		eventually(t, "the key is denied at "+caller.node.name, func() bool { _, got := caller.call("Api-Key", oldKey); return got.status == http.StatusUnauthorized })
 		if _, got := caller.call("Api-Key", newKey); got.status != http.StatusOK {
-			t.Errorf("%s: status %d with the key that is left", caller.node.name, got.status)
+			t.Errorf("%s: status %d with the remaining key", caller.node.name, got.status)
 		}
 	}
-	f.store.put("config", "main", withTenants(1, north, busy))
+	f.store.put("config", "main", tenantConfig(1, north, busy))
 	for _, n := range f.nodes {
 		for _, key := range []string{oldKey, newKey, busyKey} {
 			if strings.Contains(n.log(), key) {
@@ -107,9 +107,10 @@
 	}
 }
 
-// keepBelowQuota sends far more than the quota through all nodes at once: what a tenant
-// waits for is granted, the rest refused, and all together stays below the bound.
-func (f *fleet) keepBelowQuota(callers []*tenantCaller, key string) {
+// checkQuota sends far more than the quota through all nodes concurrently. Requests within
+// the quota are granted, the others refused with Retry-After, and the total stays within the
+// bound.
+func (f *fleet) checkQuota(callers []*tenantCaller, key string) {
 	f.t.Helper()
 	const atOnce, cost, perSecond, burst = 30, 500, 1000, 4000
 	var granted, refused, unclear atomic.Int64
@@ -133,7 +134,7 @@
 	allowed := 1.1 * (perSecond*time.Since(started).Seconds() + burst)
 	used := float64(cost * granted.Load())
 	if used > allowed || granted.Load() == 0 || refused.Load() == 0 || unclear.Load() > 0 {
-		f.t.Errorf("%d granted, which count %.0f of at most %.0f; %d refused with a time to come back, %d answered otherwise",
+		f.t.Errorf("%d granted, using %.0f of at most %.0f tokens; %d refused with Retry-After; %d other answers",
 			granted.Load(), used, allowed, refused.Load(), unclear.Load())
 	}
 }
--- a/test/platform/writers_test.go
+++ b/test/platform/writers_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Entries may come from another writer: what they lack, or say in another form, cannot be read,
-// and names no server to use. An entry without a state, or with one that nobody named, was taken
-// for that of a server that is ready; one that turned unreadable was passed over, and what was
-// known of its server before went on being used.
+// TestEntriesOfAnotherWriterNameNoServer: an entry of another writer that lacks a field or
+// has a field of another form is unreadable, and no server is used by it. Formerly, an entry
+// with a missing or unknown state counted as ready, and an entry that became unreadable was
+// ignored, so that the last known state of its server stayed in use.
 func TestEntriesOfAnotherWriterNameNoServer(t *testing.T) {
 	f := newFleet(t, 2)
 	sound := newServer(t, f.store, "i-sound", "commands", 0)
 	foreign := newServer(t, f.store, "i-foreign", "commands", 0)
 	f.store.remove("servers", foreign.id)
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	good := func() map[string]any {
 		return map[string]any{
 			"service": "commands", "address": foreign.address, "zone": "z", "version": "v1", "slots": 8, "state": "ready", "sequence": 1, "coldLeftMs": 0,
@@ -48,34 +48,34 @@
 		}
 	}
 	if foreign.runCount() > 0 {
-		t.Errorf("%d requests ran where entries of another writer sent them", foreign.runCount())
+		t.Errorf("%d requests ran at a server that only unreadable entries name", foreign.runCount())
 	}
-	eventually(t, "a finding names its place", func() bool {
+	eventually(t, "the log names the unreadable entry", func() bool {
 		return strings.Contains(f.nodes[0].log()+f.nodes[1].log(), "event=entry_unreadable") && strings.Contains(f.nodes[0].log()+f.nodes[1].log(), "servers/i-no-state")
 	})
 }
 
-// TestEntryThatTurnsUnreadableTakesItsServerOut: for new work, while what runs there runs on; one
-// that can be read brings it back.
+// TestEntryThatTurnsUnreadableTakesItsServerOut: the server gets no new work while its entry
+// is unreadable, running requests complete, and a readable entry brings it back.
 func TestEntryThatTurnsUnreadableTakesItsServerOut(t *testing.T) {
 	f := newFleet(t, 2)
 	turning := newServerIn(t, f.store, "z", "i-turning", "models", 50*time.Millisecond, "m1")
 	turning.streamPause = 200 * time.Millisecond
-	f.store.put("config", "main", configuration(1))
+	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	n := f.nodes[0]
 	answered := make(chan reply, 1)
-	go func() { answered <- n.sendOwn(0, "/chat/x", "m1") }()
+	go func() { answered <- n.sendNamed(0, "/chat/x", "m1") }()
 	eventually(t, "a stream runs", func() bool { return turning.runCount() == 1 })
 	f.store.put("servers", turning.id, map[string]any{"service": "models", "state": 7})
 	number := 1
-	eventually(t, "nothing new goes there", func() bool {
+	eventually(t, "the server gets no new requests", func() bool {
 		number++
-		return n.sendRequest(sending{id: n.name + "/x" + string(rune('a'+number)), path: "/chat/x", model: "m1", body: "body", deadline: 300 * time.Millisecond}).status == http.StatusServiceUnavailable
+		return n.sendRequest(callerRequest{id: n.name + "/x" + string(rune('a'+number)), path: "/chat/x", model: "m1", body: "body", deadline: 300 * time.Millisecond}).status == http.StatusServiceUnavailable
 	})
 	if got := <-answered; got.status != http.StatusOK || strings.Count(got.body, "id: ") != 5 {
-		t.Errorf("the stream that ran was not whole: %+v", got)
+		t.Errorf("the running stream was incomplete: %+v", got)
 	}
-	turning.enter(f.store, "ready")
-	eventually(t, "it is back", func() bool { number++; return n.sendOwn(number, "/chat/x", "m1").status == http.StatusOK })
+	turning.register(f.store, "ready")
+	eventually(t, "the server is used again", func() bool { number++; return n.sendNamed(number, "/chat/x", "m1").status == http.StatusOK })
 }
