--- a/test/platform/soak_callers_test.go
+++ b/test/platform/soak_callers_test.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Callers of the soak. Those with a pool send at an even rate, whatever becomes of
-// the requests before; those that keep a connection send on it until the node ends it.
+// Callers of the soak. Pooled callers send at a constant rate, regardless of earlier
+// requests. Keep-alive callers send on one connection until the node closes it.
 const (
 	pooledRate = 60
-	// keptPerNode is the number of kept connections at each node, and keptPause the
-	// longest pause between two requests of one.
+	// keptPerNode is the number of keep-alive connections per node, and keptPause the longest
+	// pause between two requests on one.
 	keptPerNode = 3
 	keptPause   = 300 * time.Millisecond
-	// readyPeriod is the time between two questions whether a node is ready.
+	// readyPeriod is the interval of readiness probes.
 	readyPeriod = 250 * time.Millisecond
-	// bodyPieces of a long body are sent with bodyPause between them.
+	// A slow upload sends bodyPieces pieces with bodyPause in between.
 	bodyPieces = 6
 	bodyPause  = 100 * time.Millisecond
-	// slowRead is the pause between two reads of a slow reader.
+	// slowRead is the pause between two reads of a slow download.
 	slowRead = 60 * time.Millisecond
 )
 
-// callerBehavior is how a kept caller sends and reads.
+// callerBehavior is how a keep-alive caller sends and reads.
 type callerBehavior int
 
 const (
 	normal callerBehavior = iota
 	// slowUpload sends the body in pieces.
 	slowUpload
-	// slowDownload takes the answer in small reads.
+	// slowDownload reads the response in small pieces.
 	slowDownload
-	// disconnects goes away in the middle of the answer, or of the body.
+	// disconnects closes the connection in the middle of the response or of the body.
 	disconnects
 )
 
@@ -64,7 +64,7 @@
 	}()
 }
 
-// isStopping reports whether the callers are to end.
+// isStopping reports whether the callers have to end.
 func (s *soak) isStopping() bool {
 	select {
 	case <-s.stop:
@@ -94,7 +94,7 @@
 	sending                time.Duration
 }
 
-// drawRequest draws what is asked for.
+// drawRequest draws a random request.
 func (s *soak) drawRequest(n *node, id string, random *rand.Rand) soakRequest {
 	version := s.pickAddedRoute(random)
 	switch drawn := random.IntN(6); {
@@ -107,7 +107,7 @@
 	}
 }
 
-// The tenant of all callers, and its key.
+// The tenant of all callers, and its API key.
 const (
 	soakTenant = "soak"
 	soakKey    = "k-soak-2b6d"
@@ -123,7 +123,7 @@
 	request.Header.Set("Request-Id", r.id)
 	request.Header.Set("Deadline-Ms", strconv.FormatInt(soakDeadline.Milliseconds(), 10))
 	request.Header.Set("Api-Key", soakKey)
-	// Whatever callers set of these fields goes no further.
+	// Nodes must not forward what callers set in these header fields.
 	request.Header.Set("Tenant", "another")
 	request.Header.Set("Hold", "h")
 	request.Header.Set("Connection", "Tenant")
@@ -135,7 +135,7 @@
 	return request
 }
 
-// outcome reads an answer's status and text.
+// outcome builds the outcome from the response's status and body.
 func (r soakRequest) outcome(status int, text []byte, err error) outcome {
 	end := outcome{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
 	end.refusedAsPoison = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
@@ -158,7 +158,7 @@
 	}
 }
 
-// recordOutcome sends one request and books its end.
+// recordOutcome sends one request and records its outcome.
 func (s *soak) recordOutcome(n *node, r soakRequest, send func(n *node) outcome) outcome {
 	sent := time.Now()
 	end := send(n)
@@ -169,20 +169,21 @@
 	return end
 }
 
-// keptConn is a connection that its caller holds.
+// keptConn is a keep-alive connection.
 type keptConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dialTimeout bounds the wait for a connection; answerTimeout that for an answer,
-// which a node owes at the deadline.
+// dialTimeout bounds dialing, and answerTimeout the wait for a response, which a node has to
+// send by the deadline.
 const (
 	dialTimeout   = 2 * time.Second
 	answerTimeout = soakDeadline + 5*time.Second
 )
 
-// sendOnKeptConns sends on one connection after the other, each held until the node ends it.
+// sendOnKeptConns sends requests on one connection until the node closes it, and then opens
+// the next.
 func (s *soak) sendOnKeptConns(n *node, number uint64) {
 	random := rand.New(rand.NewPCG(s.options.seed, 0xcee9+number))
 	for sent := 0; !s.isStopping(); {
@@ -203,7 +204,7 @@
 	}
 }
 
-// exchange sends one request on the connection and reads its answer.
+// exchange sends one request on the connection and reads the response.
 func (k keptConn) exchange(n *node, r soakRequest) outcome {
 	_ = k.SetDeadline(time.Now().Add(answerTimeout))
 	body, length := io.Reader(strings.NewReader("body")), int64(4)
@@ -238,7 +239,7 @@
 
 const bodyPiece = "a piece of a long body "
 
-// slowBody is a body that is still being sent.
+// slowBody is a request body that is sent slowly.
 type slowBody struct{ pieces int }
 
 func (b *slowBody) Read(buffer []byte) (int, error) {
@@ -250,7 +251,7 @@
 	return copy(buffer, bodyPiece), nil
 }
 
-// slowReader reads a little at a time.
+// slowReader reads small pieces with pauses.
 type slowReader struct{ io.Reader }
 
 func (r slowReader) Read(buffer []byte) (int, error) {
@@ -258,7 +259,7 @@
 	return r.Reader.Read(buffer[:min(len(buffer), 64)])
 }
 
-// probe is one answer to the question whether a node is ready.
+// probe is the result of one readiness probe.
 type probe struct {
 	at      time.Time
 	isReady bool
--- a/test/platform/soak_cold_test.go
+++ b/test/platform/soak_cold_test.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// coldReturns is the kind of fault, and soakColdTime how long a server that came back is
-	// cold; soakColdPerS is so little that the soak's callers press beyond it.
+	// coldReturns is the kind of fault. soakColdTime is the length of the cold-start phase, and
+	// soakColdPerS a limit low enough for the soak's callers to exceed it.
 	coldReturns  = "servers-return-cold"
 	soakColdTime = 3 * time.Second
 	soakColdPerS = 4
-	// maxSoakColdRate is what a cold server may receive in any second from all nodes.
+	// maxSoakColdRate is the maximum number of requests in any second that a cold server may
+	// receive from all nodes together.
 	maxSoakColdRate = soakColdPerS*coldOverage + coldSlack
-	// coldMargin is left at the end of a cold time: servers and nodes count it apart.
+	// coldMargin is left out at the end of the cold-start phase, since servers and nodes time it
+	// independently.
 	coldMargin = 200 * time.Millisecond
 )
 
-// coldKind lets half of the model servers go and come back cold, as after the loss of a zone.
+// coldKind replaces half of the model servers by cold ones, as after the loss of a zone.
 func coldKind() kind {
 	return kind{coldReturns, 2, func(s *soak, d drawnFault) {
 		number := 0
@@ -32,14 +34,14 @@
 	}}
 }
 
-// hasColdServers reports whether servers of this run come back cold: the others play as they did
-// when their seeds were kept.
+// hasColdServers reports whether this run has cold servers. Runs without this kind of fault
+// keep the configuration that their seeds were recorded with.
 func (s *soak) hasColdServers() bool {
 	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldReturns })
 }
 
-// checkCold looks for a cold server that received more in a second than it bears. Nodes that
-// are cut off, frozen or new are not excused. The server's lock is held.
+// checkCold reports a cold server that received more requests in a second than its limit.
+// Nodes that are disconnected, frozen or new are not excused. m.mu is held.
 func (s *soak) checkCold(m *modelServer) {
 	if m.coldUntil.IsZero() {
 		return
--- a/test/platform/soak_control_test.go
+++ b/test/platform/soak_control_test.go
@@ -9,24 +9,25 @@
 	"syscall"
 )
 
-// control starts, ends and signals one node's process; faults may overlap there.
+// control starts, stops and signals the process of one node, also when several faults
+// overlap.
 type control struct {
 	*node
 	mu sync.Mutex
-	// startCount counts the starts; running is set while the process of the newest one is
-	// there, and done closes as it ends.
+	// startCount counts the starts. running is set while the latest process runs, and done is
+	// closed when it exits.
 	startCount int
 	running    bool
 	done       chan struct{}
 	exit       error
-	// disturbed is set where the process was frozen or killed in this life, and
-	// stopRequested where it was told to stop.
+	// disturbed is set if the current process was frozen or killed, and stopRequested if it was
+	// told to stop.
 	disturbed, stopRequested bool
-	// unexpectedExits are ends of the process that nobody asked for.
+	// unexpectedExits holds exits that no fault caused.
 	unexpectedExits []error
 }
 
-// errExitZero is the end of a process with status 0.
+// errExitZero stands for an exit with status 0.
 var errExitZero = errors.New("status 0")
 
 func newControl(n *node) *control {
@@ -35,8 +36,8 @@
 	return c
 }
 
-// watchProcess takes over the process that was just started. The lock is held, or nobody
-// else knows c.
+// watchProcess tracks the process that was just started. c.mu is held, or c is not shared
+// yet.
 func (c *control) watchProcess() {
 	c.startCount++
 	c.running, c.disturbed, c.stopRequested, c.exit = true, false, false, nil
@@ -48,13 +49,13 @@
 		defer c.mu.Unlock()
 		c.running, c.exit = false, err
 		if !c.disturbed && !c.stopRequested {
-			c.unexpectedExits = append(c.unexpectedExits, fmt.Errorf("life %d: %w", c.startCount, cmp.Or(err, errExitZero)))
+			c.unexpectedExits = append(c.unexpectedExits, fmt.Errorf("start %d: %w", c.startCount, cmp.Or(err, errExitZero)))
 		}
 		close(done)
 	}()
 }
 
-// startIfStopped starts the process unless it runs.
+// startIfStopped starts the process unless it is running.
 func (c *control) startIfStopped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// stopByKill kills the process if it runs, and waits for that.
+// stopByKill kills the process if it is running, and waits for its exit.
 func (c *control) stopByKill() {
 	c.mu.Lock()
 	if !c.running {
@@ -86,8 +87,8 @@
 	<-done
 }
 
-// requestStop tells the process to stop. It returns nil where there is none, or it was
-// told already.
+// requestStop sends SIGTERM. It returns nil if the process is not running or was already
+// told to stop.
 func (c *control) requestStop() (done chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// state is state the process of this life stands.
+// state returns the state of the current process.
 func (c *control) state() (running, disturbed, asked bool, exit error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/platform/soak_evacuation_test.go
+++ b/test/platform/soak_evacuation_test.go
@@ -6,18 +6,21 @@
 )
 
 const (
-	// evacuateKind is the kind of fault: one of the two zones is evacuated for a while.
+	// evacuateKind is the kind of fault that evacuates one of the two zones for a while.
 	evacuateKind = "evacuate-zone"
-	// soakEvacuationBound is the bound in the settings.
+	// soakEvacuationBound is the time within which an evacuation takes effect (evacuateMs in the
+	// settings).
 	soakEvacuationBound = evacuateBound
-	// minEvacuation is how long it lasts beyond the bound and what is drawn.
+	// minEvacuation is the minimum duration of an evacuation beyond the bound; a random duration
+	// is added.
 	minEvacuation = time.Second
 )
 
-// soakZones are the zones of servers where zones are evacuated; nodes stand in the first.
+// soakZones are the zones of the servers in runs with evacuations; nodes are in the first
+// one.
 var soakZones = []string{"z", "y"}
 
-// soakEvacuation is one evacuation; over is zero while it lasts.
+// soakEvacuation is one evacuation; ended is zero while it is in effect.
 type soakEvacuation struct {
 	zone            string
 	declared, ended time.Time
@@ -30,13 +33,13 @@
 	}}
 }
 
-// hasEvacuations reports whether zones are evacuated in this run: the others play as they did
-// when their seeds were kept.
+// hasEvacuations reports whether this run evacuates zones. Runs without this kind of fault
+// keep the setup that their seeds were recorded with.
 func (s *soak) hasEvacuations() bool {
 	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == evacuateKind })
 }
 
-// evacuate declares a zone evacuated, unless one is.
+// evacuate evacuates the zone, unless an evacuation is in effect.
 func (s *soak) evacuate(zone string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +50,7 @@
 	s.evacuations = append(s.evacuations, soakEvacuation{zone: zone, declared: time.Now()})
 }
 
-// endZoneEvacuation ends the evacuation of the zone if it is the one that lasts.
+// endZoneEvacuation ends the current evacuation if it is that of the zone.
 func (s *soak) endZoneEvacuation(zone string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +62,8 @@
 	s.store.remove("evacuations", zone)
 }
 
-// leastUsedZone is the zone with the fewest servers of the service: each has enough to serve
-// while the other is evacuated. The lock is held.
+// leastUsedZone returns the zone with the fewest servers of the service, so that each zone
+// can serve while the other is evacuated. s.mu is held.
 func (s *soak) leastUsedZone(service string) string {
 	if !s.hasEvacuations() && !s.options.changesRegions() {
 		return soakZones[0]
@@ -74,8 +77,8 @@
 	return slices.MinFunc(soakZones, func(a, b string) int { return counts[a] - counts[b] })
 }
 
-// checkEvacuations looks for requests and orders that came to a server after all nodes had
-// to know that its zone is evacuated. The server's lock is held.
+// checkEvacuations reports requests and orders that reached a server after all nodes had to
+// know that its zone is evacuated. m.mu is held.
 func (s *soak) checkEvacuations(m *modelServer) {
 	for _, evacuation := range s.evacuations {
 		if evacuation.zone != m.zone {
--- a/test/platform/soak_faults_test.go
+++ b/test/platform/soak_faults_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// scope says what a trouble concerns, and so what it excuses.
+// scope says what a disturbance affects, and thereby which violations it excuses.
 type scope int
 
 const (
-	// nodeScope troubles are at one node: it is not in touch until soakContact after.
+	// nodeScope affects one node, which counts as disturbed until soakReconnect after the end.
 	nodeScope scope = iota
-	// plannedNodeScope ones are stops and reloads, which excuse no lost request.
+	// plannedNodeScope covers graceful stops and reloads, which excuse no lost request.
 	plannedNodeScope
-	// serverScope ones excuse what a server or the way to it did.
+	// serverScope excuses violations caused by a server or the link to it.
 	serverScope
-	// serverLinkScope ones, whose node is the server's identity, excuse that what was sent
-	// in time came late.
+	// serverLinkScope, with the server's ID in place of the node, excuses the late arrival of
+	// what was sent in time.
 	serverLinkScope
-	// storeScope ones excuse what hangs on changes that the store tells, and nothing
-	// of requests under way.
+	// storeScope excuses what depends on changes delivered by the store, but no effects on
+	// running requests.
 	storeScope
 )
 
-// disturbance is a time of trouble.
+// disturbance is the period of a fault.
 type disturbance struct {
 	scope    scope
 	node     string
@@ -33,15 +33,15 @@
 	from, to time.Time
 }
 
-// kind is one kind of fault, with how often it is drawn.
+// kind is a kind of fault, with its relative frequency.
 type kind struct {
 	name   string
 	weight int
 	begin  func(s *soak, drawn drawnFault)
 }
 
-// drawnFault is what a fault takes from the seed, drawn before it begins so that
-// its course draws nothing.
+// drawnFault holds a fault's random parameters. They are drawn before the fault begins, so
+// that its course does not affect the sequence of random numbers.
 type drawnFault struct {
 	node     *control
 	server   int
@@ -63,13 +63,14 @@
 	return drawn
 }
 
-// allKinds are the faults that are drawn.
+// allKinds returns all kinds of faults.
 func allKinds() []kind { return thirdKinds() }
 
-// thirdKinds are those that the latest kept seeds draw from.
+// thirdKinds returns the kinds that the most recent regression seeds draw from.
 func thirdKinds() []kind { return append(append(secondKinds(), limitKinds()...), rollbackKinds()...) }
 
-// secondKinds are those that later kept seeds draw from; a kind that comes stands in allKinds alone.
+// secondKinds returns the kinds that an earlier set of regression seeds draws from. New
+// kinds must only be added to allKinds.
 func secondKinds() []kind {
 	return append(append(append(firstKinds(), noticeKinds()...), startKinds()...),
 		kind{poisonKind, 2, func(s *soak, d drawnFault) {
@@ -80,10 +81,10 @@
 		kind{"orders-held", 2, func(s *soak, _ drawnFault) { s.holdOrders() }},
 		kind{"silent-connections-to-server", 1, func(s *soak, d drawnFault) { s.silenceServer(d) }},
 		kind{"silent-connections-to-store", 1, func(s *soak, d drawnFault) {
-			s.silence(d, d.node.storeProxy, d.node.name, "connections to the store")
+			s.silence(d, d.node.storeProxy, d.node.name, "connections to the store are")
 		}},
 		kind{"silent-connections-between-nodes", 1, func(s *soak, d drawnFault) {
-			s.silence(d, d.node.peerProxy, d.node.name, "connections of others to it")
+			s.silence(d, d.node.peerProxy, d.node.name, "connections from other nodes are")
 		}},
 		coldKind(),
 		evacuationKind(),
@@ -91,11 +92,12 @@
 	)
 }
 
-// poisonKind, and those that stand behind it, came after the first kinds.
+// poisonKind was added after firstKinds was fixed, like the kinds that follow it in
+// secondKinds.
 const poisonKind = "server-ends-under-request"
 
-// firstKinds are those that the kept seeds of all kinds draw from: with one more they would
-// be other runs.
+// firstKinds returns the kinds that the oldest regression seeds draw from. Adding a kind
+// would change what these seeds play.
 func firstKinds() []kind {
 	return []kind{
 		{"kill", 2, func(s *soak, d drawnFault) { s.kill(d.node, d.duration) }},
@@ -135,10 +137,10 @@
 			s.storeFault("down", d.duration, func(on bool) { s.store.unavailable = on })
 		}},
 		{"store-answers-lost", 1, func(s *soak, d drawnFault) {
-			s.storeFault("answers lost", d.duration, func(on bool) { s.store.dropResponses = on })
+			s.storeFault("drops responses", d.duration, func(on bool) { s.store.dropResponses = on })
 		}},
 		{"store-late", 1, func(s *soak, d drawnFault) {
-			s.storeFault("writes done late", d.duration, func(on bool) {
+			s.storeFault("delays writes", d.duration, func(on bool) {
 				s.store.writeDelay = 0
 				if on {
 					s.store.writeDelay = d.pauses[0] + time.Millisecond
@@ -147,7 +149,7 @@
 		}},
 		{"store-deaf", 1, func(s *soak, d drawnFault) {
 			took := min(d.duration, time.Second)
-			s.storeFault("deaf", took, func(on bool) { s.store.muteWatches = on })
+			s.storeFault("watches deliver nothing", took, func(on bool) { s.store.muteWatches = on })
 			s.runSteps(nil, took/2, s.store.compact)
 		}},
 		{"store-lapse", 2, func(s *soak, d drawnFault) { s.expireEntries(d, func(on bool) { s.store.unavailable = on }) }},
@@ -156,7 +158,7 @@
 		{"store-turns-some-away", 1, func(s *soak, d drawnFault) { s.rejectSomeNodes(d) }},
 		{"server-replaced", 2, func(s *soak, d drawnFault) { s.replaceServer(d) }},
 		{"server-loses-answers", 1, func(s *soak, d drawnFault) {
-			s.serverFault(d, "loses answers", func(m *modelServer, on bool) { m.resetResponses = on })
+			s.serverFault(d, "resets connections after running requests", func(m *modelServer, on bool) { m.resetResponses = on })
 		}},
 		{"server-fails", 1, func(s *soak, d drawnFault) {
 			s.serverFault(d, "fails", func(m *modelServer, on bool) { m.failRequests = on })
@@ -167,7 +169,7 @@
 	}
 }
 
-// parseKinds are the kinds of a list with commas; an empty one is all.
+// parseKinds parses a comma-separated list of kinds; an empty list selects all.
 func parseKinds(list string) ([]kind, error) {
 	all := allKinds()
 	switch list {
@@ -195,7 +197,7 @@
 	return named, nil
 }
 
-// disturb notes a time of disturb.
+// disturb records and logs a disturbance.
 func (s *soak) disturb(where scope, node, what string, took time.Duration) {
 	now := time.Now()
 	s.t.Logf("%s %s %s for %v", now.Format("15:04:05.000"), node, what, took)
@@ -204,7 +206,7 @@
 	s.disturbances = append(s.disturbances, disturbance{scope: where, node: node, what: what, from: now, to: now.Add(took)})
 }
 
-// runAfter ends a trouble after its time.
+// runAfter calls end after the given time; runFaults waits for it.
 func (s *soak) runAfter(after time.Duration, end func()) {
 	s.activeFaults.Add(1)
 	time.AfterFunc(after, func() {
@@ -213,8 +215,8 @@
 	})
 }
 
-// runSteps does one step after the other, with the pauses (time.Duration) between
-// them; nil is no step.
+// runSteps runs the steps in sequence in the background. A step is a function, a pause
+// (time.Duration), or nil.
 func (s *soak) runSteps(steps ...any) {
 	s.activeFaults.Add(1)
 	go func() {
@@ -230,7 +232,7 @@
 	}()
 }
 
-// startDisturbance is how long the start of a process counts as trouble there.
+// startDisturbance is how long the start of a process counts as a disturbance of the node.
 const startDisturbance = 100 * time.Millisecond
 
 func (s *soak) killNow(c *control, down time.Duration) {
@@ -254,8 +256,8 @@
 	s.runAfter(took, func() { c.signal(syscall.SIGCONT) })
 }
 
-// stopNode is a planned stop: the process ends by itself within its grace, unless
-// something else happened to it.
+// stopNode stops a node gracefully: the process has to exit within its grace period, unless
+// another fault hits it.
 func (s *soak) stopNode(c *control) {
 	s.disturb(plannedNodeScope, c.name, "stops", soakStopDeadline)
 	done := c.requestStop()
@@ -281,13 +283,13 @@
 	switch {
 	case disturbed:
 	case running:
-		s.report("GRACE: %s did not end within its grace", c.name)
+		s.report("GRACE: %s did not exit within its grace period", c.name)
 	case exit != nil:
-		s.report("GRACE: a planned stop of %s ended with %v", c.name, exit)
+		s.report("GRACE: a graceful stop of %s ended with %v", c.name, exit)
 	}
 }
 
-// roll stops all nodes in turn, with a change between each two.
+// roll stops and restarts all nodes in turn, with a configuration change after each stop.
 func (s *soak) roll(drawn drawnFault) {
 	var steps []any
 	for i, c := range s.controls {
@@ -302,10 +304,10 @@
 	s.runAfter(took, func() { s.store.set(func() { set(false) }) })
 }
 
-// expireEntries lets entries go while the store is away. Those of living servers come back
-// within two seconds of its return, while soakContact passes anyway.
+// expireEntries removes server entries while the store is unavailable. Entries of running
+// servers return within two seconds of its recovery, well before soakReconnect ends.
 func (s *soak) expireEntries(drawn drawnFault, set func(on bool)) {
-	s.disturb(storeScope, "", "store away, entries lapse", drawn.duration)
+	s.disturb(storeScope, "", "store unavailable, entries expire", drawn.duration)
 	s.store.set(func() { set(true) })
 	lapsing := s.activeServers()
 	for i, m := range lapsing {
@@ -314,14 +316,14 @@
 	s.runAfter(drawn.duration, func() { s.store.set(func() { set(false) }) })
 }
 
-// watchHoldTime is how long watches are held without a call that fails: they end by
-// their own time and a slack.
+// watchHoldTime is how long watch responses are held. It is within the watch timeout plus
+// its slack, so that no call fails.
 const watchHoldTime = 900 * time.Millisecond
 
-// expireEntriesUnseen lets entries go and come back while watches are held: one answer
-// tells both, and no call fails.
+// expireEntriesUnseen removes and restores entries while watch responses are held, so that
+// one response carries both events and no call fails.
 func (s *soak) expireEntriesUnseen(drawn drawnFault) {
-	s.disturb(storeScope, "", "store tells at once of entries that went and came back", watchHoldTime)
+	s.disturb(storeScope, "", "store reports removal and return of entries in one response", watchHoldTime)
 	s.store.set(func() { s.store.holdWatches = true })
 	for i, m := range s.activeServers() {
 		s.runSteps(nil, drawn.pauses[i%len(drawn.pauses)]/2, func() { s.expireEntry(m) }, watchHoldTime/2, func() { s.restoreEntry(m) })
@@ -350,11 +352,11 @@
 	}
 }
 
-// rejectSomeNodes lets the store refuse a share of the nodes; the others it serves.
+// rejectSomeNodes makes the store refuse connections of a fraction of the nodes.
 func (s *soak) rejectSomeNodes(drawn drawnFault) {
 	for i, c := range s.controls {
 		if float64(i)/float64(len(s.controls)) < drawn.share/2 {
-			s.faultLink(c, c.storeProxy, anySender, "turned away by the store", drawn.duration, fault{refuse: true}, true)
+			s.faultLink(c, c.storeProxy, anySender, "refused by the store", drawn.duration, fault{refuse: true}, true)
 		}
 	}
 }
@@ -372,19 +374,19 @@
 	s.runAfter(drawn.duration, func() { apply(false) })
 }
 
-// replaceServer starts a server, and then lets an older one drain and go.
+// replaceServer adds a server, and then drains and removes an existing one.
 func (s *soak) replaceServer(drawn drawnFault) {
 	staying := s.activeServers()
 	s.replace(staying[drawn.server%len(staying)], 0)
 }
 
-// replace lets a server leave, and another come in its place that is cold for a time.
+// replace adds a server, cold for the given time, and drains an existing one.
 func (s *soak) replace(draining *modelServer, cold time.Duration) {
 	s.addServer(draining.service, cold)
 	s.drain(draining)
 }
 
-// drain lets a server's entry say that it leaves, and go.
+// drain marks a server's entry as draining, and removes the entry later.
 func (s *soak) drain(draining *modelServer) {
 	s.mu.Lock()
 	s.drainedAt[draining.id] = time.Now()
@@ -394,7 +396,7 @@
 	s.runAfter(soakDrain+500*time.Millisecond, func() { s.store.remove("servers", draining.id) })
 }
 
-// drawLinkFault is one harm on a way, by what the seed drew.
+// drawLinkFault picks a link fault by the drawn number.
 func drawLinkFault(drawn drawnFault) (what string, f fault, resets bool) {
 	switch drawn.server % 5 {
 	case 0:
@@ -402,11 +404,11 @@
 	case 1:
 		return "reset", fault{}, true
 	case 2:
-		return "deaf one way", fault{blockTo: true}, false
+		return "blocked in one direction", fault{blockTo: true}, false
 	case 3:
-		return "deaf the other way", fault{blockFrom: true}, false
+		return "blocked in the other direction", fault{blockFrom: true}, false
 	default:
-		return "silent", fault{blockTo: true, blockFrom: true}, false
+		return "blocked in both directions", fault{blockTo: true, blockFrom: true}, false
 	}
 }
 
@@ -417,8 +419,8 @@
 	if m.proxy == nil {
 		return
 	}
-	s.disturb(serverScope, "", "way to "+m.id+" "+what, drawn.duration)
-	s.disturb(serverLinkScope, m.id, "its way is "+what, drawn.duration)
+	s.disturb(serverScope, "", "link to "+m.id+" "+what, drawn.duration)
+	s.disturb(serverLinkScope, m.id, "its link is "+what, drawn.duration)
 	m.proxy.set(anySender, f)
 	if resets {
 		m.proxy.reset()
@@ -428,10 +430,10 @@
 
 func (s *soak) storeLinkFault(drawn drawnFault) {
 	what, f, resets := drawLinkFault(drawn)
-	s.faultLink(drawn.node, drawn.node.storeProxy, anySender, "way to the store "+what, drawn.duration, f, resets)
+	s.faultLink(drawn.node, drawn.node.storeProxy, anySender, "link to the store "+what, drawn.duration, f, resets)
 }
 
-// peerLinkFault harms what a node hears: of all others, or of one.
+// peerLinkFault disturbs what a node receives from all other nodes, or from one.
 func (s *soak) peerLinkFault(drawn drawnFault) {
 	what, f, resets := drawLinkFault(drawn)
 	if drawn.server%2 == 0 {
@@ -441,10 +443,10 @@
 	if drawn.share < 0.5 {
 		sender = s.controls[drawn.server%len(s.controls)].ip
 	}
-	s.faultLink(drawn.node, drawn.node.peerProxy, sender, "way of others to it "+what, drawn.duration, f, resets)
+	s.faultLink(drawn.node, drawn.node.peerProxy, sender, "link from other nodes "+what, drawn.duration, f, resets)
 }
 
-// faultLink puts a fault on a way of a node for a time.
+// faultLink applies a fault to one of a node's proxies for a time.
 func (s *soak) faultLink(c *control, w *proxy, sender, what string, took time.Duration, f fault, resets bool) {
 	if w == nil {
 		return
--- a/test/platform/soak_home_test.go
+++ b/test/platform/soak_home_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// allowedRegionsKind changes the regions that commands may run in; runs that draw it have two zones
-// and regions, of servers and of nodes.
+// allowedRegionsKind changes the regions that commands may run in. Runs with this kind have
+// servers and nodes in two zones, each in its own region.
 const allowedRegionsKind = "home-moves"
 
-// soakRegions are those of soakZones.
+// soakRegions are the regions of soakZones.
 var soakRegions = [2]string{"north", "south"}
 
-// regionRule is where commands may run from a version on; without regions it is everywhere.
+// regionRule holds the regions that commands may run in from a time on; empty allows all.
 type regionRule struct {
 	at      time.Time
 	regions []string
@@ -23,7 +23,7 @@
 	return slices.ContainsFunc(o.kinds, func(k kind) bool { return k.name == allowedRegionsKind })
 }
 
-// nodeZones are the zones of the nodes, with their regions.
+// nodeZones returns the nodes' zones with their regions.
 func (o soakOptions) nodeZones() []string {
 	zones := make([]string, o.nodes)
 	for i := range zones {
@@ -32,12 +32,12 @@
 	return zones
 }
 
-// minRegionLimit is how long commands are bounded to a region at the least: until that must
-// be in force, and a time after it.
+// minRegionLimit is the minimum time for which commands are limited to a region: long enough
+// to come into force and be in force for a while.
 const minRegionLimit = configApplyBound + 3*time.Second
 
-// limitToRegion bounds commands to one region or the other for a time; then they may run
-// everywhere again. One bound holds at a time.
+// limitToRegion limits commands to one region for a time, and then allows all again. Only
+// one limit is in effect at a time.
 func (s *soak) limitToRegion(drawn drawnFault) {
 	region := soakRegions[drawn.server%len(soakRegions)]
 	s.mu.Lock()
@@ -50,7 +50,7 @@
 		return
 	}
 	lasts := minRegionLimit + drawn.duration
-	s.disturb(serverScope, "", "commands may run in "+region+" alone", lasts+configApplyBound)
+	s.disturb(serverScope, "", "commands may only run in "+region, lasts+configApplyBound)
 	s.changeConfiguration()
 	s.runAfter(lasts, func() {
 		s.mu.Lock()
@@ -60,8 +60,8 @@
 	})
 }
 
-// setAllowedRegions writes where commands may run into a configuration, and notes when. The lock is
-// held.
+// setAllowedRegions writes the current allowed regions into a configuration and records the
+// time. s.mu is held.
 func (s *soak) setAllowedRegions(config map[string]any) {
 	if len(s.allowedRegions) == 0 {
 		s.allowedRegions = append(s.allowedRegions, regionRule{})
@@ -75,8 +75,8 @@
 	}
 }
 
-// mayRunAt reports whether a command may run in the region at the time, by any version that
-// may be in force then. The lock is held.
+// mayRunAt reports whether any version that may be in force at the time allows commands in
+// the region. s.mu is held.
 func (s *soak) mayRunAt(region string, at time.Time) bool {
 	for i, home := range s.allowedRegions {
 		isOver := i+1 < len(s.allowedRegions) && !s.allowedRegions[i+1].at.IsZero() && at.Sub(s.allowedRegions[i+1].at) > configApplyBound+s.options.slack
@@ -87,8 +87,8 @@
 	return len(s.allowedRegions) == 0
 }
 
-// checkRegions looks for commands that began where no version in force lets them, by nodes in
-// touch while the store was sound. The server's lock is held.
+// checkRegions reports commands that ran in a region that no version in force allows, sent
+// by undisturbed nodes while the store was undisturbed. m.mu is held.
 func (s *soak) checkRegions(m *modelServer) {
 	if m.service != "commands" {
 		return
--- a/test/platform/soak_judge_test.go
+++ b/test/platform/soak_judge_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// report notes a broken rule, and says so at once.
+// report records and logs a violation.
 func (s *soak) report(format string, values ...any) {
 	finding := fmt.Sprintf(format, values...)
 	s.t.Logf("%s found: %s", time.Now().Format("15:04:05.000"), finding)
@@ -18,10 +18,10 @@
 	s.findings = append(s.findings, finding)
 }
 
-// checkInterval is the time between two looks at what callers got.
+// checkInterval is the interval of checkPeriodically.
 const checkInterval = time.Second
 
-// checkPeriodically judges while the soak runs.
+// checkPeriodically checks new outcomes while the soak runs.
 func (s *soak) checkPeriodically() {
 	for !s.isStopping() {
 		time.Sleep(checkInterval)
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkNewOutcomes judges the requests that ended since it was last called.
+// checkNewOutcomes checks the outcomes recorded since the last call.
 func (s *soak) checkNewOutcomes() {
 	s.mu.Lock()
 	ends := slices.Clone(s.outcomes[s.checkedCount:])
@@ -44,7 +44,7 @@
 	}
 }
 
-// runCounts counts how often each request ran, by the books of all servers.
+// runCounts returns how often each request ran, summed over all servers.
 func (s *soak) runCounts() map[string]int {
 	s.mu.Lock()
 	servers := slices.Clone(s.servers)
@@ -60,12 +60,13 @@
 	return ran
 }
 
-// checkHeaders reads what servers were told beside the requests.
+// checkHeaders checks the request headers that servers received, and that no log contains an
+// API key.
 func (s *soak) checkHeaders() {
 	for _, m := range s.servers {
 		for id, head := range m.headers {
 			if head.Get("Tenant") != soakTenant || len(head["Tenant"]) != 1 || head.Get("Api-Key") != "" || head.Get("Hold") != "" {
-				s.report("UNASKED: %s ran %s, told the tenant %q, the key %q and %q to hold", m.id, id, head["Tenant"], head.Get("Api-Key"), head.Get("Hold"))
+				s.report("UNASKED: %s ran %s with Tenant %q, Api-Key %q and Hold %q", m.id, id, head["Tenant"], head.Get("Api-Key"), head.Get("Hold"))
 			}
 		}
 	}
@@ -76,7 +77,7 @@
 	}
 }
 
-// checkAll reads the books at the end.
+// checkAll runs all checks at the end.
 func (s *soak) checkAll(calm time.Time) {
 	s.checkNewOutcomes()
 	ran := s.runCounts()
@@ -95,33 +96,33 @@
 	s.checkPoison()
 	s.checkReadiness()
 	s.checkExits()
-	s.t.Logf("seed %d: %d requests, answers by status %v, %d troubles, %d servers, %d versions, %d nodes",
+	s.t.Logf("seed %d: %d requests, answers by status %v, %d disturbances, %d servers, %d versions, %d nodes",
 		s.options.seed, len(s.outcomes), tally, len(s.disturbances), len(s.servers), s.version, len(s.nodes))
 }
 
-// checkRunCount holds for every request, whatever goes wrong. Those on added routes
-// are safe and may run again.
+// checkRunCount checks rules that hold regardless of faults. Requests on added routes are
+// safe and may run more than once.
 func (s *soak) checkRunCount(end outcome, ran int) {
 	switch {
 	case ran > 1 && end.route != "added":
 		s.report("TWICE: %s ran %d times", end.id, ran)
 	case (end.status == 503 || end.status == 429) && ran > 0:
-		s.report("REFUSED: %s got %d though it ran", end.id, end.status)
+		s.report("REFUSED: %s got %d although it ran", end.id, end.status)
 	}
 }
 
-// checkAnswer judges what the caller got.
+// checkAnswer checks the response that the caller got.
 func (s *soak) checkAnswer(end outcome, ran int) {
 	switch {
 	case end.status == 200 && end.err == nil && !end.bodyComplete && !end.callerLeft:
 		s.report("MIXED: %s got a success with another body", end.id)
 	case end.status == 404 && end.route == "added" && !s.isCalm(end.node, end.sent.Add(-soakReconnect), end.done):
-		// The version may be under way still.
+		// The version may not be in force yet.
 	case end.status >= 400 && end.status < 500 && end.status != 429:
 		s.report("DENIED: %s got %d", end.id, end.status)
 	}
-	// A node that is not in touch may be late and may lose what it has; a server's
-	// trouble, or the store's, does not make it late.
+	// A disturbed node may answer late and lose requests. Disturbances of a server or the store
+	// do not make a node late.
 	if s.isDisturbed(end.node, end.sent.Add(-soakReconnect), end.done, nodeScope) {
 		return
 	}
@@ -136,12 +137,12 @@
 	}
 }
 
-// lossSlack is how long after its last byte was sent a request may be lost that the
-// node did not pass on: it crossed the end of its connection.
+// lossSlack is how long after its last byte was sent a request may be lost when the node
+// closes the connection as the request arrives. The node has not forwarded it then.
 const lossSlack = 200 * time.Millisecond
 
-// metConnectionClose reports whether a request met the end of its connection, or a node that
-// is down, and was not taken.
+// metConnectionClose reports whether a request met a closing connection or a stopped node
+// and was not accepted.
 func (s *soak) metConnectionClose(end outcome, ran int) bool {
 	if errors.Is(end.err, syscall.ECONNREFUSED) {
 		return true
@@ -149,8 +150,8 @@
 	return ran == 0 && end.done.Sub(end.sent) < end.sending+lossSlack+s.options.slack
 }
 
-// isDisturbed reports whether a trouble of the place fell into the time; those at
-// nodes concern the one alone, or any where none is named.
+// isDisturbed reports whether a disturbance of the scope overlaps the period. An empty node,
+// here or in the disturbance, matches every node.
 func (s *soak) isDisturbed(node string, from, to time.Time, where scope) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,8 +161,8 @@
 	})
 }
 
-// isCalm reports whether the node was in touch, and the store and the servers sound,
-// at the time and for soakContact before.
+// isCalm reports whether the node, the store and the servers were undisturbed during the
+// period and for soakReconnect before it.
 func (s *soak) isCalm(node string, from, to time.Time) bool {
 	from = from.Add(-soakReconnect)
 	for _, where := range []scope{nodeScope, plannedNodeScope, serverScope, storeScope} {
@@ -183,7 +184,7 @@
 		}
 	}
 	if asked == 0 || 10*answered < 9*asked {
-		s.report("RECOVER: %d of %d requests were served after the troubles", answered, asked)
+		s.report("RECOVER: %d of %d requests were served after the faults", answered, asked)
 	}
 }
 
@@ -192,7 +193,7 @@
 	for _, m := range s.servers {
 		m.mu.Lock()
 		if m.overloads > 0 {
-			s.report("LIMIT: %s was ordered to load over its memory %d times", m.id, m.overloads)
+			s.report("LIMIT: %s was ordered to load more than its memory holds %d times", m.id, m.overloads)
 		}
 		s.checkOrders(m)
 		loads = append(loads, m.loads...)
@@ -213,8 +214,8 @@
 	}
 }
 
-// checkDrain looks for work that began at a server after all nodes had to know that
-// it leaves, by nodes in touch while the store was sound. The server's lock is held.
+// checkDrain reports work that started at a server after all nodes had to know that it is
+// draining, sent by undisturbed nodes while the store was undisturbed. m.mu is held.
 func (s *soak) checkDrain(m *modelServer) {
 	left, ok := s.drainedAt[m.id]
 	if !ok {
@@ -226,10 +227,10 @@
 			continue
 		}
 		from := left.Add(-soakReconnect)
-		// What a harmed way held may have been sent in time, if it was asked for in time.
+		// A disturbed link may have delayed a request that was sent in time.
 		isHeld := end.sent.Before(left.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
 		if !isHeld && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
-			s.report("DRAIN: %s ran %s of %s %v after it left", m.id, end.id, end.node, at.Sub(left))
+			s.report("DRAIN: %s ran %s of %s %v after it began to drain", m.id, end.id, end.node, at.Sub(left))
 		}
 	}
 }
@@ -239,30 +240,30 @@
 		before, after := m.orders[i-1], m.orders[i]
 		switch {
 		case after.FencingToken < before.FencingToken:
-			s.report("ONE: %s took token %d after %d", m.id, after.FencingToken, before.FencingToken)
+			s.report("ONE: %s took fencing token %d after %d", m.id, after.FencingToken, before.FencingToken)
 		case after.Holder != before.Holder && after.FencingToken == before.FencingToken:
-			s.report("ONE: %s took one token of %s and %s", m.id, before.Holder, after.Holder)
+			s.report("ONE: %s took the same fencing token from %s and %s", m.id, before.Holder, after.Holder)
 		case after.Holder != before.Holder && after.at.Sub(before.at) < 600*time.Millisecond:
-			s.report("ONE: at %s %s takes turns with %s within the lease", m.id, before.Holder, after.Holder)
+			s.report("ONE: at %s %s ordered within the lease of %s", m.id, before.Holder, after.Holder)
 		}
 	}
 }
 
-// maxRefusalTime bounds how long a service may be refused in calm times while its
-// servers live, if somebody asks; minRefusals is how often at least.
+// A service must not be refused for longer than maxRefusalTime, counting at least
+// minRefusals refused requests, while nothing is disturbed.
 const (
 	maxRefusalTime = 3 * time.Second
 	minRefusals    = 10
 )
 
-// refusalPeriod is a time in which a service was refused to all.
+// refusalPeriod is a period in which all requests for a service were refused.
 type refusalPeriod struct {
 	since   time.Time
 	refused int
 }
 
-// checkRefusals looks for times in which a service was refused to all, though its
-// servers live.
+// checkRefusals reports periods in which all requests for a service were refused although
+// its servers run.
 func (s *soak) checkRefusals() {
 	runs := make(map[string]refusalPeriod)
 	ends := slices.Clone(s.outcomes)
@@ -285,13 +286,14 @@
 		current.refused++
 		runs[service] = current
 		if current.refused >= minRefusals && end.sent.Sub(current.since) > maxRefusalTime+s.options.slack {
-			s.report("SHORT: %s refused to all for %v, %d times", service, end.sent.Sub(current.since), current.refused)
+			s.report("SHORT: %s refused all requests for %v, %d in total", service, end.sent.Sub(current.since), current.refused)
 			runs[service] = refusalPeriod{}
 		}
 	}
 }
 
-// checkReadiness looks for nodes that are not ready twice in a row in calm times.
+// checkReadiness reports nodes that failed two consecutive readiness probes while
+// undisturbed.
 func (s *soak) checkReadiness() {
 	for name, probes := range s.probes {
 		for i := 1; i < len(probes); i++ {
@@ -303,12 +305,12 @@
 	}
 }
 
-// checkExits looks for processes that ended by themselves.
+// checkExits reports processes that exited without being told to.
 func (s *soak) checkExits() {
 	for _, c := range s.controls {
 		c.mu.Lock()
 		for _, exit := range c.unexpectedExits {
-			s.report("EXIT: %s ended by itself: %v", c.name, exit)
+			s.report("EXIT: %s exited unexpectedly: %v", c.name, exit)
 		}
 		c.mu.Unlock()
 	}
--- a/test/platform/soak_kept_test.go
+++ b/test/platform/soak_kept_test.go
@@ -8,38 +8,39 @@
 	"time"
 )
 
-// regressionSeed is a run that failed once, or that showed what the soak can find.
+// regressionSeed is a run that once failed, or that shows what the soak can detect.
 type regressionSeed struct {
 	seed uint64
-	// kinds are those that it draws; "first" is those of firstKinds, "second" and "third" those of secondKinds and thirdKinds.
+	// kinds are the kinds to draw from, as in -soak.kinds: "first", "second" and "third" select
+	// firstKinds, secondKinds and thirdKinds.
 	kinds string
-	// duration is how long it draws faults; keptTime where it is 0.
+	// duration is how long faults are drawn; 0 means keptTime.
 	duration time.Duration
-	// maxPoisonRefusals is that of soakOptions.
+	// maxPoisonRefusals sets the field of soakOptions.
 	maxPoisonRefusals int
-	// cause is why it failed, and on which code.
+	// cause is the fault in the code that made the run fail.
 	cause string
 }
 
-// regressionSeeds are played by the short soak.
+// regressionSeeds are played by TestShortSoak.
 var regressionSeeds = []regressionSeed{
-	{seed: 6, kinds: "store-tells-at-once", cause: "incident 0003: 2 of 8 living servers taken to work by all nodes, before news were dated by the last event"},
-	{seed: 4, kinds: "store-lapse,store-deaf-lapse,store-down,kill", cause: "lapsed entries taken for gone, before bc2b274: 6 of 8 living servers"},
-	{seed: 202, kinds: "first", cause: "all kinds of then: a node that had heard all servers as news was not ready for more than seven seconds"},
-	{seed: 9410, kinds: "second", duration: 10 * time.Second, maxPoisonRefusals: 100, cause: "all kinds of then: callers who send alike were barred for 20 s, as theirs ran on the three servers that a poison request ended; 201 refused as poison requests"},
-	{seed: 13002, kinds: "third", duration: 10 * time.Second, cause: "all kinds of today: a node that was frozen over a step back of the store told an evacuation on that had ended; 4 of 8 living servers taken to work"},
-	{seed: 513, kinds: "first", cause: "all kinds of then: a word on a held entry went on at the choice of servers alone; 1 of 8 living servers taken to work"},
+	{seed: 6, kinds: "store-tells-at-once", cause: "all nodes considered only 2 of 8 running servers usable, before news were dated by the last event"},
+	{seed: 4, kinds: "store-lapse,store-deaf-lapse,store-down,kill", cause: "expired entries counted as removed servers, so that only 6 of 8 running servers were considered usable"},
+	{seed: 202, kinds: "first", cause: "a node that had learned of all servers from other nodes was not ready for more than seven seconds"},
+	{seed: 9410, kinds: "second", duration: 10 * time.Second, maxPoisonRefusals: 100, cause: "similar requests were blocked for 20 s because they ran on the three servers that a poison request crashed; 201 were refused as poison requests"},
+	{seed: 13002, kinds: "third", duration: 10 * time.Second, cause: "a node that was frozen during a store rollback passed on an evacuation that had ended; only 4 of 8 running servers were considered usable"},
+	{seed: 513, kinds: "first", cause: "a notice about a retained entry had no effect beyond the choice of servers; only 1 of 8 running servers was considered usable"},
 }
 
 const (
-	// keptTime is how long each kept seed draws faults, and keptNodes the nodes.
+	// keptTime is how long each regression seed draws faults, and keptNodes the number of nodes.
 	keptTime  = 12 * time.Second
 	keptNodes = 6
-	// keptSlack is added to bounds in time: the machine may be busy.
+	// keptSlack is added to time limits, since the machine may be busy.
 	keptSlack = 3 * time.Second
 )
 
-// TestShortSoak plays the kept seeds, one over real processes after the other.
+// TestShortSoak plays the regression seeds one after the other with real processes.
 func TestShortSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
@@ -47,7 +48,7 @@
 	for _, kept := range regressionSeeds {
 		kinds, err := parseKinds(kept.kinds)
 		if err != nil {
-			t.Fatalf("kept seed %d (%s): %v", kept.seed, kept.cause, err)
+			t.Fatalf("regression seed %d (%s): %v", kept.seed, kept.cause, err)
 		}
 		t.Run(fmt.Sprint(kept.seed), func(t *testing.T) {
 			runSoak(t, soakOptions{
@@ -58,14 +59,15 @@
 	}
 }
 
-// TestSoakRefusesWhatItCannotPlay: unknown kinds, no time, too many processes.
+// TestSoakRefusesWhatItCannotPlay: unknown kinds, a zero duration and too many nodes are
+// rejected.
 func TestSoakRefusesWhatItCannotPlay(t *testing.T) {
 	if _, err := parseKinds("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
 		t.Errorf("an unknown kind gives %v", err)
 	}
 	sound := soakOptions{duration: time.Second, nodes: 3, kinds: allKinds()}
 	if err := sound.check(); err != nil {
-		t.Errorf("a sound run gives %v", err)
+		t.Errorf("valid options give %v", err)
 	}
 	for name, change := range map[string]func(o *soakOptions){
 		"no time":        func(o *soakOptions) { o.duration = 0 },
@@ -76,7 +78,7 @@
 		options := sound
 		change(&options)
 		if options.check() == nil {
-			t.Errorf("%s is played", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/test/platform/soak_keys_test.go
+++ b/test/platform/soak_keys_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// keyProbeInterval is the time between two questions whether a withdrawn key is served.
+// keyProbeInterval is the interval of probes with a withdrawn key.
 const keyProbeInterval = 300 * time.Millisecond
 
-// keyProbe is a command that was sent with a key which had been withdrawn.
+// keyProbe is a command that was sent with a withdrawn API key.
 type keyProbe struct {
 	node            string
 	withdrawn, sent time.Time
@@ -19,10 +19,11 @@
 	status          int
 }
 
-// versionKey is the key that only one version of the configuration has.
+// versionKey returns the API key that only this version of the configuration contains.
 func versionKey(version int) string { return fmt.Sprintf("%s-%d", soakKey, version) }
 
-// probeKeys asks a node on one kept connection with the key that was withdrawn last.
+// probeKeys sends commands with the most recently withdrawn key over a keep-alive
+// connection.
 func (s *soak) probeKeys(n *node) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for number := 0; !s.isStopping(); number++ {
@@ -49,12 +50,12 @@
 	}
 }
 
-// checkKeys reads whether a node in touch served a key after its time.
+// checkKeys reports undisturbed nodes that accepted a withdrawn key after the time limit.
 func (s *soak) checkKeys() {
 	for _, probe := range s.keyProbes {
 		late := probe.sent.Sub(probe.withdrawn) > configApplyBound+s.options.slack
 		if late && probe.status == http.StatusOK && s.isCalm(probe.node, probe.withdrawn, probe.done) {
-			s.report("CONFIG: %s served a key %v after it was withdrawn", probe.node, probe.sent.Sub(probe.withdrawn))
+			s.report("CONFIG: %s accepted a key %v after it was withdrawn", probe.node, probe.sent.Sub(probe.withdrawn))
 		}
 	}
 }
--- a/test/platform/soak_limit_test.go
+++ b/test/platform/soak_limit_test.go
@@ -8,34 +8,36 @@
 
 const (
 	serversNameLimit = "servers-name-limit"
-	// limitNoticeTime is how long after a node has passed a limit on what it sends counts.
+	// limitNoticeTime is the time after a node has received a limit from which on its requests
+	// count.
 	limitNoticeTime = 500 * time.Millisecond
 )
 
-// limitKinds are servers that name a rate limit in their answers.
+// limitKinds makes servers announce a rate limit in their responses.
 func limitKinds() []kind {
 	return []kind{{serversNameLimit, 2, func(s *soak, d drawnFault) { s.setRateLimits(d) }}}
 }
 
-// soakLimits are the limits that servers name.
+// soakLimits are the announced limits, in requests a second.
 var soakLimits = []float64{0, 0.2, 1, 3, 10}
 
-// setRateLimits lets some servers name a rate limit for a time.
+// setRateLimits makes some servers announce a rate limit for a time.
 func (s *soak) setRateLimits(drawn drawnFault) {
 	for i, m := range s.activeServers() {
 		if (i+drawn.server)%3 != 0 {
 			continue
 		}
 		perSecond := soakLimits[(i+drawn.server)%len(soakLimits)]
-		s.disturb(serverScope, "", m.id+" names a limit of "+strconv.FormatFloat(perSecond, 'g', -1, 64), drawn.duration+limitWindow)
+		s.disturb(serverScope, "", m.id+" announces a limit of "+strconv.FormatFloat(perSecond, 'g', -1, 64), drawn.duration+limitWindow)
 		m.setRateLimit(perSecond)
 		s.runAfter(drawn.duration+limitWindow, func() { m.setRateLimit(-1) })
 	}
 }
 
-// checkLimits counts what reached a server while it named one limit, from nodes that had passed that
-// on. Nodes that ended, froze or were cut off since then are excused, what a harmed way held, and the
-// landing before, which reads no limits. The server's lock is held.
+// checkLimits counts the contacts of a server while it announced a limit, from nodes that
+// had received the announcement. It excuses nodes that stopped, froze or were disconnected
+// since then, delays by a disturbed link, and the previous release, which ignores limits.
+// m.mu is held.
 func (s *soak) checkLimits(m *modelServer) {
 	for from := 0; from < len(m.contacts); {
 		to := from + 1
@@ -49,7 +51,7 @@
 	}
 }
 
-// checkLimit judges what came while the server named one limit.
+// checkLimit checks the contacts during which the server announced one limit.
 func (s *soak) checkLimit(m *modelServer, came []contact) {
 	ends := make(map[string]outcome, len(s.outcomes))
 	for _, end := range s.outcomes {
@@ -70,13 +72,13 @@
 	}
 	perSecond, _ := strconv.ParseFloat(came[0].limit, 64)
 	if worst := busiestWindow(counted); len(worst) > allowedInWindow(perSecond) {
-		s.report("RATE: %s named a limit of %s a second, and got %d requests in %v from nodes that it had told; %d are allowed (%v)",
+		s.report("RATE: %s announced a limit of %s a second and was contacted %d times in %v by nodes that had received it; %d are allowed (%v)",
 			m.id, came[0].limit, len(worst), limitWindow, allowedInWindow(perSecond), countPaths(worst))
 	}
 }
 
-// countsToLimit reports whether what came from a node counts. Of the system's own calls it is not known
-// which node they are of: they count where no node is excused.
+// countsToLimit reports whether a contact counts towards the limit. Orders and report
+// queries do not identify their node, so they count only if no node is excused.
 func (s *soak) countsToLimit(m *modelServer, came contact, node string, told map[string]time.Time) bool {
 	if strings.HasPrefix(came.path, "/api/") {
 		for name, at := range told {
--- a/test/platform/soak_planted_test.go
+++ b/test/platform/soak_planted_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestSoakJudgeFindsWhatIsBroken plants one violation of each rule into books in
-// which nothing is wrong.
+// TestSoakJudgeFindsWhatIsBroken plants one violation of each rule into a run without
+// violations, and expects the check of just that rule to report it.
 func TestSoakJudgeFindsWhatIsBroken(t *testing.T) {
 	at := func(after time.Duration) time.Time { return time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC).Add(after) }
 	fine := outcome{id: "a", node: "node-1", route: "command", sent: at(0), done: at(time.Second), status: 200, bodyComplete: true}
@@ -226,15 +226,15 @@
 	}
 }
 
-// plantDraining lets the answer to the first request say that its server leaves, and another be
-// sent to it at a time.
+// plantDraining makes the first response announce that the server is leaving, and sends
+// another request to it at the given time.
 func plantDraining(s *soak, at, again time.Time) {
 	s.servers[0].arrivals = []arrival{{id: "a", at: at, isDraining: true}}
 	s.addArrival(again, arrival{isDraining: true})
 }
 
-// plantRetryAfter lets a server turn the first request away and ask for the longest rest, and others
-// reach it at the times.
+// plantRetryAfter makes a server reject the first request with the longest back-off, and
+// sends other requests to it at the given times.
 func plantRetryAfter(s *soak, at time.Time, others ...time.Time) {
 	s.servers[0].arrivals = []arrival{{id: "a", at: at, retryAfter: maxSoakRetryAfter}}
 	for _, other := range others {
@@ -242,7 +242,7 @@
 	}
 }
 
-// addArrival lets a request of the first node addArrival the first server.
+// addArrival records a request from the first node to the first server.
 func (s *soak) addArrival(at time.Time, came arrival) {
 	came.id, came.at = fmt.Sprint("again", len(s.servers[0].arrivals)), at
 	s.servers[0].arrivals = append(s.servers[0].arrivals, came)
@@ -250,8 +250,8 @@
 	s.outcomes = append(s.outcomes, outcome{id: came.id, node: "node-1", route: "command", sent: at, done: at, status: 200, bodyComplete: true})
 }
 
-// plantRateLimit lets a server name a limit of 1 a second to the first request, and others reach it later,
-// within one window.
+// plantRateLimit makes a server announce a limit of 1 a second in its first response, and
+// sends other requests to it later, within one window.
 func (s *soak) plantRateLimit(at time.Time, others int) {
 	s.servers[0].contacts = []contact{{id: "a", at: at, path: "/command/x", limit: "1"}}
 	for number := range others {
@@ -261,7 +261,8 @@
 	}
 }
 
-// plantPoisonRefusals enters requests that were refused as poison requests, among others that were served.
+// plantPoisonRefusals adds requests that were refused as poison requests among others that
+// were served.
 func (s *soak) plantPoisonRefusals(count int) {
 	refused := outcome{id: "m", model: "m0", route: "models", node: "node-1", sent: s.outcomes[0].sent, done: s.outcomes[0].sent, status: 503, refusedAsPoison: true}
 	s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 40)...)
--- a/test/platform/soak_poison_test.go
+++ b/test/platform/soak_poison_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// soakPoison is one poison request of the soak, as the servers' books have it.
+// soakPoison records one poison request of the soak.
 type soakPoison struct {
-	// sends are the times at which it reached servers, and of which nodes; ended those at
-	// which servers ended under it.
+	// sends holds when it reached servers and from which node, and ended when servers crashed on
+	// it.
 	sends []poisonSend
 	ended []time.Time
 }
@@ -22,29 +22,29 @@
 }
 
 const (
-	// replaceDelay is the time until another server comes in place of one that ended, and
-	// lapseAfterEnd that until the entry of the latter goes.
+	// replaceDelay is the delay before a replacement for a crashed server starts, and
+	// entryRemovalDelay that before the crashed server's entry is removed.
 	replaceDelay      = 300 * time.Millisecond
 	entryRemovalDelay = time.Second
-	// poisonRunTime is how long a server runs a poison request until it ends.
+	// poisonRunTime is how long a server runs a poison request before it crashes.
 	poisonRunTime = 30 * time.Millisecond
 )
 
-// sendPoison sends one poison request again and again, to one node after the other.
+// sendPoison sends a poison request repeatedly, to different nodes.
 func (s *soak) sendPoison(drawn drawnFault) {
 	s.mu.Lock()
 	body := fmt.Sprintf("%s %d", poisonBody, len(s.poisons))
 	s.poisons[body] = &soakPoison{}
 	s.mu.Unlock()
 	took := drawn.duration + soakReconnect
-	s.disturb(serverScope, "", fmt.Sprintf("%q comes, which ends servers", body), took)
+	s.disturb(serverScope, "", fmt.Sprintf("poison request %q is sent", body), took)
 	s.activeFaults.Add(1)
 	go func() {
 		defer s.activeFaults.Done()
 		for number, end := 0, time.Now().Add(took); time.Now().Before(end); number++ {
 			n := s.nodes[(drawn.server+number*number)%len(s.nodes)]
 			r := soakRequest{id: fmt.Sprintf("%s %d", n.name, number), path: "/chat/x", model: "m0"}
-			// What becomes of it is judged by the servers' books.
+			// The result is checked by what the servers recorded.
 			if response, err := http.DefaultClient.Do(r.build(n, strings.NewReader(body), int64(len(body)))); err == nil {
 				_ = response.Body.Close()
 			}
@@ -53,7 +53,7 @@
 	}()
 }
 
-// crashOnPoison runs a poison request, and ends the server.
+// crashOnPoison runs a poison request and crashes the server.
 func (s *soak) crashOnPoison(m *modelServer, writer http.ResponseWriter, request *http.Request, body string) {
 	node, _, _ := strings.Cut(request.Header.Get("Request-Id"), " ")
 	s.mu.Lock()
@@ -72,8 +72,8 @@
 	}
 	s.mu.Unlock()
 	if !hasEnded {
-		s.t.Logf("%s %s ends under %q", time.Now().Format("15:04:05.000"), m.id, body)
-		s.disturb(serverScope, "", m.id+" ended", entryRemovalDelay)
+		s.t.Logf("%s %s crashes on %q", time.Now().Format("15:04:05.000"), m.id, body)
+		s.disturb(serverScope, "", m.id+" crashed", entryRemovalDelay)
 		_ = m.proxy.listener.Close()
 		m.proxy.reset()
 		s.runAfter(replaceDelay, func() { s.addServer(m.service, 0) })
@@ -82,8 +82,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// checkPoison looks for poison requests that reached servers when all nodes in touch had to
-// know them, and for others that were refused as such.
+// checkPoison reports poison requests that reached servers after all undisturbed nodes had
+// to know them, and other requests that were refused as poison requests.
 func (s *soak) checkPoison() {
 	for body, known := range s.poisons {
 		if len(known.ended) < maxCrashes {
@@ -97,17 +97,17 @@
 			}
 		}
 		if late > maxLateSends {
-			s.report("BUDGET: %q reached servers %d times, by nodes in touch, %v and more after it had ended the third", body, late, soakReconnect)
+			s.report("BUDGET: %q reached servers %d times from undisturbed nodes, more than %v after its third crash", body, late, soakReconnect)
 		}
-		s.t.Logf("%q ended %d servers and reached some %d times", body, len(known.ended), len(known.sends))
+		s.t.Logf("%q crashed %d servers and reached servers %d times", body, len(known.ended), len(known.sends))
 	}
 	s.checkPoisonRefusals()
 }
 
-// maxPoisonBlock bounds how long what many callers send alike is refused as a poison
-// request: where three servers end around them before any ended well, they are barred until
-// they are tried: a second later where one poison request ran on all of these servers, and at
-// the end of the bar where several did, or where another one ended the server of that trial.
+// maxPoisonBlock bounds how long requests that look like a poison request are refused. If
+// three servers crash while running them before any completes, they are blocked until a
+// trial: after one second if a single poison request ran on all of these servers, and at the
+// end of the block if several did or if another one crashed the server of that trial.
 const maxPoisonBlock = 22 * time.Second
 
 func (s *soak) checkPoisonRefusals() {
@@ -125,11 +125,11 @@
 		case end.refusedAsPoison && since[end.model].IsZero():
 			since[end.model] = end.done
 		case end.refusedAsPoison && end.done.Sub(since[end.model]) > maxPoisonBlock+s.options.slack:
-			s.report("BARRED: %s of %s was refused as a poison request, as all like it for %v", end.id, end.node, end.done.Sub(since[end.model]))
+			s.report("BARRED: %s of %s was refused as a poison request, like all similar requests for %v", end.id, end.node, end.done.Sub(since[end.model]))
 		}
 	}
 	s.t.Logf("%d requests were refused as poison requests", barred)
 	if most := s.options.maxPoisonRefusals; most > 0 && barred > most {
-		s.report("BARRED: %d requests were refused as poison requests, want %d at most", barred, most)
+		s.report("BARRED: %d requests were refused as poison requests, want at most %d", barred, most)
 	}
 }
--- a/test/platform/soak_rollback_test.go
+++ b/test/platform/soak_rollback_test.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// storeRollbackKind lets the store come back from a copy; what the operator and the servers wrote is
-// written again.
+// storeRollbackKind restores the store from a snapshot, after which the operator and the
+// servers write their current state again.
 const storeRollbackKind = "store-goes-back"
 
-// callCountPeriod is how long after a return the calls to the store are counted.
+// callCountPeriod is the period after a restore in which calls to the store are counted.
 const callCountPeriod = 3 * time.Second
 
 func rollbackKinds() []kind {
 	return []kind{{storeRollbackKind, 2, func(s *soak, d drawnFault) { s.rollBackStore(d) }}}
 }
 
-// rollBackStore copies the store, lets it be away for a moment after the drawn time, and come back from
-// the copy. The landing before knows of no eras: none of it runs beside.
+// rollBackStore takes a snapshot, makes the store unavailable for a moment after the drawn
+// time, and restores the snapshot. It does nothing if nodes ran the previous release, which
+// does not know store eras.
 func (s *soak) rollBackStore(drawn drawnFault) {
 	s.mu.Lock()
 	isPlayed := len(s.ranOlderBuild) == 0
@@ -26,7 +27,7 @@
 	copied := s.store.snapshot()
 	s.runAfter(drawn.duration, func() {
 		away := drawn.pauses[0]
-		s.disturb(storeScope, "", "store comes back from a copy", away+drawn.pauses[1])
+		s.disturb(storeScope, "", "store is restored from a snapshot", away+drawn.pauses[1])
 		s.store.set(func() { s.store.unavailable = true })
 		s.runAfter(away, func() {
 			s.store.restore(copied)
@@ -36,7 +37,7 @@
 			}
 			before := s.store.callCount()
 			s.runAfter(callCountPeriod, func() {
-				s.t.Logf("%d nodes made %d calls in %v after the store came back", len(s.controls), s.store.callCount()-before, callCountPeriod)
+				s.t.Logf("%d nodes made %d calls in %v after the store was restored", len(s.controls), s.store.callCount()-before, callCountPeriod)
 			})
 		})
 		s.runAfter(away+drawn.pauses[1]/2, s.rewriteConfiguration)
@@ -49,7 +50,7 @@
 	return append([]*modelServer(nil), s.servers...)
 }
 
-// rewriteConfiguration writes what the operator had written last.
+// rewriteConfiguration writes the operator's latest state again.
 func (s *soak) rewriteConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,8 @@
 	}
 }
 
-// rewriteServer writes what the server says now, unless its entry is away for another reason.
+// rewriteServer writes the server's current state, unless its entry is absent for another
+// reason.
 func (s *soak) rewriteServer(m *modelServer) {
 	s.mu.Lock()
 	leftAt, left := s.drainedAt[m.id]
--- a/test/platform/soak_routes_test.go
+++ b/test/platform/soak_routes_test.go
@@ -12,13 +12,14 @@
 
 var configLogLine = regexp.MustCompile(`(?m)^(?:time=(\S+) )?.*?event=(node_started|config_in_force)(?:.*? version=(\d+))?`)
 
-// appliedVersion is a version that came into force at a node.
+// appliedVersion is a configuration version that came into force at a node.
 type appliedVersion struct {
 	version int
 	at      time.Time
 }
 
-// appliedVersions are those in force at the node by its log, one list for each life.
+// appliedVersions parses a node's log for the versions that came into force, one list per
+// start of the process.
 func appliedVersions(log string) [][]appliedVersion {
 	lives := [][]appliedVersion{nil}
 	for _, found := range configLogLine.FindAllStringSubmatch(log, -1) {
@@ -33,9 +34,9 @@
 	return lives
 }
 
-// checkConfigurations reads the versions in force from the nodes' logs: they
-// rise within a life, each is in force in time where nothing is in its way, and the
-// last one is in force at all.
+// checkConfigurations checks the versions in force by the nodes' logs: they increase between
+// restarts, each is in force in time unless disturbed, and the latest one is in force at the
+// end.
 func (s *soak) checkConfigurations() {
 	for _, n := range s.nodes {
 		last := 0
@@ -44,7 +45,7 @@
 			last = 0
 			for _, next := range life {
 				if next.version <= last {
-					s.report("CONFIG: %s went from version %d to %d", n.name, last, next.version)
+					s.report("CONFIG: %s went from version %d back to %d", n.name, last, next.version)
 				}
 				last = next.version
 			}
@@ -57,7 +58,8 @@
 	}
 }
 
-// configApplyBound is the time within which a version is in force at a node in touch.
+// configApplyBound is the time within which a version has to be in force at an undisturbed
+// node.
 const configApplyBound = 2 * time.Second
 
 func (s *soak) checkApplied(n *node, all []appliedVersion) {
@@ -75,15 +77,15 @@
 	}
 }
 
-// minAddedRequests is the number of requests on added routes from which they are judged,
-// and minAddedShare the part of the others' share that they must be served by.
+// Added routes are checked if they got at least minAddedRequests requests. Their success
+// rate must be at least minAddedShare of that of the other routes.
 const (
 	minAddedRequests = 20
 	minAddedShare    = 0.25
 )
 
-// checkAddedRoutes compares, in calm times, how often routes that were added are
-// served with the first ones.
+// checkAddedRoutes compares the success rates of added routes and of the original ones in
+// undisturbed periods.
 func (s *soak) checkAddedRoutes() {
 	var asked, answered [2]float64
 	for _, end := range s.outcomes {
@@ -100,14 +102,16 @@
 		}
 	}
 	if asked[1] >= minAddedRequests && asked[0] > 0 && answered[1]/asked[1] < minAddedShare*answered[0]/asked[0] {
-		s.report("CONFIG: of %.0f requests on added routes %.0f were served, of %.0f on the first ones %.0f", asked[1], answered[1], asked[0], answered[0])
+		s.report("CONFIG: of %.0f requests on added routes %.0f were served, of %.0f on the original ones %.0f", asked[1], answered[1], asked[0], answered[0])
 	}
 }
 
-// usableServerMetric are the states of servers that a node takes to work: a limited one takes work at its rate.
+// usableServerMetric matches the metrics of the server states that a node considers usable.
+// A limited server is usable at its rate.
 var usableServerMetric = regexp.MustCompile(`(?m)^spanlanding_edge_servers_(ready|limited|suspect) (\d+)$`)
 
-// usableServers is the number of usableServers that the node takes to work, by its figures.
+// usableServers returns the number of servers that the node considers usable, by its
+// metrics.
 func (n *node) usableServers() (int, error) {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", n.ip, n.fleet.ports[0]+1))
 	if err != nil {
@@ -123,7 +127,8 @@
 	return count, err
 }
 
-// checkUsableServers asks each node, in a calm time, how many servers it takes to work.
+// checkUsableServers compares, for each undisturbed node, the number of servers it considers
+// usable with the number of running servers.
 func (s *soak) checkUsableServers() {
 	now := time.Now()
 	want := len(s.activeServers())
@@ -133,7 +138,7 @@
 		}
 		got, err := c.usableServers()
 		if err != nil || got != want {
-			s.report("SERVERS: %s takes %d of %d living servers to work (%v)", c.name, got, want, err)
+			s.report("SERVERS: %s considers %d servers usable, want %d (%v)", c.name, got, want, err)
 		}
 	}
 }
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// orderHoldTime is how long orders are held: longer than it takes until the next holder gives
-// its first order, which is the lease, the quiet time between holders, their margin and
-// the candidates' delays.
+// orderHoldTime is how long orders are delayed: longer than it takes the next lease holder
+// to give its first order, which is the lease duration, the quiet period between holders,
+// their margin and the candidates' delays.
 const orderHoldTime = 6 * time.Second
 
-// reorderTime is the time that the holder needs to learn what servers lost, and to
-// order it anew. It may order for a second and more after it is cut off from the store.
+// reorderTime is the time that the lease holder needs to notice lost models and order them
+// again. It may order for more than a second after it is disconnected from the store.
 const reorderTime = 200 * time.Millisecond
 
-// holdOrders lets the servers lose their models, holds what the holder of the lease then
-// orders on its way to all of them, and takes the lease from it. What it ordered and gave
-// up is set free once another has the lease. One is held at a time.
+// holdOrders clears the servers' models, blocks the orders that the lease holder then sends
+// to them, and disconnects the holder from the store so that it loses the lease. The blocked
+// orders are released after another node holds the lease. Only one holder's orders are
+// blocked at a time.
 func (s *soak) holdOrders() {
 	s.mu.Lock()
 	isHeld := time.Now().Before(s.ordersHeldUntil)
@@ -43,18 +44,18 @@
 		m.register(s.store, "ready")
 	}
 	s.runAfter(reorderTime, func() {
-		s.faultLink(c, c.storeProxy, anySender, "its orders are held, and it is cut off from the store", orderHoldTime, fault{refuse: true}, true)
+		s.faultLink(c, c.storeProxy, anySender, "its orders are blocked, and it is disconnected from the store", orderHoldTime, fault{refuse: true}, true)
 	})
 }
 
-// loseModels lets a server hold nothing; what it loads goes on.
+// loseModels unloads all models; a load in progress continues.
 func (m *modelServer) loseModels() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.models)
 }
 
-// leaseHolder is the node that wrote the lease last; nil where none did.
+// leaseHolder returns the node that last wrote the lease, or nil.
 func (s *soak) leaseHolder() *control {
 	s.store.mu.Lock()
 	text := s.store.objects["leases"]["leader"].Spec
@@ -73,11 +74,11 @@
 	return nil
 }
 
-// silenceTime is how long connections stay silent: nobody waits that long for one.
+// silenceTime is how long connections stay silent; no caller waits that long for one.
 const silenceTime = 8 * time.Second
 
-// silence lets the connections that are open go silent, in a direction that is drawn,
-// while new ones work. Node, or server, is whom it concerns.
+// silence blocks the connections that are open now, in a drawn direction, while new ones
+// work. The name is that of the affected node or server.
 func (s *soak) silence(drawn drawnFault, w *proxy, name, what string) {
 	if w == nil {
 		return
@@ -114,11 +115,12 @@
 	s.runAfter(silenceTime, func() { m.proxy.set(anySender, fault{}) })
 }
 
-// A holder of the lease ended while its orders were under way behind cut ways; the next holder ordered,
-// and when the ways healed the orders of the former one arrived and were taken, under an older token.
-// What is given up by a process that runs is reset, but one that ends gives nothing up: its kernel
-// closed the connections in the ordinary way, so the bytes stayed deliverable. The books of five servers
-// settled it, as the holder of token 27 had stopped as planned six seconds before:
+// TestOrdersOfAHolderThatEndedDoNotArrive: a lease holder exited while its orders were in
+// transit on blocked links. The next holder gave orders, and when the links recovered, the
+// former holder's orders arrived and were accepted with an older fencing token. A running
+// process resets the connections of orders that it gives up; when a process exits, its
+// kernel closes connections normally, so their bytes stay deliverable. The check reported,
+// six seconds after the holder of token 27 had stopped gracefully:
 //
 //	ONE: i-2 took token 27 after 55
 func TestOrdersOfAHolderThatEndedDoNotArrive(t *testing.T) {
@@ -141,8 +143,8 @@
 	}
 }
 
-// endHolderWithOrdersHeld ends the holder of the lease while its orders are held before the servers, and
-// sets them free when the next holder has long ordered.
+// endHolderWithOrdersHeld ends the lease holder while its orders are blocked, and releases
+// them long after the next holder has given its first order.
 func (s *soak) endHolderWithOrdersHeld(end func(s *soak, c *control)) {
 	var c *control
 	eventually(s.t, "somebody gives orders", func() bool {
--- a/test/platform/soak_starts_test.go
+++ b/test/platform/soak_starts_test.go
@@ -5,13 +5,12 @@
 const (
 	sameIDAgain = "same-id-again"
 	otherWriter = "other-writer"
-	// maxRestartTime is the time for which a server that starts again under its identity is away,
-	// at the most.
+	// maxRestartTime is the maximum downtime of a server that restarts under its identity.
 	maxRestartTime = 1500 * time.Millisecond
 )
 
-// startKinds are servers that start again under the identity that they had, entries that no
-// server wrote, and machines that run the landing before.
+// startKinds are restarts of servers under their identity, entries written by another
+// program, and nodes that run the previous release.
 func startKinds() []kind {
 	return []kind{
 		{sameIDAgain, 2, func(s *soak, d drawnFault) { s.restartServer(d) }},
@@ -20,12 +19,13 @@
 	}
 }
 
-// restartServer ends a server with all that runs there, and starts it again under its identity.
+// restartServer stops a server along with all its requests, and restarts it under its
+// identity.
 func (s *soak) restartServer(drawn drawnFault) {
 	staying := s.activeServers()
 	m := staying[drawn.server%len(staying)]
 	down := time.Duration(drawn.share * float64(maxRestartTime))
-	s.disturb(serverScope, "", m.id+" starts again under its identity", down)
+	s.disturb(serverScope, "", m.id+" restarts under its identity", down)
 	m.set(func() { m.isDown = true })
 	m.httpServer.CloseClientConnections()
 	s.runAfter(down, func() {
@@ -39,8 +39,8 @@
 	})
 }
 
-// writeForeignEntry lets another writer write over a server's entry, and enter one that names a server
-// which nobody may use.
+// writeForeignEntry overwrites a server's entry with an unreadable one, and adds an
+// unreadable entry that names a server which must not be used.
 func (s *soak) writeForeignEntry(drawn drawnFault) {
 	staying := s.activeServers()
 	m := staying[drawn.server%len(staying)]
@@ -54,7 +54,7 @@
 		"no entry", 7,
 	}
 	entry := foreign[drawn.server%len(foreign)]
-	s.disturb(serverScope, "", m.id+" has an entry of another writer", drawn.duration)
+	s.disturb(serverScope, "", m.id+" has an unreadable entry", drawn.duration)
 	s.store.put("servers", trap.id, entry)
 	s.expireEntry(m)
 	s.store.put("servers", m.id, entry)
@@ -64,8 +64,8 @@
 	})
 }
 
-// checkTraps looks for work at servers that only entries of another writer named. Nodes of the
-// landing before read those.
+// checkTraps reports contacts of servers that only unreadable entries name. The previous
+// release still uses such entries.
 func (s *soak) checkTraps() {
 	if len(s.ranOlderBuild) > 0 {
 		return
@@ -73,7 +73,7 @@
 	for _, trap := range s.traps {
 		trap.mu.Lock()
 		if !trap.lastContactAt.IsZero() {
-			s.report("ROUTE: a server was reached that only an entry of another writer named")
+			s.report("ROUTE: a server that only an unreadable entry names was contacted")
 		}
 		trap.mu.Unlock()
 	}
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// The soak plays faults that are drawn from a seed over real processes, by the
-// real clock, and judges by the books of the stand-ins. Faults come one over the
-// other and in series. A short one of fixed seeds is part of the tests; a longer
-// one is asked for: go test ./test/platform -run '^TestSoak$' -soak 60s -soak.seed 1.
+// The soak test runs real processes in real time under random faults drawn from a seed, and
+// checks the results against what the fake servers and the fake store recorded. Faults
+// overlap and come in sequences. TestShortSoak plays fixed seeds; for a longer run: go test
+// ./test/platform -run '^TestSoak$' -soak 60s -soak.seed 1.
 var (
-	soakTime  = flag.Duration("soak", 0, "how long the soak draws faults; 0 is not at all")
-	soakSeed  = flag.Uint64("soak.seed", 1, "the seed of its faults")
-	soakNodes = flag.Int("soak.nodes", 6, "the number of its nodes")
-	soakKinds = flag.String("soak.kinds", "", "the kinds of faults that it draws, with commas between; empty is all")
-	soakPlain = flag.Bool("soak.plain", false, "no relays between processes, for builds that know no --peers-listen")
+	soakTime  = flag.Duration("soak", 0, "how long the soak draws faults; 0 skips it")
+	soakSeed  = flag.Uint64("soak.seed", 1, "seed of the random faults")
+	soakNodes = flag.Int("soak.nodes", 6, "number of nodes")
+	soakKinds = flag.String("soak.kinds", "", "comma-separated kinds of faults to draw; empty means all")
+	soakPlain = flag.Bool("soak.plain", false, "no proxies between processes, for builds without --peers-listen")
 )
 
 const (
@@ -31,68 +31,70 @@
 	soakModelServers = 5
 	soakCommands     = 3
 	soakDeadline     = 6 * time.Second
-	// soakQuietPeriod is the time without faults at the end, soakRecover of which the
-	// fleet has to recover.
+	// soakQuietPeriod is the time without faults at the end, of which soakRecovery is left for
+	// the fleet to recover.
 	soakQuietPeriod = 10 * time.Second
 	soakRecovery    = 6 * time.Second
-	// soakDrain bounds new work at a server after its entry says that it leaves.
+	// soakDrain is the time within which new work at a server has to stop after its entry says
+	// that it is draining.
 	soakDrain = 2 * time.Second
-	// soakReconnect is how long after a trouble rules with a time do not count.
+	// soakReconnect is the time after a disturbance in which rules with a time limit do not
+	// apply.
 	soakReconnect = 4 * time.Second
-	// soakLoads bounds the loads that begin in soakLoadWindow.
+	// maxSoakLoads bounds the model loads that start within soakLoadWindow.
 	soakLoadWindow = 5 * time.Second
 	maxSoakLoads   = 25
-	// soakGrace is the time that a planned stop has (graceS of the settings), and
-	// soakEnd when it is looked whether it ended.
+	// soakGrace is the grace period of a graceful stop (graceS in the settings), and
+	// soakStopDeadline is when the exit is checked.
 	soakGrace        = 4 * time.Second
 	soakStopDeadline = soakGrace + 500*time.Millisecond
-	// maxFaultPause is the longest time between two draws of a storm, mostFaults the most
-	// draws, and soakCalm how long after it, beyond soakContact, callers are judged in
-	// calm times.
+	// maxFaultPause is the longest pause between two faults of runFaults, and maxFaults their
+	// maximum number. soakCalmPeriod is the time after them, beyond soakReconnect, in which
+	// callers are checked by the rules for undisturbed periods.
 	maxFaultPause  = 1200 * time.Millisecond
 	maxFaults      = 10
 	soakCalmPeriod = 2 * time.Second
-	// maxNodes bounds a run: a few hundred processes, and one address each.
+	// maxNodes limits a run to a few hundred processes, each with its own address.
 	maxNodes = 200
-	// firstSoakIP leaves 127.0.0.1 to the callers, so that relays can tell nodes
-	// apart by their addresses.
+	// firstSoakIP leaves 127.0.0.1 to the callers, so that proxies can identify nodes by their
+	// addresses.
 	firstSoakIP = 11
 )
 
-// outcome is one request's end, as its caller saw it.
+// outcome is the outcome of one request as seen by its caller.
 type outcome struct {
 	id, node string
-	// route is the kind of route: command, models, or added.
+	// route is the type of route: command, models, or added.
 	route      string
 	sent, done time.Time
-	// sending is how long the caller took to send it.
+	// sending is the time the caller took to send the request.
 	sending      time.Duration
 	status       int
 	bodyComplete bool
-	// model is what was asked for; empty for commands.
+	// model is the requested model; empty for commands.
 	model string
-	// refusedAsPoison is set where it was refused as a poison request.
+	// refusedAsPoison is set if the request was refused as a poison request.
 	refusedAsPoison bool
-	// callerLeft is set where the caller went away in the middle.
+	// callerLeft is set if the caller disconnected before the end.
 	callerLeft bool
 	err        error
 }
 
-// soakOptions are one run's.
+// soakOptions configures a run.
 type soakOptions struct {
 	seed     uint64
 	duration time.Duration
 	nodes    int
 	kinds    []kind
-	// hasProxies puts relays between all processes.
+	// hasProxies puts proxies between all processes.
 	hasProxies bool
-	// slack is added to bounds in time, where the machine may be busy.
+	// slack is added to time limits, since the machine may be busy.
 	slack time.Duration
-	// maxPoisonRefusals bounds the requests that are refused as poison requests; 0 where nothing does.
+	// maxPoisonRefusals bounds the requests refused as poison requests; 0 means no bound.
 	maxPoisonRefusals int
 }
 
-// soak is one run.
+// soak is one run of the soak test.
 type soak struct {
 	*fleet
 	options  soakOptions
@@ -106,30 +108,30 @@
 	outcomes     []outcome
 	checkedCount int
 	probes       map[string][]probe
-	// keyProbes are what became of requests with withdrawn keys.
+	// keyProbes holds the results of requests with withdrawn API keys.
 	keyProbes []keyProbe
 	servers   []*modelServer
 	drainedAt map[string]time.Time
 	lapsed    map[string]bool
-	// poisons are the poison requests that came, by body.
+	// poisons holds the poison requests that were sent, by body.
 	poisons  map[string]*soakPoison
 	number   int
 	findings []string
-	// allowedRegions are where commands may run, by version.
+	// allowedRegions holds where commands may run, in order of time.
 	allowedRegions []regionRule
-	// ordersHeldUntil is until when the orders of a holder of the lease are held.
+	// ordersHeldUntil is the time until which a lease holder's orders are blocked.
 	ordersHeldUntil time.Time
-	// evacuations are those declared, in their order.
+	// evacuations holds the evacuations in order of time.
 	evacuations []soakEvacuation
-	// ranOlderBuild are the nodes that ran the landing before at some time.
+	// ranOlderBuild holds the nodes that have run the previous release.
 	ranOlderBuild map[string]bool
-	// crashed are the servers that ended under a poison request.
+	// crashed holds the servers that crashed on a poison request.
 	crashed map[string]bool
-	// config is what the operator wrote last, and wentBack is set once the store came back from a
-	// copy.
+	// config is the configuration written last, and storeRolledBack is set once the store has
+	// been restored from a snapshot.
 	config          map[string]any
 	storeRolledBack bool
-	// traps are servers that only entries of another writer name.
+	// traps are servers that only unreadable entries name.
 	traps []*modelServer
 
 	activeFaults sync.WaitGroup
@@ -139,7 +141,7 @@
 
 func TestSoak(t *testing.T) {
 	if *soakTime == 0 {
-		t.Skip("not asked for: -soak 60s")
+		t.Skip("skipped by default; use -soak 60s")
 	}
 	kinds, err := parseKinds(*soakKinds)
 	if err != nil {
@@ -152,13 +154,13 @@
 	runSoak(t, options)
 }
 
-// check finds what a run cannot be asked for.
+// check validates the options.
 func (o soakOptions) check() error {
 	switch {
 	case o.duration <= 0:
-		return fmt.Errorf("soak: %v is no time", o.duration)
+		return fmt.Errorf("soak: duration %v is not positive", o.duration)
 	case o.nodes < 1 || o.nodes > maxNodes:
-		return fmt.Errorf("soak: %d nodes; 1 to %d can be asked for", o.nodes, maxNodes)
+		return fmt.Errorf("soak: %d nodes, want 1 to %d", o.nodes, maxNodes)
 	case len(o.kinds) == 0:
 		return fmt.Errorf("soak: no kinds of faults")
 	}
@@ -210,8 +212,8 @@
 	return s
 }
 
-// run lets callers come while the troubles are made, and for a time after them; it returns when
-// the troubles were over.
+// run starts the callers, injects the faults, and waits for the quiet period. It returns the
+// time at which the last fault ended.
 func (s *soak) run(injectFaults func()) (calm time.Time) {
 	s.awaitReady()
 	s.hidesLogs = true
@@ -223,7 +225,7 @@
 	return calm
 }
 
-// finish judges what was played.
+// finish runs all checks and reports the violations.
 func (s *soak) finish(calm time.Time) {
 	s.checkUsableServers()
 	close(s.stop)
@@ -235,8 +237,8 @@
 	}
 }
 
-// runFaults is some faults, one over the other, and then a calm in which all has to be
-// right again.
+// runFaults starts a number of overlapping faults, waits for their end and a calm period,
+// and checks that all nodes have recovered.
 func (s *soak) runFaults() {
 	for range 1 + s.random.IntN(maxFaults) {
 		s.startFault()
@@ -247,7 +249,7 @@
 	s.checkUsableServers()
 }
 
-// startFault begins one fault; the one before need not have ended.
+// startFault draws and starts one fault; earlier ones may still be active.
 func (s *soak) startFault() {
 	total := 0
 	for _, k := range s.options.kinds {
@@ -262,7 +264,7 @@
 	}
 }
 
-// addServer starts a server with an identity of its own, which is cold for a time.
+// addServer starts a server with a new identity, cold for the given time.
 func (s *soak) addServer(service string, cold time.Duration) *modelServer {
 	s.mu.Lock()
 	s.number++
@@ -293,7 +295,7 @@
 	return m
 }
 
-// activeServers are the servers that have not left.
+// activeServers returns the servers that have not started to drain.
 func (s *soak) activeServers() []*modelServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,7 +305,8 @@
 	})
 }
 
-// changeConfiguration writes the next version, with one route more.
+// changeConfiguration writes the next version of the configuration, which has one more
+// route.
 func (s *soak) changeConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -327,7 +330,8 @@
 		config["services"].([]map[string]any)[1]["coldPerS"] = soakColdPerS
 	}
 	s.setAllowedRegions(config)
-	// The second key is another in each version: tenants come and go beside callers.
+	// The second key differs in each version, so that API keys are added and withdrawn during
+	// the run.
 	config["tenants"] = []map[string]any{{
 		"name": soakTenant, "apiKeys": []string{soakKey, versionKey(s.version)},
 		"unit": "tokens", "plainTokens": 1, "ratePerS": 1e6, "burst": 1e6,
@@ -337,7 +341,8 @@
 	s.configTimes[s.version] = time.Now()
 }
 
-// pickAddedRoute is a route that has been in force long enough, 0 where there is none.
+// pickAddedRoute returns the version of an added route that has been in force long enough,
+// or 0.
 func (s *soak) pickAddedRoute(random *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,7 +358,7 @@
 	return 2 + random.IntN(known-1)
 }
 
-// writeLogs writes the nodes' logs where SOAK_LOGS says.
+// writeLogs writes the nodes' logs to the directory in SOAK_LOGS, if set.
 func (s *soak) writeLogs() {
 	dir := os.Getenv("SOAK_LOGS")
 	if dir == "" {
--- a/test/platform/soak_words_test.go
+++ b/test/platform/soak_words_test.go
@@ -5,16 +5,16 @@
 const (
 	drainByAnswersKind = "server-leaves-by-answers"
 	backoffKind        = "servers-rest"
-	// retryAfterGrace is how long after it was asked for requests may still come that were under
-	// way, and mostInRest how many may come later in the rest.
+	// retryAfterGrace is the time after a back-off request in which requests in transit may
+	// still arrive, and maxRequestsInBackoff how many may arrive later during the back-off.
 	retryAfterGrace      = 500 * time.Millisecond
 	maxRequestsInBackoff = 2
-	// minSoakRetryAfter and longestSoakRest bound the rest that a server asks for.
+	// minSoakRetryAfter and maxSoakRetryAfter bound the back-off that a server asks for.
 	minSoakRetryAfter = 700 * time.Millisecond
 	maxSoakRetryAfter = 3 * time.Second
 )
 
-// noticeKinds are what servers tell of themselves with their answers.
+// noticeKinds are the notices that servers give with their responses.
 func noticeKinds() []kind {
 	return []kind{
 		{drainByAnswersKind, 2, func(s *soak, d drawnFault) { s.drainByAnswers(d) }},
@@ -22,8 +22,8 @@
 	}
 }
 
-// drainByAnswers lets a server leave while the store is away: its answers alone say so, until the
-// store is back and takes its entry.
+// drainByAnswers drains a server while the store is unavailable: only its responses say so,
+// until the store is available again and accepts its entry.
 func (s *soak) drainByAnswers(drawn drawnFault) {
 	staying := s.activeServers()
 	leaver := staying[drawn.server%len(staying)]
@@ -33,28 +33,28 @@
 	s.runAfter(drawn.duration, func() { s.drain(leaver) })
 }
 
-// requestBackoff lets some servers turn all away and ask for rest, for a time.
+// requestBackoff makes some servers reject all requests and ask for a back-off for a time.
 func (s *soak) requestBackoff(drawn drawnFault) {
 	rest := minSoakRetryAfter + time.Duration(drawn.share*float64(maxSoakRetryAfter-minSoakRetryAfter))
 	for i, m := range s.activeServers() {
 		if (i+drawn.server)%3 != 0 {
 			continue
 		}
-		s.disturb(serverScope, "", m.id+" asks for rest", drawn.duration)
+		s.disturb(serverScope, "", m.id+" asks for a back-off", drawn.duration)
 		m.set(func() { m.retryAfter = rest })
 		s.runAfter(drawn.duration, func() { m.set(func() { m.retryAfter = 0 }) })
 	}
 }
 
-// checkNotices looks for requests that reached a server later than it bears after it had told their
-// node that it leaves, and for those in a rest. Nodes that ended, froze or were cut off meanwhile
-// are excused, and what a harmed way held. The server's lock is held.
+// checkNotices reports requests that reached a server too long after it had told their node
+// that it is leaving, and requests during a back-off. It excuses nodes that stopped, froze
+// or were disconnected in between, and delays by a disturbed link. m.mu is held.
 func (s *soak) checkNotices(m *modelServer) {
 	ends := make(map[string]outcome, len(s.outcomes))
 	for _, end := range s.outcomes {
 		ends[end.id] = end
 	}
-	// What a server tells binds the start that told it.
+	// A notice applies to the server start that gave it.
 	type byNode struct {
 		node string
 		born int64
@@ -68,7 +68,7 @@
 		}
 		by := byNode{end.node, came.startID}
 		if at, told := passedOn[by]; told && end.sent.Sub(at) > soakDrain+s.options.slack && !s.isNoticeExcused(m, end.node, at, came.at) {
-			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it leaves", end.id, end.node, m.id, came.at.Sub(at))
+			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it is leaving", end.id, end.node, m.id, came.at.Sub(at))
 		}
 		s.checkBackoffs(m, ends, came, rests[by])
 		if came.retryAfter > 0 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkBackoffs counts a request in all rests that the server asked its node for.
+// checkBackoffs counts a request in each back-off that the server asked its node for.
 func (s *soak) checkBackoffs(m *modelServer, ends map[string]outcome, came arrival, asked []arrival) {
 	node := ends[came.id].node
 	for _, rest := range asked {
@@ -95,7 +95,7 @@
 			}
 		}
 		if inRest == maxRequestsInBackoff+1 {
-			s.report("BUDGET: %s had asked %s for %v of rest, and got %d requests in it", m.id, node, rest.retryAfter, inRest)
+			s.report("BUDGET: %s had asked %s for a back-off of %v and got %d requests during it", m.id, node, rest.retryAfter, inRest)
 			return
 		}
 	}
