--- a/test/platform/builds_test.go
+++ b/test/platform/builds_test.go
@@ -44,7 +44,7 @@
 }
 
 const (
-	twoBuilds = "two-builds"
+	twoBuildsKind = "two-builds"
 	// upgradePause is the time between the replacement of two nodes.
 	upgradePause = 1500 * time.Millisecond
 )
@@ -93,7 +93,7 @@
 	if reason != "" {
 		t.Skipf("%s is not in the history, or cannot be built: %s", olderCommit, reason)
 	}
-	s := startSoak(t, soakOptions{seed: 1, duration: time.Second, nodes: keptNodes, kinds: firstKinds(), hasProxies: true, slack: keptSlack})
+	s := startSoak(t, soakOptions{seed: 1, duration: time.Second, nodes: regressionNodes, kinds: firstKinds(), hasProxies: true, slack: busySlack})
 	calm := s.run(func() {
 		for i, c := range s.controls {
 			if i%2 == 0 {
--- a/test/platform/cold_test.go
+++ b/test/platform/cold_test.go
@@ -48,14 +48,14 @@
 		}
 	}
 	slices.SortFunc(arrivals, time.Time.Compare)
-	worst, first := 0, 0
+	busiest, first := 0, 0
 	for last, at := range arrivals {
 		for at.Sub(arrivals[first]) >= time.Second {
 			first++
 		}
-		worst = max(worst, last-first+1)
+		busiest = max(busiest, last-first+1)
 	}
-	return worst
+	return busiest
 }
 
 // TestZoneComesBackCold: all servers of a model disappear and come back cold under full
@@ -74,23 +74,23 @@
 	stop := f.startModelLoad(4)
 	time.Sleep(1500 * time.Millisecond)
 
-	cameBack := time.Now()
+	replacedAt := time.Now()
 	var after []*modelServer
 	for i, m := range before {
 		f.store.remove("servers", m.id)
-		back := newServer(t, f.store, m.id+"-back", "models", 0)
-		back.registerCold(f.store, coldDuration-time.Duration(i)*100*time.Millisecond)
-		after = append(after, back)
+		replacement := newServer(t, f.store, m.id+"-back", "models", 0)
+		replacement.registerCold(f.store, coldDuration-time.Duration(i)*100*time.Millisecond)
+		after = append(after, replacement)
 	}
-	isCold := cameBack.Add(coldDuration - 100*time.Millisecond)
-	time.Sleep(time.Until(isCold))
+	coldEnd := replacedAt.Add(coldDuration - 100*time.Millisecond)
+	time.Sleep(time.Until(coldEnd))
 	for _, m := range after {
 		m.mu.Lock()
-		worst := m.busiestSecond(cameBack, isCold)
+		busiest := m.busiestSecond(replacedAt, coldEnd)
 		m.mu.Unlock()
-		t.Logf("%s: %d requests in the busiest second while cold", m.id, worst)
-		if worst > maxColdRate || worst == 0 {
-			t.Errorf("%s received %d requests in a second while it was cold, want some and %.0f at the most", m.id, worst, float64(maxColdRate))
+		t.Logf("%s: %d requests in the busiest second while cold", m.id, busiest)
+		if busiest > maxColdRate || busiest == 0 {
+			t.Errorf("%s received %d requests in a second while it was cold, want some and %.0f at the most", m.id, busiest, float64(maxColdRate))
 		}
 	}
 	time.Sleep(2500 * time.Millisecond)
@@ -99,7 +99,7 @@
 	for _, m := range append(before, after...) {
 		from, to := warm, time.Now()
 		if slices.Contains(before, m) {
-			from, to = cameBack.Add(-time.Second), cameBack
+			from, to = replacedAt.Add(-time.Second), replacedAt
 		}
 		m.mu.Lock()
 		worst := m.busiestSecond(from, to)
--- a/test/platform/limit_test.go
+++ b/test/platform/limit_test.go
@@ -51,28 +51,28 @@
 func (m *modelServer) contactsSince(from time.Time) []contact {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(m.contacts), func(came contact) bool { return came.at.Before(from) })
+	return slices.DeleteFunc(slices.Clone(m.contacts), func(c contact) bool { return c.at.Before(from) })
 }
 
 // busiestWindow returns the contacts of the window that has the most.
-func busiestWindow(came []contact) (worst []contact) {
+func busiestWindow(contacts []contact) (busiest []contact) {
 	first := 0
-	for last := range came {
-		for came[last].at.Sub(came[first].at) >= limitWindow {
+	for last := range contacts {
+		for contacts[last].at.Sub(contacts[first].at) >= limitWindow {
 			first++
 		}
-		if last-first+1 > len(worst) {
-			worst = came[first : last+1]
+		if last-first+1 > len(busiest) {
+			busiest = contacts[first : last+1]
 		}
 	}
-	return worst
+	return busiest
 }
 
 // countPaths counts contacts by path.
-func countPaths(came []contact) map[string]int {
+func countPaths(contacts []contact) map[string]int {
 	counts := make(map[string]int)
-	for _, one := range came {
-		counts[one.path]++
+	for _, c := range contacts {
+		counts[c.path]++
 	}
 	return counts
 }
@@ -132,7 +132,7 @@
 	for _, m := range limited {
 		m.setRateLimit(perSecond)
 	}
-	named := time.Now()
+	announcedAt := time.Now()
 	stopCommands := f.startPathLoad(2, "/command/x", "", 100*time.Millisecond)
 	stopChat := f.startPathLoad(2, "/chat/x", "m1", 100*time.Millisecond)
 	time.Sleep(limitSettleTime + 2*limitWindow)
@@ -141,8 +141,8 @@
 			t.Errorf("a command got %+v, although another server has no limit", got)
 		}
 	}
-	served, asked := 0, stopChat()
-	for _, got := range asked {
+	served, replies := 0, stopChat()
+	for _, got := range replies {
 		switch {
 		case got.status == http.StatusOK:
 			served++
@@ -150,17 +150,17 @@
 			t.Errorf("%+v, want 200, or 503 with Retry-After", got)
 		}
 	}
-	t.Logf("%d of %d streams were served", served, len(asked))
+	t.Logf("%d of %d streams were served", served, len(replies))
 	if served == 0 {
 		t.Error("no stream was served")
 	}
 	for _, m := range limited {
-		came := m.contactsSince(named.Add(limitSettleTime))
-		worst := busiestWindow(came)
-		t.Logf("%s: %d contacts in the busiest 4 s: %v", m.id, len(worst), countPaths(worst))
-		if len(worst) > allowedInWindow(perSecond) {
+		contacts := m.contactsSince(announcedAt.Add(limitSettleTime))
+		busiest := busiestWindow(contacts)
+		t.Logf("%s: %d contacts in the busiest 4 s: %v", m.id, len(busiest), countPaths(busiest))
+		if len(busiest) > allowedInWindow(perSecond) {
 			t.Errorf("%s announced a limit of %d a second and was contacted %d times in 4 s (%v); %d are allowed",
-				m.id, perSecond, len(worst), countPaths(worst), allowedInWindow(perSecond))
+				m.id, perSecond, len(busiest), countPaths(busiest), allowedInWindow(perSecond))
 		}
 	}
 }
@@ -180,13 +180,13 @@
 		// Nodes learn of a raised limit with the next granted request, which still waits for the old
 		// rate.
 		time.Sleep(limitSettleTime + limitWindow + time.Second)
-		came := busiestWindow(m.contactsSince(changed.Add(limitSettleTime)))
-		t.Logf("%v a second: %d in the busiest window", perSecond, len(came))
-		if len(came) > allowedInWindow(perSecond) {
-			t.Errorf("%d requests in 4 s at a limit of %v a second (%v); %d are allowed", len(came), perSecond, countPaths(came), allowedInWindow(perSecond))
+		busiest := busiestWindow(m.contactsSince(changed.Add(limitSettleTime)))
+		t.Logf("%v a second: %d in the busiest window", perSecond, len(busiest))
+		if len(busiest) > allowedInWindow(perSecond) {
+			t.Errorf("%d requests in 4 s at a limit of %v a second (%v); %d are allowed", len(busiest), perSecond, countPaths(busiest), allowedInWindow(perSecond))
 		}
-		if len(came) < int(perSecond*limitWindow.Seconds()/2) {
-			t.Errorf("%d requests in 4 s at a limit of %v a second: most of the limit goes unused under full load", len(came), perSecond)
+		if len(busiest) < int(perSecond*limitWindow.Seconds()/2) {
+			t.Errorf("%d requests in 4 s at a limit of %v a second: most of the limit goes unused under full load", len(busiest), perSecond)
 		}
 	}
 	m.setRateLimit(1)
@@ -216,7 +216,7 @@
 	f.nodes[0].sendNamed(0, "/chat/x", "m1")
 	const perSecond = 1
 	m.setRateLimit(perSecond)
-	named := time.Now()
+	announcedAt := time.Now()
 	stop := f.startPathLoad(2, "/chat/x", "m1", 50*time.Millisecond)
 	time.Sleep(limitSettleTime + time.Second)
 	for _, n := range f.nodes {
@@ -230,10 +230,10 @@
 	f.nodes[1].signal(syscall.SIGCONT)
 	time.Sleep(limitWindow)
 	stop()
-	came := busiestWindow(m.contactsSince(named.Add(limitSettleTime)))
-	t.Logf("%d contacts in the busiest window: %v", len(came), countPaths(came))
-	if len(came) > allowedInWindow(perSecond) {
-		t.Errorf("%d contacts in 4 s (%v); %d are allowed", len(came), countPaths(came), allowedInWindow(perSecond))
+	busiest := busiestWindow(m.contactsSince(announcedAt.Add(limitSettleTime)))
+	t.Logf("%d contacts in the busiest window: %v", len(busiest), countPaths(busiest))
+	if len(busiest) > allowedInWindow(perSecond) {
+		t.Errorf("%d contacts in 4 s (%v); %d are allowed", len(busiest), countPaths(busiest), allowedInWindow(perSecond))
 	}
 	if served := m.runCount(); served < 8 {
 		t.Errorf("%d streams ran in about 15 s at 1 a second", served)
--- a/test/platform/poison_test.go
+++ b/test/platform/poison_test.go
@@ -195,7 +195,7 @@
 // of their requests until it is answered.
 type poisonedFleet struct {
 	*fleet
-	books   *poisonLog
+	log     *poisonLog
 	servers []*crashingServer
 	// sent counts the harmless requests, retried their retries, and refusedAsPoison those that
 	// were refused as poison requests.
@@ -211,10 +211,10 @@
 )
 
 func startPoisonFleet(t *testing.T, nodes, servers int) *poisonedFleet {
-	f := &poisonedFleet{fleet: newFleet(t, nodes), books: newPoisonLog()}
+	f := &poisonedFleet{fleet: newFleet(t, nodes), log: newPoisonLog()}
 	f.hidesLogs = true
 	for range servers {
-		f.servers = append(f.servers, newCrashingServer(t, f.store, f.books, 500*time.Millisecond))
+		f.servers = append(f.servers, newCrashingServer(t, f.store, f.log, 500*time.Millisecond))
 	}
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
@@ -268,9 +268,9 @@
 		}
 		time.Sleep(poisonPause)
 	}
-	f.books.check(t, poisonBody, 0)
-	if barred := f.refusedAsPoison.Load(); barred > 0 {
-		t.Errorf("%d harmless requests were refused as poison requests", barred)
+	f.log.check(t, poisonBody, 0)
+	if refused := f.refusedAsPoison.Load(); refused > 0 {
+		t.Errorf("%d harmless requests were refused as poison requests", refused)
 	}
 }
 
@@ -354,12 +354,12 @@
 	for request := range p.requests {
 		// Two poison requests that run at the same time, before either is known, may crash two
 		// servers that count as one, and a crash while another poison request ran counts less.
-		f.books.check(t, fmt.Sprint(poisonBody, request), maxLateSends)
-		total += len(f.books.crashedAt[fmt.Sprint(poisonBody, request)])
+		f.log.check(t, fmt.Sprint(poisonBody, request), maxLateSends)
+		total += len(f.log.crashedAt[fmt.Sprint(poisonBody, request)])
 	}
 	t.Logf("%d poison requests, %d crashes; %d harmless requests sent, %d retries", p.requests, total, f.sent.Load(), f.retried.Load())
-	if barred := f.refusedAsPoison.Load(); barred > 0 {
-		t.Errorf("%d harmless requests were refused as poison requests", barred)
+	if refused := f.refusedAsPoison.Load(); refused > 0 {
+		t.Errorf("%d harmless requests were refused as poison requests", refused)
 	}
 }
 
@@ -394,12 +394,12 @@
 // block the same requests as soon as one of them leads.
 func TestBarOutlivesALossOfAllNodes(t *testing.T) {
 	f := startPoisonFleet(t, 3, poisonServers)
-	books := f.books
+	log := f.log
 	for number := range 10 {
 		f.nodes[number%len(f.nodes)].sendBody("b"+strconv.Itoa(number), poisonBody)
 		time.Sleep(poisonPause)
 	}
-	books.check(t, poisonBody, 0)
+	log.check(t, poisonBody, 0)
 	// The leader writes the blocked requests with its next lease renewal.
 	eventually(t, "the lease contains the blocked requests", func() bool {
 		f.store.mu.Lock()
@@ -427,7 +427,7 @@
 			t.Errorf("%s: status %d, want 503", n.name, got.status)
 		}
 	}
-	books.check(t, poisonBody, 0)
+	log.check(t, poisonBody, 0)
 }
 
 // startName identifies one start of the server.
--- a/test/platform/regions_test.go
+++ b/test/platform/regions_test.go
@@ -15,7 +15,7 @@
 
 // callSteadily sends requests to all nodes until stop is closed, and counts the responses by
 // status.
-func (f *fleet) callSteadily(path string, stop chan struct{}) (ended func() map[int]int) {
+func (f *fleet) callSteadily(path string, stop chan struct{}) (wait func() map[int]int) {
 	statuses := make(map[int]int)
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -76,7 +76,7 @@
 	f.store.put("config", "main", regionConfig(1, nil, nil))
 	f.awaitReady()
 	stop := make(chan struct{})
-	ended := f.callSteadily("/command/x", stop)
+	wait := f.callSteadily("/command/x", stop)
 	eventually(t, "requests run in both regions", func() bool { return north.runCount() > 10 && south.runCount() > 10 })
 	f.store.put("config", "main", regionConfig(2, []string{"south"}, []string{"north"}))
 	f.awaitConfig(2)
@@ -86,7 +86,7 @@
 		t.Errorf("after the north was disallowed, %d requests ran there and %d in the south", got, south.runsSince(since))
 	}
 	close(stop)
-	if statuses := ended(); len(statuses) != 1 || statuses[http.StatusOK] == 0 {
+	if statuses := wait(); len(statuses) != 1 || statuses[http.StatusOK] == 0 {
 		t.Errorf("answers by status: %v, want only 200", statuses)
 	}
 	for _, n := range f.nodes {
--- a/test/platform/rollback_test.go
+++ b/test/platform/rollback_test.go
@@ -17,9 +17,9 @@
 // rollBackStore restores the store to a snapshot that is older than revisions that nodes
 // have seen.
 func (f *fleet) rollBackStore() {
-	copied := f.store.snapshot()
+	saved := f.store.snapshot()
 	f.advanceRevisions(lostWrites)
-	f.store.restore(copied)
+	f.store.restore(saved)
 }
 
 // advanceRevisions raises the revision by writing an unused entry, and waits until all nodes
@@ -36,8 +36,8 @@
 const watchDelay = 1500 * time.Millisecond
 
 // sendCommands sends commands through each node and returns how many reached the server.
-func (f *fleet) sendCommands(to *modelServer) int {
-	before := to.runCount()
+func (f *fleet) sendCommands(server *modelServer) int {
+	before := server.runCount()
 	for _, n := range f.nodes {
 		for range burst {
 			if got := n.send("/command/x", ""); got.status != http.StatusOK {
@@ -45,22 +45,22 @@
 			}
 		}
 	}
-	return to.runCount() - before
+	return server.runCount() - before
 }
 
 // TestServerThatLeavesAfterStoreRollbackGetsNoNewWork: nodes kept choosing a server that
 // started draining after the store had been rolled back.
 func TestServerThatLeavesAfterStoreRollbackGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 3)
-	leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
+	draining := newServer(t, f.store, "i-commands-1", "commands", 0)
 	newServer(t, f.store, "i-commands-2", "commands", 0)
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	f.rollBackStore()
-	leaver.register(f.store, "draining")
-	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(leaver) == 0 })
-	if came := f.sendCommands(leaver); came > 0 {
-		t.Errorf("%d commands reached a draining server", came)
+	draining.register(f.store, "draining")
+	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(draining) == 0 })
+	if received := f.sendCommands(draining); received > 0 {
+		t.Errorf("%d commands reached a draining server", received)
 	}
 }
 
@@ -93,34 +93,34 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleetWithOptions(t, fleetOptions{count: 3, seeds: `"127.0.0.1:1"`, bounds: evacuateLine})
 			f.store.set(func() { f.store.ignoresRollback = ignoresRollback })
-			leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
-			ended := newServer(t, f.store, "i-commands-2", "commands", 0)
+			draining := newServer(t, f.store, "i-commands-1", "commands", 0)
+			removed := newServer(t, f.store, "i-commands-2", "commands", 0)
 			evacuated := newServerIn(t, f.store, "a", "i-commands-3", "commands", 0)
 			newServer(t, f.store, "i-commands-4", "commands", 0)
 			f.store.put("config", "main", newConfig(1))
 			f.awaitReady()
-			copied := f.store.snapshot()
-			leaver.register(f.store, "draining")
-			f.store.remove("servers", ended.id)
+			saved := f.store.snapshot()
+			draining.register(f.store, "draining")
+			f.store.remove("servers", removed.id)
 			f.store.put("evacuations", "a", map[string]any{})
 			f.store.put("config", "main", newConfig(2, map[string]any{
 				"name": "added", "host": "host.example", "pathPrefix": "/added/", "type": "safe", "service": "commands", "maxAttempts": 1,
 			}))
 			f.advanceRevisions(lostWrites)
-			unused := []*modelServer{leaver, ended, evacuated}
+			unused := []*modelServer{draining, removed, evacuated}
 			eventually(t, "all changes are in force", func() bool { return f.keepsAccepted(unused...) })
-			f.store.restore(copied)
-			starting := f.nodes[2]
-			starting.kill()
-			starting.setSeeds(f.nodes[0], f.nodes[1])
-			starting.start()
-			eventually(t, "the restarted node is ready", starting.isReady)
+			f.store.restore(saved)
+			restarted := f.nodes[2]
+			restarted.kill()
+			restarted.setSeeds(f.nodes[0], f.nodes[1])
+			restarted.start()
+			eventually(t, "the restarted node is ready", restarted.isReady)
 			f.advanceRevisions(2 * lostWrites)
 			if !f.keepsAccepted(unused...) {
 				t.Error("the restored snapshot reverted accepted changes")
 			}
-			leaver.register(f.store, "draining")
-			f.store.remove("servers", ended.id)
+			draining.register(f.store, "draining")
+			f.store.remove("servers", removed.id)
 			f.store.put("evacuations", "a", map[string]any{})
 			if !f.keepsAccepted(unused...) {
 				t.Error("changes that were written again are not in force")
@@ -136,17 +136,17 @@
 	for _, server := range unused {
 		before += server.runCount()
 	}
-	keeps := true
+	accepted := true
 	for _, n := range f.nodes {
 		for range burst {
-			keeps = n.send("/added/x", "").status == http.StatusOK && keeps
+			accepted = n.send("/added/x", "").status == http.StatusOK && accepted
 		}
 	}
 	after := 0
 	for _, server := range unused {
 		after += server.runCount()
 	}
-	return keeps && after == before
+	return accepted && after == before
 }
 
 // setSeeds configures the given nodes as seeds, effective from the node's next start.
@@ -169,17 +169,17 @@
 // counted as ready again because of the restored snapshot.
 func TestLeavingOutlivesStoreRollback(t *testing.T) {
 	f := newFleet(t, 3)
-	leaver := newServer(t, f.store, "i-commands-1", "commands", 0)
+	draining := newServer(t, f.store, "i-commands-1", "commands", 0)
 	newServer(t, f.store, "i-commands-2", "commands", 0)
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	copied := f.store.snapshot()
-	leaver.register(f.store, "draining")
+	saved := f.store.snapshot()
+	draining.register(f.store, "draining")
 	f.advanceRevisions(lostWrites)
-	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(leaver) == 0 })
-	f.store.restore(copied)
+	eventually(t, "the draining server gets no commands", func() bool { return f.sendCommands(draining) == 0 })
+	f.store.restore(saved)
 	f.advanceRevisions(2 * lostWrites)
-	if came := f.sendCommands(leaver); came > 0 {
-		t.Errorf("%d commands reached a draining server", came)
+	if received := f.sendCommands(draining); received > 0 {
+		t.Errorf("%d commands reached a draining server", received)
 	}
 }
--- a/test/platform/soak_cold_test.go
+++ b/test/platform/soak_cold_test.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// coldReturns is the kind of fault. soakColdTime is the length of the cold-start phase, and
+	// coldServersKind is the kind of fault. soakColdTime is the length of the cold-start phase, and
 	// soakColdPerS a limit low enough for the soak's callers to exceed it.
-	coldReturns  = "servers-return-cold"
-	soakColdTime = 3 * time.Second
-	soakColdPerS = 4
+	coldServersKind = "servers-return-cold"
+	soakColdTime    = 3 * time.Second
+	soakColdPerS    = 4
 	// maxSoakColdRate is the maximum number of requests in any second that a cold server may
 	// receive from all nodes together.
 	maxSoakColdRate = soakColdPerS*coldOverage + coldSlack
@@ -21,7 +21,7 @@
 
 // coldKind replaces half of the model servers by cold ones, as after the loss of a zone.
 func coldKind() kind {
-	return kind{coldReturns, 2, func(s *soak, d drawnFault) {
+	return kind{coldServersKind, 2, func(s *soak, d drawnFault) {
 		number := 0
 		for _, m := range s.activeServers() {
 			if m.service != "models" {
@@ -37,7 +37,7 @@
 // hasColdServers reports whether this run has cold servers. Runs without this kind of fault
 // keep the configuration that their seeds were recorded with.
 func (s *soak) hasColdServers() bool {
-	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldReturns })
+	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldServersKind })
 }
 
 // checkCold reports a cold server that received more requests in a second than its limit.
@@ -46,7 +46,7 @@
 	if m.coldUntil.IsZero() {
 		return
 	}
-	if worst := m.busiestSecond(m.coldSince, m.coldUntil.Add(-coldMargin)); worst > maxSoakColdRate {
-		s.report("COLD: %s received %d requests in a second while it was cold", m.id, worst)
+	if busiest := m.busiestSecond(m.coldSince, m.coldUntil.Add(-coldMargin)); busiest > maxSoakColdRate {
+		s.report("COLD: %s received %d requests in a second while it was cold", m.id, busiest)
 	}
 }
--- a/test/platform/soak_evacuation_test.go
+++ b/test/platform/soak_evacuation_test.go
@@ -96,13 +96,13 @@
 }
 
 func (s *soak) checkEvacuated(m *modelServer, evacuation soakEvacuation, node, what string, sent, at time.Time) {
-	late := evacuation.declared.Add(soakEvacuationBound + s.options.slack)
-	if at.Before(late) || !evacuation.ended.IsZero() && at.After(evacuation.ended) {
+	bound := evacuation.declared.Add(soakEvacuationBound + s.options.slack)
+	if at.Before(bound) || !evacuation.ended.IsZero() && at.After(evacuation.ended) {
 		return
 	}
 	from := evacuation.declared.Add(-soakReconnect)
-	isHeld := sent.Before(late) && s.isDisturbed(m.id, from, at, serverLinkScope)
-	if !isHeld && !s.isDisturbed(node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+	isDelayed := sent.Before(bound) && s.isDisturbed(m.id, from, at, serverLinkScope)
+	if !isDelayed && !s.isDisturbed(node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
 		s.report("EVAC: %s got %s of %s %v after its zone was evacuated", m.id, what, node, at.Sub(evacuation.declared))
 	}
 }
--- a/test/platform/soak_faults_test.go
+++ b/test/platform/soak_faults_test.go
@@ -198,12 +198,12 @@
 }
 
 // disturb records and logs a disturbance.
-func (s *soak) disturb(where scope, node, what string, took time.Duration) {
+func (s *soak) disturb(where scope, node, what string, duration time.Duration) {
 	now := time.Now()
-	s.t.Logf("%s %s %s for %v", now.Format("15:04:05.000"), node, what, took)
+	s.t.Logf("%s %s %s for %v", now.Format("15:04:05.000"), node, what, duration)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.disturbances = append(s.disturbances, disturbance{scope: where, node: node, what: what, from: now, to: now.Add(took)})
+	s.disturbances = append(s.disturbances, disturbance{scope: where, node: node, what: what, from: now, to: now.Add(duration)})
 }
 
 // runAfter calls end after the given time; runFaults waits for it.
@@ -235,25 +235,25 @@
 // startDisturbance is how long the start of a process counts as a disturbance of the node.
 const startDisturbance = 100 * time.Millisecond
 
-func (s *soak) killNow(c *control, down time.Duration) {
-	s.disturb(nodeScope, c.name, "killed", down+startDisturbance)
+func (s *soak) killNow(c *control, downtime time.Duration) {
+	s.disturb(nodeScope, c.name, "killed", downtime+startDisturbance)
 	c.stopByKill()
 }
 
-func (s *soak) kill(c *control, down time.Duration) {
+func (s *soak) kill(c *control, downtime time.Duration) {
 	s.activeFaults.Add(1)
 	go func() {
 		defer s.activeFaults.Done()
-		s.killNow(c, down)
-		time.Sleep(down)
+		s.killNow(c, downtime)
+		time.Sleep(downtime)
 		c.startIfStopped()
 	}()
 }
 
-func (s *soak) freeze(c *control, took time.Duration) {
-	s.disturb(nodeScope, c.name, "frozen", took)
+func (s *soak) freeze(c *control, duration time.Duration) {
+	s.disturb(nodeScope, c.name, "frozen", duration)
 	c.freeze()
-	s.runAfter(took, func() { c.signal(syscall.SIGCONT) })
+	s.runAfter(duration, func() { c.signal(syscall.SIGCONT) })
 }
 
 // stopNode stops a node gracefully: the process has to exit within its grace period, unless
@@ -298,10 +298,10 @@
 	s.runSteps(steps...)
 }
 
-func (s *soak) storeFault(what string, took time.Duration, set func(on bool)) {
-	s.disturb(storeScope, "", "store "+what, took)
+func (s *soak) storeFault(what string, duration time.Duration, set func(on bool)) {
+	s.disturb(storeScope, "", "store "+what, duration)
 	s.store.set(func() { set(true) })
-	s.runAfter(took, func() { s.store.set(func() { set(false) }) })
+	s.runAfter(duration, func() { s.store.set(func() { set(false) }) })
 }
 
 // expireEntries removes server entries while the store is unavailable. Entries of running
@@ -309,8 +309,8 @@
 func (s *soak) expireEntries(drawn drawnFault, set func(on bool)) {
 	s.disturb(storeScope, "", "store unavailable, entries expire", drawn.duration)
 	s.store.set(func() { set(true) })
-	lapsing := s.activeServers()
-	for i, m := range lapsing {
+	expiring := s.activeServers()
+	for i, m := range expiring {
 		s.runSteps(nil, drawn.duration/2, func() { s.expireEntry(m) }, drawn.duration/2+2*drawn.pauses[i%len(drawn.pauses)], func() { s.restoreEntry(m) })
 	}
 	s.runAfter(drawn.duration, func() { s.store.set(func() { set(false) }) })
@@ -334,7 +334,7 @@
 func (s *soak) expireEntry(m *modelServer) {
 	s.mu.Lock()
 	_, left := s.drainedAt[m.id]
-	s.lapsed[m.id] = !left
+	s.expired[m.id] = !left
 	s.mu.Unlock()
 	if !left {
 		s.store.remove("servers", m.id)
@@ -344,10 +344,10 @@
 func (s *soak) restoreEntry(m *modelServer) {
 	s.mu.Lock()
 	_, left := s.drainedAt[m.id]
-	lapsed := s.lapsed[m.id]
-	delete(s.lapsed, m.id)
+	expired := s.expired[m.id]
+	delete(s.expired, m.id)
 	s.mu.Unlock()
-	if lapsed && !left {
+	if expired && !left {
 		m.register(s.store, "ready")
 	}
 }
@@ -447,14 +447,14 @@
 }
 
 // faultLink applies a fault to one of a node's proxies for a time.
-func (s *soak) faultLink(c *control, w *proxy, sender, what string, took time.Duration, f fault, resets bool) {
+func (s *soak) faultLink(c *control, w *proxy, sender, what string, duration time.Duration, f fault, resets bool) {
 	if w == nil {
 		return
 	}
-	s.disturb(nodeScope, c.name, what, took)
+	s.disturb(nodeScope, c.name, what, duration)
 	w.set(sender, f)
 	if resets {
 		w.reset()
 	}
-	s.runAfter(took, func() { w.set(sender, fault{}) })
+	s.runAfter(duration, func() { w.set(sender, fault{}) })
 }
--- a/test/platform/soak_judge_test.go
+++ b/test/platform/soak_judge_test.go
@@ -126,8 +126,8 @@
 	if s.isDisturbed(end.node, end.sent.Add(-soakReconnect), end.done, nodeScope) {
 		return
 	}
-	if took := end.done.Sub(end.sent); took > soakDeadline+500*time.Millisecond+s.options.slack {
-		s.report("late: %s was held for %v", end.id, took)
+	if elapsed := end.done.Sub(end.sent); elapsed > soakDeadline+500*time.Millisecond+s.options.slack {
+		s.report("late: %s was held for %v", end.id, elapsed)
 	}
 	if s.isDisturbed(end.node, end.sent.Add(-soakReconnect), end.done, serverScope) {
 		return
@@ -174,17 +174,17 @@
 }
 
 func (s *soak) checkRecovery(calm time.Time) {
-	asked, answered := 0, 0
+	sent, served := 0, 0
 	for _, end := range s.outcomes {
 		if end.sent.After(calm.Add(soakRecovery)) && !end.callerLeft {
-			asked++
+			sent++
 			if end.status == 200 && end.bodyComplete {
-				answered++
+				served++
 			}
 		}
 	}
-	if asked == 0 || 10*answered < 9*asked {
-		s.report("RECOVER: %d of %d requests were served after the faults", answered, asked)
+	if sent == 0 || 10*served < 9*sent {
+		s.report("RECOVER: %d of %d requests were served after the faults", served, sent)
 	}
 }
 
@@ -228,8 +228,8 @@
 		}
 		from := left.Add(-soakReconnect)
 		// A disturbed link may have delayed a request that was sent in time.
-		isHeld := end.sent.Before(left.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
-		if !isHeld && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+		isDelayed := end.sent.Before(left.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
+		if !isDelayed && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
 			s.report("DRAIN: %s ran %s of %s %v after it began to drain", m.id, end.id, end.node, at.Sub(left))
 		}
 	}
--- a/test/platform/soak_kept_test.go
+++ b/test/platform/soak_kept_test.go
@@ -14,7 +14,7 @@
 	// kinds are the kinds to draw from, as in -soak.kinds: "first", "second" and "third" select
 	// firstKinds, secondKinds and thirdKinds.
 	kinds string
-	// duration is how long faults are drawn; 0 means keptTime.
+	// duration is how long faults are drawn; 0 means regressionDuration.
 	duration time.Duration
 	// maxPoisonRefusals sets the field of soakOptions.
 	maxPoisonRefusals int
@@ -33,11 +33,12 @@
 }
 
 const (
-	// keptTime is how long each regression seed draws faults, and keptNodes the number of nodes.
-	keptTime  = 12 * time.Second
-	keptNodes = 6
-	// keptSlack is added to time limits, since the machine may be busy.
-	keptSlack = 3 * time.Second
+	// regressionDuration is how long each regression seed draws faults, and regressionNodes the
+	// number of nodes. busySlack is added to time limits, since the machine may be busy.
+	regressionDuration = 12 * time.Second
+	regressionNodes    = 6
+	// busySlack is added to time limits, since the machine may be busy.
+	busySlack = 3 * time.Second
 )
 
 // TestShortSoak plays the regression seeds one after the other with real processes.
@@ -45,15 +46,15 @@
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
-	for _, kept := range regressionSeeds {
-		kinds, err := parseKinds(kept.kinds)
+	for _, regression := range regressionSeeds {
+		kinds, err := parseKinds(regression.kinds)
 		if err != nil {
-			t.Fatalf("regression seed %d (%s): %v", kept.seed, kept.cause, err)
+			t.Fatalf("regression seed %d (%s): %v", regression.seed, regression.cause, err)
 		}
-		t.Run(fmt.Sprint(kept.seed), func(t *testing.T) {
+		t.Run(fmt.Sprint(regression.seed), func(t *testing.T) {
 			runSoak(t, soakOptions{
-				seed: kept.seed, duration: cmp.Or(kept.duration, keptTime), nodes: keptNodes, kinds: kinds, hasProxies: true, slack: keptSlack,
-				maxPoisonRefusals: kept.maxPoisonRefusals,
+				seed: regression.seed, duration: cmp.Or(regression.duration, regressionDuration), nodes: regressionNodes, kinds: kinds, hasProxies: true, slack: busySlack,
+				maxPoisonRefusals: regression.maxPoisonRefusals,
 			})
 		})
 	}
@@ -65,8 +66,8 @@
 	if _, err := parseKinds("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
 		t.Errorf("an unknown kind gives %v", err)
 	}
-	sound := soakOptions{duration: time.Second, nodes: 3, kinds: allKinds()}
-	if err := sound.check(); err != nil {
+	valid := soakOptions{duration: time.Second, nodes: 3, kinds: allKinds()}
+	if err := valid.check(); err != nil {
 		t.Errorf("valid options give %v", err)
 	}
 	for name, change := range map[string]func(o *soakOptions){
@@ -75,7 +76,7 @@
 		"too many nodes": func(o *soakOptions) { o.nodes = maxNodes + 1 },
 		"no kinds":       func(o *soakOptions) { o.kinds = nil },
 	} {
-		options := sound
+		options := valid
 		change(&options)
 		if options.check() == nil {
 			t.Errorf("%s: accepted", name)
--- a/test/platform/soak_limit_test.go
+++ b/test/platform/soak_limit_test.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	serversNameLimit = "servers-name-limit"
+	rateLimitKind = "servers-name-limit"
 	// limitNoticeTime is the time after a node has received a limit from which on its requests
 	// count.
 	limitNoticeTime = 500 * time.Millisecond
@@ -15,7 +15,7 @@
 
 // limitKinds makes servers announce a rate limit in their responses.
 func limitKinds() []kind {
-	return []kind{{serversNameLimit, 2, func(s *soak, d drawnFault) { s.setRateLimits(d) }}}
+	return []kind{{rateLimitKind, 2, func(s *soak, d drawnFault) { s.setRateLimits(d) }}}
 }
 
 // soakLimits are the announced limits, in requests a second.
@@ -52,42 +52,42 @@
 }
 
 // checkLimit checks the contacts during which the server announced one limit.
-func (s *soak) checkLimit(m *modelServer, came []contact) {
+func (s *soak) checkLimit(m *modelServer, contacts []contact) {
 	ends := make(map[string]outcome, len(s.outcomes))
 	for _, end := range s.outcomes {
 		ends[end.id] = end
 	}
-	told := make(map[string]time.Time)
-	for _, one := range came {
-		end, known := ends[one.id]
-		if at, isTold := told[end.node]; known && end.status == 200 && (!isTold || end.done.Before(at)) {
-			told[end.node] = end.done
+	informedAt := make(map[string]time.Time)
+	for _, c := range contacts {
+		end, known := ends[c.id]
+		if at, isInformed := informedAt[end.node]; known && end.status == 200 && (!isInformed || end.done.Before(at)) {
+			informedAt[end.node] = end.done
 		}
 	}
 	var counted []contact
-	for _, one := range came {
-		if one.at.Sub(came[0].at) > limitSettleTime+s.options.slack && s.countsToLimit(m, one, ends[one.id].node, told) {
+	for _, one := range contacts {
+		if one.at.Sub(contacts[0].at) > limitSettleTime+s.options.slack && s.countsToLimit(m, one, ends[one.id].node, informedAt) {
 			counted = append(counted, one)
 		}
 	}
-	perSecond, _ := strconv.ParseFloat(came[0].limit, 64)
-	if worst := busiestWindow(counted); len(worst) > allowedInWindow(perSecond) {
+	perSecond, _ := strconv.ParseFloat(contacts[0].limit, 64)
+	if busiest := busiestWindow(counted); len(busiest) > allowedInWindow(perSecond) {
 		s.report("RATE: %s announced a limit of %s a second and was contacted %d times in %v by nodes that had received it; %d are allowed (%v)",
-			m.id, came[0].limit, len(worst), limitWindow, allowedInWindow(perSecond), countPaths(worst))
+			m.id, contacts[0].limit, len(busiest), limitWindow, allowedInWindow(perSecond), countPaths(busiest))
 	}
 }
 
 // countsToLimit reports whether a contact counts towards the limit. Orders and report
 // queries do not identify their node, so they count only if no node is excused.
-func (s *soak) countsToLimit(m *modelServer, came contact, node string, told map[string]time.Time) bool {
-	if strings.HasPrefix(came.path, "/api/") {
-		for name, at := range told {
-			if came.at.Sub(at) <= limitNoticeTime || s.ranOlderBuild[name] || s.isNoticeExcused(m, name, at, came.at) {
+func (s *soak) countsToLimit(m *modelServer, c contact, node string, informedAt map[string]time.Time) bool {
+	if strings.HasPrefix(c.path, "/api/") {
+		for name, at := range informedAt {
+			if c.at.Sub(at) <= limitNoticeTime || s.ranOlderBuild[name] || s.isNoticeExcused(m, name, at, c.at) {
 				return false
 			}
 		}
-		return len(told) == len(s.nodes)
+		return len(informedAt) == len(s.nodes)
 	}
-	at, isTold := told[node]
-	return isTold && came.at.Sub(at) > limitNoticeTime && !s.ranOlderBuild[node] && !s.isNoticeExcused(m, node, at, came.at)
+	at, isInformed := informedAt[node]
+	return isInformed && c.at.Sub(at) > limitNoticeTime && !s.ranOlderBuild[node] && !s.isNoticeExcused(m, node, at, c.at)
 }
--- a/test/platform/soak_planted_test.go
+++ b/test/platform/soak_planted_test.go
@@ -243,11 +243,11 @@
 }
 
 // addArrival records a request from the first node to the first server.
-func (s *soak) addArrival(at time.Time, came arrival) {
-	came.id, came.at = fmt.Sprint("again", len(s.servers[0].arrivals)), at
-	s.servers[0].arrivals = append(s.servers[0].arrivals, came)
-	s.servers[0].runs[came.id] = 1
-	s.outcomes = append(s.outcomes, outcome{id: came.id, node: "node-1", route: "command", sent: at, done: at, status: 200, bodyComplete: true})
+func (s *soak) addArrival(at time.Time, arrived arrival) {
+	arrived.id, arrived.at = fmt.Sprint("again", len(s.servers[0].arrivals)), at
+	s.servers[0].arrivals = append(s.servers[0].arrivals, arrived)
+	s.servers[0].runs[arrived.id] = 1
+	s.outcomes = append(s.outcomes, outcome{id: arrived.id, node: "node-1", route: "command", sent: at, done: at, status: 200, bodyComplete: true})
 }
 
 // plantRateLimit makes a server announce a limit of 1 a second in its first response, and
@@ -255,9 +255,9 @@
 func (s *soak) plantRateLimit(at time.Time, others int) {
 	s.servers[0].contacts = []contact{{id: "a", at: at, path: "/command/x", limit: "1"}}
 	for number := range others {
-		came := at.Add(3*time.Second + time.Duration(number)*100*time.Millisecond)
-		s.addArrival(came, arrival{})
-		s.servers[0].contacts = append(s.servers[0].contacts, contact{id: s.outcomes[len(s.outcomes)-1].id, at: came, path: "/command/x", limit: "1"})
+		contactAt := at.Add(3*time.Second + time.Duration(number)*100*time.Millisecond)
+		s.addArrival(contactAt, arrival{})
+		s.servers[0].contacts = append(s.servers[0].contacts, contact{id: s.outcomes[len(s.outcomes)-1].id, at: contactAt, path: "/command/x", limit: "1"})
 	}
 }
 
--- a/test/platform/soak_poison_test.go
+++ b/test/platform/soak_poison_test.go
@@ -57,8 +57,8 @@
 func (s *soak) crashOnPoison(m *modelServer, writer http.ResponseWriter, request *http.Request, body string) {
 	node, _, _ := strings.Cut(request.Header.Get("Request-Id"), " ")
 	s.mu.Lock()
-	known := s.poisons[body]
-	known.sends = append(known.sends, poisonSend{node: node, at: time.Now()})
+	poison := s.poisons[body]
+	poison.sends = append(poison.sends, poisonSend{node: node, at: time.Now()})
 	s.mu.Unlock()
 	writer.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(writer).Flush()
@@ -68,7 +68,7 @@
 	if !hasEnded {
 		s.drainedAt[m.id] = time.Now()
 		s.crashed[m.id] = true
-		known.ended = append(known.ended, time.Now())
+		poison.ended = append(poison.ended, time.Now())
 	}
 	s.mu.Unlock()
 	if !hasEnded {
@@ -85,12 +85,12 @@
 // checkPoison reports poison requests that reached servers after all undisturbed nodes had
 // to know them, and other requests that were refused as poison requests.
 func (s *soak) checkPoison() {
-	for body, known := range s.poisons {
-		if len(known.ended) < maxCrashes {
+	for body, poison := range s.poisons {
+		if len(poison.ended) < maxCrashes {
 			continue
 		}
-		third, late := known.ended[maxCrashes-1], 0
-		for _, sent := range known.sends {
+		third, late := poison.ended[maxCrashes-1], 0
+		for _, sent := range poison.sends {
 			if sent.at.Sub(third) > soakReconnect+s.options.slack && !s.isDisturbed(sent.node, sent.at.Add(-soakReconnect), sent.at, nodeScope) &&
 				!s.isDisturbed(sent.node, sent.at.Add(-soakReconnect), sent.at, plannedNodeScope) {
 				late++
@@ -99,7 +99,7 @@
 		if late > maxLateSends {
 			s.report("BUDGET: %q reached servers %d times from undisturbed nodes, more than %v after its third crash", body, late, soakReconnect)
 		}
-		s.t.Logf("%q crashed %d servers and reached servers %d times", body, len(known.ended), len(known.sends))
+		s.t.Logf("%q crashed %d servers and reached servers %d times", body, len(poison.ended), len(poison.sends))
 	}
 	s.checkPoisonRefusals()
 }
@@ -114,10 +114,10 @@
 	ends := slices.Clone(s.outcomes)
 	slices.SortFunc(ends, func(a, b outcome) int { return a.done.Compare(b.done) })
 	since := make(map[string]time.Time)
-	barred := 0
+	refused := 0
 	for _, end := range ends {
 		if end.refusedAsPoison {
-			barred++
+			refused++
 		}
 		switch {
 		case end.model != "" && end.status == http.StatusOK:
@@ -128,8 +128,8 @@
 			s.report("BARRED: %s of %s was refused as a poison request, like all similar requests for %v", end.id, end.node, end.done.Sub(since[end.model]))
 		}
 	}
-	s.t.Logf("%d requests were refused as poison requests", barred)
-	if most := s.options.maxPoisonRefusals; most > 0 && barred > most {
-		s.report("BARRED: %d requests were refused as poison requests, want at most %d", barred, most)
+	s.t.Logf("%d requests were refused as poison requests", refused)
+	if most := s.options.maxPoisonRefusals; most > 0 && refused > most {
+		s.report("BARRED: %d requests were refused as poison requests, want at most %d", refused, most)
 	}
 }
--- a/test/platform/soak_rollback_test.go
+++ b/test/platform/soak_rollback_test.go
@@ -18,19 +18,19 @@
 // does not know store eras.
 func (s *soak) rollBackStore(drawn drawnFault) {
 	s.mu.Lock()
-	isPlayed := len(s.ranOlderBuild) == 0
-	s.storeRolledBack = s.storeRolledBack || isPlayed
+	isApplicable := len(s.ranOlderBuild) == 0
+	s.storeRolledBack = s.storeRolledBack || isApplicable
 	s.mu.Unlock()
-	if !isPlayed {
+	if !isApplicable {
 		return
 	}
-	copied := s.store.snapshot()
+	saved := s.store.snapshot()
 	s.runAfter(drawn.duration, func() {
-		away := drawn.pauses[0]
-		s.disturb(storeScope, "", "store is restored from a snapshot", away+drawn.pauses[1])
+		outage := drawn.pauses[0]
+		s.disturb(storeScope, "", "store is restored from a snapshot", outage+drawn.pauses[1])
 		s.store.set(func() { s.store.unavailable = true })
-		s.runAfter(away, func() {
-			s.store.restore(copied)
+		s.runAfter(outage, func() {
+			s.store.restore(saved)
 			s.store.set(func() { s.store.unavailable = false })
 			for i, m := range s.allServers() {
 				s.runAfter(drawn.pauses[i%len(drawn.pauses)]/2, func() { s.rewriteServer(m) })
@@ -40,7 +40,7 @@
 				s.t.Logf("%d nodes made %d calls in %v after the store was restored", len(s.controls), s.store.callCount()-before, callCountPeriod)
 			})
 		})
-		s.runAfter(away+drawn.pauses[1]/2, s.rewriteConfiguration)
+		s.runAfter(outage+drawn.pauses[1]/2, s.rewriteConfiguration)
 	})
 }
 
@@ -68,14 +68,14 @@
 func (s *soak) rewriteServer(m *modelServer) {
 	s.mu.Lock()
 	leftAt, left := s.drainedAt[m.id]
-	lapsed, crashed := s.lapsed[m.id], s.crashed[m.id]
+	expired, crashed := s.expired[m.id], s.crashed[m.id]
 	s.mu.Unlock()
 	switch {
 	case crashed, left && time.Since(leftAt) > soakDrain:
 		s.store.remove("servers", m.id)
 	case left:
 		m.register(s.store, "draining")
-	case !lapsed:
+	case !expired:
 		m.register(s.store, "ready")
 	}
 }
--- a/test/platform/soak_routes_test.go
+++ b/test/platform/soak_routes_test.go
@@ -87,22 +87,22 @@
 // checkAddedRoutes compares the success rates of added routes and of the original ones in
 // undisturbed periods.
 func (s *soak) checkAddedRoutes() {
-	var asked, answered [2]float64
+	var sent, served [2]float64
 	for _, end := range s.outcomes {
 		if end.callerLeft || !s.isCalm(end.node, end.sent, end.done) {
 			continue
 		}
-		of := 0
+		group := 0
 		if end.route == "added" {
-			of = 1
+			group = 1
 		}
-		asked[of]++
+		sent[group]++
 		if end.status == 200 {
-			answered[of]++
+			served[group]++
 		}
 	}
-	if asked[1] >= minAddedRequests && asked[0] > 0 && answered[1]/asked[1] < minAddedShare*answered[0]/asked[0] {
-		s.report("CONFIG: of %.0f requests on added routes %.0f were served, of %.0f on the original ones %.0f", asked[1], answered[1], asked[0], answered[0])
+	if sent[1] >= minAddedRequests && sent[0] > 0 && served[1]/sent[1] < minAddedShare*served[0]/sent[0] {
+		s.report("CONFIG: of %.0f requests on added routes %.0f were served, of %.0f on the original ones %.0f", sent[1], served[1], sent[0], served[0])
 	}
 }
 
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -23,22 +23,22 @@
 // blocked at a time.
 func (s *soak) holdOrders() {
 	s.mu.Lock()
-	isHeld := time.Now().Before(s.ordersHeldUntil)
-	if !isHeld {
+	isBlocking := time.Now().Before(s.ordersHeldUntil)
+	if !isBlocking {
 		s.ordersHeldUntil = time.Now().Add(reorderTime + orderHoldTime)
 	}
 	s.mu.Unlock()
 	c := s.leaseHolder()
-	if isHeld || c == nil {
+	if isBlocking || c == nil {
 		return
 	}
 	s.disturb(serverScope, "", "servers lose their models", reorderTime+orderHoldTime)
-	held := fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)}
+	block := fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)}
 	for _, m := range s.activeServers() {
 		if m.proxy == nil {
 			continue
 		}
-		m.proxy.set(anySender, held)
+		m.proxy.set(anySender, block)
 		s.runAfter(reorderTime+orderHoldTime, func() { m.proxy.set(anySender, fault{}) })
 		m.loseModels()
 		m.register(s.store, "ready")
@@ -132,7 +132,7 @@
 		"it stops, as planned": func(s *soak, c *control) { s.stopNode(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startSoak(t, soakOptions{seed: 1, nodes: keptNodes, kinds: firstKinds(), hasProxies: true, slack: keptSlack})
+			s := startSoak(t, soakOptions{seed: 1, nodes: regressionNodes, kinds: firstKinds(), hasProxies: true, slack: busySlack})
 			s.finish(s.run(func() {
 				for range 2 {
 					s.endHolderWithOrdersHeld(end)
--- a/test/platform/soak_starts_test.go
+++ b/test/platform/soak_starts_test.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	sameIDAgain = "same-id-again"
-	otherWriter = "other-writer"
+	sameIDRestartKind = "same-id-again"
+	foreignEntryKind  = "other-writer"
 	// maxRestartTime is the maximum downtime of a server that restarts under its identity.
 	maxRestartTime = 1500 * time.Millisecond
 )
@@ -13,9 +13,9 @@
 // program, and nodes that run the previous release.
 func startKinds() []kind {
 	return []kind{
-		{sameIDAgain, 2, func(s *soak, d drawnFault) { s.restartServer(d) }},
-		{otherWriter, 1, func(s *soak, d drawnFault) { s.writeForeignEntry(d) }},
-		{twoBuilds, 1, func(s *soak, d drawnFault) { s.swapBuild(d.node) }},
+		{sameIDRestartKind, 2, func(s *soak, d drawnFault) { s.restartServer(d) }},
+		{foreignEntryKind, 1, func(s *soak, d drawnFault) { s.writeForeignEntry(d) }},
+		{twoBuildsKind, 1, func(s *soak, d drawnFault) { s.swapBuild(d.node) }},
 	}
 }
 
@@ -24,11 +24,11 @@
 func (s *soak) restartServer(drawn drawnFault) {
 	staying := s.activeServers()
 	m := staying[drawn.server%len(staying)]
-	down := time.Duration(drawn.share * float64(maxRestartTime))
-	s.disturb(serverScope, "", m.id+" restarts under its identity", down)
+	downtime := time.Duration(drawn.share * float64(maxRestartTime))
+	s.disturb(serverScope, "", m.id+" restarts under its identity", downtime)
 	m.set(func() { m.isDown = true })
 	m.httpServer.CloseClientConnections()
-	s.runAfter(down, func() {
+	s.runAfter(downtime, func() {
 		m.set(func() { m.isDown = false })
 		s.mu.Lock()
 		_, left := s.drainedAt[m.id]
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -112,7 +112,7 @@
 	keyProbes []keyProbe
 	servers   []*modelServer
 	drainedAt map[string]time.Time
-	lapsed    map[string]bool
+	expired   map[string]bool
 	// poisons holds the poison requests that were sent, by body.
 	poisons  map[string]*soakPoison
 	number   int
@@ -170,7 +170,7 @@
 func newSoak(f *fleet, options soakOptions) *soak {
 	return &soak{
 		fleet: f, options: options, random: rand.New(rand.NewPCG(options.seed, 0x50a4)),
-		configTimes: make(map[int]time.Time), drainedAt: make(map[string]time.Time), lapsed: make(map[string]bool),
+		configTimes: make(map[int]time.Time), drainedAt: make(map[string]time.Time), expired: make(map[string]bool),
 		poisons: make(map[string]*soakPoison), ranOlderBuild: make(map[string]bool), crashed: make(map[string]bool),
 		probes: make(map[string][]probe), stop: make(chan struct{}),
 	}
@@ -189,16 +189,16 @@
 // startSoak starts a fleet with servers and a configuration.
 func startSoak(t *testing.T, options soakOptions) *soak {
 	t.Helper()
-	fleetOf := fleetOptions{
+	settings := fleetOptions{
 		count: options.nodes, seeds: `"127.0.0.11:1", "127.0.0.12:1"`, firstIP: firstSoakIP, hasProxies: options.hasProxies, hasMetrics: true,
 	}
 	if (&soak{options: options}).hasEvacuations() {
-		fleetOf.bounds = evacuateLine
+		settings.bounds = evacuateLine
 	}
 	if options.changesRegions() {
-		fleetOf.zones = options.nodeZones()
+		settings.zones = options.nodeZones()
 	}
-	s := newSoak(newFleetWithOptions(t, fleetOf), options)
+	s := newSoak(newFleetWithOptions(t, settings), options)
 	for _, n := range s.nodes {
 		s.controls = append(s.controls, newControl(n))
 	}
@@ -346,16 +346,16 @@
 func (s *soak) pickAddedRoute(random *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := 0
+	newest := 0
 	for version, at := range s.configTimes {
 		if version > 1 && time.Since(at) > soakReconnect {
-			known = max(known, version)
+			newest = max(newest, version)
 		}
 	}
-	if known < 2 {
+	if newest < 2 {
 		return 0
 	}
-	return 2 + random.IntN(known-1)
+	return 2 + random.IntN(newest-1)
 }
 
 // writeLogs writes the nodes' logs to the directory in SOAK_LOGS, if set.
--- a/test/platform/soak_words_test.go
+++ b/test/platform/soak_words_test.go
@@ -26,22 +26,22 @@
 // until the store is available again and accepts its entry.
 func (s *soak) drainByAnswers(drawn drawnFault) {
 	staying := s.activeServers()
-	leaver := staying[drawn.server%len(staying)]
-	s.addServer(leaver.service, 0)
+	draining := staying[drawn.server%len(staying)]
+	s.addServer(draining.service, 0)
 	s.storeFault("down", drawn.duration, func(on bool) { s.store.unavailable = on })
-	s.runAfter(drawn.pauses[0]/2, func() { leaver.set(func() { leaver.isDraining = true }) })
-	s.runAfter(drawn.duration, func() { s.drain(leaver) })
+	s.runAfter(drawn.pauses[0]/2, func() { draining.set(func() { draining.isDraining = true }) })
+	s.runAfter(drawn.duration, func() { s.drain(draining) })
 }
 
 // requestBackoff makes some servers reject all requests and ask for a back-off for a time.
 func (s *soak) requestBackoff(drawn drawnFault) {
-	rest := minSoakRetryAfter + time.Duration(drawn.share*float64(maxSoakRetryAfter-minSoakRetryAfter))
+	retryAfter := minSoakRetryAfter + time.Duration(drawn.share*float64(maxSoakRetryAfter-minSoakRetryAfter))
 	for i, m := range s.activeServers() {
 		if (i+drawn.server)%3 != 0 {
 			continue
 		}
 		s.disturb(serverScope, "", m.id+" asks for a back-off", drawn.duration)
-		m.set(func() { m.retryAfter = rest })
+		m.set(func() { m.retryAfter = retryAfter })
 		s.runAfter(drawn.duration, func() { m.set(func() { m.retryAfter = 0 }) })
 	}
 }
@@ -55,47 +55,47 @@
 		ends[end.id] = end
 	}
 	// A notice applies to the server start that gave it.
-	type byNode struct {
+	type serverStart struct {
 		node string
 		born int64
 	}
-	passedOn := make(map[byNode]time.Time)
-	rests := make(map[byNode][]arrival)
-	for _, came := range m.arrivals {
-		end, known := ends[came.id]
+	noticeAt := make(map[serverStart]time.Time)
+	backoffs := make(map[serverStart][]arrival)
+	for _, arrived := range m.arrivals {
+		end, known := ends[arrived.id]
 		if !known {
 			continue
 		}
-		by := byNode{end.node, came.startID}
-		if at, told := passedOn[by]; told && end.sent.Sub(at) > soakDrain+s.options.slack && !s.isNoticeExcused(m, end.node, at, came.at) {
-			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it is leaving", end.id, end.node, m.id, came.at.Sub(at))
+		key := serverStart{end.node, arrived.startID}
+		if at, told := noticeAt[key]; told && end.sent.Sub(at) > soakDrain+s.options.slack && !s.isNoticeExcused(m, end.node, at, arrived.at) {
+			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it is leaving", end.id, end.node, m.id, arrived.at.Sub(at))
 		}
-		s.checkBackoffs(m, ends, came, rests[by])
-		if came.retryAfter > 0 {
-			rests[by] = append(rests[by], came)
+		s.checkBackoffs(m, ends, arrived, backoffs[key])
+		if arrived.retryAfter > 0 {
+			backoffs[key] = append(backoffs[key], arrived)
 		}
-		if at, told := passedOn[by]; came.isDraining && (!told || end.done.Before(at)) && end.status == 200 {
-			passedOn[by] = end.done
+		if at, told := noticeAt[key]; arrived.isDraining && (!told || end.done.Before(at)) && end.status == 200 {
+			noticeAt[key] = end.done
 		}
 	}
 }
 
 // checkBackoffs counts a request in each back-off that the server asked its node for.
-func (s *soak) checkBackoffs(m *modelServer, ends map[string]outcome, came arrival, asked []arrival) {
-	node := ends[came.id].node
-	for _, rest := range asked {
-		from, to := rest.at.Add(retryAfterGrace), rest.at.Add(rest.retryAfter)
-		if came.at.Before(from) || !came.at.Before(to) || s.isNoticeExcused(m, node, rest.at, came.at) {
+func (s *soak) checkBackoffs(m *modelServer, ends map[string]outcome, arrived arrival, backoffs []arrival) {
+	node := ends[arrived.id].node
+	for _, backoff := range backoffs {
+		from, to := backoff.at.Add(retryAfterGrace), backoff.at.Add(backoff.retryAfter)
+		if arrived.at.Before(from) || !arrived.at.Before(to) || s.isNoticeExcused(m, node, backoff.at, arrived.at) {
 			continue
 		}
-		inRest := 0
+		count := 0
 		for _, other := range m.arrivals {
-			if !other.at.Before(from) && !other.at.After(came.at) && other.startID == rest.startID && ends[other.id].node == node {
-				inRest++
+			if !other.at.Before(from) && !other.at.After(arrived.at) && other.startID == backoff.startID && ends[other.id].node == node {
+				count++
 			}
 		}
-		if inRest == maxRequestsInBackoff+1 {
-			s.report("BUDGET: %s had asked %s for a back-off of %v and got %d requests during it", m.id, node, rest.retryAfter, inRest)
+		if count == maxRequestsInBackoff+1 {
+			s.report("BUDGET: %s had asked %s for a back-off of %v and got %d requests during it", m.id, node, backoff.retryAfter, count)
 			return
 		}
 	}
--- a/test/platform/starts_test.go
+++ b/test/platform/starts_test.go
@@ -41,11 +41,11 @@
 // TestPoisonRequestEndsThreeStartsOfOneServer: each start of a server that crashes on a
 // request counts, although the server keeps its identity.
 func TestPoisonRequestEndsThreeStartsOfOneServer(t *testing.T) {
-	books := newPoisonLog()
+	log := newPoisonLog()
 	f := newFleet(t, 2)
 	f.hidesLogs = true
 	for range 2 {
-		(&crashingServer{t: t, store: f.store, log: books, downFor: 300 * time.Millisecond, keepsID: true}).start()
+		(&crashingServer{t: t, store: f.store, log: log, downFor: 300 * time.Millisecond, keepsID: true}).start()
 	}
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
@@ -53,5 +53,5 @@
 		f.nodes[number%2].sendBody("p"+strconv.Itoa(number), poisonBody)
 		time.Sleep(poisonPause)
 	}
-	books.check(t, poisonBody, 0)
+	log.check(t, poisonBody, 0)
 }
--- a/test/platform/store_test.go
+++ b/test/platform/store_test.go
@@ -70,11 +70,11 @@
 func (s *store) snapshot() storeSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	copied := storeSnapshot{objects: make(map[string]map[string]object), history: slices.Clone(s.history), at: s.at}
+	saved := storeSnapshot{objects: make(map[string]map[string]object), history: slices.Clone(s.history), at: s.at}
 	for kind, objects := range s.objects {
-		copied.objects[kind] = maps.Clone(objects)
+		saved.objects[kind] = maps.Clone(objects)
 	}
-	return copied
+	return saved
 }
 
 // restore discards everything written since the snapshot and starts a new era.
@@ -231,9 +231,9 @@
 			return
 		}
 		events := []event{}
-		for _, happened := range s.history {
-			if happened.kind == kind && happened.revision > from && !s.muteWatches {
-				events = append(events, happened)
+		for _, e := range s.history {
+			if e.kind == kind && e.revision > from && !s.muteWatches {
+				events = append(events, e)
 			}
 		}
 		changed, at, held := s.changed, s.at, s.holdWatches
@@ -273,9 +273,9 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if late := s.currentWriteDelay(); late > 0 {
+	if delay := s.currentWriteDelay(); delay > 0 {
 		resetConnection(rawWriter)
-		time.AfterFunc(late, func() { s.applyDelayedWrite(request.Method, parts[0], wanted) })
+		time.AfterFunc(delay, func() { s.applyDelayedWrite(request.Method, parts[0], wanted) })
 		return
 	}
 	s.mu.Lock()
--- a/test/platform/tenants_test.go
+++ b/test/platform/tenants_test.go
@@ -112,11 +112,11 @@
 // bound.
 func (f *fleet) checkQuota(callers []*tenantCaller, key string) {
 	f.t.Helper()
-	const atOnce, cost, perSecond, burst = 30, 500, 1000, 4000
-	var granted, refused, unclear atomic.Int64
+	const concurrency, cost, perSecond, burst = 30, 500, 1000, 4000
+	var granted, refused, other atomic.Int64
 	started := time.Now()
 	var group sync.WaitGroup
-	for range atOnce {
+	for range concurrency {
 		for _, caller := range callers {
 			group.Go(func() {
 				switch _, got := caller.call("Api-Key", key); {
@@ -125,7 +125,7 @@
 				case (got.status == http.StatusTooManyRequests || got.status == http.StatusServiceUnavailable) && got.retryAfter != "":
 					refused.Add(1)
 				default:
-					unclear.Add(1)
+					other.Add(1)
 				}
 			})
 		}
@@ -133,8 +133,8 @@
 	group.Wait()
 	allowed := 1.1 * (perSecond*time.Since(started).Seconds() + burst)
 	used := float64(cost * granted.Load())
-	if used > allowed || granted.Load() == 0 || refused.Load() == 0 || unclear.Load() > 0 {
+	if used > allowed || granted.Load() == 0 || refused.Load() == 0 || other.Load() > 0 {
 		f.t.Errorf("%d granted, using %.0f of at most %.0f tokens; %d refused with Retry-After; %d other answers",
-			granted.Load(), used, allowed, refused.Load(), unclear.Load())
+			granted.Load(), used, allowed, refused.Load(), other.Load())
 	}
 }
--- a/test/platform/words_test.go
+++ b/test/platform/words_test.go
@@ -14,9 +14,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var own []arrival
-	for _, came := range m.arrivals {
-		if strings.HasPrefix(came.id, node+"/") {
-			own = append(own, came)
+	for _, a := range m.arrivals {
+		if strings.HasPrefix(a.id, node+"/") {
+			own = append(own, a)
 		}
 	}
 	return own
@@ -68,8 +68,8 @@
 	}
 	// The store is unavailable from here on, so only responses tell that a server is leaving.
 	f.store.set(func() { f.store.unavailable = true })
-	leavers := []*modelServer{commands[0], used}
-	for _, leaver := range leavers {
+	draining := []*modelServer{commands[0], used}
+	for _, leaver := range draining {
 		leaver.set(func() { leaver.isDraining, leaver.arrivals = true, nil })
 	}
 	for _, n := range f.nodes {
@@ -78,9 +78,9 @@
 				t.Errorf("%s: %+v, although another server stays", n.name, got)
 			}
 		}
-		for _, leaver := range leavers {
-			if came := leaver.arrivalsFrom(n.name); len(came) > 1 {
-				t.Errorf("%s: %d requests reached %s after it had told the node that it is leaving", n.name, len(came)-1, leaver.id)
+		for _, leaver := range draining {
+			if arrivals := leaver.arrivalsFrom(n.name); len(arrivals) > 1 {
+				t.Errorf("%s: %d requests reached %s after it had told the node that it is leaving", n.name, len(arrivals)-1, leaver.id)
 			}
 		}
 	}
@@ -97,12 +97,12 @@
 func TestServerThatAskedForRestIsLeftAlone(t *testing.T) {
 	f := newFleet(t, 2)
 	commands := []*modelServer{newServer(t, f.store, "i-commands-1", "commands", 0), newServer(t, f.store, "i-commands-2", "commands", 0)}
-	resting := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
+	models := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	const rest = time.Minute
-	for _, asking := range []*modelServer{commands[0], resting} {
-		asking.set(func() { asking.retryAfter = rest })
+	const backoff = time.Minute
+	for _, rejecting := range []*modelServer{commands[0], models} {
+		rejecting.set(func() { rejecting.retryAfter = backoff })
 	}
 	for _, n := range f.nodes {
 		n.sendMany(0, burst, "/command/x", "")
@@ -110,13 +110,13 @@
 			seconds, err := strconv.ParseFloat(got.retryAfter, 64)
 			if got.status != http.StatusServiceUnavailable || err != nil {
 				t.Errorf("%s: %+v, want 503 with Retry-After", n.name, got)
-			} else if seconds < rest.Seconds()/2 {
-				t.Errorf("%s: Retry-After is %v s, less than half of the only server's back-off of %v", n.name, seconds, rest)
+			} else if seconds < backoff.Seconds()/2 {
+				t.Errorf("%s: Retry-After is %v s, less than half of the only server's back-off of %v", n.name, seconds, backoff)
 			}
 		}
-		for _, asking := range []*modelServer{commands[0], resting} {
-			if came := asking.arrivalsFrom(n.name); len(came) > 1 {
-				t.Errorf("%s: %d requests reached %s during the back-off that it had asked the node for", n.name, len(came)-1, asking.id)
+		for _, asking := range []*modelServer{commands[0], models} {
+			if arrivals := asking.arrivalsFrom(n.name); len(arrivals) > 1 {
+				t.Errorf("%s: %d requests reached %s during the back-off that it had asked the node for", n.name, len(arrivals)-1, asking.id)
 			}
 		}
 	}
@@ -126,22 +126,22 @@
 // as ready, nodes tell each other what its responses announced.
 func TestOnlyCopyOfAServerThatLeavesIsLoadedElsewhere(t *testing.T) {
 	f := newFleet(t, 3)
-	leaver := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
+	draining := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
 	other := newServerIn(t, f.store, "z", "i-models-2", "models", 50*time.Millisecond)
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	leaver.set(func() { leaver.isDraining = true })
+	draining.set(func() { draining.isDraining = true })
 	f.nodes[2].sendNamed(0, "/chat/x", "m1")
 	for _, n := range f.nodes {
 		eventually(t, n.name+" learns that the server is leaving", func() bool { return strings.Contains(n.log(), "event=server_word") })
-		came := len(leaver.arrivalsFrom(n.name))
+		before := len(draining.arrivalsFrom(n.name))
 		number := 100
 		eventually(t, n.name+" serves the model from another server", func() bool {
 			number++
 			return n.sendNamed(number, "/chat/x", "m1").status == http.StatusOK
 		})
-		if later := len(leaver.arrivalsFrom(n.name)); later > came {
-			t.Errorf("%s: %d requests reached the leaving server after the node had learned of it", n.name, later-came)
+		if after := len(draining.arrivalsFrom(n.name)); after > before {
+			t.Errorf("%s: %d requests reached the leaving server after the node had learned of it", n.name, after-before)
 		}
 	}
 	if other.runCount() == 0 {
@@ -153,24 +153,24 @@
 // they do afterwards.
 func TestRestThatIsProlongedAndEnds(t *testing.T) {
 	f := newFleet(t, 1)
-	resting := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
+	rejecting := newServerIn(t, f.store, "z", "i-models-1", "models", 50*time.Millisecond, "m1")
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	n := f.nodes[0]
-	resting.set(func() { resting.retryAfter = time.Second })
+	rejecting.set(func() { rejecting.retryAfter = time.Second })
 	started := time.Now()
 	for number := 0; time.Since(started) < 2500*time.Millisecond; number++ {
 		n.sendRequest(callerRequest{id: n.name + "/" + strconv.Itoa(number), path: "/chat/x", model: "m1", body: "body", deadline: 50 * time.Millisecond})
 	}
-	came := resting.arrivalsFrom(n.name)
-	if len(came) < 2 {
-		t.Fatalf("%d requests came within two and a half back-off periods: the back-off never ends", len(came))
+	arrivals := rejecting.arrivalsFrom(n.name)
+	if len(arrivals) < 2 {
+		t.Fatalf("%d requests came within two and a half back-off periods: the back-off never ends", len(arrivals))
 	}
-	for i := 1; i < len(came); i++ {
-		if between := came[i].at.Sub(came[i-1].at); between < resting.retryAfter {
-			t.Errorf("request %d came %v after the previous one, less than the back-off of %v", i, between, resting.retryAfter)
+	for i := 1; i < len(arrivals); i++ {
+		if between := arrivals[i].at.Sub(arrivals[i-1].at); between < rejecting.retryAfter {
+			t.Errorf("request %d came %v after the previous one, less than the back-off of %v", i, between, rejecting.retryAfter)
 		}
 	}
-	resting.set(func() { resting.retryAfter = 0 })
+	rejecting.set(func() { rejecting.retryAfter = 0 })
 	eventually(t, "the server serves again", func() bool { return n.sendNamed(9999, "/chat/x", "m1").status == http.StatusOK })
 }
--- a/test/platform/writers_test.go
+++ b/test/platform/writers_test.go
@@ -13,17 +13,17 @@
 // ignored, so that the last known state of its server stayed in use.
 func TestEntriesOfAnotherWriterNameNoServer(t *testing.T) {
 	f := newFleet(t, 2)
-	sound := newServer(t, f.store, "i-sound", "commands", 0)
+	valid := newServer(t, f.store, "i-sound", "commands", 0)
 	foreign := newServer(t, f.store, "i-foreign", "commands", 0)
 	f.store.remove("servers", foreign.id)
 	f.store.put("config", "main", newConfig(1))
-	good := func() map[string]any {
+	validEntry := func() map[string]any {
 		return map[string]any{
 			"service": "commands", "address": foreign.address, "zone": "z", "version": "v1", "slots": 8, "state": "ready", "sequence": 1, "coldLeftMs": 0,
 		}
 	}
 	with := func(name string, value any) map[string]any {
-		entry := good()
+		entry := validEntry()
 		entry[name] = value
 		if value == nil {
 			delete(entry, name)
@@ -42,7 +42,7 @@
 	f.awaitReady()
 	for _, n := range f.nodes {
 		for number, got := range n.sendMany(0, 40, "/command/x", "") {
-			if got.status != http.StatusOK || got.body != "done by "+sound.id {
+			if got.status != http.StatusOK || got.body != "done by "+valid.id {
 				t.Errorf("%s: request %d: %+v", n.name, number, got)
 			}
 		}
@@ -59,15 +59,15 @@
 // is unreadable, running requests complete, and a readable entry brings it back.
 func TestEntryThatTurnsUnreadableTakesItsServerOut(t *testing.T) {
 	f := newFleet(t, 2)
-	turning := newServerIn(t, f.store, "z", "i-turning", "models", 50*time.Millisecond, "m1")
-	turning.streamPause = 200 * time.Millisecond
+	server := newServerIn(t, f.store, "z", "i-turning", "models", 50*time.Millisecond, "m1")
+	server.streamPause = 200 * time.Millisecond
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
 	n := f.nodes[0]
 	answered := make(chan reply, 1)
 	go func() { answered <- n.sendNamed(0, "/chat/x", "m1") }()
-	eventually(t, "a stream runs", func() bool { return turning.runCount() == 1 })
-	f.store.put("servers", turning.id, map[string]any{"service": "models", "state": 7})
+	eventually(t, "a stream runs", func() bool { return server.runCount() == 1 })
+	f.store.put("servers", server.id, map[string]any{"service": "models", "state": 7})
 	number := 1
 	eventually(t, "the server gets no new requests", func() bool {
 		number++
@@ -76,6 +76,6 @@
 	if got := <-answered; got.status != http.StatusOK || strings.Count(got.body, "id: ") != 5 {
 		t.Errorf("the running stream was incomplete: %+v", got)
 	}
-	turning.register(f.store, "ready")
+	server.register(f.store, "ready")
 	eventually(t, "the server is used again", func() bool { number++; return n.sendNamed(number, "/chat/x", "m1").status == http.StatusOK })
 }
