--- a/test/platform/builds_test.go
+++ b/test/platform/builds_test.go
@@ -94,7 +94,7 @@
 		t.Skipf("%s is not in the history, or cannot be built: %s", olderCommit, reason)
 	}
 	s := startSoak(t, soakOptions{seed: 1, duration: time.Second, nodes: regressionNodes, kinds: firstKinds(), hasProxies: true, slack: busySlack})
-	calm := s.run(func() {
+	faultsEndedAt := s.run(func() {
 		for i, c := range s.controls {
 			if i%2 == 0 {
 				s.swapBuild(c)
@@ -117,7 +117,7 @@
 			time.Sleep(soakReconnect)
 		}
 	})
-	s.finish(calm)
+	s.finish(faultsEndedAt)
 	led := map[string]bool{}
 	for _, n := range s.nodes {
 		for life := range strings.SplitSeq(n.log(), "event=node_started") {
--- a/test/platform/evacuation_test.go
+++ b/test/platform/evacuation_test.go
@@ -75,14 +75,14 @@
 	f.nodes[2].storeProxy.reset()
 
 	f.store.put("evacuations", "a", map[string]any{})
-	declared := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep(evacuateBound)
 	f.nodes[2].kill()
 	f.nodes[2].start()
 	eventually(t, "the restarted node is ready", f.nodes[2].isReady)
 	eventually(t, "m1 is loaded in the other zone", func() bool { return f.nodes[2].send("/chat/x", "m1").status == http.StatusOK })
 	for _, server := range inside {
-		if late := server.lastContact().Sub(declared); late > evacuateBound {
+		if late := server.lastContact().Sub(evacuatedAt); late > evacuateBound {
 			t.Errorf("%s was reached %v after the evacuation", server.id, late)
 		}
 	}
@@ -99,7 +99,7 @@
 func (f *fleet) evacuateOtherZone(outside []*modelServer) {
 	f.t.Helper()
 	f.store.put("evacuations", "z", map[string]any{})
-	declared := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep(evacuateBound)
 	for _, n := range f.nodes {
 		for _, model := range []string{"", "m1"} {
@@ -112,7 +112,7 @@
 		}
 	}
 	for _, server := range outside {
-		if late := server.lastContact().Sub(declared); late > evacuateBound {
+		if late := server.lastContact().Sub(evacuatedAt); late > evacuateBound {
 			f.t.Errorf("%s was reached %v after the evacuation", server.id, late)
 		}
 	}
@@ -122,9 +122,9 @@
 func (f *fleet) endEvacuation(zone string, servers []*modelServer) {
 	f.t.Helper()
 	f.store.remove("evacuations", zone)
-	taken := time.Now()
+	endedAt := time.Now()
 	for _, server := range servers {
-		eventually(f.t, server.id+" serves again", func() bool { return server.lastContact().After(taken) })
+		eventually(f.t, server.id+" serves again", func() bool { return server.lastContact().After(endedAt) })
 	}
 }
 
--- a/test/platform/network_test.go
+++ b/test/platform/network_test.go
@@ -58,44 +58,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &proxy{target: target, listener: listener, faults: make(map[string]fault), random: rand.New(rand.NewPCG(1, 1))}
-	t.Cleanup(func() { _ = listener.Close(); w.reset() })
-	go w.accept()
-	return w
+	p := &proxy{target: target, listener: listener, faults: make(map[string]fault), random: rand.New(rand.NewPCG(1, 1))}
+	t.Cleanup(func() { _ = listener.Close(); p.reset() })
+	go p.accept()
+	return p
 }
 
 // newPeerProxy additionally forwards datagrams.
 func newPeerProxy(t *testing.T, address, target string) *proxy {
 	t.Helper()
-	w := newProxy(t, address, target)
+	p := newProxy(t, address, target)
 	local, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.packets, err = net.ListenUDP("udp4", local); err != nil {
+	if p.packets, err = net.ListenUDP("udp4", local); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = w.packets.Close() })
-	go w.forwardPackets()
-	return w
+	t.Cleanup(func() { _ = p.packets.Close() })
+	go p.forwardPackets()
+	return p
 }
 
-func (w *proxy) address() string { return w.listener.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
 
 // set installs a fault for a sender; the zero fault removes it.
-func (w *proxy) set(sender string, f fault) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults[sender] = f
+func (p *proxy) set(sender string, f fault) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.faults[sender] = f
 }
 
 // faultFor returns the fault that applies to a connection or datagram of the sender opened
 // at the given time.
-func (w *proxy) faultFor(sender string, opened time.Time) fault {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, concerned := range []string{sender, anySender} {
-		f := w.faults[concerned]
+func (p *proxy) faultFor(sender string, opened time.Time) fault {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, key := range []string{sender, anySender} {
+		f := p.faults[key]
 		if f != (fault{}) && (f.openedBefore.IsZero() || opened.Before(f.openedBefore)) {
 			return f
 		}
@@ -103,18 +103,18 @@
 	return fault{}
 }
 
-func (w *proxy) dropsPacket(f fault) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return f.blockTo || w.random.Float64() < f.loss
+func (p *proxy) dropsPacket(f fault) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return f.blockTo || p.random.Float64() < f.loss
 }
 
 // reset resets all connections.
-func (w *proxy) reset() {
-	w.mu.Lock()
-	conns := slices.Clone(w.conns)
-	w.conns = nil
-	w.mu.Unlock()
+func (p *proxy) reset() {
+	p.mu.Lock()
+	conns := slices.Clone(p.conns)
+	p.conns = nil
+	p.mu.Unlock()
 	for _, conn := range conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -123,43 +123,43 @@
 	}
 }
 
-func (w *proxy) accept() {
+func (p *proxy) accept() {
 	for {
-		conn, err := w.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.forward(conn)
+		go p.forward(conn)
 	}
 }
 
-func (w *proxy) forward(client net.Conn) {
+func (p *proxy) forward(client net.Conn) {
 	sender, _, _ := strings.Cut(client.RemoteAddr().String(), ":")
 	opened := time.Now()
-	if w.faultFor(sender, opened).refuse {
+	if p.faultFor(sender, opened).refuse {
 		_ = client.Close()
 		return
 	}
-	upstream, err := net.Dial("tcp", w.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		_ = client.Close()
 		return
 	}
-	w.mu.Lock()
-	w.conns = append(w.conns, client, upstream)
-	w.mu.Unlock()
-	go w.copy(upstream, client, func(piece []byte) (fault, bool) {
-		f := w.faultFor(sender, opened)
-		return f, f.blockTo && bytes.Contains(piece, []byte(f.containing))
+	p.mu.Lock()
+	p.conns = append(p.conns, client, upstream)
+	p.mu.Unlock()
+	go p.copy(upstream, client, func(chunk []byte) (fault, bool) {
+		f := p.faultFor(sender, opened)
+		return f, f.blockTo && bytes.Contains(chunk, []byte(f.containing))
 	})
-	w.copy(client, upstream, func([]byte) (fault, bool) { f := w.faultFor(sender, opened); return f, f.blockFrom })
-	w.removeConns(client, upstream)
+	p.copy(client, upstream, func([]byte) (fault, bool) { f := p.faultFor(sender, opened); return f, f.blockFrom })
+	p.removeConns(client, upstream)
 }
 
-func (w *proxy) removeConns(ended ...net.Conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.conns = slices.DeleteFunc(w.conns, func(conn net.Conn) bool { return slices.Contains(ended, conn) })
+func (p *proxy) removeConns(ended ...net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = slices.DeleteFunc(p.conns, func(conn net.Conn) bool { return slices.Contains(ended, conn) })
 }
 
 // blockedPollInterval is the interval at which a blocked direction is checked again. TCP
@@ -168,7 +168,7 @@
 const blockedPollInterval = 20 * time.Millisecond
 
 // copy forwards bytes until either end closes.
-func (w *proxy) copy(to, from net.Conn, state func(piece []byte) (f fault, deaf bool)) {
+func (p *proxy) copy(to, from net.Conn, state func(chunk []byte) (f fault, blocked bool)) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 16<<10)
@@ -177,11 +177,11 @@
 		if count > 0 {
 			f, deaf := state(buffer[:count])
 			time.Sleep(f.delay)
-			isHeld := deaf
+			wasBlocked := deaf
 			for ; deaf; _, deaf = state(buffer[:count]) {
 				time.Sleep(blockedPollInterval)
 			}
-			if isHeld && isReset(from) {
+			if wasBlocked && isReset(from) {
 				return
 			}
 			if _, err := to.Write(buffer[:count]); err != nil {
@@ -213,23 +213,23 @@
 	return err != nil || state == unix.BPF_TCP_CLOSE
 }
 
-func (w *proxy) forwardPackets() {
-	target, err := net.ResolveUDPAddr("udp4", w.target)
+func (p *proxy) forwardPackets() {
+	target, err := net.ResolveUDPAddr("udp4", p.target)
 	if err != nil {
 		return
 	}
 	buffer := make([]byte, 64<<10)
 	for {
-		count, sender, err := w.packets.ReadFromUDP(buffer)
+		count, sender, err := p.packets.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		f := w.faultFor(sender.IP.String(), time.Now())
-		if w.dropsPacket(f) {
+		f := p.faultFor(sender.IP.String(), time.Now())
+		if p.dropsPacket(f) {
 			continue
 		}
 		packet := slices.Clone(buffer[:count])
-		time.AfterFunc(f.delay, func() { _, _ = w.packets.WriteToUDP(packet, target) })
+		time.AfterFunc(f.delay, func() { _, _ = p.packets.WriteToUDP(packet, target) })
 	}
 }
 
@@ -250,9 +250,9 @@
 			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
+	p := newProxy(t, "127.0.0.1:0", listener.Addr().String())
 	dial := func() net.Conn {
-		conn, err := net.Dial("tcp", w.address())
+		conn, err := net.Dial("tcp", p.address())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -268,19 +268,19 @@
 	if !echoes(conn) {
 		t.Error("a proxy without a fault does not forward")
 	}
-	for name, f := range map[string]fault{"deaf to": {blockTo: true}, "deaf from": {blockFrom: true}, "slow": {delay: time.Second}} {
-		w.set("127.0.0.1", f)
+	for name, f := range map[string]fault{"block to target": {blockTo: true}, "block from target": {blockFrom: true}, "delay": {delay: time.Second}} {
+		p.set("127.0.0.1", f)
 		if echoes(dial()) {
 			t.Errorf("fault %q: the proxy still forwards", name)
 		}
-		w.set("127.0.0.1", fault{})
+		p.set("127.0.0.1", fault{})
 	}
-	w.set(anySender, fault{refuse: true})
+	p.set(anySender, fault{refuse: true})
 	if echoes(dial()) {
 		t.Error("a proxy that refuses connections still forwards")
 	}
-	w.set(anySender, fault{})
-	w.reset()
+	p.set(anySender, fault{})
+	p.reset()
 	if echoes(conn) {
 		t.Error("a connection still forwards after a reset")
 	}
@@ -297,21 +297,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := make(chan string, 1)
+		received := make(chan string, 1)
 		go func() {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			text, _ := io.ReadAll(conn)
-			got <- string(text)
+			received <- string(text)
 		}()
-		w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
-		conn, err := net.Dial("tcp", w.address())
+		p := newProxy(t, "127.0.0.1:0", listener.Addr().String())
+		conn, err := net.Dial("tcp", p.address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.set(anySender, fault{blockTo: true})
+		p.set(anySender, fault{blockTo: true})
 		_, _ = conn.Write([]byte("order"))
 		time.Sleep(5 * blockedPollInterval)
 		if c.resets {
@@ -319,8 +319,8 @@
 		}
 		_ = conn.Close()
 		time.Sleep(5 * blockedPollInterval)
-		w.set(anySender, fault{})
-		if text := <-got; (text == "order") != c.arrives {
+		p.set(anySender, fault{})
+		if text := <-received; (text == "order") != c.arrives {
 			t.Errorf("%s: %q arrived", name, text)
 		}
 		_ = listener.Close()
@@ -345,14 +345,14 @@
 		}
 	}()
 	for name, f := range map[string]fault{"to": {blockTo: true}, "from": {blockFrom: true}} {
-		w := newProxy(t, "127.0.0.1:0", listener.Addr().String())
+		p := newProxy(t, "127.0.0.1:0", listener.Addr().String())
 		echoes := func(conn net.Conn) bool {
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 			_, err := conn.Read(make([]byte, 1))
 			return err == nil
 		}
-		before, err := net.Dial("tcp", w.address())
+		before, err := net.Dial("tcp", p.address())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -360,8 +360,8 @@
 			t.Fatalf("%s: a proxy without a fault does not forward", name)
 		}
 		f.openedBefore = time.Now()
-		w.set(anySender, f)
-		after, err := net.Dial("tcp", w.address())
+		p.set(anySender, f)
+		after, err := net.Dial("tcp", p.address())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/platform/node_test.go
+++ b/test/platform/node_test.go
@@ -222,18 +222,18 @@
 	models := newServer(t, f.store, "i-models", "models", 50*time.Millisecond)
 	f.store.put("config", "main", newConfig(1))
 	f.awaitReady()
-	served := func(model string) func() bool {
+	isServed := func(model string) func() bool {
 		return func() bool { return f.nodes[2].send("/chat/x", model).status == http.StatusOK }
 	}
-	eventually(t, "m1 answers", served("m1"))
+	eventually(t, "m1 answers", isServed("m1"))
 	holder := f.leader()
 	holder.kill()
 	f.store.set(func() { f.store.dropResponses = true })
 	time.Sleep(300 * time.Millisecond)
 	f.store.set(func() { f.store.dropResponses = false })
 	holder.start()
-	eventually(t, "m2 answers under some leader", served("m2"))
-	eventually(t, "m1 answers again", served("m1"))
+	eventually(t, "m2 answers under some leader", isServed("m2"))
+	eventually(t, "m1 answers again", isServed("m1"))
 	checkOrders(t, models.ordersTaken())
 }
 
--- a/test/platform/poison_test.go
+++ b/test/platform/poison_test.go
@@ -51,31 +51,31 @@
 	crashed map[[2]string]bool
 }
 
-func (b *poisonLog) recordSent(body string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sentAt[body] = append(b.sentAt[body], time.Now())
+func (l *poisonLog) recordSent(body string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sentAt[body] = append(l.sentAt[body], time.Now())
 }
 
 // recordCrash records that a server crashed. A server may crash while it runs several poison
 // requests or several copies of one; each body counts once per server.
-func (b *poisonLog) recordCrash(body, serverID string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.crashed[[2]string{body, serverID}] {
+func (l *poisonLog) recordCrash(body, serverID string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.crashed[[2]string{body, serverID}] {
 		return
 	}
-	b.crashed[[2]string{body, serverID}] = true
-	b.crashedAt[body] = append(b.crashedAt[body], time.Now())
+	l.crashed[[2]string{body, serverID}] = true
+	l.crashedAt[body] = append(l.crashedAt[body], time.Now())
 }
 
 func newPoisonLog() *poisonLog {
 	return &poisonLog{sentAt: make(map[string][]time.Time), crashedAt: make(map[string][]time.Time), crashed: make(map[[2]string]bool)}
 }
 
-func newCrashingServer(t *testing.T, s *store, books *poisonLog, downFor time.Duration) *crashingServer {
+func newCrashingServer(t *testing.T, s *store, log *poisonLog, downFor time.Duration) *crashingServer {
 	t.Helper()
-	return (&crashingServer{t: t, store: s, log: books, downFor: downFor}).start()
+	return (&crashingServer{t: t, store: s, log: log, downFor: downFor}).start()
 }
 
 func (c *crashingServer) start() *crashingServer {
@@ -275,34 +275,34 @@
 }
 
 // check checks the crashes and late sends of a poison request.
-func (b *poisonLog) check(t *testing.T, body string, beyond int) {
+func (l *poisonLog) check(t *testing.T, body string, beyond int) {
 	t.Helper()
-	if late := b.checkCrashes(t, body, beyond); late > beyond {
-		t.Errorf("%q reached servers %d times more than %v after its third crash", body, late, poisonKnownWithin)
+	if lateSends := l.checkCrashes(t, body, beyond); lateSends > beyond {
+		t.Errorf("%q reached servers %d times more than %v after its third crash", body, lateSends, poisonKnownWithin)
 	}
 }
 
 // checkCrashes checks the number of crashes, and returns how often the request reached a
 // server after all nodes had to know of it.
-func (b *poisonLog) checkCrashes(t *testing.T, body string, beyond int) int {
+func (l *poisonLog) checkCrashes(t *testing.T, body string, beyond int) int {
 	t.Helper()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ended, sent := b.crashedAt[body], b.sentAt[body]
-	if len(ended) > maxCrashes+beyond {
-		t.Errorf("%q crashed %d servers, want at most %d", body, len(ended), maxCrashes+beyond)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	crashedAt, sentAt := l.crashedAt[body], l.sentAt[body]
+	if len(crashedAt) > maxCrashes+beyond {
+		t.Errorf("%q crashed %d servers, want at most %d", body, len(crashedAt), maxCrashes+beyond)
 	}
-	if len(ended) < maxCrashes {
-		t.Errorf("%q crashed only %d servers", body, len(ended))
+	if len(crashedAt) < maxCrashes {
+		t.Errorf("%q crashed only %d servers", body, len(crashedAt))
 		return 0
 	}
-	late := 0
-	for _, at := range sent {
-		if at.Sub(ended[maxCrashes-1]) > poisonKnownWithin {
-			late++
+	lateSends := 0
+	for _, at := range sentAt {
+		if at.Sub(crashedAt[maxCrashes-1]) > poisonKnownWithin {
+			lateSends++
 		}
 	}
-	return late
+	return lateSends
 }
 
 // Parameters of a larger run, which takes a minute: go test ./test/platform -run
--- a/test/platform/server_test.go
+++ b/test/platform/server_test.go
@@ -201,32 +201,32 @@
 }
 
 func (m *modelServer) handleOrder(writer http.ResponseWriter, request *http.Request) {
-	var wanted order
-	if json.NewDecoder(request.Body).Decode(&wanted) != nil || wanted.Holder == "" || wanted.FencingToken == 0 {
+	var received order
+	if json.NewDecoder(request.Body).Decode(&received) != nil || received.Holder == "" || received.FencingToken == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	wanted.at = time.Now()
-	m.orders = append(m.orders, wanted)
-	if m.busy || (wanted.ExpectedCount != nil && *wanted.ExpectedCount != m.sequence) {
+	received.at = time.Now()
+	m.orders = append(m.orders, received)
+	if m.busy || (received.ExpectedCount != nil && *received.ExpectedCount != m.sequence) {
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
-	if wanted.Operation != "unload" && wanted.Adapter != "" && m.models[wanted.Model] == nil {
+	if received.Operation != "unload" && received.Adapter != "" && m.models[received.Model] == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	m.sequence++
 	switch {
-	case wanted.Operation == "unload":
-		delete(m.models, wanted.Model)
-	case wanted.Adapter != "":
-		m.models[wanted.Model][wanted.Adapter] = true
+	case received.Operation == "unload":
+		delete(m.models, received.Model)
+	case received.Adapter != "":
+		m.models[received.Model][received.Adapter] = true
 	default:
 		m.busy = true
-		m.recordLoad(wanted.Model)
+		m.recordLoad(received.Model)
 		born := m.startID
 		time.AfterFunc(m.loadTime, func() {
 			m.mu.Lock()
@@ -236,7 +236,7 @@
 			}
 			m.busy = false
 			m.loading = ""
-			m.models[wanted.Model] = make(map[string]bool)
+			m.models[received.Model] = make(map[string]bool)
 		})
 	}
 	writer.WriteHeader(http.StatusAccepted)
--- a/test/platform/soak_callers_test.go
+++ b/test/platform/soak_callers_test.go
@@ -137,13 +137,13 @@
 
 // outcome builds the outcome from the response's status and body.
 func (r soakRequest) outcome(status int, text []byte, err error) outcome {
-	end := outcome{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
-	end.refusedAsPoison = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
-	end.bodyComplete = strings.HasPrefix(string(text), "done by i-")
+	o := outcome{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
+	o.refusedAsPoison = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
+	o.bodyComplete = strings.HasPrefix(string(text), "done by i-")
 	if r.model != "" {
-		end.bodyComplete = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
+		o.bodyComplete = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
 	}
-	return end
+	return o
 }
 
 func (s *soak) send(client *http.Client, r soakRequest) func(n *node) outcome {
@@ -161,12 +161,12 @@
 // recordOutcome sends one request and records its outcome.
 func (s *soak) recordOutcome(n *node, r soakRequest, send func(n *node) outcome) outcome {
 	sent := time.Now()
-	end := send(n)
-	end.node, end.sent, end.done = n.name, sent, time.Now()
+	o := send(n)
+	o.node, o.sent, o.done = n.name, sent, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outcomes = append(s.outcomes, end)
-	return end
+	s.outcomes = append(s.outcomes, o)
+	return o
 }
 
 // keptConn is a keep-alive connection.
@@ -196,8 +196,8 @@
 		for isOpen := true; isOpen && !s.isStopping(); sent++ {
 			r := s.drawRequest(n, fmt.Sprintf("k%d-%d", number, sent), random)
 			r.behavior = allBehaviors[random.IntN(len(allBehaviors))]
-			end := s.recordOutcome(n, r, func(n *node) outcome { return kept.exchange(n, r) })
-			isOpen = end.err == nil && !end.callerLeft
+			o := s.recordOutcome(n, r, func(n *node) outcome { return kept.exchange(n, r) })
+			isOpen = o.err == nil && !o.callerLeft
 			time.Sleep(time.Duration(random.Float64() * float64(keptPause)))
 		}
 		_ = conn.Close()
@@ -223,9 +223,9 @@
 	defer response.Body.Close()
 	if r.behavior == disconnects {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
-		end := r.outcome(response.StatusCode, nil, nil)
-		end.callerLeft = true
-		return end
+		o := r.outcome(response.StatusCode, nil, nil)
+		o.callerLeft = true
+		return o
 	}
 	if r.behavior == slowDownload {
 		response.Body = struct {
--- a/test/platform/soak_control_test.go
+++ b/test/platform/soak_control_test.go
@@ -110,7 +110,7 @@
 }
 
 // state returns the state of the current process.
-func (c *control) state() (running, disturbed, asked bool, exit error) {
+func (c *control) state() (running, disturbed, stopRequested bool, exit error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running, c.disturbed, c.stopRequested, c.exit
--- a/test/platform/soak_evacuation_test.go
+++ b/test/platform/soak_evacuation_test.go
@@ -70,7 +70,7 @@
 	}
 	counts := make(map[string]int)
 	for _, m := range s.servers {
-		if _, left := s.drainedAt[m.id]; !left && m.service == service {
+		if _, isLeaving := s.drainedAt[m.id]; !isLeaving && m.service == service {
 			counts[m.zone]++
 		}
 	}
@@ -84,9 +84,9 @@
 		if evacuation.zone != m.zone {
 			continue
 		}
-		for _, end := range s.outcomes {
-			if at, ran := m.startedAt[end.id]; ran {
-				s.checkEvacuated(m, evacuation, end.node, end.id, end.sent, at)
+		for _, o := range s.outcomes {
+			if at, ran := m.startedAt[o.id]; ran {
+				s.checkEvacuated(m, evacuation, o.node, o.id, o.sent, at)
 			}
 		}
 		for _, order := range m.orders {
--- a/test/platform/soak_faults_test.go
+++ b/test/platform/soak_faults_test.go
@@ -333,21 +333,21 @@
 
 func (s *soak) expireEntry(m *modelServer) {
 	s.mu.Lock()
-	_, left := s.drainedAt[m.id]
-	s.expired[m.id] = !left
+	_, isLeaving := s.drainedAt[m.id]
+	s.expired[m.id] = !isLeaving
 	s.mu.Unlock()
-	if !left {
+	if !isLeaving {
 		s.store.remove("servers", m.id)
 	}
 }
 
 func (s *soak) restoreEntry(m *modelServer) {
 	s.mu.Lock()
-	_, left := s.drainedAt[m.id]
+	_, isLeaving := s.drainedAt[m.id]
 	expired := s.expired[m.id]
 	delete(s.expired, m.id)
 	s.mu.Unlock()
-	if expired && !left {
+	if expired && !isLeaving {
 		m.register(s.store, "ready")
 	}
 }
@@ -447,14 +447,14 @@
 }
 
 // faultLink applies a fault to one of a node's proxies for a time.
-func (s *soak) faultLink(c *control, w *proxy, sender, what string, duration time.Duration, f fault, resets bool) {
-	if w == nil {
+func (s *soak) faultLink(c *control, p *proxy, sender, what string, duration time.Duration, f fault, resets bool) {
+	if p == nil {
 		return
 	}
 	s.disturb(nodeScope, c.name, what, duration)
-	w.set(sender, f)
+	p.set(sender, f)
 	if resets {
-		w.reset()
+		p.reset()
 	}
-	s.runAfter(duration, func() { w.set(sender, fault{}) })
+	s.runAfter(duration, func() { p.set(sender, fault{}) })
 }
--- a/test/platform/soak_home_test.go
+++ b/test/platform/soak_home_test.go
@@ -41,18 +41,18 @@
 func (s *soak) limitToRegion(drawn drawnFault) {
 	region := soakRegions[drawn.server%len(soakRegions)]
 	s.mu.Lock()
-	isBounded := len(s.allowedRegions) > 0 && len(s.allowedRegions[len(s.allowedRegions)-1].regions) > 0
-	if !isBounded {
+	isLimited := len(s.allowedRegions) > 0 && len(s.allowedRegions[len(s.allowedRegions)-1].regions) > 0
+	if !isLimited {
 		s.allowedRegions = append(s.allowedRegions, regionRule{regions: []string{region}})
 	}
 	s.mu.Unlock()
-	if isBounded {
+	if isLimited {
 		return
 	}
-	lasts := minRegionLimit + drawn.duration
-	s.disturb(serverScope, "", "commands may only run in "+region, lasts+configApplyBound)
+	period := minRegionLimit + drawn.duration
+	s.disturb(serverScope, "", "commands may only run in "+region, period+configApplyBound)
 	s.changeConfiguration()
-	s.runAfter(lasts, func() {
+	s.runAfter(period, func() {
 		s.mu.Lock()
 		s.allowedRegions = append(s.allowedRegions, regionRule{})
 		s.mu.Unlock()
@@ -78,9 +78,9 @@
 // mayRunAt reports whether any version that may be in force at the time allows commands in
 // the region. s.mu is held.
 func (s *soak) mayRunAt(region string, at time.Time) bool {
-	for i, home := range s.allowedRegions {
+	for i, rule := range s.allowedRegions {
 		isOver := i+1 < len(s.allowedRegions) && !s.allowedRegions[i+1].at.IsZero() && at.Sub(s.allowedRegions[i+1].at) > configApplyBound+s.options.slack
-		if !isOver && (len(home.regions) == 0 || slices.Contains(home.regions, region)) {
+		if !isOver && (len(rule.regions) == 0 || slices.Contains(rule.regions, region)) {
 			return true
 		}
 	}
@@ -94,14 +94,14 @@
 		return
 	}
 	region := soakRegions[max(0, slices.Index(soakZones, m.zone))]
-	for _, end := range s.outcomes {
-		at, ran := m.startedAt[end.id]
-		if !ran || end.route == "added" || s.mayRunAt(region, at) {
+	for _, o := range s.outcomes {
+		at, ran := m.startedAt[o.id]
+		if !ran || o.route == "added" || s.mayRunAt(region, at) {
 			continue
 		}
 		from := at.Add(-soakReconnect)
-		if !s.isDisturbed(m.id, from, at, serverLinkScope) && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
-			s.report("HOME: %s in %s ran %s of %s", m.id, region, end.id, end.node)
+		if !s.isDisturbed(m.id, from, at, serverLinkScope) && !s.isDisturbed(o.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+			s.report("HOME: %s in %s ran %s of %s", m.id, region, o.id, o.node)
 		}
 	}
 }
--- a/test/platform/soak_judge_test.go
+++ b/test/platform/soak_judge_test.go
@@ -32,15 +32,15 @@
 // checkNewOutcomes checks the outcomes recorded since the last call.
 func (s *soak) checkNewOutcomes() {
 	s.mu.Lock()
-	ends := slices.Clone(s.outcomes[s.checkedCount:])
+	outcomes := slices.Clone(s.outcomes[s.checkedCount:])
 	s.checkedCount = len(s.outcomes)
 	s.mu.Unlock()
-	if len(ends) == 0 {
+	if len(outcomes) == 0 {
 		return
 	}
-	ran := s.runCounts()
-	for _, end := range ends {
-		s.checkAnswer(end, ran[end.id])
+	runCounts := s.runCounts()
+	for _, o := range outcomes {
+		s.checkAnswer(o, runCounts[o.id])
 	}
 }
 
@@ -49,15 +49,15 @@
 	s.mu.Lock()
 	servers := slices.Clone(s.servers)
 	s.mu.Unlock()
-	ran := make(map[string]int)
+	counts := make(map[string]int)
 	for _, m := range servers {
 		m.mu.Lock()
 		for id, count := range m.runs {
-			ran[id] += count
+			counts[id] += count
 		}
 		m.mu.Unlock()
 	}
-	return ran
+	return counts
 }
 
 // checkHeaders checks the request headers that servers received, and that no log contains an
@@ -78,15 +78,15 @@
 }
 
 // checkAll runs all checks at the end.
-func (s *soak) checkAll(calm time.Time) {
+func (s *soak) checkAll(faultsEndedAt time.Time) {
 	s.checkNewOutcomes()
-	ran := s.runCounts()
-	tally := make(map[string]int)
-	for _, end := range s.outcomes {
-		s.checkRunCount(end, ran[end.id])
-		tally[fmt.Sprintf("%d", end.status)]++
+	runCounts := s.runCounts()
+	statusCounts := make(map[string]int)
+	for _, o := range s.outcomes {
+		s.checkRunCount(o, runCounts[o.id])
+		statusCounts[fmt.Sprintf("%d", o.status)]++
 	}
-	s.checkRecovery(calm)
+	s.checkRecovery(faultsEndedAt)
 	s.checkServers()
 	s.checkHeaders()
 	s.checkKeys()
@@ -97,43 +97,43 @@
 	s.checkReadiness()
 	s.checkExits()
 	s.t.Logf("seed %d: %d requests, answers by status %v, %d disturbances, %d servers, %d versions, %d nodes",
-		s.options.seed, len(s.outcomes), tally, len(s.disturbances), len(s.servers), s.version, len(s.nodes))
+		s.options.seed, len(s.outcomes), statusCounts, len(s.disturbances), len(s.servers), s.version, len(s.nodes))
 }
 
 // checkRunCount checks rules that hold regardless of faults. Requests on added routes are
 // safe and may run more than once.
-func (s *soak) checkRunCount(end outcome, ran int) {
+func (s *soak) checkRunCount(o outcome, ran int) {
 	switch {
-	case ran > 1 && end.route != "added":
-		s.report("TWICE: %s ran %d times", end.id, ran)
-	case (end.status == 503 || end.status == 429) && ran > 0:
-		s.report("REFUSED: %s got %d although it ran", end.id, end.status)
+	case ran > 1 && o.route != "added":
+		s.report("TWICE: %s ran %d times", o.id, ran)
+	case (o.status == 503 || o.status == 429) && ran > 0:
+		s.report("REFUSED: %s got %d although it ran", o.id, o.status)
 	}
 }
 
 // checkAnswer checks the response that the caller got.
-func (s *soak) checkAnswer(end outcome, ran int) {
+func (s *soak) checkAnswer(o outcome, ran int) {
 	switch {
-	case end.status == 200 && end.err == nil && !end.bodyComplete && !end.callerLeft:
-		s.report("MIXED: %s got a success with another body", end.id)
-	case end.status == 404 && end.route == "added" && !s.isCalm(end.node, end.sent.Add(-soakReconnect), end.done):
+	case o.status == 200 && o.err == nil && !o.bodyComplete && !o.callerLeft:
+		s.report("MIXED: %s got a success with another body", o.id)
+	case o.status == 404 && o.route == "added" && !s.isCalm(o.node, o.sent.Add(-soakReconnect), o.done):
 		// The version may not be in force yet.
-	case end.status >= 400 && end.status < 500 && end.status != 429:
-		s.report("DENIED: %s got %d", end.id, end.status)
+	case o.status >= 400 && o.status < 500 && o.status != 429:
+		s.report("DENIED: %s got %d", o.id, o.status)
 	}
 	// A disturbed node may answer late and lose requests. Disturbances of a server or the store
 	// do not make a node late.
-	if s.isDisturbed(end.node, end.sent.Add(-soakReconnect), end.done, nodeScope) {
+	if s.isDisturbed(o.node, o.sent.Add(-soakReconnect), o.done, nodeScope) {
 		return
 	}
-	if elapsed := end.done.Sub(end.sent); elapsed > soakDeadline+500*time.Millisecond+s.options.slack {
-		s.report("late: %s was held for %v", end.id, elapsed)
+	if elapsed := o.done.Sub(o.sent); elapsed > soakDeadline+500*time.Millisecond+s.options.slack {
+		s.report("late: %s was held for %v", o.id, elapsed)
 	}
-	if s.isDisturbed(end.node, end.sent.Add(-soakReconnect), end.done, serverScope) {
+	if s.isDisturbed(o.node, o.sent.Add(-soakReconnect), o.done, serverScope) {
 		return
 	}
-	if end.err != nil && !end.callerLeft && !s.metConnectionClose(end, ran) {
-		s.report("LOST: %s at %s, sent %s: %v", end.id, end.node, end.sent.Format("15:04:05.000"), end.err)
+	if o.err != nil && !o.callerLeft && !s.metConnectionClose(o, ran) {
+		s.report("LOST: %s at %s, sent %s: %v", o.id, o.node, o.sent.Format("15:04:05.000"), o.err)
 	}
 }
 
@@ -143,11 +143,11 @@
 
 // metConnectionClose reports whether a request met a closing connection or a stopped node
 // and was not accepted.
-func (s *soak) metConnectionClose(end outcome, ran int) bool {
-	if errors.Is(end.err, syscall.ECONNREFUSED) {
+func (s *soak) metConnectionClose(o outcome, ran int) bool {
+	if errors.Is(o.err, syscall.ECONNREFUSED) {
 		return true
 	}
-	return ran == 0 && end.done.Sub(end.sent) < end.sending+lossSlack+s.options.slack
+	return ran == 0 && o.done.Sub(o.sent) < o.sending+lossSlack+s.options.slack
 }
 
 // isDisturbed reports whether a disturbance of the scope overlaps the period. An empty node,
@@ -155,9 +155,9 @@
 func (s *soak) isDisturbed(node string, from, to time.Time, where scope) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.disturbances, func(known disturbance) bool {
-		concerns := known.node == "" || node == "" || known.node == node
-		return concerns && known.scope == where && known.from.Before(to) && known.to.After(from)
+	return slices.ContainsFunc(s.disturbances, func(d disturbance) bool {
+		matchesNode := d.node == "" || node == "" || d.node == node
+		return matchesNode && d.scope == where && d.from.Before(to) && d.to.After(from)
 	})
 }
 
@@ -173,12 +173,12 @@
 	return true
 }
 
-func (s *soak) checkRecovery(calm time.Time) {
+func (s *soak) checkRecovery(faultsEndedAt time.Time) {
 	sent, served := 0, 0
-	for _, end := range s.outcomes {
-		if end.sent.After(calm.Add(soakRecovery)) && !end.callerLeft {
+	for _, o := range s.outcomes {
+		if o.sent.After(faultsEndedAt.Add(soakRecovery)) && !o.callerLeft {
 			sent++
-			if end.status == 200 && end.bodyComplete {
+			if o.status == 200 && o.bodyComplete {
 				served++
 			}
 		}
@@ -217,20 +217,20 @@
 // checkDrain reports work that started at a server after all nodes had to know that it is
 // draining, sent by undisturbed nodes while the store was undisturbed. m.mu is held.
 func (s *soak) checkDrain(m *modelServer) {
-	left, ok := s.drainedAt[m.id]
+	drainedAt, ok := s.drainedAt[m.id]
 	if !ok {
 		return
 	}
-	for _, end := range s.outcomes {
-		at, ran := m.startedAt[end.id]
-		if !ran || at.Sub(left) <= soakDrain+s.options.slack {
+	for _, o := range s.outcomes {
+		at, ran := m.startedAt[o.id]
+		if !ran || at.Sub(drainedAt) <= soakDrain+s.options.slack {
 			continue
 		}
-		from := left.Add(-soakReconnect)
+		from := drainedAt.Add(-soakReconnect)
 		// A disturbed link may have delayed a request that was sent in time.
-		isDelayed := end.sent.Before(left.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
-		if !isDelayed && !s.isDisturbed(end.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
-			s.report("DRAIN: %s ran %s of %s %v after it began to drain", m.id, end.id, end.node, at.Sub(left))
+		isDelayed := o.sent.Before(drainedAt.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
+		if !isDelayed && !s.isDisturbed(o.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+			s.report("DRAIN: %s ran %s of %s %v after it began to drain", m.id, o.id, o.node, at.Sub(drainedAt))
 		}
 	}
 }
@@ -265,29 +265,29 @@
 // checkRefusals reports periods in which all requests for a service were refused although
 // its servers run.
 func (s *soak) checkRefusals() {
-	runs := make(map[string]refusalPeriod)
-	ends := slices.Clone(s.outcomes)
-	slices.SortFunc(ends, func(a, b outcome) int { return a.sent.Compare(b.sent) })
-	for _, end := range ends {
+	periods := make(map[string]refusalPeriod)
+	outcomes := slices.Clone(s.outcomes)
+	slices.SortFunc(outcomes, func(a, b outcome) int { return a.sent.Compare(b.sent) })
+	for _, o := range outcomes {
 		service := "commands"
-		if end.route == "models" {
+		if o.route == "models" {
 			service = "models"
 		}
-		current := runs[service]
+		current := periods[service]
 		switch {
-		case end.status == 200 || !s.isCalm(end.node, end.sent, end.done):
-			runs[service] = refusalPeriod{}
+		case o.status == 200 || !s.isCalm(o.node, o.sent, o.done):
+			periods[service] = refusalPeriod{}
 			continue
-		case end.status != 503:
+		case o.status != 503:
 			continue
 		case current.refused == 0:
-			current.since = end.sent
+			current.since = o.sent
 		}
 		current.refused++
-		runs[service] = current
-		if current.refused >= minRefusals && end.sent.Sub(current.since) > maxRefusalTime+s.options.slack {
-			s.report("SHORT: %s refused all requests for %v, %d in total", service, end.sent.Sub(current.since), current.refused)
-			runs[service] = refusalPeriod{}
+		periods[service] = current
+		if current.refused >= minRefusals && o.sent.Sub(current.since) > maxRefusalTime+s.options.slack {
+			s.report("SHORT: %s refused all requests for %v, %d in total", service, o.sent.Sub(current.since), current.refused)
+			periods[service] = refusalPeriod{}
 		}
 	}
 }
--- a/test/platform/soak_limit_test.go
+++ b/test/platform/soak_limit_test.go
@@ -53,20 +53,20 @@
 
 // checkLimit checks the contacts during which the server announced one limit.
 func (s *soak) checkLimit(m *modelServer, contacts []contact) {
-	ends := make(map[string]outcome, len(s.outcomes))
-	for _, end := range s.outcomes {
-		ends[end.id] = end
+	outcomes := make(map[string]outcome, len(s.outcomes))
+	for _, o := range s.outcomes {
+		outcomes[o.id] = o
 	}
 	informedAt := make(map[string]time.Time)
 	for _, c := range contacts {
-		end, known := ends[c.id]
-		if at, isInformed := informedAt[end.node]; known && end.status == 200 && (!isInformed || end.done.Before(at)) {
-			informedAt[end.node] = end.done
+		answered, isKnown := outcomes[c.id]
+		if at, isInformed := informedAt[answered.node]; isKnown && answered.status == 200 && (!isInformed || answered.done.Before(at)) {
+			informedAt[answered.node] = answered.done
 		}
 	}
 	var counted []contact
 	for _, one := range contacts {
-		if one.at.Sub(contacts[0].at) > limitSettleTime+s.options.slack && s.countsToLimit(m, one, ends[one.id].node, informedAt) {
+		if one.at.Sub(contacts[0].at) > limitSettleTime+s.options.slack && s.countsToLimit(m, one, outcomes[one.id].node, informedAt) {
 			counted = append(counted, one)
 		}
 	}
--- a/test/platform/soak_planted_test.go
+++ b/test/platform/soak_planted_test.go
@@ -14,7 +14,7 @@
 // violations, and expects the check of just that rule to report it.
 func TestSoakJudgeFindsWhatIsBroken(t *testing.T) {
 	at := func(after time.Duration) time.Time { return time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC).Add(after) }
-	fine := outcome{id: "a", node: "node-1", route: "command", sent: at(0), done: at(time.Second), status: 200, bodyComplete: true}
+	valid := outcome{id: "a", node: "node-1", route: "command", sent: at(0), done: at(time.Second), status: 200, bodyComplete: true}
 	cases := []struct {
 		rule  string
 		plant func(s *soak)
@@ -168,11 +168,11 @@
 			s.outcomes = append(s.outcomes, slices.Repeat(s.outcomes[1:2], 10*minRefusals)...)
 		}},
 		{"BUDGET", func(s *soak) {
-			known := &soakPoison{ended: []time.Time{at(0), at(1), at(2)}}
+			poison := &soakPoison{ended: []time.Time{at(0), at(1), at(2)}}
 			for range maxLateSends + 1 {
-				known.sends = append(known.sends, poisonSend{node: "node-1", at: at(soakReconnect + time.Second)})
+				poison.sends = append(poison.sends, poisonSend{node: "node-1", at: at(soakReconnect + time.Second)})
 			}
-			s.poisons["poison 0"] = known
+			s.poisons["poison 0"] = poison
 		}},
 		{"", func(s *soak) {
 			known := &soakPoison{ended: []time.Time{at(0), at(1), at(2)}}
@@ -212,7 +212,7 @@
 		s.version = 3
 		s.controls = []*control{{node: n}}
 		s.servers = []*modelServer{{id: "i", zone: "z", runs: map[string]int{"a": 1}, startedAt: make(map[string]time.Time)}}
-		s.outcomes = []outcome{fine, {id: "b", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 200, bodyComplete: true}}
+		s.outcomes = []outcome{valid, {id: "b", node: "node-1", sent: at(time.Minute), done: at(time.Minute), status: 200, bodyComplete: true}}
 		c.plant(s)
 		s.checkAll(at(0))
 		rules := make(map[string]bool)
--- a/test/platform/soak_poison_test.go
+++ b/test/platform/soak_poison_test.go
@@ -64,14 +64,14 @@
 	_ = http.NewResponseController(writer).Flush()
 	time.Sleep(poisonRunTime)
 	s.mu.Lock()
-	_, hasEnded := s.drainedAt[m.id]
-	if !hasEnded {
+	_, hasCrashed := s.drainedAt[m.id]
+	if !hasCrashed {
 		s.drainedAt[m.id] = time.Now()
 		s.crashed[m.id] = true
 		poison.ended = append(poison.ended, time.Now())
 	}
 	s.mu.Unlock()
-	if !hasEnded {
+	if !hasCrashed {
 		s.t.Logf("%s %s crashes on %q", time.Now().Format("15:04:05.000"), m.id, body)
 		s.disturb(serverScope, "", m.id+" crashed", entryRemovalDelay)
 		_ = m.proxy.listener.Close()
@@ -89,15 +89,15 @@
 		if len(poison.ended) < maxCrashes {
 			continue
 		}
-		third, late := poison.ended[maxCrashes-1], 0
+		thirdCrash, lateSends := poison.ended[maxCrashes-1], 0
 		for _, sent := range poison.sends {
-			if sent.at.Sub(third) > soakReconnect+s.options.slack && !s.isDisturbed(sent.node, sent.at.Add(-soakReconnect), sent.at, nodeScope) &&
+			if sent.at.Sub(thirdCrash) > soakReconnect+s.options.slack && !s.isDisturbed(sent.node, sent.at.Add(-soakReconnect), sent.at, nodeScope) &&
 				!s.isDisturbed(sent.node, sent.at.Add(-soakReconnect), sent.at, plannedNodeScope) {
-				late++
+				lateSends++
 			}
 		}
-		if late > maxLateSends {
-			s.report("BUDGET: %q reached servers %d times from undisturbed nodes, more than %v after its third crash", body, late, soakReconnect)
+		if lateSends > maxLateSends {
+			s.report("BUDGET: %q reached servers %d times from undisturbed nodes, more than %v after its third crash", body, lateSends, soakReconnect)
 		}
 		s.t.Logf("%q crashed %d servers and reached servers %d times", body, len(poison.ended), len(poison.sends))
 	}
@@ -111,25 +111,25 @@
 const maxPoisonBlock = 22 * time.Second
 
 func (s *soak) checkPoisonRefusals() {
-	ends := slices.Clone(s.outcomes)
-	slices.SortFunc(ends, func(a, b outcome) int { return a.done.Compare(b.done) })
+	outcomes := slices.Clone(s.outcomes)
+	slices.SortFunc(outcomes, func(a, b outcome) int { return a.done.Compare(b.done) })
 	since := make(map[string]time.Time)
 	refused := 0
-	for _, end := range ends {
-		if end.refusedAsPoison {
+	for _, o := range outcomes {
+		if o.refusedAsPoison {
 			refused++
 		}
 		switch {
-		case end.model != "" && end.status == http.StatusOK:
-			delete(since, end.model)
-		case end.refusedAsPoison && since[end.model].IsZero():
-			since[end.model] = end.done
-		case end.refusedAsPoison && end.done.Sub(since[end.model]) > maxPoisonBlock+s.options.slack:
-			s.report("BARRED: %s of %s was refused as a poison request, like all similar requests for %v", end.id, end.node, end.done.Sub(since[end.model]))
+		case o.model != "" && o.status == http.StatusOK:
+			delete(since, o.model)
+		case o.refusedAsPoison && since[o.model].IsZero():
+			since[o.model] = o.done
+		case o.refusedAsPoison && o.done.Sub(since[o.model]) > maxPoisonBlock+s.options.slack:
+			s.report("BARRED: %s of %s was refused as a poison request, like all similar requests for %v", o.id, o.node, o.done.Sub(since[o.model]))
 		}
 	}
 	s.t.Logf("%d requests were refused as poison requests", refused)
-	if most := s.options.maxPoisonRefusals; most > 0 && refused > most {
-		s.report("BARRED: %d requests were refused as poison requests, want at most %d", refused, most)
+	if maximum := s.options.maxPoisonRefusals; maximum > 0 && refused > maximum {
+		s.report("BARRED: %d requests were refused as poison requests, want at most %d", refused, maximum)
 	}
 }
--- a/test/platform/soak_rollback_test.go
+++ b/test/platform/soak_rollback_test.go
@@ -67,13 +67,13 @@
 // reason.
 func (s *soak) rewriteServer(m *modelServer) {
 	s.mu.Lock()
-	leftAt, left := s.drainedAt[m.id]
+	leftAt, isLeaving := s.drainedAt[m.id]
 	expired, crashed := s.expired[m.id], s.crashed[m.id]
 	s.mu.Unlock()
 	switch {
-	case crashed, left && time.Since(leftAt) > soakDrain:
+	case crashed, isLeaving && time.Since(leftAt) > soakDrain:
 		s.store.remove("servers", m.id)
-	case left:
+	case isLeaving:
 		m.register(s.store, "draining")
 	case !expired:
 		m.register(s.store, "ready")
--- a/test/platform/soak_routes_test.go
+++ b/test/platform/soak_routes_test.go
@@ -88,16 +88,16 @@
 // undisturbed periods.
 func (s *soak) checkAddedRoutes() {
 	var sent, served [2]float64
-	for _, end := range s.outcomes {
-		if end.callerLeft || !s.isCalm(end.node, end.sent, end.done) {
+	for _, o := range s.outcomes {
+		if o.callerLeft || !s.isCalm(o.node, o.sent, o.done) {
 			continue
 		}
 		group := 0
-		if end.route == "added" {
+		if o.route == "added" {
 			group = 1
 		}
 		sent[group]++
-		if end.status == 200 {
+		if o.status == 200 {
 			served[group]++
 		}
 	}
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -79,15 +79,15 @@
 
 // silence blocks the connections that are open now, in a drawn direction, while new ones
 // work. The name is that of the affected node or server.
-func (s *soak) silence(drawn drawnFault, w *proxy, name, what string) {
-	if w == nil {
+func (s *soak) silence(drawn drawnFault, p *proxy, name, what string) {
+	if p == nil {
 		return
 	}
 	direction, f := silentDirection(drawn)
 	f.openedBefore = time.Now()
 	s.disturb(nodeScope, name, fmt.Sprintf("%s silent %s", what, direction), silenceTime)
-	w.set(anySender, f)
-	s.runAfter(silenceTime, func() { w.set(anySender, fault{}) })
+	p.set(anySender, f)
+	s.runAfter(silenceTime, func() { p.set(anySender, fault{}) })
 }
 
 func silentDirection(drawn drawnFault) (direction string, f fault) {
--- a/test/platform/soak_starts_test.go
+++ b/test/platform/soak_starts_test.go
@@ -31,9 +31,9 @@
 	s.runAfter(downtime, func() {
 		m.set(func() { m.isDown = false })
 		s.mu.Lock()
-		_, left := s.drainedAt[m.id]
+		_, isLeaving := s.drainedAt[m.id]
 		s.mu.Unlock()
-		if !left {
+		if !isLeaving {
 			m.restart(s.store)
 		}
 	})
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -214,23 +214,23 @@
 
 // run starts the callers, injects the faults, and waits for the quiet period. It returns the
 // time at which the last fault ended.
-func (s *soak) run(injectFaults func()) (calm time.Time) {
+func (s *soak) run(injectFaults func()) (faultsEndedAt time.Time) {
 	s.awaitReady()
 	s.hidesLogs = true
 	s.startCallers()
 	go s.checkPeriodically()
 	injectFaults()
-	calm = time.Now()
+	faultsEndedAt = time.Now()
 	time.Sleep(soakQuietPeriod + s.options.slack)
-	return calm
+	return faultsEndedAt
 }
 
 // finish runs all checks and reports the violations.
-func (s *soak) finish(calm time.Time) {
+func (s *soak) finish(faultsEndedAt time.Time) {
 	s.checkUsableServers()
 	close(s.stop)
 	s.callers.Wait()
-	s.checkAll(calm)
+	s.checkAll(faultsEndedAt)
 	s.writeLogs()
 	for _, finding := range s.findings {
 		s.t.Error(finding)
@@ -300,8 +300,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(s.servers), func(m *modelServer) bool {
-		_, left := s.drainedAt[m.id]
-		return left
+		_, isLeaving := s.drainedAt[m.id]
+		return isLeaving
 	})
 }
 
--- a/test/platform/soak_words_test.go
+++ b/test/platform/soak_words_test.go
@@ -50,39 +50,39 @@
 // that it is leaving, and requests during a back-off. It excuses nodes that stopped, froze
 // or were disconnected in between, and delays by a disturbed link. m.mu is held.
 func (s *soak) checkNotices(m *modelServer) {
-	ends := make(map[string]outcome, len(s.outcomes))
-	for _, end := range s.outcomes {
-		ends[end.id] = end
+	outcomes := make(map[string]outcome, len(s.outcomes))
+	for _, o := range s.outcomes {
+		outcomes[o.id] = o
 	}
 	// A notice applies to the server start that gave it.
 	type serverStart struct {
-		node string
-		born int64
+		node    string
+		startID int64
 	}
 	noticeAt := make(map[serverStart]time.Time)
 	backoffs := make(map[serverStart][]arrival)
 	for _, arrived := range m.arrivals {
-		end, known := ends[arrived.id]
-		if !known {
+		answered, isKnown := outcomes[arrived.id]
+		if !isKnown {
 			continue
 		}
-		key := serverStart{end.node, arrived.startID}
-		if at, told := noticeAt[key]; told && end.sent.Sub(at) > soakDrain+s.options.slack && !s.isNoticeExcused(m, end.node, at, arrived.at) {
-			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it is leaving", end.id, end.node, m.id, arrived.at.Sub(at))
+		key := serverStart{answered.node, arrived.startID}
+		if at, isInformed := noticeAt[key]; isInformed && answered.sent.Sub(at) > soakDrain+s.options.slack && !s.isNoticeExcused(m, answered.node, at, arrived.at) {
+			s.report("DRAIN: %s of %s reached %s %v after it had told the node that it is leaving", answered.id, answered.node, m.id, arrived.at.Sub(at))
 		}
-		s.checkBackoffs(m, ends, arrived, backoffs[key])
+		s.checkBackoffs(m, outcomes, arrived, backoffs[key])
 		if arrived.retryAfter > 0 {
 			backoffs[key] = append(backoffs[key], arrived)
 		}
-		if at, told := noticeAt[key]; arrived.isDraining && (!told || end.done.Before(at)) && end.status == 200 {
-			noticeAt[key] = end.done
+		if at, told := noticeAt[key]; arrived.isDraining && (!told || answered.done.Before(at)) && answered.status == 200 {
+			noticeAt[key] = answered.done
 		}
 	}
 }
 
 // checkBackoffs counts a request in each back-off that the server asked its node for.
-func (s *soak) checkBackoffs(m *modelServer, ends map[string]outcome, arrived arrival, backoffs []arrival) {
-	node := ends[arrived.id].node
+func (s *soak) checkBackoffs(m *modelServer, outcomes map[string]outcome, arrived arrival, backoffs []arrival) {
+	node := outcomes[arrived.id].node
 	for _, backoff := range backoffs {
 		from, to := backoff.at.Add(retryAfterGrace), backoff.at.Add(backoff.retryAfter)
 		if arrived.at.Before(from) || !arrived.at.Before(to) || s.isNoticeExcused(m, node, backoff.at, arrived.at) {
@@ -90,7 +90,7 @@
 		}
 		count := 0
 		for _, other := range m.arrivals {
-			if !other.at.Before(from) && !other.at.After(arrived.at) && other.startID == backoff.startID && ends[other.id].node == node {
+			if !other.at.Before(from) && !other.at.After(arrived.at) && other.startID == backoff.startID && outcomes[other.id].node == node {
 				count++
 			}
 		}
--- a/test/platform/store_test.go
+++ b/test/platform/store_test.go
@@ -176,13 +176,13 @@
 func (s *store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	parts := strings.Split(strings.Trim(strings.TrimPrefix(request.URL.Path, "/api/objects"), "/"), "/")
 	s.mu.Lock()
-	down, lost := s.unavailable, s.dropResponses
+	unavailable, dropResponse := s.unavailable, s.dropResponses
 	s.calls++
 	s.mu.Unlock()
 	rawWriter := writer
 	writer = eraWriter{ResponseWriter: writer, store: s}
 	switch {
-	case down:
+	case unavailable:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case request.Method == http.MethodGet && request.URL.Query().Has("watch"):
 		s.watch(writer, request, parts[0])
@@ -191,7 +191,7 @@
 	case request.Method == http.MethodGet:
 		s.list(writer, parts[0])
 	default:
-		s.change(writer, rawWriter, request, parts, lost)
+		s.change(writer, rawWriter, request, parts, dropResponse)
 	}
 }
 
@@ -236,21 +236,21 @@
 				events = append(events, e)
 			}
 		}
-		changed, at, held := s.changed, s.at, s.holdWatches
+		changed, revision, isHeld := s.changed, s.at, s.holdWatches
 		if s.muteWatches {
 			// Muted events are not skipped: the position does not advance, so the caller gets them
 			// later.
-			at = from
+			revision = from
 		}
 		s.mu.Unlock()
-		if held {
+		if isHeld {
 			time.Sleep(blockedPollInterval)
 			continue
 		}
 		answer := func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.writeJSON(writer, map[string]any{"events": events, "at": at})
+			s.writeJSON(writer, map[string]any{"events": events, "at": revision})
 		}
 		if len(events) > 0 {
 			answer()
@@ -267,33 +267,33 @@
 	}
 }
 
-func (s *store) change(writer, rawWriter http.ResponseWriter, request *http.Request, parts []string, lost bool) {
-	var wanted object
-	if json.NewDecoder(request.Body).Decode(&wanted) != nil {
+func (s *store) change(writer, rawWriter http.ResponseWriter, request *http.Request, parts []string, dropResponse bool) {
+	var received object
+	if json.NewDecoder(request.Body).Decode(&received) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if delay := s.currentWriteDelay(); delay > 0 {
 		resetConnection(rawWriter)
-		time.AfterFunc(delay, func() { s.applyDelayedWrite(request.Method, parts[0], wanted) })
+		time.AfterFunc(delay, func() { s.applyDelayedWrite(request.Method, parts[0], received) })
 		return
 	}
 	s.mu.Lock()
-	found, exists := s.objects[parts[0]][wanted.Metadata.Name]
-	created := request.Method == http.MethodPost
-	if (created && exists) || (!created && (!exists || wanted.Metadata.Revision != found.Metadata.Revision)) {
+	found, exists := s.objects[parts[0]][received.Metadata.Name]
+	isCreate := request.Method == http.MethodPost
+	if (isCreate && exists) || (!isCreate && (!exists || received.Metadata.Revision != found.Metadata.Revision)) {
 		s.mu.Unlock()
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
 	defer s.mu.Unlock()
-	if exists && bytes.Equal(found.Spec, wanted.Spec) {
+	if exists && bytes.Equal(found.Spec, received.Spec) {
 		// A write that changes nothing does not raise the revision.
 		s.writeJSON(writer, found)
 		return
 	}
-	written := s.write(parts[0], wanted)
-	if lost {
+	written := s.write(parts[0], received)
+	if dropResponse {
 		resetConnection(rawWriter)
 		return
 	}
@@ -308,14 +308,14 @@
 
 // applyDelayedWrite applies a write whose caller got no answer, if its precondition still
 // holds.
-func (s *store) applyDelayedWrite(method, kind string, wanted object) {
+func (s *store) applyDelayedWrite(method, kind string, received object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, exists := s.objects[kind][wanted.Metadata.Name]
-	if exists == (method == http.MethodPost) || exists && wanted.Metadata.Revision != found.Metadata.Revision {
+	found, exists := s.objects[kind][received.Metadata.Name]
+	if exists == (method == http.MethodPost) || exists && received.Metadata.Revision != found.Metadata.Revision {
 		return
 	}
-	s.write(kind, wanted)
+	s.write(kind, received)
 }
 
 // resetConnection resets the connection without a response.
