--- a/test/platform/network_test.go
+++ b/test/platform/network_test.go
@@ -175,10 +175,10 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			f, deaf := state(buffer[:count])
+			f, blocked := state(buffer[:count])
 			time.Sleep(f.delay)
-			wasBlocked := deaf
-			for ; deaf; _, deaf = state(buffer[:count]) {
+			wasBlocked := blocked
+			for ; blocked; _, blocked = state(buffer[:count]) {
 				time.Sleep(blockedPollInterval)
 			}
 			if wasBlocked && isReset(from) {
--- a/test/platform/poison_test.go
+++ b/test/platform/poison_test.go
@@ -278,7 +278,7 @@
 func (l *poisonLog) check(t *testing.T, body string, beyond int) {
 	t.Helper()
 	if lateSends := l.checkCrashes(t, body, beyond); lateSends > beyond {
-		t.Errorf("%q reached servers %d times more than %v after its third crash", body, lateSends, poisonKnownWithin)
+		t.Errorf("%q reached servers %d times later than %v after its third crash", body, lateSends, poisonKnownWithin)
 	}
 }
 
--- a/test/platform/soak_home_test.go
+++ b/test/platform/soak_home_test.go
@@ -50,7 +50,7 @@
 		return
 	}
 	period := minRegionLimit + drawn.duration
-	s.disturb(serverScope, "", "commands may only run in "+region, period+configApplyBound)
+	s.disturb(serverScope, "", "commands may run in "+region+" only", period+configApplyBound)
 	s.changeConfiguration()
 	s.runAfter(period, func() {
 		s.mu.Lock()
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -147,7 +147,7 @@
 // them long after the next holder has given its first order.
 func (s *soak) endHolderWithOrdersHeld(end func(s *soak, c *control)) {
 	var c *control
-	eventually(s.t, "somebody gives orders", func() bool {
+	eventually(s.t, "some node gives orders", func() bool {
 		c = s.leaseHolder()
 		return c != nil && slices.ContainsFunc(s.activeServers(), func(m *modelServer) bool {
 			given := m.ordersTaken()
