--- a/test/platform/soak_callers_test.go
+++ b/test/platform/soak_callers_test.go
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// Callers of the soak. Those with a pool send at an even rate, whatever becomes of
-// the requests before; those that keep a connection send on it until the node ends it.
+// Callers of the soak. Pooled callers send at a constant rate, regardless of earlier
+// requests. Keep-alive callers send on one connection until the node closes it.
 const (
 	pooledRate = 60
-	// keptPerNode is the number of kept connections at each node, and keptPause the
-	// longest pause between two requests of one.
+	// keptPerNode is the number of keep-alive connections per node, and keptPause the longest
+	// pause between two requests on one.
 	keptPerNode = 3
 	keptPause   = 300 * time.Millisecond
-	// readyPeriod is the time between two questions whether a node is ready.
+	// readyPeriod is the interval of readiness probes.
 	readyPeriod = 250 * time.Millisecond
-	// bodyPieces of a long body are sent with bodyPause between them.
+	// A slow upload sends bodyPieces pieces with bodyPause in between.
 	bodyPieces = 6
 	bodyPause  = 100 * time.Millisecond
-	// slowRead is the pause between two reads of a slow reader.
+	// slowRead is the pause between two reads of a slow download.
 	slowRead = 60 * time.Millisecond
 )
 
-// manner is how a kept caller sends and reads.
-type manner int
+// callerBehavior is how a keep-alive caller sends and reads.
+type callerBehavior int
 
 const (
-	plainly manner = iota
-	// withLongBody sends the body in pieces.
-	withLongBody
-	// readingSlowly takes the answer in small reads.
-	readingSlowly
-	// leaving goes away in the middle of the answer, or of the body.
-	leaving
+	normal callerBehavior = iota
+	// slowUpload sends the body in pieces.
+	slowUpload
+	// slowDownload reads the response in small pieces.
+	slowDownload
+	// disconnects closes the connection in the middle of the response or of the body.
+	disconnects
 )
 
-var allManners = []manner{plainly, withLongBody, readingSlowly, leaving}
+var allBehaviors = []callerBehavior{normal, slowUpload, slowDownload, disconnects}
 
-// call starts all callers.
-func (s *soak) call() {
+// startCallers starts all callers.
+func (s *soak) startCallers() {
 	s.startCaller(s.callPooled)
 	for i, c := range s.controls {
-		s.startCaller(func() { s.askReady(c) })
+		s.startCaller(func() { s.pollReadiness(c) })
 		s.startCaller(func() { s.probeKeys(c.node) })
 		for j := range keptPerNode {
-			s.startCaller(func() { s.keep(c.node, uint64(i*keptPerNode+j)) })
+			s.startCaller(func() { s.sendOnKeptConns(c.node, uint64(i*keptPerNode+j)) })
 		}
 	}
 }
@@ -64,8 +64,8 @@
 	}()
 }
 
-// isOver reports whether the callers are to end.
-func (s *soak) isOver() bool {
+// isStopping reports whether the callers have to end.
+func (s *soak) isStopping() bool {
 	select {
 	case <-s.stop:
 		return true
@@ -79,24 +79,24 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	ticker := time.NewTicker(time.Second / pooledRate)
 	defer ticker.Stop()
-	for number := 0; !s.isOver(); number++ {
+	for number := 0; !s.isStopping(); number++ {
 		<-ticker.C
 		n := s.nodes[random.IntN(len(s.nodes))]
-		request := s.request(n, fmt.Sprintf("s%d", number), random)
-		s.startCaller(func() { s.note(n, request, s.send(client, request)) })
+		request := s.drawRequest(n, fmt.Sprintf("s%d", number), random)
+		s.startCaller(func() { s.recordOutcome(n, request, s.send(client, request)) })
 	}
 }
 
 // soakRequest is one request of a caller.
 type soakRequest struct {
 	id, route, model, path string
-	manner                 manner
+	behavior               callerBehavior
 	sending                time.Duration
 }
 
-// request draws what is asked for.
-func (s *soak) request(n *node, id string, random *rand.Rand) soakRequest {
-	version := s.addedRoute(random)
+// drawRequest draws a random request.
+func (s *soak) drawRequest(n *node, id string, random *rand.Rand) soakRequest {
+	version := s.pickAddedRoute(random)
 	switch drawn := random.IntN(6); {
 	case drawn < 3:
 		return soakRequest{id: id, route: "models", path: "/chat/x", model: fmt.Sprintf("m%d", min(random.IntN(soakModels), random.IntN(soakModels)))}
@@ -107,13 +107,13 @@
 	}
 }
 
-// The tenant of all callers, and its key.
+// The tenant of all callers, and its API key.
 const (
 	soakTenant = "soak"
 	soakKey    = "k-soak-2b6d"
 )
 
-func (r soakRequest) head(n *node, body io.Reader, length int64) *http.Request {
+func (r soakRequest) build(n *node, body io.Reader, length int64) *http.Request {
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", n.ip, n.fleet.ports[1], r.path), body)
 	if err != nil {
 		panic(err)
@@ -123,7 +123,7 @@
 	request.Header.Set("Request-Id", r.id)
 	request.Header.Set("Deadline-Ms", strconv.FormatInt(soakDeadline.Milliseconds(), 10))
 	request.Header.Set("Api-Key", soakKey)
-	// Whatever callers set of these fields goes no further.
+	// Nodes must not forward what callers set in these header fields.
 	request.Header.Set("Tenant", "another")
 	request.Header.Set("Hold", "h")
 	request.Header.Set("Connection", "Tenant")
@@ -135,110 +135,111 @@
 	return request
 }
 
-// end reads an answer's status and text.
-func (r soakRequest) end(status int, text []byte, err error) served {
-	end := served{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
-	end.isBarred = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
-	end.whole = strings.HasPrefix(string(text), "done by i-")
+// outcome builds the outcome from the response's status and body.
+func (r soakRequest) outcome(status int, text []byte, err error) outcome {
+	o := outcome{id: r.id, route: r.route, model: r.model, sending: r.sending, status: status, err: err}
+	o.refusedAsPoison = status == http.StatusServiceUnavailable && strings.Contains(string(text), poisonBody)
+	o.bodyComplete = strings.HasPrefix(string(text), "done by i-")
 	if r.model != "" {
-		end.whole = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
+		o.bodyComplete = strings.Count(string(text), "data: "+r.model+" "+r.id+"\n") == 5 && strings.Count(string(text), "data: ") == 5
 	}
-	return end
+	return o
 }
 
-func (s *soak) send(client *http.Client, r soakRequest) func(n *node) served {
-	return func(n *node) served {
-		response, err := client.Do(r.head(n, strings.NewReader("body"), 4))
+func (s *soak) send(client *http.Client, r soakRequest) func(n *node) outcome {
+	return func(n *node) outcome {
+		response, err := client.Do(r.build(n, strings.NewReader("body"), 4))
 		if err != nil {
-			return r.end(0, nil, err)
+			return r.outcome(0, nil, err)
 		}
 		defer response.Body.Close()
 		text, err := io.ReadAll(response.Body)
-		return r.end(response.StatusCode, text, err)
+		return r.outcome(response.StatusCode, text, err)
 	}
 }
 
-// note sends one request and books its end.
-func (s *soak) note(n *node, r soakRequest, send func(n *node) served) served {
+// recordOutcome sends one request and records its outcome.
+func (s *soak) recordOutcome(n *node, r soakRequest, send func(n *node) outcome) outcome {
 	sent := time.Now()
-	end := send(n)
-	end.node, end.sent, end.done = n.name, sent, time.Now()
+	o := send(n)
+	o.node, o.sent, o.done = n.name, sent, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends = append(s.ends, end)
-	return end
+	s.outcomes = append(s.outcomes, o)
+	return o
 }
 
-// keptConn is a connection that its caller holds.
+// keptConn is a keep-alive connection.
 type keptConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dialTimeout bounds the wait for a connection; answerTimeout that for an answer,
-// which a node owes at the deadline.
+// dialTimeout bounds dialing, and answerTimeout the wait for a response, which a node has to
+// send by the deadline.
 const (
 	dialTimeout   = 2 * time.Second
 	answerTimeout = soakDeadline + 5*time.Second
 )
 
-// keep sends on one connection after the other, each held until the node ends it.
-func (s *soak) keep(n *node, number uint64) {
+// sendOnKeptConns sends requests on one connection until the node closes it, and then opens
+// the next.
+func (s *soak) sendOnKeptConns(n *node, number uint64) {
 	random := rand.New(rand.NewPCG(s.options.seed, 0xcee9+number))
-	for sent := 0; !s.isOver(); {
+	for sent := 0; !s.isStopping(); {
 		conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", n.ip, n.fleet.ports[1]), dialTimeout)
 		if err != nil {
 			time.Sleep(keptPause)
 			continue
 		}
 		kept := keptConn{Conn: conn, reader: bufio.NewReader(conn)}
-		for isOpen := true; isOpen && !s.isOver(); sent++ {
-			r := s.request(n, fmt.Sprintf("k%d-%d", number, sent), random)
-			r.manner = allManners[random.IntN(len(allManners))]
-			end := s.note(n, r, func(n *node) served { return kept.exchange(n, r) })
-			isOpen = end.err == nil && !end.left
+		for isOpen := true; isOpen && !s.isStopping(); sent++ {
+			r := s.drawRequest(n, fmt.Sprintf("k%d-%d", number, sent), random)
+			r.behavior = allBehaviors[random.IntN(len(allBehaviors))]
+			o := s.recordOutcome(n, r, func(n *node) outcome { return kept.exchange(n, r) })
+			isOpen = o.err == nil && !o.callerLeft
 			time.Sleep(time.Duration(random.Float64() * float64(keptPause)))
 		}
 		_ = conn.Close()
 	}
 }
 
-// exchange sends one request on the connection and reads its answer.
-func (k keptConn) exchange(n *node, r soakRequest) served {
+// exchange sends one request on the connection and reads the response.
+func (k keptConn) exchange(n *node, r soakRequest) outcome {
 	_ = k.SetDeadline(time.Now().Add(answerTimeout))
 	body, length := io.Reader(strings.NewReader("body")), int64(4)
-	if r.manner == withLongBody {
+	if r.behavior == slowUpload {
 		r.sending = bodyPieces * bodyPause
 		body, length = &slowBody{pieces: bodyPieces}, int64(bodyPieces*len(bodyPiece))
 	}
-	request := r.head(n, body, length)
+	request := r.build(n, body, length)
 	if err := request.Write(k); err != nil {
-		return r.end(0, nil, err)
+		return r.outcome(0, nil, err)
 	}
 	response, err := http.ReadResponse(k.reader, request)
 	if err != nil {
-		return r.end(0, nil, err)
+		return r.outcome(0, nil, err)
 	}
 	defer response.Body.Close()
-	if r.manner == leaving {
+	if r.behavior == disconnects {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
-		end := r.end(response.StatusCode, nil, nil)
-		end.left = true
-		return end
+		o := r.outcome(response.StatusCode, nil, nil)
+		o.callerLeft = true
+		return o
 	}
-	if r.manner == readingSlowly {
+	if r.behavior == slowDownload {
 		response.Body = struct {
 			io.Reader
 			io.Closer
 		}{slowReader{response.Body}, response.Body}
 	}
 	text, err := io.ReadAll(response.Body)
-	return r.end(response.StatusCode, text, err)
+	return r.outcome(response.StatusCode, text, err)
 }
 
 const bodyPiece = "a piece of a long body "
 
-// slowBody is a body that is still being sent.
+// slowBody is a request body that is sent slowly.
 type slowBody struct{ pieces int }
 
 func (b *slowBody) Read(buffer []byte) (int, error) {
@@ -250,7 +251,7 @@
 	return copy(buffer, bodyPiece), nil
 }
 
-// slowReader reads a little at a time.
+// slowReader reads small pieces with pauses.
 type slowReader struct{ io.Reader }
 
 func (r slowReader) Read(buffer []byte) (int, error) {
@@ -258,15 +259,15 @@
 	return r.Reader.Read(buffer[:min(len(buffer), 64)])
 }
 
-// probe is one answer to the question whether a node is ready.
+// probe is the result of one readiness probe.
 type probe struct {
 	at      time.Time
 	isReady bool
 }
 
-func (s *soak) askReady(c *control) {
+func (s *soak) pollReadiness(c *control) {
 	client := &http.Client{Timeout: time.Second}
-	for !s.isOver() {
+	for !s.isStopping() {
 		at := time.Now()
 		response, err := client.Get(fmt.Sprintf("http://%s:%d/api/readyz", c.ip, s.ports[2]))
 		isReady := err == nil && response.StatusCode == http.StatusOK
--- a/test/platform/soak_cold_test.go
+++ b/test/platform/soak_cold_test.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// coldReturns is the kind of fault, and soakColdTime how long a server that came back is
-	// cold; soakColdPerS is so little that the soak's callers press beyond it.
-	coldReturns  = "servers-return-cold"
-	soakColdTime = 3 * time.Second
-	soakColdPerS = 4
-	// mostWhileSoakCold is what a cold server may receive in any second from all nodes.
-	mostWhileSoakCold = soakColdPerS*coldOverage + coldSlack
-	// coldMargin is left at the end of a cold time: servers and nodes count it apart.
+	// coldServersKind is the kind of fault. soakColdTime is the length of the cold-start phase, and
+	// soakColdPerS a limit low enough for the soak's callers to exceed it.
+	coldServersKind = "servers-return-cold"
+	soakColdTime    = 3 * time.Second
+	soakColdPerS    = 4
+	// maxSoakColdRate is the maximum number of requests in any second that a cold server may
+	// receive from all nodes together.
+	maxSoakColdRate = soakColdPerS*coldOverage + coldSlack
+	// coldMargin is left out at the end of the cold-start phase, since servers and nodes time it
+	// independently.
 	coldMargin = 200 * time.Millisecond
 )
 
-// coldKind lets half of the model servers go and come back cold, as after the loss of a zone.
+// coldKind replaces half of the model servers by cold ones, as after the loss of a zone.
 func coldKind() kind {
-	return kind{coldReturns, 2, func(s *soak, d drawnFault) {
+	return kind{coldServersKind, 2, func(s *soak, d drawnFault) {
 		number := 0
-		for _, m := range s.staying() {
+		for _, m := range s.activeServers() {
 			if m.service != "models" {
 				continue
 			}
@@ -32,19 +34,19 @@
 	}}
 }
 
-// limitsCold reports whether servers of this run come back cold: the others play as they did
-// when their seeds were kept.
-func (s *soak) limitsCold() bool {
-	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldReturns })
+// hasColdServers reports whether this run has cold servers. Runs without this kind of fault
+// keep the configuration that their seeds were recorded with.
+func (s *soak) hasColdServers() bool {
+	return slices.ContainsFunc(s.options.kinds, func(k kind) bool { return k.name == coldServersKind })
 }
 
-// judgeCold looks for a cold server that received more in a second than it bears. Nodes that
-// are cut off, frozen or new are not excused. The server's lock is held.
-func (s *soak) judgeCold(m *modelServer) {
+// checkCold reports a cold server that received more requests in a second than its limit.
+// Nodes that are disconnected, frozen or new are not excused. m.mu is held.
+func (s *soak) checkCold(m *modelServer) {
 	if m.coldUntil.IsZero() {
 		return
 	}
-	if worst := m.worstSecond(m.cameAt, m.coldUntil.Add(-coldMargin)); worst > mostWhileSoakCold {
-		s.find("COLD: %s received %d requests in a second while it was cold", m.id, worst)
+	if busiest := m.busiestSecond(m.coldSince, m.coldUntil.Add(-coldMargin)); busiest > maxSoakColdRate {
+		s.report("COLD: %s received %d requests in a second while it was cold", m.id, busiest)
 	}
 }
--- a/test/platform/soak_control_test.go
+++ b/test/platform/soak_control_test.go
@@ -9,58 +9,59 @@
 	"syscall"
 )
 
-// control starts, ends and signals one node's process; faults may overlap there.
+// control starts, stops and signals the process of one node, also when several faults
+// overlap.
 type control struct {
 	*node
 	mu sync.Mutex
-	// life counts the starts; running is set while the process of the newest one is
-	// there, and done closes as it ends.
-	life    int
-	running bool
-	done    chan struct{}
-	exit    error
-	// disturbed is set where the process was frozen or killed in this life, and
-	// asked where it was told to stop.
-	disturbed, asked bool
-	// ownExits are ends of the process that nobody asked for.
-	ownExits []error
+	// startCount counts the starts. running is set while the latest process runs, and done is
+	// closed when it exits.
+	startCount int
+	running    bool
+	done       chan struct{}
+	exit       error
+	// disturbed is set if the current process was frozen or killed, and stopRequested if it was
+	// told to stop.
+	disturbed, stopRequested bool
+	// unexpectedExits holds exits that no fault caused.
+	unexpectedExits []error
 }
 
-// errEnded is the end of a process with status 0.
-var errEnded = errors.New("status 0")
+// errExitZero stands for an exit with status 0.
+var errExitZero = errors.New("status 0")
 
 func newControl(n *node) *control {
 	c := &control{node: n}
-	c.follow()
+	c.watchProcess()
 	return c
 }
 
-// follow takes over the process that was just started. The lock is held, or nobody
-// else knows c.
-func (c *control) follow() {
-	c.life++
-	c.running, c.disturbed, c.asked, c.exit = true, false, false, nil
-	done, ended := make(chan struct{}), c.ended
+// watchProcess tracks the process that was just started. c.mu is held, or c is not shared
+// yet.
+func (c *control) watchProcess() {
+	c.startCount++
+	c.running, c.disturbed, c.stopRequested, c.exit = true, false, false, nil
+	done, ended := make(chan struct{}), c.exited
 	c.done = done
 	go func() {
 		err := <-ended
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.running, c.exit = false, err
-		if !c.disturbed && !c.asked {
-			c.ownExits = append(c.ownExits, fmt.Errorf("life %d: %w", c.life, cmp.Or(err, errEnded)))
+		if !c.disturbed && !c.stopRequested {
+			c.unexpectedExits = append(c.unexpectedExits, fmt.Errorf("start %d: %w", c.startCount, cmp.Or(err, errExitZero)))
 		}
 		close(done)
 	}()
 }
 
-// ensure starts the process unless it runs.
-func (c *control) ensure() {
+// startIfStopped starts the process unless it is running.
+func (c *control) startIfStopped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.running {
 		c.start()
-		c.follow()
+		c.watchProcess()
 	}
 }
 
@@ -72,8 +73,8 @@
 	}
 }
 
-// end kills the process if it runs, and waits for that.
-func (c *control) end() {
+// stopByKill kills the process if it is running, and waits for its exit.
+func (c *control) stopByKill() {
 	c.mu.Lock()
 	if !c.running {
 		c.mu.Unlock()
@@ -81,20 +82,20 @@
 	}
 	c.disturbed = true
 	done := c.done
-	_ = c.process.Process.Kill()
+	_ = c.cmd.Process.Kill()
 	c.mu.Unlock()
 	<-done
 }
 
-// ask tells the process to stop. It returns nil where there is none, or it was
-// told already.
-func (c *control) ask() (done chan struct{}) {
+// requestStop sends SIGTERM. It returns nil if the process is not running or was already
+// told to stop.
+func (c *control) requestStop() (done chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.running || c.asked {
+	if !c.running || c.stopRequested {
 		return nil
 	}
-	c.asked = true
+	c.stopRequested = true
 	c.node.signal(syscall.SIGTERM)
 	return c.done
 }
@@ -108,9 +109,9 @@
 	}
 }
 
-// how is how the process of this life stands.
-func (c *control) how() (running, disturbed, asked bool, exit error) {
+// state returns the state of the current process.
+func (c *control) state() (running, disturbed, stopRequested bool, exit error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.running, c.disturbed, c.asked, c.exit
+	return c.running, c.disturbed, c.stopRequested, c.exit
 }
--- a/test/platform/soak_judge_test.go
+++ b/test/platform/soak_judge_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// find notes a broken rule, and says so at once.
-func (s *soak) find(format string, values ...any) {
+// report records and logs a violation.
+func (s *soak) report(format string, values ...any) {
 	finding := fmt.Sprintf(format, values...)
 	s.t.Logf("%s found: %s", time.Now().Format("15:04:05.000"), finding)
 	s.mu.Lock()
@@ -18,297 +18,299 @@
 	s.findings = append(s.findings, finding)
 }
 
-// judgePeriod is the time between two looks at what callers got.
-const judgePeriod = time.Second
+// checkInterval is the interval of checkPeriodically.
+const checkInterval = time.Second
 
-// judgeOn judges while the soak runs.
-func (s *soak) judgeOn() {
-	for !s.isOver() {
-		time.Sleep(judgePeriod)
-		s.judgeNew()
+// checkPeriodically checks new outcomes while the soak runs.
+func (s *soak) checkPeriodically() {
+	for !s.isStopping() {
+		time.Sleep(checkInterval)
+		s.checkNewOutcomes()
 	}
 }
 
-// judgeNew judges the requests that ended since it was last called.
-func (s *soak) judgeNew() {
+// checkNewOutcomes checks the outcomes recorded since the last call.
+func (s *soak) checkNewOutcomes() {
 	s.mu.Lock()
-	ends := slices.Clone(s.ends[s.judged:])
-	s.judged = len(s.ends)
+	outcomes := slices.Clone(s.outcomes[s.checkedCount:])
+	s.checkedCount = len(s.outcomes)
 	s.mu.Unlock()
-	if len(ends) == 0 {
+	if len(outcomes) == 0 {
 		return
 	}
-	ran := s.runs()
-	for _, end := range ends {
-		s.judgeAnswer(end, ran[end.id])
+	runCounts := s.runCounts()
+	for _, o := range outcomes {
+		s.checkAnswer(o, runCounts[o.id])
 	}
 }
 
-// runs counts how often each request ran, by the books of all servers.
-func (s *soak) runs() map[string]int {
+// runCounts returns how often each request ran, summed over all servers.
+func (s *soak) runCounts() map[string]int {
 	s.mu.Lock()
 	servers := slices.Clone(s.servers)
 	s.mu.Unlock()
-	ran := make(map[string]int)
+	counts := make(map[string]int)
 	for _, m := range servers {
 		m.mu.Lock()
 		for id, count := range m.runs {
-			ran[id] += count
+			counts[id] += count
 		}
 		m.mu.Unlock()
 	}
-	return ran
+	return counts
 }
 
-// judgeHeads reads what servers were told beside the requests.
-func (s *soak) judgeHeads() {
+// checkHeaders checks the request headers that servers received, and that no log contains an
+// API key.
+func (s *soak) checkHeaders() {
 	for _, m := range s.servers {
-		for id, head := range m.headOf {
+		for id, head := range m.headers {
 			if head.Get("Tenant") != soakTenant || len(head["Tenant"]) != 1 || head.Get("Api-Key") != "" || head.Get("Hold") != "" {
-				s.find("UNASKED: %s ran %s, told the tenant %q, the key %q and %q to hold", m.id, id, head["Tenant"], head.Get("Api-Key"), head.Get("Hold"))
+				s.report("UNASKED: %s ran %s with Tenant %q, Api-Key %q and Hold %q", m.id, id, head["Tenant"], head.Get("Api-Key"), head.Get("Hold"))
 			}
 		}
 	}
 	for _, n := range s.nodes {
 		if strings.Contains(n.log(), soakKey) {
-			s.find("KEY: %s wrote a key to its log", n.name)
+			s.report("KEY: %s wrote a key to its log", n.name)
 		}
 	}
 }
 
-// judge reads the books at the end.
-func (s *soak) judge(calm time.Time) {
-	s.judgeNew()
-	ran := s.runs()
-	tally := make(map[string]int)
-	for _, end := range s.ends {
-		s.judgeRuns(end, ran[end.id])
-		tally[fmt.Sprintf("%d", end.status)]++
+// checkAll runs all checks at the end.
+func (s *soak) checkAll(faultsEndedAt time.Time) {
+	s.checkNewOutcomes()
+	runCounts := s.runCounts()
+	statusCounts := make(map[string]int)
+	for _, o := range s.outcomes {
+		s.checkRunCount(o, runCounts[o.id])
+		statusCounts[fmt.Sprintf("%d", o.status)]++
 	}
-	s.judgeRecovery(calm)
-	s.judgeServers()
-	s.judgeHeads()
-	s.judgeKeys()
-	s.judgeConfigurations()
-	s.judgeAddedRoutes()
-	s.judgeRefusals()
-	s.judgePoison()
-	s.judgeReadiness()
-	s.judgeExits()
-	s.t.Logf("seed %d: %d requests, answers by status %v, %d troubles, %d servers, %d versions, %d nodes",
-		s.options.seed, len(s.ends), tally, len(s.troubles), len(s.servers), s.version, len(s.nodes))
+	s.checkRecovery(faultsEndedAt)
+	s.checkServers()
+	s.checkHeaders()
+	s.checkKeys()
+	s.checkConfigurations()
+	s.checkAddedRoutes()
+	s.checkRefusals()
+	s.checkPoison()
+	s.checkReadiness()
+	s.checkExits()
+	s.t.Logf("seed %d: %d requests, answers by status %v, %d disturbances, %d servers, %d versions, %d nodes",
+		s.options.seed, len(s.outcomes), statusCounts, len(s.disturbances), len(s.servers), s.version, len(s.nodes))
 }
 
-// judgeRuns holds for every request, whatever goes wrong. Those on added routes
-// are safe and may run again.
-func (s *soak) judgeRuns(end served, ran int) {
+// checkRunCount checks rules that hold regardless of faults. Requests on added routes are
+// safe and may run more than once.
+func (s *soak) checkRunCount(o outcome, ran int) {
 	switch {
-	case ran > 1 && end.route != "added":
-		s.find("TWICE: %s ran %d times", end.id, ran)
-	case (end.status == 503 || end.status == 429) && ran > 0:
-		s.find("REFUSED: %s got %d though it ran", end.id, end.status)
+	case ran > 1 && o.route != "added":
+		s.report("TWICE: %s ran %d times", o.id, ran)
+	case (o.status == 503 || o.status == 429) && ran > 0:
+		s.report("REFUSED: %s got %d although it ran", o.id, o.status)
 	}
 }
 
-// judgeAnswer judges what the caller got.
-func (s *soak) judgeAnswer(end served, ran int) {
+// checkAnswer checks the response that the caller got.
+func (s *soak) checkAnswer(o outcome, ran int) {
 	switch {
-	case end.status == 200 && end.err == nil && !end.whole && !end.left:
-		s.find("MIXED: %s got a success with another body", end.id)
-	case end.status == 404 && end.route == "added" && !s.isCalm(end.node, end.sent.Add(-soakContact), end.done):
-		// The version may be under way still.
-	case end.status >= 400 && end.status < 500 && end.status != 429:
-		s.find("DENIED: %s got %d", end.id, end.status)
+	case o.status == 200 && o.err == nil && !o.bodyComplete && !o.callerLeft:
+		s.report("MIXED: %s got a success with another body", o.id)
+	case o.status == 404 && o.route == "added" && !s.isCalm(o.node, o.sent.Add(-soakReconnect), o.done):
+		// The version may not be in force yet.
+	case o.status >= 400 && o.status < 500 && o.status != 429:
+		s.report("DENIED: %s got %d", o.id, o.status)
 	}
-	// A node that is not in touch may be late and may lose what it has; a server's
-	// trouble, or the store's, does not make it late.
-	if s.isTroubled(end.node, end.sent.Add(-soakContact), end.done, atNode) {
+	// A disturbed node may answer late and lose requests. Disturbances of a server or the store
+	// do not make a node late.
+	if s.isDisturbed(o.node, o.sent.Add(-soakReconnect), o.done, nodeScope) {
 		return
 	}
-	if took := end.done.Sub(end.sent); took > soakDeadline+500*time.Millisecond+s.options.slack {
-		s.find("late: %s was held for %v", end.id, took)
+	if elapsed := o.done.Sub(o.sent); elapsed > soakDeadline+500*time.Millisecond+s.options.slack {
+		s.report("late: %s was held for %v", o.id, elapsed)
 	}
-	if s.isTroubled(end.node, end.sent.Add(-soakContact), end.done, atServer) {
+	if s.isDisturbed(o.node, o.sent.Add(-soakReconnect), o.done, serverScope) {
 		return
 	}
-	if end.err != nil && !end.left && !s.crossed(end, ran) {
-		s.find("LOST: %s at %s, sent %s: %v", end.id, end.node, end.sent.Format("15:04:05.000"), end.err)
+	if o.err != nil && !o.callerLeft && !s.metConnectionClose(o, ran) {
+		s.report("LOST: %s at %s, sent %s: %v", o.id, o.node, o.sent.Format("15:04:05.000"), o.err)
 	}
 }
 
-// lossSlack is how long after its last byte was sent a request may be lost that the
-// node did not pass on: it crossed the end of its connection.
+// lossSlack is how long after its last byte was sent a request may be lost when the node
+// closes the connection as the request arrives. The node has not forwarded it then.
 const lossSlack = 200 * time.Millisecond
 
-// crossed reports whether a request met the end of its connection, or a node that
-// is down, and was not taken.
-func (s *soak) crossed(end served, ran int) bool {
-	if errors.Is(end.err, syscall.ECONNREFUSED) {
+// metConnectionClose reports whether a request met a closing connection or a stopped node
+// and was not accepted.
+func (s *soak) metConnectionClose(o outcome, ran int) bool {
+	if errors.Is(o.err, syscall.ECONNREFUSED) {
 		return true
 	}
-	return ran == 0 && end.done.Sub(end.sent) < end.sending+lossSlack+s.options.slack
+	return ran == 0 && o.done.Sub(o.sent) < o.sending+lossSlack+s.options.slack
 }
 
-// isTroubled reports whether a trouble of the place fell into the time; those at
-// nodes concern the one alone, or any where none is named.
-func (s *soak) isTroubled(node string, from, to time.Time, where place) bool {
+// isDisturbed reports whether a disturbance of the scope overlaps the period. An empty node,
+// here or in the disturbance, matches every node.
+func (s *soak) isDisturbed(node string, from, to time.Time, where scope) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.troubles, func(known span) bool {
-		concerns := known.node == "" || node == "" || known.node == node
-		return concerns && known.place == where && known.from.Before(to) && known.to.After(from)
+	return slices.ContainsFunc(s.disturbances, func(d disturbance) bool {
+		matchesNode := d.node == "" || node == "" || d.node == node
+		return matchesNode && d.scope == where && d.from.Before(to) && d.to.After(from)
 	})
 }
 
-// isCalm reports whether the node was in touch, and the store and the servers sound,
-// at the time and for soakContact before.
+// isCalm reports whether the node, the store and the servers were undisturbed during the
+// period and for soakReconnect before it.
 func (s *soak) isCalm(node string, from, to time.Time) bool {
-	from = from.Add(-soakContact)
-	for _, where := range []place{atNode, plannedAtNode, atServer, atStore} {
-		if s.isTroubled(node, from, to, where) {
+	from = from.Add(-soakReconnect)
+	for _, where := range []scope{nodeScope, plannedNodeScope, serverScope, storeScope} {
+		if s.isDisturbed(node, from, to, where) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *soak) judgeRecovery(calm time.Time) {
-	asked, answered := 0, 0
-	for _, end := range s.ends {
-		if end.sent.After(calm.Add(soakRecover)) && !end.left {
-			asked++
-			if end.status == 200 && end.whole {
-				answered++
+func (s *soak) checkRecovery(faultsEndedAt time.Time) {
+	sent, served := 0, 0
+	for _, o := range s.outcomes {
+		if o.sent.After(faultsEndedAt.Add(soakRecovery)) && !o.callerLeft {
+			sent++
+			if o.status == 200 && o.bodyComplete {
+				served++
 			}
 		}
 	}
-	if asked == 0 || 10*answered < 9*asked {
-		s.find("RECOVER: %d of %d requests were served after the troubles", answered, asked)
+	if sent == 0 || 10*served < 9*sent {
+		s.report("RECOVER: %d of %d requests were served after the faults", served, sent)
 	}
 }
 
-func (s *soak) judgeServers() {
+func (s *soak) checkServers() {
 	var loads []time.Time
 	for _, m := range s.servers {
 		m.mu.Lock()
 		if m.overloads > 0 {
-			s.find("LIMIT: %s was ordered to load over its memory %d times", m.id, m.overloads)
+			s.report("LIMIT: %s was ordered to load more than its memory holds %d times", m.id, m.overloads)
 		}
-		s.judgeOrders(m)
+		s.checkOrders(m)
 		loads = append(loads, m.loads...)
-		s.judgeDrain(m)
-		s.judgeCold(m)
-		s.judgeEvacuations(m)
-		s.judgeHome(m)
-		s.judgeWords(m)
-		s.judgeLimits(m)
+		s.checkDrain(m)
+		s.checkCold(m)
+		s.checkEvacuations(m)
+		s.checkRegions(m)
+		s.checkNotices(m)
+		s.checkLimits(m)
 		m.mu.Unlock()
 	}
-	s.judgeTraps()
+	s.checkTraps()
 	slices.SortFunc(loads, time.Time.Compare)
-	for i := soakLoads; i < len(loads); i++ {
-		if loads[i].Sub(loads[i-soakLoads]) < soakWindow {
-			s.find("CEILING: %d loads within %v", soakLoads+1, loads[i].Sub(loads[i-soakLoads]))
+	for i := maxSoakLoads; i < len(loads); i++ {
+		if loads[i].Sub(loads[i-maxSoakLoads]) < soakLoadWindow {
+			s.report("CEILING: %d loads within %v", maxSoakLoads+1, loads[i].Sub(loads[i-maxSoakLoads]))
 		}
 	}
 }
 
-// judgeDrain looks for work that began at a server after all nodes had to know that
-// it leaves, by nodes in touch while the store was sound. The server's lock is held.
-func (s *soak) judgeDrain(m *modelServer) {
-	left, ok := s.left[m.id]
+// checkDrain reports work that started at a server after all nodes had to know that it is
+// draining, sent by undisturbed nodes while the store was undisturbed. m.mu is held.
+func (s *soak) checkDrain(m *modelServer) {
+	drainedAt, ok := s.drainedAt[m.id]
 	if !ok {
 		return
 	}
-	for _, end := range s.ends {
-		at, ran := m.ranAt[end.id]
-		if !ran || at.Sub(left) <= soakDrain+s.options.slack {
+	for _, o := range s.outcomes {
+		at, ran := m.startedAt[o.id]
+		if !ran || at.Sub(drainedAt) <= soakDrain+s.options.slack {
 			continue
 		}
-		from := left.Add(-soakContact)
-		// What a harmed way held may have been sent in time, if it was asked for in time.
-		isHeld := end.sent.Before(left.Add(soakDrain)) && s.isTroubled(m.id, from, at, onWayToServer)
-		if !isHeld && !s.isTroubled(end.node, from, at, atNode) && !s.isTroubled("", from, at, atStore) {
-			s.find("DRAIN: %s ran %s of %s %v after it left", m.id, end.id, end.node, at.Sub(left))
+		from := drainedAt.Add(-soakReconnect)
+		// A disturbed link may have delayed a request that was sent in time.
+		isDelayed := o.sent.Before(drainedAt.Add(soakDrain)) && s.isDisturbed(m.id, from, at, serverLinkScope)
+		if !isDelayed && !s.isDisturbed(o.node, from, at, nodeScope) && !s.isDisturbed("", from, at, storeScope) {
+			s.report("DRAIN: %s ran %s of %s %v after it began to drain", m.id, o.id, o.node, at.Sub(drainedAt))
 		}
 	}
 }
 
-func (s *soak) judgeOrders(m *modelServer) {
+func (s *soak) checkOrders(m *modelServer) {
 	for i := 1; i < len(m.orders); i++ {
 		before, after := m.orders[i-1], m.orders[i]
 		switch {
 		case after.FencingToken < before.FencingToken:
-			s.find("ONE: %s took token %d after %d", m.id, after.FencingToken, before.FencingToken)
+			s.report("ONE: %s took fencing token %d after %d", m.id, after.FencingToken, before.FencingToken)
 		case after.Holder != before.Holder && after.FencingToken == before.FencingToken:
-			s.find("ONE: %s took one token of %s and %s", m.id, before.Holder, after.Holder)
+			s.report("ONE: %s took the same fencing token from %s and %s", m.id, before.Holder, after.Holder)
 		case after.Holder != before.Holder && after.at.Sub(before.at) < 600*time.Millisecond:
-			s.find("ONE: at %s %s takes turns with %s within the lease", m.id, before.Holder, after.Holder)
+			s.report("ONE: at %s %s ordered within the lease of %s", m.id, before.Holder, after.Holder)
 		}
 	}
 }
 
-// longestRefusal bounds how long a service may be refused in calm times while its
-// servers live, if somebody asks; fewestRefused is how often at least.
+// A service must not be refused for longer than maxRefusalTime, counting at least
+// minRefusals refused requests, while nothing is disturbed.
 const (
-	longestRefusal = 3 * time.Second
-	fewestRefused  = 10
+	maxRefusalTime = 3 * time.Second
+	minRefusals    = 10
 )
 
-// refusedRun is a time in which a service was refused to all.
-type refusedRun struct {
+// refusalPeriod is a period in which all requests for a service were refused.
+type refusalPeriod struct {
 	since   time.Time
 	refused int
 }
 
-// judgeRefusals looks for times in which a service was refused to all, though its
-// servers live.
-func (s *soak) judgeRefusals() {
-	runs := make(map[string]refusedRun)
-	ends := slices.Clone(s.ends)
-	slices.SortFunc(ends, func(a, b served) int { return a.sent.Compare(b.sent) })
-	for _, end := range ends {
+// checkRefusals reports periods in which all requests for a service were refused although
+// its servers run.
+func (s *soak) checkRefusals() {
+	periods := make(map[string]refusalPeriod)
+	outcomes := slices.Clone(s.outcomes)
+	slices.SortFunc(outcomes, func(a, b outcome) int { return a.sent.Compare(b.sent) })
+	for _, o := range outcomes {
 		service := "commands"
-		if end.route == "models" {
+		if o.route == "models" {
 			service = "models"
 		}
-		current := runs[service]
+		current := periods[service]
 		switch {
-		case end.status == 200 || !s.isCalm(end.node, end.sent, end.done):
-			runs[service] = refusedRun{}
+		case o.status == 200 || !s.isCalm(o.node, o.sent, o.done):
+			periods[service] = refusalPeriod{}
 			continue
-		case end.status != 503:
+		case o.status != 503:
 			continue
 		case current.refused == 0:
-			current.since = end.sent
+			current.since = o.sent
 		}
 		current.refused++
-		runs[service] = current
-		if current.refused >= fewestRefused && end.sent.Sub(current.since) > longestRefusal+s.options.slack {
-			s.find("SHORT: %s refused to all for %v, %d times", service, end.sent.Sub(current.since), current.refused)
-			runs[service] = refusedRun{}
+		periods[service] = current
+		if current.refused >= minRefusals && o.sent.Sub(current.since) > maxRefusalTime+s.options.slack {
+			s.report("SHORT: %s refused all requests for %v, %d in total", service, o.sent.Sub(current.since), current.refused)
+			periods[service] = refusalPeriod{}
 		}
 	}
 }
 
-// judgeReadiness looks for nodes that are not ready twice in a row in calm times.
-func (s *soak) judgeReadiness() {
+// checkReadiness reports nodes that failed two consecutive readiness probes while
+// undisturbed.
+func (s *soak) checkReadiness() {
 	for name, probes := range s.probes {
 		for i := 1; i < len(probes); i++ {
 			if !probes[i-1].isReady && !probes[i].isReady && s.isCalm(name, probes[i-1].at, probes[i].at) {
-				s.find("READY: %s was not ready at %s", name, probes[i].at.Format("15:04:05.000"))
+				s.report("READY: %s was not ready at %s", name, probes[i].at.Format("15:04:05.000"))
 				break
 			}
 		}
 	}
 }
 
-// judgeExits looks for processes that ended by themselves.
-func (s *soak) judgeExits() {
+// checkExits reports processes that exited without being told to.
+func (s *soak) checkExits() {
 	for _, c := range s.controls {
 		c.mu.Lock()
-		for _, exit := range c.ownExits {
-			s.find("EXIT: %s ended by itself: %v", c.name, exit)
+		for _, exit := range c.unexpectedExits {
+			s.report("EXIT: %s exited unexpectedly: %v", c.name, exit)
 		}
 		c.mu.Unlock()
 	}
--- a/test/platform/soak_kept_test.go
+++ b/test/platform/soak_kept_test.go
@@ -8,75 +8,78 @@
 	"time"
 )
 
-// keptSeed is a run that failed once, or that showed what the soak can find.
-type keptSeed struct {
+// regressionSeed is a run that once failed, or that shows what the soak can detect.
+type regressionSeed struct {
 	seed uint64
-	// kinds are those that it draws; "first" is those of firstKinds, "second" and "third" those of secondKinds and thirdKinds.
+	// kinds are the kinds to draw from, as in -soak.kinds: "first", "second" and "third" select
+	// firstKinds, secondKinds and thirdKinds.
 	kinds string
-	// time is how long it draws faults; keptTime where it is 0.
-	time time.Duration
-	// mostBarred is that of soakOptions.
-	mostBarred int
-	// cause is why it failed, and on which code.
+	// duration is how long faults are drawn; 0 means regressionDuration.
+	duration time.Duration
+	// maxPoisonRefusals sets the field of soakOptions.
+	maxPoisonRefusals int
+	// cause is the fault in the code that made the run fail.
 	cause string
 }
 
-// keptSeeds are played by the short soak.
-var keptSeeds = []keptSeed{
-	{seed: 6, kinds: "store-tells-at-once", cause: "incident 0003: 2 of 8 living servers taken to work by all nodes, before news were dated by the last event"},
-	{seed: 4, kinds: "store-lapse,store-deaf-lapse,store-down,kill", cause: "lapsed entries taken for gone, before bc2b274: 6 of 8 living servers"},
-	{seed: 202, kinds: "first", cause: "all kinds of then: a node that had heard all servers as news was not ready for more than seven seconds"},
-	{seed: 9410, kinds: "second", time: 10 * time.Second, mostBarred: 100, cause: "all kinds of then: callers who send alike were barred for 20 s, as theirs ran on the three servers that a poison request ended; 201 refused as poison requests"},
-	{seed: 13002, kinds: "third", time: 10 * time.Second, cause: "all kinds of today: a node that was frozen over a step back of the store told an evacuation on that had ended; 4 of 8 living servers taken to work"},
-	{seed: 513, kinds: "first", cause: "all kinds of then: a word on a held entry went on at the choice of servers alone; 1 of 8 living servers taken to work"},
+// regressionSeeds are played by TestShortSoak.
+var regressionSeeds = []regressionSeed{
+	{seed: 6, kinds: "store-tells-at-once", cause: "all nodes considered only 2 of 8 running servers usable, before news were dated by the last event"},
+	{seed: 4, kinds: "store-lapse,store-deaf-lapse,store-down,kill", cause: "expired entries counted as removed servers, so that only 6 of 8 running servers were considered usable"},
+	{seed: 202, kinds: "first", cause: "a node that had learned of all servers from other nodes was not ready for more than seven seconds"},
+	{seed: 9410, kinds: "second", duration: 10 * time.Second, maxPoisonRefusals: 100, cause: "similar requests were blocked for 20 s because they ran on the three servers that a poison request crashed; 201 were refused as poison requests"},
+	{seed: 13002, kinds: "third", duration: 10 * time.Second, cause: "a node that was frozen during a store rollback passed on an evacuation that had ended; only 4 of 8 running servers were considered usable"},
+	{seed: 513, kinds: "first", cause: "a notice about a retained entry had no effect beyond the choice of servers; only 1 of 8 running servers was considered usable"},
 }
 
 const (
-	// keptTime is how long each kept seed draws faults, and keptNodes the nodes.
-	keptTime  = 12 * time.Second
-	keptNodes = 6
-	// keptSlack is added to bounds in time: the machine may be busy.
-	keptSlack = 3 * time.Second
+	// regressionDuration is how long each regression seed draws faults, and regressionNodes the
+	// number of nodes. busySlack is added to time limits, since the machine may be busy.
+	regressionDuration = 12 * time.Second
+	regressionNodes    = 6
+	// busySlack is added to time limits, since the machine may be busy.
+	busySlack = 3 * time.Second
 )
 
-// TestShortSoak plays the kept seeds, one over real processes after the other.
+// TestShortSoak plays the regression seeds one after the other with real processes.
 func TestShortSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
-	for _, kept := range keptSeeds {
-		kinds, err := kindsNamed(kept.kinds)
+	for _, regression := range regressionSeeds {
+		kinds, err := parseKinds(regression.kinds)
 		if err != nil {
-			t.Fatalf("kept seed %d (%s): %v", kept.seed, kept.cause, err)
+			t.Fatalf("regression seed %d (%s): %v", regression.seed, regression.cause, err)
 		}
-		t.Run(fmt.Sprint(kept.seed), func(t *testing.T) {
+		t.Run(fmt.Sprint(regression.seed), func(t *testing.T) {
 			runSoak(t, soakOptions{
-				seed: kept.seed, time: cmp.Or(kept.time, keptTime), nodes: keptNodes, kinds: kinds, isRelayed: true, slack: keptSlack,
-				mostBarred: kept.mostBarred,
+				seed: regression.seed, duration: cmp.Or(regression.duration, regressionDuration), nodes: regressionNodes, kinds: kinds, hasProxies: true, slack: busySlack,
+				maxPoisonRefusals: regression.maxPoisonRefusals,
 			})
 		})
 	}
 }
 
-// TestSoakRefusesWhatItCannotPlay: unknown kinds, no time, too many processes.
+// TestSoakRefusesWhatItCannotPlay: unknown kinds, a zero duration and too many nodes are
+// rejected.
 func TestSoakRefusesWhatItCannotPlay(t *testing.T) {
-	if _, err := kindsNamed("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
+	if _, err := parseKinds("kill,earthquake"); err == nil || !strings.Contains(err.Error(), "earthquake") {
 		t.Errorf("an unknown kind gives %v", err)
 	}
-	sound := soakOptions{time: time.Second, nodes: 3, kinds: allKinds()}
-	if err := sound.check(); err != nil {
-		t.Errorf("a sound run gives %v", err)
+	valid := soakOptions{duration: time.Second, nodes: 3, kinds: allKinds()}
+	if err := valid.check(); err != nil {
+		t.Errorf("valid options give %v", err)
 	}
 	for name, change := range map[string]func(o *soakOptions){
-		"no time":        func(o *soakOptions) { o.time = 0 },
+		"no time":        func(o *soakOptions) { o.duration = 0 },
 		"no nodes":       func(o *soakOptions) { o.nodes = 0 },
-		"too many nodes": func(o *soakOptions) { o.nodes = mostNodes + 1 },
+		"too many nodes": func(o *soakOptions) { o.nodes = maxNodes + 1 },
 		"no kinds":       func(o *soakOptions) { o.kinds = nil },
 	} {
-		options := sound
+		options := valid
 		change(&options)
 		if options.check() == nil {
-			t.Errorf("%s is played", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/test/platform/soak_limit_test.go
+++ b/test/platform/soak_limit_test.go
@@ -7,85 +7,87 @@
 )
 
 const (
-	serversNameLimit = "servers-name-limit"
-	// limitTold is how long after a node has passed a limit on what it sends counts.
-	limitTold = 500 * time.Millisecond
+	rateLimitKind = "servers-name-limit"
+	// limitNoticeTime is the time after a node has received a limit from which on its requests
+	// count.
+	limitNoticeTime = 500 * time.Millisecond
 )
 
-// limitKinds are servers that name a rate limit in their answers.
+// limitKinds makes servers announce a rate limit in their responses.
 func limitKinds() []kind {
-	return []kind{{serversNameLimit, 2, func(s *soak, d drawnFault) { s.nameLimits(d) }}}
+	return []kind{{rateLimitKind, 2, func(s *soak, d drawnFault) { s.setRateLimits(d) }}}
 }
 
-// soakLimits are the limits that servers name.
+// soakLimits are the announced limits, in requests a second.
 var soakLimits = []float64{0, 0.2, 1, 3, 10}
 
-// nameLimits lets some servers name a rate limit for a time.
-func (s *soak) nameLimits(drawn drawnFault) {
-	for i, m := range s.staying() {
+// setRateLimits makes some servers announce a rate limit for a time.
+func (s *soak) setRateLimits(drawn drawnFault) {
+	for i, m := range s.activeServers() {
 		if (i+drawn.server)%3 != 0 {
 			continue
 		}
 		perSecond := soakLimits[(i+drawn.server)%len(soakLimits)]
-		s.trouble(atServer, "", m.id+" names a limit of "+strconv.FormatFloat(perSecond, 'g', -1, 64), drawn.took+limitWindow)
-		m.nameLimit(perSecond)
-		s.later(drawn.took+limitWindow, func() { m.nameLimit(-1) })
+		s.disturb(serverScope, "", m.id+" announces a limit of "+strconv.FormatFloat(perSecond, 'g', -1, 64), drawn.duration+limitWindow)
+		m.setRateLimit(perSecond)
+		s.runAfter(drawn.duration+limitWindow, func() { m.setRateLimit(-1) })
 	}
 }
 
-// judgeLimits counts what reached a server while it named one limit, from nodes that had passed that
-// on. Nodes that ended, froze or were cut off since then are excused, what a harmed way held, and the
-// landing before, which reads no limits. The server's lock is held.
-func (s *soak) judgeLimits(m *modelServer) {
-	for from := 0; from < len(m.reached); {
+// checkLimits counts the contacts of a server while it announced a limit, from nodes that
+// had received the announcement. It excuses nodes that stopped, froze or were disconnected
+// since then, delays by a disturbed link, and the previous release, which ignores limits.
+// m.mu is held.
+func (s *soak) checkLimits(m *modelServer) {
+	for from := 0; from < len(m.contacts); {
 		to := from + 1
-		for to < len(m.reached) && m.reached[to].limit == m.reached[from].limit && m.reached[to].born == m.reached[from].born {
+		for to < len(m.contacts) && m.contacts[to].limit == m.contacts[from].limit && m.contacts[to].startID == m.contacts[from].startID {
 			to++
 		}
-		if m.reached[from].limit != "" {
-			s.judgeLimit(m, m.reached[from:to])
+		if m.contacts[from].limit != "" {
+			s.checkLimit(m, m.contacts[from:to])
 		}
 		from = to
 	}
 }
 
-// judgeLimit judges what came while the server named one limit.
-func (s *soak) judgeLimit(m *modelServer, came []reach) {
-	ends := make(map[string]served, len(s.ends))
-	for _, end := range s.ends {
-		ends[end.id] = end
+// checkLimit checks the contacts during which the server announced one limit.
+func (s *soak) checkLimit(m *modelServer, contacts []contact) {
+	outcomes := make(map[string]outcome, len(s.outcomes))
+	for _, o := range s.outcomes {
+		outcomes[o.id] = o
 	}
-	told := make(map[string]time.Time)
-	for _, one := range came {
-		end, known := ends[one.id]
-		if at, isTold := told[end.node]; known && end.status == 200 && (!isTold || end.done.Before(at)) {
-			told[end.node] = end.done
+	informedAt := make(map[string]time.Time)
+	for _, c := range contacts {
+		answered, isKnown := outcomes[c.id]
+		if at, isInformed := informedAt[answered.node]; isKnown && answered.status == 200 && (!isInformed || answered.done.Before(at)) {
+			informedAt[answered.node] = answered.done
 		}
 	}
-	var counted []reach
-	for _, one := range came {
-		if one.at.Sub(came[0].at) > limitKnown+s.options.slack && s.countsToLimit(m, one, ends[one.id].node, told) {
+	var counted []contact
+	for _, one := range contacts {
+		if one.at.Sub(contacts[0].at) > limitSettleTime+s.options.slack && s.countsToLimit(m, one, outcomes[one.id].node, informedAt) {
 			counted = append(counted, one)
 		}
 	}
-	perSecond, _ := strconv.ParseFloat(came[0].limit, 64)
-	if worst := worstWindow(counted); len(worst) > allowedInWindow(perSecond) {
-		s.find("RATE: %s named a limit of %s a second, and got %d requests in %v from nodes that it had told; %d are allowed (%v)",
-			m.id, came[0].limit, len(worst), limitWindow, allowedInWindow(perSecond), countPaths(worst))
+	perSecond, _ := strconv.ParseFloat(contacts[0].limit, 64)
+	if busiest := busiestWindow(counted); len(busiest) > allowedInWindow(perSecond) {
+		s.report("RATE: %s announced a limit of %s a second and was contacted %d times in %v by nodes that had received it; %d are allowed (%v)",
+			m.id, contacts[0].limit, len(busiest), limitWindow, allowedInWindow(perSecond), countPaths(busiest))
 	}
 }
 
-// countsToLimit reports whether what came from a node counts. Of the system's own calls it is not known
-// which node they are of: they count where no node is excused.
-func (s *soak) countsToLimit(m *modelServer, came reach, node string, told map[string]time.Time) bool {
-	if strings.HasPrefix(came.path, "/api/") {
-		for name, at := range told {
-			if came.at.Sub(at) <= limitTold || s.ranOlder[name] || s.isWordExcused(m, name, at, came.at) {
+// countsToLimit reports whether a contact counts towards the limit. Orders and report
+// queries do not identify their node, so they count only if no node is excused.
+func (s *soak) countsToLimit(m *modelServer, c contact, node string, informedAt map[string]time.Time) bool {
+	if strings.HasPrefix(c.path, "/api/") {
+		for name, at := range informedAt {
+			if c.at.Sub(at) <= limitNoticeTime || s.ranOlderBuild[name] || s.isNoticeExcused(m, name, at, c.at) {
 				return false
 			}
 		}
-		return len(told) == len(s.nodes)
+		return len(informedAt) == len(s.nodes)
 	}
-	at, isTold := told[node]
-	return isTold && came.at.Sub(at) > limitTold && !s.ranOlder[node] && !s.isWordExcused(m, node, at, came.at)
+	at, isInformed := informedAt[node]
+	return isInformed && c.at.Sub(at) > limitNoticeTime && !s.ranOlderBuild[node] && !s.isNoticeExcused(m, node, at, c.at)
 }
--- a/test/platform/soak_rollback_test.go
+++ b/test/platform/soak_rollback_test.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// storeGoesBack lets the store come back from a copy; what the operator and the servers wrote is
-// written again.
-const storeGoesBack = "store-goes-back"
+// storeRollbackKind restores the store from a snapshot, after which the operator and the
+// servers write their current state again.
+const storeRollbackKind = "store-goes-back"
 
-// returnTime is how long after a return the calls to the store are counted.
-const returnTime = 3 * time.Second
+// callCountPeriod is the period after a restore in which calls to the store are counted.
+const callCountPeriod = 3 * time.Second
 
 func rollbackKinds() []kind {
-	return []kind{{storeGoesBack, 2, func(s *soak, d drawnFault) { s.goBack(d) }}}
+	return []kind{{storeRollbackKind, 2, func(s *soak, d drawnFault) { s.rollBackStore(d) }}}
 }
 
-// goBack copies the store, lets it be away for a moment after the drawn time, and come back from
-// the copy. The landing before knows of no eras: none of it runs beside.
-func (s *soak) goBack(drawn drawnFault) {
+// rollBackStore takes a snapshot, makes the store unavailable for a moment after the drawn
+// time, and restores the snapshot. It does nothing if nodes ran the previous release, which
+// does not know store eras.
+func (s *soak) rollBackStore(drawn drawnFault) {
 	s.mu.Lock()
-	isPlayed := len(s.ranOlder) == 0
-	s.wentBack = s.wentBack || isPlayed
+	isApplicable := len(s.ranOlderBuild) == 0
+	s.storeRolledBack = s.storeRolledBack || isApplicable
 	s.mu.Unlock()
-	if !isPlayed {
+	if !isApplicable {
 		return
 	}
-	copied := s.store.copyNow()
-	s.later(drawn.took, func() {
-		away := drawn.pauses[0]
-		s.trouble(atStore, "", "store comes back from a copy", away+drawn.pauses[1])
-		s.store.set(func() { s.store.down = true })
-		s.later(away, func() {
-			s.store.goBack(copied)
-			s.store.set(func() { s.store.down = false })
+	saved := s.store.snapshot()
+	s.runAfter(drawn.duration, func() {
+		outage := drawn.pauses[0]
+		s.disturb(storeScope, "", "store is restored from a snapshot", outage+drawn.pauses[1])
+		s.store.set(func() { s.store.unavailable = true })
+		s.runAfter(outage, func() {
+			s.store.restore(saved)
+			s.store.set(func() { s.store.unavailable = false })
 			for i, m := range s.allServers() {
-				s.later(drawn.pauses[i%len(drawn.pauses)]/2, func() { s.writeServerAgain(m) })
+				s.runAfter(drawn.pauses[i%len(drawn.pauses)]/2, func() { s.rewriteServer(m) })
 			}
-			before := s.store.callsMade()
-			s.later(returnTime, func() {
-				s.t.Logf("%d nodes made %d calls in %v after the store came back", len(s.controls), s.store.callsMade()-before, returnTime)
+			before := s.store.callCount()
+			s.runAfter(callCountPeriod, func() {
+				s.t.Logf("%d nodes made %d calls in %v after the store was restored", len(s.controls), s.store.callCount()-before, callCountPeriod)
 			})
 		})
-		s.later(away+drawn.pauses[1]/2, s.writeConfigurationAgain)
+		s.runAfter(outage+drawn.pauses[1]/2, s.rewriteConfiguration)
 	})
 }
 
@@ -49,31 +50,32 @@
 	return append([]*modelServer(nil), s.servers...)
 }
 
-// writeConfigurationAgain writes what the operator had written last.
-func (s *soak) writeConfigurationAgain() {
+// rewriteConfiguration writes the operator's latest state again.
+func (s *soak) rewriteConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.put("config", "main", s.config)
 	for _, zone := range soakZones {
 		s.store.remove("evacuations", zone)
 	}
-	if count := len(s.evacuations); count > 0 && s.evacuations[count-1].over.IsZero() {
+	if count := len(s.evacuations); count > 0 && s.evacuations[count-1].ended.IsZero() {
 		s.store.put("evacuations", s.evacuations[count-1].zone, map[string]any{})
 	}
 }
 
-// writeServerAgain writes what the server says now, unless its entry is away for another reason.
-func (s *soak) writeServerAgain(m *modelServer) {
+// rewriteServer writes the server's current state, unless its entry is absent for another
+// reason.
+func (s *soak) rewriteServer(m *modelServer) {
 	s.mu.Lock()
-	leftAt, left := s.left[m.id]
-	lapsed, crashed := s.lapsed[m.id], s.crashed[m.id]
+	leftAt, isLeaving := s.drainedAt[m.id]
+	expired, crashed := s.expired[m.id], s.crashed[m.id]
 	s.mu.Unlock()
 	switch {
-	case crashed, left && time.Since(leftAt) > soakDrain:
+	case crashed, isLeaving && time.Since(leftAt) > soakDrain:
 		s.store.remove("servers", m.id)
-	case left:
-		m.enter(s.store, "draining")
-	case !lapsed:
-		m.enter(s.store, "ready")
+	case isLeaving:
+		m.register(s.store, "draining")
+	case !expired:
+		m.register(s.store, "ready")
 	}
 }
--- a/test/platform/soak_silence_test.go
+++ b/test/platform/soak_silence_test.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// heldTime is how long orders are held: longer than it takes until the next holder gives
-// its first order, which is the lease, the quiet time between holders, their margin and
-// the candidates' delays.
-const heldTime = 6 * time.Second
+// orderHoldTime is how long orders are delayed: longer than it takes the next lease holder
+// to give its first order, which is the lease duration, the quiet period between holders,
+// their margin and the candidates' delays.
+const orderHoldTime = 6 * time.Second
 
-// untilOrdered is the time that the holder needs to learn what servers lost, and to
-// order it anew. It may order for a second and more after it is cut off from the store.
-const untilOrdered = 200 * time.Millisecond
+// reorderTime is the time that the lease holder needs to notice lost models and order them
+// again. It may order for more than a second after it is disconnected from the store.
+const reorderTime = 200 * time.Millisecond
 
-// holdOrders lets the servers lose their models, holds what the holder of the lease then
-// orders on its way to all of them, and takes the lease from it. What it ordered and gave
-// up is set free once another has the lease. One is held at a time.
+// holdOrders clears the servers' models, blocks the orders that the lease holder then sends
+// to them, and disconnects the holder from the store so that it loses the lease. The blocked
+// orders are released after another node holds the lease. Only one holder's orders are
+// blocked at a time.
 func (s *soak) holdOrders() {
 	s.mu.Lock()
-	isHeld := time.Now().Before(s.heldUntil)
-	if !isHeld {
-		s.heldUntil = time.Now().Add(untilOrdered + heldTime)
+	isBlocking := time.Now().Before(s.ordersHeldUntil)
+	if !isBlocking {
+		s.ordersHeldUntil = time.Now().Add(reorderTime + orderHoldTime)
 	}
 	s.mu.Unlock()
-	c := s.holder()
-	if isHeld || c == nil {
+	c := s.leaseHolder()
+	if isBlocking || c == nil {
 		return
 	}
-	s.trouble(atServer, "", "servers lose their models", untilOrdered+heldTime)
-	held := fault{deafTo: true, holds: fmt.Sprintf("%q:%q", "holder", c.name)}
-	for _, m := range s.staying() {
-		if m.way == nil {
+	s.disturb(serverScope, "", "servers lose their models", reorderTime+orderHoldTime)
+	block := fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)}
+	for _, m := range s.activeServers() {
+		if m.proxy == nil {
 			continue
 		}
-		m.way.set(everybody, held)
-		s.later(untilOrdered+heldTime, func() { m.way.set(everybody, fault{}) })
+		m.proxy.set(anySender, block)
+		s.runAfter(reorderTime+orderHoldTime, func() { m.proxy.set(anySender, fault{}) })
 		m.loseModels()
-		m.enter(s.store, "ready")
+		m.register(s.store, "ready")
 	}
-	s.later(untilOrdered, func() {
-		s.harm(c, c.toStore, everybody, "its orders are held, and it is cut off from the store", heldTime, fault{refuse: true}, true)
+	s.runAfter(reorderTime, func() {
+		s.faultLink(c, c.storeProxy, anySender, "its orders are blocked, and it is disconnected from the store", orderHoldTime, fault{refuse: true}, true)
 	})
 }
 
-// loseModels lets a server hold nothing; what it loads goes on.
+// loseModels unloads all models; a load in progress continues.
 func (m *modelServer) loseModels() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.models)
 }
 
-// holder is the node that wrote the lease last; nil where none did.
-func (s *soak) holder() *control {
+// leaseHolder returns the node that last wrote the lease, or nil.
+func (s *soak) leaseHolder() *control {
 	s.store.mu.Lock()
 	text := s.store.objects["leases"]["leader"].Spec
 	s.store.mu.Unlock()
@@ -73,52 +74,53 @@
 	return nil
 }
 
-// silentTime is how long connections stay silent: nobody waits that long for one.
-const silentTime = 8 * time.Second
+// silenceTime is how long connections stay silent; no caller waits that long for one.
+const silenceTime = 8 * time.Second
 
-// silence lets the connections that are open go silent, in a direction that is drawn,
-// while new ones work. Node, or server, is whom it concerns.
-func (s *soak) silence(drawn drawnFault, w *way, name, what string) {
-	if w == nil {
+// silence blocks the connections that are open now, in a drawn direction, while new ones
+// work. The name is that of the affected node or server.
+func (s *soak) silence(drawn drawnFault, p *proxy, name, what string) {
+	if p == nil {
 		return
 	}
 	direction, f := silentDirection(drawn)
 	f.openedBefore = time.Now()
-	s.trouble(atNode, name, fmt.Sprintf("%s silent %s", what, direction), silentTime)
-	w.set(everybody, f)
-	s.later(silentTime, func() { w.set(everybody, fault{}) })
+	s.disturb(nodeScope, name, fmt.Sprintf("%s silent %s", what, direction), silenceTime)
+	p.set(anySender, f)
+	s.runAfter(silenceTime, func() { p.set(anySender, fault{}) })
 }
 
 func silentDirection(drawn drawnFault) (direction string, f fault) {
 	switch drawn.server % 3 {
 	case 0:
-		return "one way", fault{deafTo: true}
+		return "one way", fault{blockTo: true}
 	case 1:
-		return "the other way", fault{deafFrom: true}
+		return "the other way", fault{blockFrom: true}
 	default:
-		return "both ways", fault{deafTo: true, deafFrom: true}
+		return "both ways", fault{blockTo: true, blockFrom: true}
 	}
 }
 
 func (s *soak) silenceServer(drawn drawnFault) {
-	staying := s.staying()
+	staying := s.activeServers()
 	m := staying[(drawn.server/3)%len(staying)]
-	if m.way == nil {
+	if m.proxy == nil {
 		return
 	}
 	direction, f := silentDirection(drawn)
 	f.openedBefore = time.Now()
-	s.trouble(atServer, "", fmt.Sprintf("connections to %s silent %s", m.id, direction), silentTime)
-	s.trouble(onWayToServer, m.id, "its connections are silent", silentTime)
-	m.way.set(everybody, f)
-	s.later(silentTime, func() { m.way.set(everybody, fault{}) })
+	s.disturb(serverScope, "", fmt.Sprintf("connections to %s silent %s", m.id, direction), silenceTime)
+	s.disturb(serverLinkScope, m.id, "its connections are silent", silenceTime)
+	m.proxy.set(anySender, f)
+	s.runAfter(silenceTime, func() { m.proxy.set(anySender, fault{}) })
 }
 
-// A holder of the lease ended while its orders were under way behind cut ways; the next holder ordered,
-// and when the ways healed the orders of the former one arrived and were taken, under an older token.
-// What is given up by a process that runs is reset, but one that ends gives nothing up: its kernel
-// closed the connections in the ordinary way, so the bytes stayed deliverable. The books of five servers
-// settled it, as the holder of token 27 had stopped as planned six seconds before:
+// TestOrdersOfAHolderThatEndedDoNotArrive: a lease holder exited while its orders were in
+// transit on blocked links. The next holder gave orders, and when the links recovered, the
+// former holder's orders arrived and were accepted with an older fencing token. A running
+// process resets the connections of orders that it gives up; when a process exits, its
+// kernel closes connections normally, so their bytes stay deliverable. The check reported,
+// six seconds after the holder of token 27 had stopped gracefully:
 //
 //	ONE: i-2 took token 27 after 55
 func TestOrdersOfAHolderThatEndedDoNotArrive(t *testing.T) {
@@ -126,43 +128,43 @@
 		t.Skip("takes a minute")
 	}
 	for name, end := range map[string]func(s *soak, c *control){
-		"it is killed":         func(s *soak, c *control) { s.kill(c, heldTime) },
+		"it is killed":         func(s *soak, c *control) { s.kill(c, orderHoldTime) },
 		"it stops, as planned": func(s *soak, c *control) { s.stopNode(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startSoak(t, soakOptions{seed: 1, nodes: keptNodes, kinds: firstKinds(), isRelayed: true, slack: keptSlack})
-			s.end(s.play(func() {
+			s := startSoak(t, soakOptions{seed: 1, nodes: regressionNodes, kinds: firstKinds(), hasProxies: true, slack: busySlack})
+			s.finish(s.run(func() {
 				for range 2 {
 					s.endHolderWithOrdersHeld(end)
-					time.Sleep(soakContact)
+					time.Sleep(soakReconnect)
 				}
 			}))
 		})
 	}
 }
 
-// endHolderWithOrdersHeld ends the holder of the lease while its orders are held before the servers, and
-// sets them free when the next holder has long ordered.
+// endHolderWithOrdersHeld ends the lease holder while its orders are blocked, and releases
+// them long after the next holder has given its first order.
 func (s *soak) endHolderWithOrdersHeld(end func(s *soak, c *control)) {
 	var c *control
-	eventually(s.t, "somebody gives orders", func() bool {
-		c = s.holder()
-		return c != nil && slices.ContainsFunc(s.staying(), func(m *modelServer) bool {
+	eventually(s.t, "some node gives orders", func() bool {
+		c = s.leaseHolder()
+		return c != nil && slices.ContainsFunc(s.activeServers(), func(m *modelServer) bool {
 			given := m.ordersTaken()
 			return len(given) > 0 && given[len(given)-1].Holder == c.name
 		})
 	})
-	s.trouble(atServer, "", "servers lose their models", untilOrdered+heldTime)
-	for _, m := range s.staying() {
-		m.way.set(everybody, fault{deafTo: true, holds: fmt.Sprintf("%q:%q", "holder", c.name)})
+	s.disturb(serverScope, "", "servers lose their models", reorderTime+orderHoldTime)
+	for _, m := range s.activeServers() {
+		m.proxy.set(anySender, fault{blockTo: true, containing: fmt.Sprintf("%q:%q", "holder", c.name)})
 		m.loseModels()
-		m.enter(s.store, "ready")
+		m.register(s.store, "ready")
 	}
-	time.Sleep(untilOrdered)
+	time.Sleep(reorderTime)
 	end(s, c)
-	time.Sleep(heldTime)
-	for _, m := range s.staying() {
-		m.way.set(everybody, fault{})
+	time.Sleep(orderHoldTime)
+	for _, m := range s.activeServers() {
+		m.proxy.set(anySender, fault{})
 	}
-	s.busy.Wait()
+	s.activeFaults.Wait()
 }
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// The soak plays faults that are drawn from a seed over real processes, by the
-// real clock, and judges by the books of the stand-ins. Faults come one over the
-// other and in series. A short one of fixed seeds is part of the tests; a longer
-// one is asked for: go test ./test/platform -run '^TestSoak$' -soak 60s -soak.seed 1.
+// The soak test runs real processes in real time under random faults drawn from a seed, and
+// checks the results against what the fake servers and the fake store recorded. Faults
+// overlap and come in sequences. TestShortSoak plays fixed seeds; for a longer run: go test
+// ./test/platform -run '^TestSoak$' -soak 60s -soak.seed 1.
 var (
-	soakTime  = flag.Duration("soak", 0, "how long the soak draws faults; 0 is not at all")
-	soakSeed  = flag.Uint64("soak.seed", 1, "the seed of its faults")
-	soakNodes = flag.Int("soak.nodes", 6, "the number of its nodes")
-	soakKinds = flag.String("soak.kinds", "", "the kinds of faults that it draws, with commas between; empty is all")
-	soakPlain = flag.Bool("soak.plain", false, "no relays between processes, for builds that know no --peers-listen")
+	soakTime  = flag.Duration("soak", 0, "how long the soak draws faults; 0 skips it")
+	soakSeed  = flag.Uint64("soak.seed", 1, "seed of the random faults")
+	soakNodes = flag.Int("soak.nodes", 6, "number of nodes")
+	soakKinds = flag.String("soak.kinds", "", "comma-separated kinds of faults to draw; empty means all")
+	soakPlain = flag.Bool("soak.plain", false, "no proxies between processes, for builds without --peers-listen")
 )
 
 const (
@@ -31,134 +31,136 @@
 	soakModelServers = 5
 	soakCommands     = 3
 	soakDeadline     = 6 * time.Second
-	// soakQuiet is the time without faults at the end, soakRecover of which the
-	// fleet has to recover.
-	soakQuiet   = 10 * time.Second
-	soakRecover = 6 * time.Second
-	// soakDrain bounds new work at a server after its entry says that it leaves.
+	// soakQuietPeriod is the time without faults at the end, of which soakRecovery is left for
+	// the fleet to recover.
+	soakQuietPeriod = 10 * time.Second
+	soakRecovery    = 6 * time.Second
+	// soakDrain is the time within which new work at a server has to stop after its entry says
+	// that it is draining.
 	soakDrain = 2 * time.Second
-	// soakContact is how long after a trouble rules with a time do not count.
-	soakContact = 4 * time.Second
-	// soakLoads bounds the loads that begin in soakWindow.
-	soakWindow = 5 * time.Second
-	soakLoads  = 25
-	// soakGrace is the time that a planned stop has (graceS of the settings), and
-	// soakEnd when it is looked whether it ended.
-	soakGrace = 4 * time.Second
-	soakEnd   = soakGrace + 500*time.Millisecond
-	// soakPause is the longest time between two draws of a storm, mostFaults the most
-	// draws, and soakCalm how long after it, beyond soakContact, callers are judged in
-	// calm times.
-	soakPause  = 1200 * time.Millisecond
-	mostFaults = 10
-	soakCalm   = 2 * time.Second
-	// mostNodes bounds a run: a few hundred processes, and one address each.
-	mostNodes = 200
-	// firstSoakIP leaves 127.0.0.1 to the callers, so that relays can tell nodes
-	// apart by their addresses.
+	// soakReconnect is the time after a disturbance in which rules with a time limit do not
+	// apply.
+	soakReconnect = 4 * time.Second
+	// maxSoakLoads bounds the model loads that start within soakLoadWindow.
+	soakLoadWindow = 5 * time.Second
+	maxSoakLoads   = 25
+	// soakGrace is the grace period of a graceful stop (graceS in the settings), and
+	// soakStopDeadline is when the exit is checked.
+	soakGrace        = 4 * time.Second
+	soakStopDeadline = soakGrace + 500*time.Millisecond
+	// maxFaultPause is the longest pause between two faults of runFaults, and maxFaults their
+	// maximum number. soakCalmPeriod is the time after them, beyond soakReconnect, in which
+	// callers are checked by the rules for undisturbed periods.
+	maxFaultPause  = 1200 * time.Millisecond
+	maxFaults      = 10
+	soakCalmPeriod = 2 * time.Second
+	// maxNodes limits a run to a few hundred processes, each with its own address.
+	maxNodes = 200
+	// firstSoakIP leaves 127.0.0.1 to the callers, so that proxies can identify nodes by their
+	// addresses.
 	firstSoakIP = 11
 )
 
-// served is one request's end, as its caller saw it.
-type served struct {
+// outcome is the outcome of one request as seen by its caller.
+type outcome struct {
 	id, node string
-	// route is the kind of route: command, models, or added.
+	// route is the type of route: command, models, or added.
 	route      string
 	sent, done time.Time
-	// sending is how long the caller took to send it.
-	sending time.Duration
-	status  int
-	whole   bool
-	// model is what was asked for; empty for commands.
+	// sending is the time the caller took to send the request.
+	sending      time.Duration
+	status       int
+	bodyComplete bool
+	// model is the requested model; empty for commands.
 	model string
-	// isBarred is set where it was refused as a poison request.
-	isBarred bool
-	// left is set where the caller went away in the middle.
-	left bool
-	err  error
+	// refusedAsPoison is set if the request was refused as a poison request.
+	refusedAsPoison bool
+	// callerLeft is set if the caller disconnected before the end.
+	callerLeft bool
+	err        error
 }
 
-// soakOptions are one run's.
+// soakOptions configures a run.
 type soakOptions struct {
-	seed  uint64
-	time  time.Duration
-	nodes int
-	kinds []kind
-	// isRelayed puts relays between all processes.
-	isRelayed bool
-	// slack is added to bounds in time, where the machine may be busy.
+	seed     uint64
+	duration time.Duration
+	nodes    int
+	kinds    []kind
+	// hasProxies puts proxies between all processes.
+	hasProxies bool
+	// slack is added to time limits, since the machine may be busy.
 	slack time.Duration
-	// mostBarred bounds the requests that are refused as poison requests; 0 where nothing does.
-	mostBarred int
+	// maxPoisonRefusals bounds the requests refused as poison requests; 0 means no bound.
+	maxPoisonRefusals int
 }
 
-// soak is one run.
+// soak is one run of the soak test.
 type soak struct {
 	*fleet
 	options  soakOptions
 	random   *rand.Rand
 	controls []*control
 
-	mu       sync.Mutex
-	version  int
-	written  map[int]time.Time
-	troubles []span
-	ends     []served
-	judged   int
-	probes   map[string][]probe
-	// keyProbes are what became of requests with withdrawn keys.
+	mu           sync.Mutex
+	version      int
+	configTimes  map[int]time.Time
+	disturbances []disturbance
+	outcomes     []outcome
+	checkedCount int
+	probes       map[string][]probe
+	// keyProbes holds the results of requests with withdrawn API keys.
 	keyProbes []keyProbe
 	servers   []*modelServer
-	left      map[string]time.Time
-	lapsed    map[string]bool
-	// poisons are the poison requests that came, by body.
+	drainedAt map[string]time.Time
+	expired   map[string]bool
+	// poisons holds the poison requests that were sent, by body.
 	poisons  map[string]*soakPoison
 	number   int
 	findings []string
-	// homes are where commands may run, by version.
-	homes []soakHome
-	// heldUntil is until when the orders of a holder of the lease are held.
-	heldUntil time.Time
-	// evacuations are those declared, in their order.
+	// allowedRegions holds where commands may run, in order of time.
+	allowedRegions []regionRule
+	// ordersHeldUntil is the time until which a lease holder's orders are blocked.
+	ordersHeldUntil time.Time
+	// evacuations holds the evacuations in order of time.
 	evacuations []soakEvacuation
-	// ranOlder are the nodes that ran the landing before at some time.
-	ranOlder map[string]bool
-	// crashed are the servers that ended under a poison request.
+	// ranOlderBuild holds the nodes that have run the previous release.
+	ranOlderBuild map[string]bool
+	// crashed holds the servers that crashed on a poison request.
 	crashed map[string]bool
-	// config is what the operator wrote last, and wentBack is set once the store came back from a
-	// copy.
-	config   map[string]any
-	wentBack bool
-	// traps are servers that only entries of another writer name.
+	// config is the configuration written last, and storeRolledBack is set once the store has
+	// been restored from a snapshot.
+	config          map[string]any
+	storeRolledBack bool
+	// traps are servers that only unreadable entries name.
 	traps []*modelServer
 
-	busy    sync.WaitGroup
-	callers sync.WaitGroup
-	stop    chan struct{}
+	activeFaults sync.WaitGroup
+	callers      sync.WaitGroup
+	stop         chan struct{}
 }
 
 func TestSoak(t *testing.T) {
 	if *soakTime == 0 {
-		t.Skip("not asked for: -soak 60s")
+		t.Skip("skipped by default; use -soak 60s")
 	}
-	kinds, err := kindsNamed(*soakKinds)
+	kinds, err := parseKinds(*soakKinds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := soakOptions{seed: *soakSeed, time: *soakTime, nodes: *soakNodes, kinds: kinds, isRelayed: !*soakPlain}
+	options := soakOptions{seed: *soakSeed, duration: *soakTime, nodes: *soakNodes, kinds: kinds, hasProxies: !*soakPlain}
 	if err := options.check(); err != nil {
 		t.Fatal(err)
 	}
 	runSoak(t, options)
 }
 
-// check finds what a run cannot be asked for.
+// check validates the options.
 func (o soakOptions) check() error {
 	switch {
-	case o.time <= 0:
-		return fmt.Errorf("soak: %v is no time", o.time)
-	case o.nodes < 1 || o.nodes > mostNodes:
-		return fmt.Errorf("soak: %d nodes; 1 to %d can be asked for", o.nodes, mostNodes)
+	case o.duration <= 0:
+		return fmt.Errorf("soak: duration %v is not positive", o.duration)
+	case o.nodes < 1 || o.nodes > maxNodes:
+		return fmt.Errorf("soak: %d nodes, want 1 to %d", o.nodes, maxNodes)
 	case len(o.kinds) == 0:
 		return fmt.Errorf("soak: no kinds of faults")
 	}
@@ -168,8 +170,8 @@
 func newSoak(f *fleet, options soakOptions) *soak {
 	return &soak{
 		fleet: f, options: options, random: rand.New(rand.NewPCG(options.seed, 0x50a4)),
-		written: make(map[int]time.Time), left: make(map[string]time.Time), lapsed: make(map[string]bool),
-		poisons: make(map[string]*soakPoison), ranOlder: make(map[string]bool), crashed: make(map[string]bool),
+		configTimes: make(map[int]time.Time), drainedAt: make(map[string]time.Time), expired: make(map[string]bool),
+		poisons: make(map[string]*soakPoison), ranOlderBuild: make(map[string]bool), crashed: make(map[string]bool),
 		probes: make(map[string][]probe), stop: make(chan struct{}),
 	}
 }
@@ -177,9 +179,9 @@
 func runSoak(t *testing.T, options soakOptions) {
 	t.Helper()
 	s := startSoak(t, options)
-	s.end(s.play(func() {
-		for end := time.Now().Add(options.time); time.Now().Before(end); {
-			s.storm()
+	s.finish(s.run(func() {
+		for end := time.Now().Add(options.duration); time.Now().Before(end); {
+			s.runFaults()
 		}
 	}))
 }
@@ -187,16 +189,16 @@
 // startSoak starts a fleet with servers and a configuration.
 func startSoak(t *testing.T, options soakOptions) *soak {
 	t.Helper()
-	fleetOf := fleetOptions{
-		count: options.nodes, seeds: `"127.0.0.11:1", "127.0.0.12:1"`, firstIP: firstSoakIP, isRelayed: options.isRelayed, hasMetrics: true,
+	settings := fleetOptions{
+		count: options.nodes, seeds: `"127.0.0.11:1", "127.0.0.12:1"`, firstIP: firstSoakIP, hasProxies: options.hasProxies, hasMetrics: true,
 	}
-	if (&soak{options: options}).evacuates() {
-		fleetOf.bounds = evacuateLine
+	if (&soak{options: options}).hasEvacuations() {
+		settings.bounds = evacuateLine
 	}
-	if options.movesHome() {
-		fleetOf.zones = options.nodeZones()
+	if options.changesRegions() {
+		settings.zones = options.nodeZones()
 	}
-	s := newSoak(newFleetWith(t, fleetOf), options)
+	s := newSoak(newFleetWithOptions(t, settings), options)
 	for _, n := range s.nodes {
 		s.controls = append(s.controls, newControl(n))
 	}
@@ -210,45 +212,45 @@
 	return s
 }
 
-// play lets callers come while the troubles are made, and for a time after them; it returns when
-// the troubles were over.
-func (s *soak) play(makeTroubles func()) (calm time.Time) {
+// run starts the callers, injects the faults, and waits for the quiet period. It returns the
+// time at which the last fault ended.
+func (s *soak) run(injectFaults func()) (faultsEndedAt time.Time) {
 	s.awaitReady()
-	s.isQuiet = true
-	s.call()
-	go s.judgeOn()
-	makeTroubles()
-	calm = time.Now()
-	time.Sleep(soakQuiet + s.options.slack)
-	return calm
+	s.hidesLogs = true
+	s.startCallers()
+	go s.checkPeriodically()
+	injectFaults()
+	faultsEndedAt = time.Now()
+	time.Sleep(soakQuietPeriod + s.options.slack)
+	return faultsEndedAt
 }
 
-// end judges what was played.
-func (s *soak) end(calm time.Time) {
-	s.judgeBeliefs()
+// finish runs all checks and reports the violations.
+func (s *soak) finish(faultsEndedAt time.Time) {
+	s.checkUsableServers()
 	close(s.stop)
 	s.callers.Wait()
-	s.judge(calm)
-	s.keepLogs()
+	s.checkAll(faultsEndedAt)
+	s.writeLogs()
 	for _, finding := range s.findings {
 		s.t.Error(finding)
 	}
 }
 
-// storm is some faults, one over the other, and then a calm in which all has to be
-// right again.
-func (s *soak) storm() {
-	for range 1 + s.random.IntN(mostFaults) {
-		s.draw()
-		time.Sleep(time.Duration(s.random.Float64() * float64(soakPause)))
+// runFaults starts a number of overlapping faults, waits for their end and a calm period,
+// and checks that all nodes have recovered.
+func (s *soak) runFaults() {
+	for range 1 + s.random.IntN(maxFaults) {
+		s.startFault()
+		time.Sleep(time.Duration(s.random.Float64() * float64(maxFaultPause)))
 	}
-	s.busy.Wait()
-	time.Sleep(soakContact + soakCalm + s.options.slack)
-	s.judgeBeliefs()
+	s.activeFaults.Wait()
+	time.Sleep(soakReconnect + soakCalmPeriod + s.options.slack)
+	s.checkUsableServers()
 }
 
-// draw begins one fault; the one before need not have ended.
-func (s *soak) draw() {
+// startFault draws and starts one fault; earlier ones may still be active.
+func (s *soak) startFault() {
 	total := 0
 	for _, k := range s.options.kinds {
 		total += k.weight
@@ -262,48 +264,49 @@
 	}
 }
 
-// addServer starts a server with an identity of its own, which is cold for a time.
+// addServer starts a server with a new identity, cold for the given time.
 func (s *soak) addServer(service string, cold time.Duration) *modelServer {
 	s.mu.Lock()
 	s.number++
-	number, zone := s.number, s.nextZone(service)
+	number, zone := s.number, s.leastUsedZone(service)
 	s.mu.Unlock()
 	m := &modelServer{
 		id: fmt.Sprintf("i-%d", number), service: service, zone: zone, loadTime: 300 * time.Millisecond, streamPause: 30 * time.Millisecond,
-		models: make(map[string]map[string]bool), runs: make(map[string]int), ranAt: make(map[string]time.Time), weightMB: 60, memoryMB: 200,
+		models: make(map[string]map[string]bool), runs: make(map[string]int), startedAt: make(map[string]time.Time), modelMB: 60, memoryMB: 200,
 	}
 	m.onPoison = func(writer http.ResponseWriter, request *http.Request, body string) {
-		s.endUnder(m, writer, request, body)
+		s.crashOnPoison(m, writer, request, body)
 	}
 	server := httptest.NewServer(m)
 	s.t.Cleanup(server.Close)
-	m.server, m.born = server, time.Now().UnixMilli()
+	m.httpServer, m.startID = server, time.Now().UnixMilli()
 	m.address = strings.TrimPrefix(server.URL, "http://")
-	if s.options.isRelayed {
-		m.way = newWay(s.t, "127.0.0.1:0", m.address)
-		m.address = m.way.address()
+	if s.options.hasProxies {
+		m.proxy = newProxy(s.t, "127.0.0.1:0", m.address)
+		m.address = m.proxy.address()
 	}
 	if cold > 0 {
-		m.cameAt, m.coldUntil = time.Now(), time.Now().Add(cold)
+		m.coldSince, m.coldUntil = time.Now(), time.Now().Add(cold)
 	}
-	m.enter(s.store, "ready")
+	m.register(s.store, "ready")
 	s.mu.Lock()
 	s.servers = append(s.servers, m)
 	s.mu.Unlock()
 	return m
 }
 
-// staying are the servers that have not left.
-func (s *soak) staying() []*modelServer {
+// activeServers returns the servers that have not started to drain.
+func (s *soak) activeServers() []*modelServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(s.servers), func(m *modelServer) bool {
-		_, left := s.left[m.id]
-		return left
+		_, isLeaving := s.drainedAt[m.id]
+		return isLeaving
 	})
 }
 
-// changeConfiguration writes the next version, with one route more.
+// changeConfiguration writes the next version of the configuration, which has one more
+// route.
 func (s *soak) changeConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,47 +322,49 @@
 			"type": "safe", "service": "commands", "goalMs": 500,
 		})
 	}
-	config := configuration(s.version, added...)
+	config := newConfig(s.version, added...)
 	engine := config["services"].([]map[string]any)[1]["engine"].(map[string]any)
 	engine["models"], engine["weightsMb"] = models, 200
-	if s.limitsCold() {
+	if s.hasColdServers() {
 		config["services"].([]map[string]any)[1]["coldStartS"] = soakColdTime.Seconds()
 		config["services"].([]map[string]any)[1]["coldPerS"] = soakColdPerS
 	}
-	s.putHome(config)
-	// The second key is another in each version: tenants come and go beside callers.
+	s.setAllowedRegions(config)
+	// The second key differs in each version, so that API keys are added and withdrawn during
+	// the run.
 	config["tenants"] = []map[string]any{{
 		"name": soakTenant, "apiKeys": []string{soakKey, versionKey(s.version)},
 		"unit": "tokens", "plainTokens": 1, "ratePerS": 1e6, "burst": 1e6,
 	}}
 	s.config = config
 	s.store.put("config", "main", config)
-	s.written[s.version] = time.Now()
+	s.configTimes[s.version] = time.Now()
 }
 
-// addedRoute is a route that has been in force long enough, 0 where there is none.
-func (s *soak) addedRoute(random *rand.Rand) int {
+// pickAddedRoute returns the version of an added route that has been in force long enough,
+// or 0.
+func (s *soak) pickAddedRoute(random *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := 0
-	for version, at := range s.written {
-		if version > 1 && time.Since(at) > soakContact {
-			known = max(known, version)
+	newest := 0
+	for version, at := range s.configTimes {
+		if version > 1 && time.Since(at) > soakReconnect {
+			newest = max(newest, version)
 		}
 	}
-	if known < 2 {
+	if newest < 2 {
 		return 0
 	}
-	return 2 + random.IntN(known-1)
+	return 2 + random.IntN(newest-1)
 }
 
-// keepLogs writes the nodes' logs where SOAK_LOGS says.
-func (s *soak) keepLogs() {
-	folder := os.Getenv("SOAK_LOGS")
-	if folder == "" {
+// writeLogs writes the nodes' logs to the directory in SOAK_LOGS, if set.
+func (s *soak) writeLogs() {
+	dir := os.Getenv("SOAK_LOGS")
+	if dir == "" {
 		return
 	}
 	for _, n := range s.nodes {
-		_ = os.WriteFile(fmt.Sprintf("%s/seed-%d-%s.log", folder, s.options.seed, n.name), []byte(n.log()), 0o600)
+		_ = os.WriteFile(fmt.Sprintf("%s/seed-%d-%s.log", dir, s.options.seed, n.name), []byte(n.log()), 0o600)
 	}
 }
