--- a/internal/sim/batch.go
+++ b/internal/sim/batch.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// RunSeed runs one seed. It must depend on nothing but its arguments.
+// RunSeed runs one seed. Its result must depend on the seed alone.
 type RunSeed func(seed uint64) Report
 
-// RunBatch runs the seeds from first on, several at once. The reports are in
-// the order of the seeds, whatever the number of workers. progress, if set, is
-// called after each run, by one goroutine at a time.
+// RunBatch runs count consecutive seeds starting at first, using several
+// workers. The reports are in seed order for any number of workers. progress,
+// if not nil, is called after each run, never concurrently.
 func RunBatch(first uint64, count, workers int, run RunSeed, progress func(done int)) []Report {
 	reports := make([]Report, count)
 	next := make(chan int)
--- a/internal/sim/batch_test.go
+++ b/internal/sim/batch_test.go
@@ -18,9 +18,9 @@
 	kindKill    = FaultKind("kill")
 )
 
-// toy is a run with two processes that send each other numbers. A defect is
-// planted: b's number is wrong once it was killed while a was paused.
-func toy(seed uint64, plan Plan) Report {
+// runTwoProcesses simulates process a sending messages to process b. It has a
+// planted defect: the rule is violated once b was killed while a was paused.
+func runTwoProcesses(seed uint64, plan Plan) Report {
 	scheduler := NewScheduler()
 	trace := NewTrace(scheduler, nil)
 	streams := NewStreams(seed)
@@ -35,10 +35,10 @@
 	a.Start()
 	b.Start()
 	if plan == nil {
-		plan = DrawPlan(streams, toyFaults(), time.Second, 50*time.Second)
+		plan = DrawPlan(streams, testFaults(), time.Second, 50*time.Second)
 	}
 	counts := make(map[FaultKind]int)
-	Inject(scheduler, trace, plan, toyInjector{a: a, b: b}, counts)
+	Inject(scheduler, trace, plan, testInjector{a: a, b: b}, counts)
 	scheduler.Every(100*time.Millisecond, func() bool {
 		network.Send(Message{From: a, To: b, Kind: "number", Size: 1, Deliver: func() {
 			rules.Check(ruleCounted, !wrong, "b was killed while a was paused")
@@ -49,7 +49,7 @@
 	return Report{Seed: seed, Hash: trace.Hash(), Events: scheduler.Executed(), Faults: counts, Rules: rules.Results(), Plan: plan}
 }
 
-func toyFaults() []FaultSpec {
+func testFaults() []FaultSpec {
 	aim := func(target string) func(*rand.Rand, *Fault) {
 		return func(_ *rand.Rand, fault *Fault) { fault.Target = target }
 	}
@@ -59,9 +59,9 @@
 	}
 }
 
-type toyInjector struct{ a, b *Process }
+type testInjector struct{ a, b *Process }
 
-func (i toyInjector) Begin(fault Fault) func() {
+func (i testInjector) Begin(fault Fault) func() {
 	if fault.Kind == kindPause {
 		i.a.Pause()
 		return i.a.Resume
@@ -70,24 +70,24 @@
 	return i.b.Start
 }
 
-func runToy(seed uint64) Report { return toy(seed, nil) }
+func runSeed(seed uint64) Report { return runTwoProcesses(seed, nil) }
 
 func TestSameSeedSameHashWithAnyNumberOfWorkers(t *testing.T) {
-	one := Summarize(RunBatch(1, 100, 1, runToy, nil))
-	four := Summarize(RunBatch(1, 100, 4, runToy, nil))
+	one := Summarize(RunBatch(1, 100, 1, runSeed, nil))
+	four := Summarize(RunBatch(1, 100, 4, runSeed, nil))
 	if one.Hash != four.Hash || one.Events != four.Events {
 		t.Errorf("1 worker %016x (%d events), 4 workers %016x (%d events)", one.Hash, one.Events, four.Hash, four.Events)
 	}
-	if other := Summarize(RunBatch(2, 100, 4, runToy, nil)); other.Hash == one.Hash {
+	if other := Summarize(RunBatch(2, 100, 4, runSeed, nil)); other.Hash == one.Hash {
 		t.Error("other seeds gave the same hash")
 	}
 }
 
-// TestHashIsStable pins the hash of a seed, so that a dependence on the
-// machine, the Go version or the order of a map shows.
+// TestHashIsStable pins the hash of a seed, to detect a dependence on the
+// machine, the Go version or map iteration order.
 func TestHashIsStable(t *testing.T) {
 	const want = 0x00fb4aff9074e46b
-	if got := runToy(42).Hash; got != want {
+	if got := runSeed(42).Hash; got != want {
 		t.Errorf("hash = %#016x; want %#016x", got, uint64(want))
 	}
 }
@@ -108,17 +108,17 @@
 	swapped.Record("kind", "a", "b", 2)
 	swapped.Record("kind", "a", "b", 1)
 	if swapped.Hash() == quiet.Hash() {
-		t.Error("the order of events does not change the hash")
+		t.Error("the hash does not depend on the order of events")
 	}
 }
 
 func TestBatchFindsAndShrinksThePlantedDefect(t *testing.T) {
-	summary := Summarize(RunBatch(1, 50, 4, runToy, nil))
+	summary := Summarize(RunBatch(1, 50, 4, runSeed, nil))
 	if len(summary.Failed) == 0 || summary.Passed() {
-		t.Fatal("no seed of 50 met the planted defect")
+		t.Fatal("none of 50 seeds triggered the planted defect")
 	}
 	failed := summary.Failed[0]
-	fails := func(plan Plan) bool { return len(toy(failed.Seed, plan).Violated()) > 0 }
+	fails := func(plan Plan) bool { return len(runTwoProcesses(failed.Seed, plan).Violated()) > 0 }
 	smallest := Shrink(failed.Plan, 200, fails)
 	if !fails(smallest) {
 		t.Errorf("the shrunk plan passes: %v", smallest)
@@ -129,7 +129,7 @@
 }
 
 func TestRuleThatIsNeverExercisedFailsTheBatch(t *testing.T) {
-	summary := Summarize([]Report{toy(1, Plan{})})
+	summary := Summarize([]Report{runTwoProcesses(1, Plan{})})
 	if len(summary.Failed) != 0 {
 		t.Fatalf("without faults: %v", summary.Failed)
 	}
--- a/internal/sim/call.go
+++ b/internal/sim/call.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// CallOutcome is what a caller learns of its call.
+// CallOutcome is the result of a call as the caller sees it.
 type CallOutcome int
 
 // The outcomes of a call.
 const (
-	// Answered means that the answer came.
+	// Answered means that the answer arrived.
 	Answered CallOutcome = iota + 1
-	// Refused means that no process listened: the request was not taken.
+	// Refused means that no process was listening: the request was not
+	// processed.
 	Refused
-	// TimedOut means that nothing came in time: the request may have been
-	// taken all the same.
+	// TimedOut means that no answer arrived within the timeout; the request
+	// may still have been processed.
 	TimedOut
 )
 
-// Call is a request with an answer between two processes, as over HTTP: the
-// request, its answer or both may be lost.
+// Call is a request and its answer between two processes, as over HTTP. The
+// request, the answer or both may be lost.
 type Call struct {
 	From, To *Process
 	Kind     string
 	Size     uint64
 	Timeout  time.Duration
-	// Resent allows the network to carry the request twice.
+	// Resent allows the network to deliver the request twice.
 	Resent bool
-	// Serve runs at the receiver; it answers, now or later, by calling reply.
-	// A reply after the receiver's death is lost.
+	// Serve runs at the receiver and answers, immediately or later, by calling
+	// reply. A reply after the receiver died or restarted is dropped.
 	Serve func(reply func(answer any))
-	// Done runs at the caller, once. The answer is nil but for Answered.
+	// Done runs once at the caller. The answer is nil unless the outcome is
+	// Answered.
 	Done func(answer any, outcome CallOutcome)
 }
 
-// Call sends the request.
+// Call sends the request and arranges for call.Done to run.
 func (n *Network) Call(call Call) {
 	caller := call.From.boot
 	settled := false
--- a/internal/sim/clock.go
+++ b/internal/sim/clock.go
@@ -4,29 +4,31 @@
 
 const partsPerMillion = 1_000_000
 
-// Clock is a process's own clock: wrong by an offset, and running too fast or
-// too slow by a rate.
+// Clock is the local clock of a process, with a constant offset and a constant
+// drift rate relative to virtual time.
 type Clock struct {
 	// Offset is added to the virtual time.
 	Offset time.Duration
-	// DriftPPM is how many microseconds a second the clock gains; a process's
-	// clock must stay above -1,000,000, where it would stand still.
+	// DriftPPM is the drift in parts per million: the microseconds that the
+	// clock gains per second. It must be greater than -1,000,000, at which the
+	// clock would not advance.
 	DriftPPM int64
 }
 
-// Local is what the clock shows at a virtual time since Epoch.
+// Local returns the local time at a virtual time since Epoch.
 func (c Clock) Local(elapsed time.Duration) time.Time {
 	return Epoch.Add(c.Offset + c.stretch(elapsed))
 }
 
-// stretch divides first, so that years of nanoseconds do not overflow.
+// stretch applies the drift to a duration. It divides before it multiplies so
+// that durations of years do not overflow.
 func (c Clock) stretch(elapsed time.Duration) time.Duration {
 	whole, rest := int64(elapsed)/partsPerMillion, int64(elapsed)%partsPerMillion
 	return elapsed + time.Duration(whole*c.DriftPPM+rest*c.DriftPPM/partsPerMillion)
 }
 
-// Elapsed is the earliest virtual time since Epoch at which the clock shows
-// the local time or more.
+// Elapsed returns the earliest virtual time since Epoch at which the clock
+// shows the given local time or a later one.
 func (c Clock) Elapsed(local time.Time) time.Duration {
 	target := local.Sub(Epoch) - c.Offset
 	if c.DriftPPM == 0 {
--- a/internal/sim/corpus_test.go
+++ b/internal/sim/corpus_test.go
@@ -7,7 +7,8 @@
 	"github.com/spanlanding/spanlanding/internal/sim/world"
 )
 
-// TestCorpus replays every run that once violated a rule.
+// TestCorpus replays the saved runs, each of which violated a rule before its
+// fault was fixed.
 func TestCorpus(t *testing.T) {
 	paths, err := filepath.Glob("testdata/corpus/*.json")
 	if err != nil {
--- a/internal/sim/doc.go
+++ b/internal/sim/doc.go
@@ -1,10 +1,11 @@
-// Package sim is the frame of the deterministic simulation: one event queue on
-// a virtual clock, named random streams of one seed, a network and processes
-// that fail by a drawn plan, a hashed event history, rules that count how often
-// they were exercised, and the search for a smaller failing plan.
+// Package sim is a framework for deterministic simulation testing. It provides
+// an event queue with a virtual clock, named random streams derived from one
+// seed, a simulated network and processes, fault plans drawn from the seed, a
+// hash of the event history, invariants ("rules") that count how often they
+// were checked, and a search for a smaller plan that still fails.
 //
-// The frame knows nothing of the product. The package world puts the product's
-// cores on it.
+// The framework does not depend on the product; package world runs the
+// product's cores on it.
 //
-// It may import the standard library and xxhash only.
+// It may import only the standard library and xxhash.
 package sim
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -11,29 +11,29 @@
 // FaultKind names a kind of fault.
 type FaultKind string
 
-// Fault is one fault: it begins at a time, lasts for a time and hits a target.
-// What the fields mean is up to the kind.
+// Fault is one fault of a plan: when it begins, how long it lasts and what it
+// affects. The kind determines how Target, Other and Amount are used.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// At is the time since the start, For how long it lasts.
+	// At is the start, as time since Epoch; For is the duration.
 	At  time.Duration `json:"at"`
 	For time.Duration `json:"for"`
-	// Target and Other name processes or zones.
+	// Target and Other are names of processes or zones.
 	Target string `json:"target,omitempty"`
 	Other  string `json:"other,omitempty"`
 	// Amount is a probability, a factor or a count.
 	Amount float64 `json:"amount,omitempty"`
 }
 
-// String shows the fault on one line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s at %s for %s target=%s other=%s amount=%g", f.Kind, f.At, f.For, f.Target, f.Other, f.Amount)
 }
 
-// Plan is the faults of one run in the order of their time.
+// Plan holds the faults of one run, ordered by start time.
 type Plan []Fault
 
-// End is when the last fault is over.
+// End returns the time at which the last fault ends.
 func (p Plan) End() time.Duration {
 	var end time.Duration
 	for _, fault := range p {
@@ -42,7 +42,7 @@
 	return end
 }
 
-// Counts gives the number of faults of each kind.
+// Counts returns the number of faults of each kind.
 func (p Plan) Counts() map[FaultKind]int {
 	counts := make(map[FaultKind]int)
 	for _, fault := range p {
@@ -51,20 +51,21 @@
 	return counts
 }
 
-// FaultSpec says how faults of one kind are drawn.
+// FaultSpec describes how faults of one kind are drawn.
 type FaultSpec struct {
 	Kind FaultKind
-	// Most is the largest number of faults of the kind in one run; the number
-	// is drawn from 0 to Most.
+	// Most is the maximum number of faults of the kind in one run; the number
+	// is drawn uniformly from 0 to Most.
 	Most int
-	// Least and Longest bound how long each lasts.
+	// Least and Longest bound the duration of each fault.
 	Least, Longest time.Duration
-	// Aim draws what the fault hits; nil leaves it empty.
+	// Aim draws the target and amount of the fault; nil leaves them unset.
 	Aim func(stream *rand.Rand, fault *Fault)
 }
 
-// DrawPlan draws the faults of a run between two times. Each kind draws from a
-// stream of its own, so that a change to one does not shift the others.
+// DrawPlan draws the faults of a run; they begin and end between from and to.
+// Each kind uses a random stream of its own, so that a change to the spec of
+// one kind does not change the faults of the others.
 func DrawPlan(streams *Streams, specs []FaultSpec, from, to time.Duration) Plan {
 	var plan Plan
 	for _, spec := range specs {
@@ -82,14 +83,15 @@
 	return plan
 }
 
-// Injector begins and ends faults of some kinds.
+// Injector applies faults to a simulation.
 type Injector interface {
-	// Begin starts a fault and returns what ends it; nil where nothing has to
-	// be ended.
+	// Begin starts a fault and returns the function that ends it, or nil if
+	// nothing has to be undone.
 	Begin(fault Fault) (end func())
 }
 
-// Inject schedules the plan. Each fault that begins is counted by its kind.
+// Inject schedules the faults of the plan. counts receives the number of
+// faults begun, by kind.
 func Inject(scheduler *Scheduler, trace *Trace, plan Plan, injector Injector, counts map[FaultKind]int) {
 	for _, fault := range plan {
 		scheduler.At(fault.At, func() {
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-type bench struct {
+type fixture struct {
 	scheduler *Scheduler
 	trace     *Trace
 	network   *Network
@@ -15,22 +15,22 @@
 	starts    int
 }
 
-func newBench(options LinkOptions) *bench {
-	bench := &bench{scheduler: NewScheduler()}
-	bench.trace = NewTrace(bench.scheduler, nil)
-	bench.network = NewNetwork(bench.scheduler, bench.trace, NewStreams(1), options, options)
-	bench.a = bench.process("a", "north")
-	bench.b = bench.process("b", "south")
-	return bench
+func newFixture(options LinkOptions) *fixture {
+	fixture := &fixture{scheduler: NewScheduler()}
+	fixture.trace = NewTrace(fixture.scheduler, nil)
+	fixture.network = NewNetwork(fixture.scheduler, fixture.trace, NewStreams(1), options, options)
+	fixture.a = fixture.process("a", "north")
+	fixture.b = fixture.process("b", "south")
+	return fixture
 }
 
-func (b *bench) process(name, zone string) *Process {
+func (b *fixture) process(name, zone string) *Process {
 	process := NewProcess(b.scheduler, b.trace, ProcessOptions{Name: name, Zone: zone, Start: func(uint64) { b.starts++ }})
 	process.Start()
 	return process
 }
 
-func (b *bench) sendMany(count int, transport Transport) []int {
+func (b *fixture) sendMany(count int, transport Transport) []int {
 	var arrived []int
 	for index := range count {
 		b.network.Send(Message{From: b.a, To: b.b, Transport: transport, Kind: "m", Deliver: func() {
@@ -46,9 +46,9 @@
 func TestNetworkLosesDoublesAndReorders(t *testing.T) {
 	lossy := quickLink
 	lossy.Loss, lossy.Duplicate = 0.2, 0.1
-	bench := newBench(lossy)
-	arrived := bench.sendMany(1000, Datagram)
-	counts := bench.network.Counts()
+	fixture := newFixture(lossy)
+	arrived := fixture.sendMany(1000, Datagram)
+	counts := fixture.network.Counts()
 	if counts.Lost < 150 || counts.Lost > 250 || counts.Doubled < 40 || counts.Doubled > 160 {
 		t.Errorf("of 1000: %+v", counts)
 	}
@@ -69,110 +69,110 @@
 func TestConnectionIsNeverDoubled(t *testing.T) {
 	options := quickLink
 	options.Duplicate = 1
-	if arrived := newBench(options).sendMany(100, Connection); len(arrived) != 100 {
+	if arrived := newFixture(options).sendMany(100, Connection); len(arrived) != 100 {
 		t.Errorf("%d arrived; want 100", len(arrived))
 	}
-	if arrived := newBench(options).sendMany(100, Resent); len(arrived) != 200 {
+	if arrived := newFixture(options).sendMany(100, Resent); len(arrived) != 200 {
 		t.Errorf("%d arrived; want 200", len(arrived))
 	}
 }
 
 func TestCutsAreOneWayAndAddUp(t *testing.T) {
-	bench := newBench(quickLink)
-	bench.network.CutZones("north", "south")
-	bench.network.Cut("a", "b")
-	if arrived := bench.sendMany(10, Datagram); len(arrived) != 0 {
+	fixture := newFixture(quickLink)
+	fixture.network.CutZones("north", "south")
+	fixture.network.Cut("a", "b")
+	if arrived := fixture.sendMany(10, Datagram); len(arrived) != 0 {
 		t.Errorf("%d arrived through a cut", len(arrived))
 	}
-	if bench.network.IsCut(bench.b, bench.a) {
-		t.Error("the way back is cut")
+	if fixture.network.IsCut(fixture.b, fixture.a) {
+		t.Error("the reverse direction is cut")
 	}
-	bench.network.HealZones("north", "south")
-	if !bench.network.IsCut(bench.a, bench.b) {
+	fixture.network.HealZones("north", "south")
+	if !fixture.network.IsCut(fixture.a, fixture.b) {
 		t.Error("healing the zones healed the link")
 	}
-	bench.network.Heal("a", "b")
-	if arrived := bench.sendMany(10, Datagram); len(arrived) != 10 {
+	fixture.network.Heal("a", "b")
+	if arrived := fixture.sendMany(10, Datagram); len(arrived) != 10 {
 		t.Errorf("%d of 10 arrived after the cut", len(arrived))
 	}
 }
 
 func TestPausedProcessHoldsMessagesAndTimers(t *testing.T) {
-	bench := newBench(quickLink)
+	fixture := newFixture(quickLink)
 	var seen []string
-	bench.b.Timer(Epoch.Add(10*time.Second), func() { seen = append(seen, "timer") })
-	bench.b.Pause()
-	bench.network.Send(Message{From: bench.a, To: bench.b, Kind: "m", Deliver: func() { seen = append(seen, "message") }})
-	bench.scheduler.Run(20 * time.Second)
+	fixture.b.Timer(Epoch.Add(10*time.Second), func() { seen = append(seen, "timer") })
+	fixture.b.Pause()
+	fixture.network.Send(Message{From: fixture.a, To: fixture.b, Kind: "m", Deliver: func() { seen = append(seen, "message") }})
+	fixture.scheduler.Run(20 * time.Second)
 	if len(seen) != 0 {
-		t.Fatalf("a paused process did %v", seen)
+		t.Fatalf("a paused process ran %v", seen)
 	}
-	bench.b.Resume()
-	bench.scheduler.Run(21 * time.Second)
+	fixture.b.Resume()
+	fixture.scheduler.Run(21 * time.Second)
 	if difference := cmp.Diff([]string{"message", "timer"}, seen); difference != "" {
 		t.Errorf("after the pause (-want +got):\n%s", difference)
 	}
 }
 
 func TestDeathDropsWhatWasPlanned(t *testing.T) {
-	bench := newBench(quickLink)
-	bench.b.Timer(Epoch.Add(time.Second), func() { t.Error("a timer of an earlier boot ran") })
-	bench.b.Pause()
-	bench.network.Send(Message{From: bench.a, To: bench.b, Kind: "m", Deliver: func() { t.Error("a message of an earlier boot was taken") }})
-	bench.scheduler.Run(100 * time.Millisecond)
-	bench.b.Die()
+	fixture := newFixture(quickLink)
+	fixture.b.Timer(Epoch.Add(time.Second), func() { t.Error("a timer of an earlier boot ran") })
+	fixture.b.Pause()
+	fixture.network.Send(Message{From: fixture.a, To: fixture.b, Kind: "m", Deliver: func() { t.Error("a message to an earlier boot was delivered") }})
+	fixture.scheduler.Run(100 * time.Millisecond)
+	fixture.b.Die()
 	refused := false
-	bench.network.Send(Message{From: bench.a, To: bench.b, Kind: "m", Refused: func() { refused = true }})
-	bench.scheduler.Run(200 * time.Millisecond)
-	bench.b.Start()
-	bench.scheduler.Run(time.Minute)
-	if !refused || bench.starts != 3 || bench.b.Boot() != 2 {
-		t.Errorf("refused=%t starts=%d boot=%d", refused, bench.starts, bench.b.Boot())
+	fixture.network.Send(Message{From: fixture.a, To: fixture.b, Kind: "m", Refused: func() { refused = true }})
+	fixture.scheduler.Run(200 * time.Millisecond)
+	fixture.b.Start()
+	fixture.scheduler.Run(time.Minute)
+	if !refused || fixture.starts != 3 || fixture.b.Boot() != 2 {
+		t.Errorf("refused=%t starts=%d boot=%d", refused, fixture.starts, fixture.b.Boot())
 	}
 }
 
 func TestWakerKeepsTheEarliestWake(t *testing.T) {
-	bench := newBench(quickLink)
+	fixture := newFixture(quickLink)
 	var woken []time.Duration
-	waker := NewWaker(bench.a, func() { woken = append(woken, bench.scheduler.Elapsed()) })
+	waker := NewWaker(fixture.a, func() { woken = append(woken, fixture.scheduler.Elapsed()) })
 	waker.Set(Epoch.Add(5 * time.Second))
 	waker.Set(Epoch.Add(2 * time.Second))
 	waker.Set(Epoch.Add(9 * time.Second))
-	bench.scheduler.Run(time.Minute)
+	fixture.scheduler.Run(time.Minute)
 	if difference := cmp.Diff([]time.Duration{2 * time.Second}, woken); difference != "" {
 		t.Errorf("woken (-want +got):\n%s", difference)
 	}
 	waker.Set(Epoch.Add(2 * time.Minute))
-	bench.a.Die()
-	bench.a.Start()
+	fixture.a.Die()
+	fixture.a.Start()
 	waker.Set(Epoch.Add(3 * time.Minute))
-	bench.scheduler.Run(time.Hour)
+	fixture.scheduler.Run(time.Hour)
 	if len(woken) != 2 || woken[1] != 3*time.Minute {
 		t.Errorf("woken at %v; want 2s and 3m0s", woken)
 	}
 }
 
 func TestCallTellsRefusedAndTimedOutApart(t *testing.T) {
-	bench := newBench(quickLink)
+	fixture := newFixture(quickLink)
 	call := func() CallOutcome {
 		var got CallOutcome
-		bench.network.Call(Call{
-			From: bench.a, To: bench.b, Kind: "call", Timeout: time.Second,
+		fixture.network.Call(Call{
+			From: fixture.a, To: fixture.b, Kind: "call", Timeout: time.Second,
 			Serve: func(reply func(any)) { reply("answer") },
 			Done:  func(_ any, outcome CallOutcome) { got = outcome },
 		})
-		bench.scheduler.Run(bench.scheduler.Elapsed() + time.Minute)
+		fixture.scheduler.Run(fixture.scheduler.Elapsed() + time.Minute)
 		return got
 	}
 	if got := call(); got != Answered {
 		t.Errorf("outcome = %d; want answered", got)
 	}
-	bench.network.CutZones("south", "north")
+	fixture.network.CutZones("south", "north")
 	if got := call(); got != TimedOut {
 		t.Errorf("answer cut: outcome = %d; want timed out", got)
 	}
-	bench.network.HealZones("south", "north")
-	bench.b.Die()
+	fixture.network.HealZones("south", "north")
+	fixture.b.Die()
 	if got := call(); got != Refused {
 		t.Errorf("receiver dead: outcome = %d; want refused", got)
 	}
@@ -180,52 +180,52 @@
 
 func TestStreamKeepsItsOrderUntilACut(t *testing.T) {
 	options := LinkOptions{Least: time.Millisecond, Most: 50 * time.Millisecond, Loss: 0.2}
-	bench := newBench(options)
+	fixture := newFixture(options)
 	var arrived []int
 	broken := 0
-	stream := bench.network.OpenStream(StreamOptions{From: bench.a, To: bench.b, ToBoot: bench.b.Boot(), Detection: time.Second, Broken: func() { broken++ }})
+	stream := fixture.network.OpenStream(StreamOptions{From: fixture.a, To: fixture.b, ToBoot: fixture.b.Boot(), Detection: time.Second, Broken: func() { broken++ }})
 	send := func(value int) { stream.Send("chunk", 1, func() { arrived = append(arrived, value) }) }
 	for value := range 100 {
 		send(value)
 	}
-	bench.scheduler.Run(time.Minute)
+	fixture.scheduler.Run(time.Minute)
 	for index, value := range arrived {
 		if index != value {
-			t.Fatalf("chunk %d came at place %d", value, index)
+			t.Fatalf("chunk %d arrived at position %d", value, index)
 		}
 	}
-	bench.network.CutZones("north", "south")
+	fixture.network.CutZones("north", "south")
 	send(100)
-	bench.scheduler.Run(2 * time.Minute)
-	bench.network.HealZones("north", "south")
+	fixture.scheduler.Run(2 * time.Minute)
+	fixture.network.HealZones("north", "south")
 	send(101)
-	bench.scheduler.Run(3 * time.Minute)
+	fixture.scheduler.Run(3 * time.Minute)
 	if len(arrived) != 100 || broken != 1 {
 		t.Errorf("%d arrived, broken %d times; want 100 and once", len(arrived), broken)
 	}
 }
 
 func TestStreamBreaksWithItsSender(t *testing.T) {
-	bench := newBench(quickLink)
+	fixture := newFixture(quickLink)
 	broken := 0
-	bench.network.OpenStream(StreamOptions{From: bench.a, To: bench.b, ToBoot: bench.b.Boot(), Broken: func() { broken++ }})
-	bench.a.Die()
-	bench.scheduler.Run(time.Second)
+	fixture.network.OpenStream(StreamOptions{From: fixture.a, To: fixture.b, ToBoot: fixture.b.Boot(), Broken: func() { broken++ }})
+	fixture.a.Die()
+	fixture.scheduler.Run(time.Second)
 	if broken != 1 {
 		t.Errorf("broken %d times; want once", broken)
 	}
 }
 
 func TestStreamReachesOnlyTheBootThatAskedForIt(t *testing.T) {
-	bench := newBench(quickLink)
-	asked := bench.b.Boot()
-	bench.b.Die()
-	bench.b.Start()
-	stream := bench.network.OpenStream(StreamOptions{From: bench.a, To: bench.b, ToBoot: asked})
-	stream.Send("chunk", 1, func() { t.Error("a later boot got a chunk") })
-	bench.scheduler.Run(time.Minute)
+	fixture := newFixture(quickLink)
+	asked := fixture.b.Boot()
+	fixture.b.Die()
+	fixture.b.Start()
+	stream := fixture.network.OpenStream(StreamOptions{From: fixture.a, To: fixture.b, ToBoot: asked})
+	stream.Send("chunk", 1, func() { t.Error("a chunk was delivered to a later boot") })
+	fixture.scheduler.Run(time.Minute)
 	if stream.Open() {
-		t.Error("the stream is open")
+		t.Error("the stream to an earlier boot is open")
 	}
 }
 
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// ProcessState is what a simulated process does.
+// ProcessState is the state of a simulated process.
 type ProcessState int
 
 // The states of a process.
 const (
 	ProcessDead ProcessState = iota
 	ProcessRunning
-	// ProcessPaused is frozen: timers and messages wait until it goes on, and
-	// its clock has moved on by then.
+	// ProcessPaused is frozen: timers and messages are deferred until it
+	// resumes, while its clock keeps running.
 	ProcessPaused
 )
 
-// Process is one simulated process. Whatever it does happens inside Do, so
-// that a pause holds it back and a death drops it.
+// Process is one simulated process. All its actions run through Do, which
+// defers them during a pause and drops them after the process has died.
 type Process struct {
 	scheduler *Scheduler
 	trace     *Trace
@@ -23,12 +23,12 @@
 	zone      string
 	clock     Clock
 
-	state   ProcessState
-	boot    uint64
-	pauses  uint64
-	held    []func()
-	onStart func(boot uint64)
-	// onDeath is called once, at the death of the present boot.
+	state    ProcessState
+	boot     uint64
+	pauses   uint64
+	deferred []func()
+	onStart  func(boot uint64)
+	// onDeath are called once, when the current boot dies.
 	onDeath []func()
 }
 
@@ -38,11 +38,12 @@
 	// Zone is the failure domain, for the network.
 	Zone  string
 	Clock Clock
-	// Start builds the process's empty state; boot counts its starts from 1.
+	// Start builds the initial state of the process; boot counts its starts
+	// from 1.
 	Start func(boot uint64)
 }
 
-// NewProcess returns a process that is not started yet.
+// NewProcess returns a process that has not been started.
 func NewProcess(scheduler *Scheduler, trace *Trace, options ProcessOptions) *Process {
 	return &Process{
 		scheduler: scheduler,
@@ -54,35 +55,35 @@
 	}
 }
 
-// Name is the process's name.
+// Name returns the name of the process.
 func (p *Process) Name() string { return p.name }
 
-// Zone is the process's zone.
+// Zone returns the zone of the process.
 func (p *Process) Zone() string { return p.zone }
 
-// State is what the process does now.
+// State returns the current state.
 func (p *Process) State() ProcessState { return p.state }
 
-// Boot counts the starts of the process.
+// Boot returns the number of starts of the process.
 func (p *Process) Boot() uint64 { return p.boot }
 
-// Pauses counts the pauses of the process.
+// Pauses returns the number of pauses of the process.
 func (p *Process) Pauses() uint64 { return p.pauses }
 
-// Now is the time that the process's own clock shows.
+// Now returns the time by the process's local clock.
 func (p *Process) Now() time.Time {
 	return p.clock.Local(p.scheduler.Elapsed())
 }
 
-// SetClock replaces the process's clock.
+// SetClock replaces the local clock.
 func (p *Process) SetClock(clock Clock) {
 	p.clock = clock
 }
 
-// Clock is the process's clock.
+// Clock returns the local clock.
 func (p *Process) Clock() Clock { return p.clock }
 
-// Start starts a dead process with nothing of what it held before.
+// Start starts a dead process. Nothing of its earlier state is kept.
 func (p *Process) Start() {
 	if p.state != ProcessDead {
 		return
@@ -93,24 +94,24 @@
 	p.onStart(p.boot)
 }
 
-// Die ends the process at once; what it was about to do is lost.
+// Die ends the process immediately; its timers and deferred actions are lost.
 func (p *Process) Die() {
 	if p.state == ProcessDead {
 		return
 	}
 	p.state = ProcessDead
-	p.held = nil
+	p.deferred = nil
 	p.trace.Record("die", p.name, p.zone, p.boot)
-	watchers := p.onDeath
+	callbacks := p.onDeath
 	p.onDeath = nil
-	for _, watcher := range watchers {
-		watcher()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// OnDeath calls the function once the present boot has died.
-func (p *Process) OnDeath(watcher func()) {
-	p.onDeath = append(p.onDeath, watcher)
+// OnDeath registers a function that is called when the current boot dies.
+func (p *Process) OnDeath(callback func()) {
+	p.onDeath = append(p.onDeath, callback)
 }
 
 // Pause freezes a running process.
@@ -123,26 +124,27 @@
 	p.trace.Record("pause", p.name, p.zone, p.boot)
 }
 
-// Resume lets a paused process go on; what came meanwhile comes now, in order.
+// Resume continues a paused process and then runs the deferred actions in
+// order.
 func (p *Process) Resume() {
 	if p.state != ProcessPaused {
 		return
 	}
 	p.state = ProcessRunning
 	p.trace.Record("resume", p.name, p.zone, p.boot)
-	p.scheduler.After(0, p.drain)
+	p.scheduler.After(0, p.runDeferred)
 }
 
-func (p *Process) drain() {
-	for p.state == ProcessRunning && len(p.held) > 0 {
-		action := p.held[0]
-		p.held = p.held[1:]
+func (p *Process) runDeferred() {
+	for p.state == ProcessRunning && len(p.deferred) > 0 {
+		action := p.deferred[0]
+		p.deferred = p.deferred[1:]
 		action()
 	}
 }
 
-// Do runs the action if the process runs, holds it while it is paused, and
-// drops it if the process has died since the given boot.
+// Do runs the action if the process is running, defers it while the process is
+// paused, and drops it if the given boot has died.
 func (p *Process) Do(boot uint64, action func()) {
 	if boot != p.boot {
 		return
@@ -150,14 +152,14 @@
 	if p.state == ProcessDead {
 		return
 	}
-	if p.state == ProcessPaused || len(p.held) > 0 {
-		p.held = append(p.held, action)
+	if p.state == ProcessPaused || len(p.deferred) > 0 {
+		p.deferred = append(p.deferred, action)
 		return
 	}
 	action()
 }
 
-// Timer schedules an action of this boot for a time by the process's own clock.
+// Timer schedules an action of the current boot for a time by the local clock.
 func (p *Process) Timer(local time.Time, action func()) {
 	boot := p.boot
 	p.scheduler.At(p.clock.Elapsed(local), func() { p.Do(boot, action) })
--- a/internal/sim/report.go
+++ b/internal/sim/report.go
@@ -19,9 +19,9 @@
 	Events uint64            `json:"events"`
 	Faults map[FaultKind]int `json:"faults"`
 	Rules  []RuleResult      `json:"rules"`
-	// Counters are what else the run counted, such as decisions made.
+	// Counters are further counts by name, such as decisions made.
 	Counters map[string]uint64 `json:"counters,omitempty"`
-	// Plan is the faults of the run.
+	// Plan holds the faults of the run.
 	Plan Plan `json:"-"`
 }
 
@@ -36,7 +36,7 @@
 	return names
 }
 
-// Summary adds up the reports of a batch.
+// Summary is the total over the reports of a batch.
 type Summary struct {
 	Seeds  int
 	Hash   uint64
@@ -45,13 +45,13 @@
 	Rules  map[RuleName]RuleResult
 	// Counters are summed over the runs.
 	Counters map[string]uint64
-	// Failed are the reports with a violation, in the order of their seeds.
+	// Failed holds the reports with a violation, in the order of the batch.
 	Failed []Report
-	// Took is wall time.
+	// Took is the wall-clock time.
 	Took time.Duration
 }
 
-// Summarize adds up reports in the order given, which sets the batch's hash.
+// Summarize totals the reports. The hash of the batch depends on their order.
 func Summarize(reports []Report) Summary {
 	summary := Summary{
 		Seeds:    len(reports),
@@ -89,8 +89,8 @@
 	}
 }
 
-// NeverExercised names the rules that no run of the batch checked. A batch
-// with such a rule has not shown that the rule holds.
+// NeverExercised returns the rules that no run of the batch checked. For such a
+// rule the batch gives no evidence that it holds.
 func (s Summary) NeverExercised() []RuleName {
 	var names []RuleName
 	for _, name := range slices.Sorted(maps.Keys(s.Rules)) {
@@ -101,7 +101,7 @@
 	return names
 }
 
-// Passed reports whether no rule was violated and each was exercised.
+// Passed reports whether no rule was violated and every rule was exercised.
 func (s Summary) Passed() bool {
 	return len(s.Failed) == 0 && len(s.NeverExercised()) == 0
 }
@@ -137,7 +137,8 @@
 	}
 }
 
-// linePrinter keeps the first error, so that a page of lines needs one check.
+// linePrinter writes lines and keeps the first error, so that the caller checks
+// for an error once.
 type linePrinter struct {
 	out io.Writer
 	err error
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// RuleName names a rule that must always hold.
+// RuleName is the name of a rule: an invariant that must hold in every run.
 type RuleName string
 
-// violationLimit bounds the violations that are kept of one rule.
-const violationLimit = 5
+// maxKeptViolations is the number of violations kept in detail for each rule.
+const maxKeptViolations = 5
 
-// Rules counts how often each rule was exercised, and keeps its violations.
+// Rules counts the checks of each rule and keeps its first violations.
 type Rules struct {
 	scheduler *Scheduler
 	trace     *Trace
 	results   map[RuleName]*RuleResult
 }
 
-// RuleResult is what a run showed of one rule.
+// RuleResult is the result of one rule in a run.
 type RuleResult struct {
 	Name RuleName `json:"name"`
 	// Exercised counts the checks that could have failed.
 	Exercised uint64 `json:"exercised"`
-	// Violated counts the checks that failed; the first few are kept.
+	// Violated counts the checks that failed; Violations holds the first of
+	// them.
 	Violated   uint64      `json:"violated"`
 	Violations []Violation `json:"violations,omitempty"`
 }
@@ -36,7 +37,7 @@
 	Detail string        `json:"detail"`
 }
 
-// NewRules returns the rules of a run, none of them exercised.
+// NewRules declares the rules of a run, none of them exercised yet.
 func NewRules(scheduler *Scheduler, trace *Trace, names ...RuleName) *Rules {
 	rules := &Rules{scheduler: scheduler, trace: trace, results: make(map[RuleName]*RuleResult)}
 	for _, name := range names {
@@ -45,8 +46,8 @@
 	return rules
 }
 
-// Check counts one check of a rule, and a violation where it does not hold.
-// The detail is only formatted for a violation that is kept.
+// Check counts one check of a rule, and a violation if the rule does not hold.
+// The detail is formatted only for a violation that is kept.
 func (r *Rules) Check(name RuleName, holds bool, format string, arguments ...any) {
 	result := r.result(name)
 	result.Exercised++
@@ -54,7 +55,7 @@
 		return
 	}
 	result.Violated++
-	if len(result.Violations) >= violationLimit {
+	if len(result.Violations) >= maxKeptViolations {
 		return
 	}
 	violation := Violation{At: r.scheduler.Elapsed(), Detail: fmt.Sprintf(format, arguments...)}
@@ -70,7 +71,7 @@
 	return result
 }
 
-// Results are the results sorted by name.
+// Results returns the results sorted by rule name.
 func (r *Rules) Results() []RuleResult {
 	results := make([]RuleResult, 0, len(r.results))
 	for _, result := range r.results {
--- a/internal/sim/scheduler.go
+++ b/internal/sim/scheduler.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Epoch is the virtual time at which each simulation starts.
+// Epoch is the virtual time at which every simulation starts.
 var Epoch = time.Date(2030, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// Scheduler is one event queue on a virtual clock. Events run in the order of
-// (time, sequence of scheduling), so a run depends on its inputs alone. It is
-// used by one goroutine.
+// Scheduler is an event queue with a virtual clock. Events are ordered by time
+// and then by the order in which they were scheduled, so that a run depends on
+// its inputs alone. A Scheduler must not be used concurrently.
 type Scheduler struct {
 	now      time.Duration
 	sequence uint64
 	queue    []event
 	executed uint64
-	// instant counts the events at the present time.
-	instant uint64
+	// eventsAtNow counts the events executed at the current time.
+	eventsAtNow uint64
 }
 
-// instantLimit bounds the events at one virtual time. More of them mean that
-// the time stands still: something wakes itself again and again.
-const instantLimit = 1_000_000
+// maxEventsAtOneTime bounds the events at one virtual time. Exceeding it means
+// that an event keeps rescheduling itself without a delay and that the virtual
+// time no longer advances.
+const maxEventsAtOneTime = 1_000_000
 
 type event struct {
 	at       time.Duration
@@ -42,28 +43,28 @@
 	return &Scheduler{}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (s *Scheduler) Now() time.Time {
 	return Epoch.Add(s.now)
 }
 
-// Elapsed is the virtual time since Epoch.
+// Elapsed returns the virtual time since Epoch.
 func (s *Scheduler) Elapsed() time.Duration {
 	return s.now
 }
 
-// Executed counts the events that ran.
+// Executed returns the number of events that have run.
 func (s *Scheduler) Executed() uint64 {
 	return s.executed
 }
 
-// Pending counts the events that wait.
+// Pending returns the number of scheduled events.
 func (s *Scheduler) Pending() int {
 	return len(s.queue)
 }
 
-// At schedules the function at a time since Epoch; a time in the past means
-// now, after everything that is already scheduled for now.
+// At schedules the function at a time since Epoch. A time in the past is taken
+// as the current time, after all events already scheduled for it.
 func (s *Scheduler) At(at time.Duration, run func()) {
 	s.sequence++
 	s.push(event{at: max(at, s.now), sequence: s.sequence, run: run})
@@ -74,8 +75,8 @@
 	s.At(s.now+max(delay, 0), run)
 }
 
-// Every runs the function at each multiple of the interval from now on, for as
-// long as it returns true.
+// Every runs the function repeatedly, first after one interval, until it
+// returns false.
 func (s *Scheduler) Every(interval time.Duration, run func() bool) {
 	s.After(interval, func() {
 		if run() {
@@ -84,38 +85,39 @@
 	})
 }
 
-// Step runs the next event unless it lies after the limit, and reports whether
-// it did.
+// Step runs the next event unless its time is after the limit, and reports
+// whether it ran one.
 func (s *Scheduler) Step(limit time.Duration) bool {
 	if len(s.queue) == 0 || s.queue[0].at > limit {
 		return false
 	}
 	next := s.pop()
-	s.count(next.at)
+	s.countEvent(next.at)
 	s.now = next.at
 	next.run()
 	return true
 }
 
-func (s *Scheduler) count(at time.Duration) {
+func (s *Scheduler) countEvent(at time.Duration) {
 	s.executed++
 	if at > s.now {
-		s.instant = 0
+		s.eventsAtNow = 0
 	}
-	s.instant++
-	if s.instant > instantLimit {
-		panic(fmt.Sprintf("sim: more than %d events at %s", instantLimit, at))
+	s.eventsAtNow++
+	if s.eventsAtNow > maxEventsAtOneTime {
+		panic(fmt.Sprintf("sim: more than %d events at %s", maxEventsAtOneTime, at))
 	}
 }
 
-// Run runs all events up to the limit and leaves the clock there.
+// Run runs all events up to the limit and then advances the clock to it.
 func (s *Scheduler) Run(limit time.Duration) {
 	for s.Step(limit) {
 	}
 	s.now = max(s.now, limit)
 }
 
-// push and pop keep a binary heap; container/heap would box each event.
+// push and pop maintain a binary heap. container/heap is not used because it
+// would allocate an interface value for each event.
 func (s *Scheduler) push(added event) {
 	s.queue = append(s.queue, added)
 	index := len(s.queue) - 1
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// shortestFault ends the search for a shorter fault.
-const shortestFault = 50 * time.Millisecond
+// minFaultDuration is the duration at or below which a fault is not shortened
+// further.
+const minFaultDuration = 50 * time.Millisecond
 
-// Shrink looks for a smaller plan that still fails: it drops faults, at first
-// many at once, then one by one, and then halves how long the rest last. It
-// calls fails at most limit times, and returns a plan that failed or the plan
-// it was given.
+// Shrink searches for a smaller plan that still fails. It removes faults, first
+// in large chunks and finally one by one, and then halves the durations of the
+// remaining ones. It calls fails at most limit times, and returns a plan that
+// failed or the plan it was given.
 func Shrink(plan Plan, limit int, fails func(Plan) bool) Plan {
-	search := &shrinker{left: limit, fails: fails}
-	plan = search.drop(plan)
-	return search.shorten(plan)
+	search := &shrinker{runsLeft: limit, fails: fails}
+	plan = search.dropFaults(plan)
+	return search.shortenFaults(plan)
 }
 
 type shrinker struct {
-	left  int
-	fails func(Plan) bool
+	runsLeft int
+	fails    func(Plan) bool
 }
 
 func (s *shrinker) try(plan Plan) bool {
-	if s.left <= 0 {
+	if s.runsLeft <= 0 {
 		return false
 	}
-	s.left--
+	s.runsLeft--
 	return s.fails(plan)
 }
 
-// drop removes chunks of the plan, halving the chunk where none can go.
-func (s *shrinker) drop(plan Plan) Plan {
+// dropFaults removes chunks of the plan, halving the chunk where none can go.
+func (s *shrinker) dropFaults(plan Plan) Plan {
 	for size := len(plan); size >= 1; {
-		smaller, found := s.dropChunk(plan, size)
+		smaller, found := s.dropChunks(plan, size)
 		plan = smaller
 		if !found || size > len(plan) {
 			size = min(size/2, len(plan))
@@ -43,23 +44,23 @@
 	return plan
 }
 
-// dropChunk drops every chunk of the size that the failure does not need.
-func (s *shrinker) dropChunk(plan Plan, size int) (Plan, bool) {
-	found := false
+// dropChunks drops every chunk of the size that the failure does not need.
+func (s *shrinker) dropChunks(plan Plan, size int) (Plan, bool) {
+	removed := false
 	for start := 0; start < len(plan); {
 		candidate := slices.Delete(slices.Clone(plan), start, min(start+size, len(plan)))
 		if s.try(candidate) {
-			plan, found = candidate, true
+			plan, removed = candidate, true
 			continue
 		}
 		start += size
 	}
-	return plan, found
+	return plan, removed
 }
 
-func (s *shrinker) shorten(plan Plan) Plan {
+func (s *shrinker) shortenFaults(plan Plan) Plan {
 	for index := range plan {
-		for plan[index].For > shortestFault {
+		for plan[index].For > minFaultDuration {
 			candidate := slices.Clone(plan)
 			candidate[index].For /= 2
 			if !s.try(candidate) {
--- a/internal/sim/streams.go
+++ b/internal/sim/streams.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Streams splits one seed into named random streams. Each name has its own
-// generator, so that one more draw in one place does not shift the others.
+// Streams derives named random streams from one seed. Each name has its own
+// generator, so that an additional draw from one does not change the others.
 type Streams struct {
 	seed    uint64
 	streams map[string]*rand.Rand
@@ -19,12 +19,12 @@
 	return &Streams{seed: seed, streams: make(map[string]*rand.Rand)}
 }
 
-// Seed is the seed of the run.
+// Seed returns the seed of the run.
 func (s *Streams) Seed() uint64 {
 	return s.seed
 }
 
-// Stream returns the generator of a name; the same name gives the same one.
+// Stream returns the generator of a name, always the same one for that name.
 func (s *Streams) Stream(name string) *rand.Rand {
 	if known, found := s.streams[name]; found {
 		return known
@@ -34,13 +34,13 @@
 	return created
 }
 
-// Source returns a new source for a name, for a core that keeps its own. It
-// starts where the stream of that name starts.
+// Source returns a new source for a name, for a core that owns its source. It
+// starts in the same state as the stream of that name.
 func (s *Streams) Source(name string) *rand.PCG {
 	return rand.NewPCG(s.seed, xxhash.Sum64String(name))
 }
 
-// Between draws a duration from [least, most].
+// Between draws a duration uniformly from [least, most].
 func Between(stream *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -48,7 +48,7 @@
 	return least + time.Duration(stream.Int64N(int64(most-least)+1))
 }
 
-// Chance draws true with the probability.
+// Chance returns true with the given probability.
 func Chance(stream *rand.Rand, probability float64) bool {
 	return probability > 0 && stream.Float64() < probability
 }
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Trace hashes the ordered event history of a run and, where a writer is set,
+// Trace hashes the ordered event history of a run and, if it has a writer,
 // prints it.
 type Trace struct {
 	scheduler *Scheduler
@@ -25,8 +25,8 @@
 	return &Trace{scheduler: scheduler, digest: xxhash.New(), writer: writer}
 }
 
-// Record adds one event to the hash: its kind, the process it concerns, a
-// second name such as the sender, and a number such as a size or a version.
+// Record adds one event to the hash: its kind, the process concerned, a second
+// name such as the sender, and a number such as a size or a version.
 func (t *Trace) Record(kind, subject, other string, number uint64) {
 	t.recorded++
 	buffer := binary.LittleEndian.AppendUint64(t.buffer[:0], uint64(t.scheduler.Elapsed()))
@@ -41,8 +41,8 @@
 	}
 }
 
-// Note prints a line that is not part of the hash. Where nothing is printed it
-// costs nothing but its arguments.
+// Note prints a line that is not part of the hash. Without a writer it does not
+// format the line.
 func (t *Trace) Note(format string, arguments ...any) {
 	if t.writer != nil {
 		t.print(fmt.Sprintf(format, arguments...))
@@ -59,12 +59,12 @@
 	_, _ = fmt.Fprintf(t.writer, "%14s %s\n", elapsed, line)
 }
 
-// Hash is the hash of all that was recorded so far.
+// Hash returns the hash of all events recorded so far.
 func (t *Trace) Hash() uint64 {
 	return t.digest.Sum64()
 }
 
-// Recorded counts the recorded events.
+// Recorded returns the number of recorded events.
 func (t *Trace) Recorded() uint64 {
 	return t.recorded
 }
--- a/internal/sim/wake.go
+++ b/internal/sim/wake.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Waker keeps one timer for a core's NextWake. Asking again for a time that is
-// not earlier than the pending one costs no event.
+// Waker maintains one timer for a core's NextWake. A request for a time that is
+// not earlier than the pending one schedules no event.
 type Waker struct {
-	process *Process
-	wake    func()
-	pending time.Time
-	boot    uint64
-	serial  uint64
+	process    *Process
+	wake       func()
+	pending    time.Time
+	boot       uint64
+	generation uint64
 }
 
 // NewWaker returns a waker that calls the function in the process.
@@ -17,9 +17,9 @@
 	return &Waker{process: process, wake: wake}
 }
 
-// Set asks for a wake at the local time; zero asks for none. A timer that
-// comes too early for the core's present wish is harmless: the core is stepped
-// and asked again.
+// Set requests a wake at the local time; the zero time requests none. A timer
+// that fires earlier than the core now needs is harmless: the core is stepped
+// and its NextWake is read again.
 func (w *Waker) Set(local time.Time) {
 	if local.IsZero() {
 		return
@@ -29,10 +29,10 @@
 		return
 	}
 	w.pending, w.boot = local, w.process.Boot()
-	w.serial++
-	serial := w.serial
+	w.generation++
+	generation := w.generation
 	w.process.Timer(local, func() {
-		if serial != w.serial {
+		if generation != w.generation {
 			return
 		}
 		w.pending = time.Time{}
