--- a/internal/sim/world/batch.go
+++ b/internal/sim/world/batch.go
@@ -6,22 +6,22 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// collectorPercent lets the heap grow more between collections: a run holds
-// little and makes much garbage.
-const collectorPercent = 400
+// gcPercent makes garbage collections less frequent: a run has a small live
+// heap and allocates a lot.
+const gcPercent = 400
 
-// RunBatch runs the seeds from first on over several workers.
+// RunBatch runs count consecutive seeds starting at first with several workers.
 func RunBatch(config Config, first uint64, count, workers int, progress func(done int)) []sim.Report {
-	defer debug.SetGCPercent(debug.SetGCPercent(collectorPercent))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	run := func(seed uint64) sim.Report { return Run(config, seed, nil, nil) }
 	return sim.RunBatch(first, count, workers, run, progress)
 }
 
-// shrinkLimit bounds the runs that the search for a smaller plan takes.
+// shrinkLimit is the maximum number of runs in the search for a smaller plan.
 const shrinkLimit = 150
 
-// Shrink drops and shortens faults of a failed run for as long as one of the
-// rules that it violated is still violated.
+// Shrink removes and shortens faults of a failed run as long as at least one of
+// the rules that the run violated is still violated.
 func Shrink(config Config, failed sim.Report) sim.Plan {
 	violated := failed.Violated()
 	return sim.Shrink(failed.Plan, shrinkLimit, func(plan sim.Plan) bool {
@@ -29,8 +29,8 @@
 	})
 }
 
-func sharesRule(wanted, violated []sim.RuleName) bool {
-	for _, name := range wanted {
+func sharesRule(expected, violated []sim.RuleName) bool {
+	for _, name := range expected {
 		for _, other := range violated {
 			if name == other {
 				return true
--- a/internal/sim/world/callers.go
+++ b/internal/sim/world/callers.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	answerLeast, answerMost     = 4, 16
-	promptMost                  = 400
-	patienceLeast, patienceMost = time.Second, 30 * time.Second
-	// cancelShare is the share of callers that go away, within cancelMost.
-	cancelShare = 0.08
-	cancelMost  = 6 * time.Second
+	minAnswer, maxAnswer     = 4, 16
+	maxPrompt                = 400
+	minPatience, maxPatience = time.Second, 30 * time.Second
+	// cancelShare is the share of callers that cancel, after a delay of up to
+	// maxCancelDelay.
+	cancelShare    = 0.08
+	maxCancelDelay = 6 * time.Second
 )
 
-// call is a caller's request and what came of it.
+// call is a caller's request with the tokens received so far and its result.
 type call struct {
 	world    *World
 	node     *node
@@ -37,36 +38,38 @@
 
 	request *request
 	tokens  []string
-	// ends counts how often the call was told its end.
+	// ends counts how often the end of the call was reported; the correct
+	// number is one.
 	ends int
 	end  attempt.Finish
-	// stopping tells that a planned stop began while the call was served.
-	stopping string
-	onEnd    func(attempt.Finish)
+	// stoppingProcess is the node or engine that began a planned stop while the
+	// call was in progress; empty if there was none.
+	stoppingProcess string
+	onEnd           func(attempt.Finish)
 }
 
-// newCall draws a call for the model.
+// newCall draws a call to the model at a node.
 func (d *demand) newCall(at *node, model fleet.ModelVersion, priority int) *call {
 	d.calls++
 	random := d.random
 	return &call{
 		world: d.world, node: at, boot: at.process.Boot(), pauses: at.process.Pauses(),
 		id: fleet.RequestID(fmt.Sprintf("r%05d", d.calls)), number: d.calls, seed: random.Uint64(),
-		model: model, priority: priority, prompt: 1 + random.IntN(promptMost),
-		answer:   answerLeast + random.IntN(answerMost-answerLeast),
-		patience: sim.Between(random, patienceLeast, patienceMost),
+		model: model, priority: priority, prompt: 1 + random.IntN(maxPrompt),
+		answer:   minAnswer + random.IntN(maxAnswer-minAnswer),
+		patience: sim.Between(random, minPatience, maxPatience),
 	}
 }
 
-// send hands the call to its node, which must run.
+// send passes the call to its node, which must be running.
 func (c *call) send() {
 	c.deadline = c.node.process.Now().Add(c.patience)
-	c.world.judge.sent(c)
-	c.node.requests.take(c)
+	c.world.checker.callSent(c)
+	c.node.requests.serveCall(c)
 }
 
-// leaveAfter lets the caller go away.
-func (c *call) leaveAfter(wait time.Duration) {
+// cancelAfter makes the caller disconnect after a delay.
+func (c *call) cancelAfter(wait time.Duration) {
 	c.world.scheduler.After(wait, func() {
 		c.node.process.Do(c.boot, func() { c.request.callerGone() })
 	})
@@ -86,15 +89,16 @@
 func (c *call) finished(finish attempt.Finish) {
 	c.ends++
 	c.end = finish
-	c.world.judge.ended(c)
+	c.world.checker.callEnded(c)
 	if c.onEnd != nil {
 		c.onEnd(finish)
 	}
 }
 
-// excused: what a node owes its callers ends with its life, and waits while it
-// is paused.
-func (c *call) excused() bool {
+// nodeInterrupted reports whether the node has died or was paused since it took
+// the call. Guarantees to callers end when the node dies, and their time bounds
+// do not apply across a pause.
+func (c *call) nodeInterrupted() bool {
 	return c.node.process.Boot() != c.boot || c.node.process.State() != sim.ProcessRunning ||
 		c.node.process.Pauses() != c.pauses
 }
--- a/internal/sim/world/config.go
+++ b/internal/sim/world/config.go
@@ -12,22 +12,23 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// Config is the size of a simulated fleet and what is planted in it. It is
-// part of a corpus file, so it holds data only.
+// Config describes a simulated fleet: its size, the duration of the run and the
+// planted defects. It is stored in corpus files, so it holds plain data only.
 type Config struct {
 	Zones int `json:"zones"`
-	// Nodes and Engines are numbers of the whole fleet, spread over the zones.
+	// Nodes and Engines are totals for the fleet, spread evenly over the zones.
 	Nodes   int `json:"nodes"`
 	Engines int `json:"engines"`
 	// EngineMemory is each engine's accelerator memory in bytes.
 	EngineMemory int64 `json:"engineMemory"`
-	// Duration is the virtual time of the run.
+	// Duration is the length of the run in virtual time.
 	Duration time.Duration `json:"duration"`
-	// Defects are set by tests only: faults planted in the cores.
+	// Defects are deliberate bugs in the cores; only tests set them.
 	Defects Defects `json:"defects,omitzero"`
 }
 
-// Defects are the planted faults of each core.
+// Defects holds the deliberate bugs of each core. Tests enable one to show that
+// the simulation detects it.
 type Defects struct {
 	Membership membership.Defects `json:"membership,omitzero"`
 	Config     configsync.Defects `json:"config,omitzero"`
@@ -39,26 +40,28 @@
 	Node       NodeDefects        `json:"node,omitzero"`
 }
 
-// NodeDefects are planted in what joins the cores of a node.
+// NodeDefects are deliberate bugs in the code that connects the cores of a node.
 type NodeDefects struct {
-	// CutAtDrain ends a planned stop with requests in progress.
+	// CutAtDrain completes a planned stop while requests are still in progress.
 	CutAtDrain bool `json:"cutAtDrain,omitempty"`
 }
 
-// DefaultConfig is the fleet that the aim of a thousand seeds a minute names.
+// DefaultConfig returns the fleet for which the performance target of 1,000
+// seeds per minute is defined.
 func DefaultConfig() Config {
 	return Config{Zones: 3, Nodes: 12, Engines: 9, EngineMemory: 80 * engine.GiB, Duration: 5 * time.Minute}
 }
 
 const (
-	// faultsFrom leaves the fleet time to start.
+	// faultsFrom is the earliest fault; before it the fleet can start
+	// undisturbed.
 	faultsFrom = 15 * time.Second
-	// settleTime is the end of the run without faults, in which what must
-	// happen within bounded time has to happen.
+	// settleTime is the fault-free period at the end of a run, in which
+	// everything that must happen within a bounded time has to happen.
 	settleTime = 90 * time.Second
 )
 
-// faultsUntil is when the last fault ends.
+// faultsUntil returns the time by which all drawn faults have ended.
 func (c Config) faultsUntil() time.Duration {
 	return max(faultsFrom, c.Duration-settleTime)
 }
--- a/internal/sim/world/corpus.go
+++ b/internal/sim/world/corpus.go
@@ -9,10 +9,10 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// Case is one file of the corpus: a run that once violated a rule and
-// must not again.
+// Case is one file of the corpus: a run that once violated a rule and is kept
+// as a regression test.
 type Case struct {
-	// Cause tells what was wrong, for the reader.
+	// Cause describes the fault that was found, for the reader.
 	Cause  string   `json:"cause"`
 	Config Config   `json:"config"`
 	Seed   uint64   `json:"seed"`
@@ -28,7 +28,7 @@
 	return Run(c.Config, c.Seed, plan, nil)
 }
 
-// ReadCase reads a file of the corpus.
+// ReadCase reads a corpus file.
 func ReadCase(path string) (Case, error) {
 	var read Case
 	raw, err := os.ReadFile(path)
@@ -41,7 +41,7 @@
 	return read, nil
 }
 
-// Write writes the case into a folder and returns the file's path.
+// Write writes the case to a file in the folder and returns its path.
 func (c Case) Write(folder string) (string, error) {
 	raw, err := json.MarshalIndent(c, "", "  ")
 	if err != nil {
--- a/internal/sim/world/declarations.go
+++ b/internal/sim/world/declarations.go
@@ -12,14 +12,14 @@
 
 const (
 	modelCount = 6
-	// modelVersion is the one version that each model has.
+	// modelVersion is the only version of each model.
 	modelVersion    = "v1"
 	modelMemory     = 24 * engine.GiB
 	modelCheckpoint = 14 * engine.GiB
 	maxReplicas     = 3
 )
 
-// seedDeclarations puts the first declarations into the store.
+// seedDeclarations writes the initial declarations to the store.
 func (w *World) seedDeclarations() {
 	random := w.streams.Stream("declarations")
 	for index := range modelCount {
@@ -34,7 +34,7 @@
 	_, _ = w.store.objects.Write(objectstore.WriteRequest{Object: object})
 }
 
-// drawDeclaration draws a change that an operator's script may make.
+// drawDeclaration draws a declaration that an operator applies.
 func (w *World) drawDeclaration(random *rand.Rand) objectstore.Object {
 	index := random.IntN(modelCount)
 	switch random.IntN(4) {
@@ -76,7 +76,7 @@
 func declaration(kind spec.Kind, name string, labels map[string]string, value any) objectstore.Object {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("world: declaration %s/%s: %v", kind, name, err))
+		panic(fmt.Sprintf("world: encoding declaration %s/%s: %v", kind, name, err))
 	}
 	return objectstore.Object{Kind: string(kind), Name: name, Labels: labels, Spec: raw}
 }
--- a/internal/sim/world/demand.go
+++ b/internal/sim/world/demand.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	burstLeast       = 300 * time.Millisecond
-	burstMost        = 4 * time.Second
-	wantPatience     = 30 * time.Second
-	wantInterval     = time.Second
-	callsAtOnce      = 6
-	burstNodeMost    = 5
-	serviceCallsMost = 16
-	serviceWaitMost  = 5 * time.Second
+	minBurstInterval   = 300 * time.Millisecond
+	maxBurstInterval   = 4 * time.Second
+	retryPatience      = 30 * time.Second
+	retryInterval      = time.Second
+	maxCallsPerNode    = 6
+	maxNodesPerBurst   = 5
+	maxServiceCalls    = 16
+	maxServicePatience = 5 * time.Second
 )
 
-// demand draws bursts of calls, in an open loop: a model is wanted at many
-// nodes at once.
+// demand generates bursts of calls in an open loop: each burst calls one model
+// at several nodes at the same time.
 type demand struct {
 	world  *World
 	random *rand.Rand
@@ -33,7 +33,7 @@
 }
 
 func (d *demand) next() {
-	d.world.scheduler.After(sim.Between(d.random, burstLeast, burstMost), func() {
+	d.world.scheduler.After(sim.Between(d.random, minBurstInterval, maxBurstInterval), func() {
 		d.burst(modelAt(d.random.IntN(modelCount)))
 		d.serviceCalls()
 		d.next()
@@ -46,80 +46,81 @@
 
 func (d *demand) burst(model fleet.ModelVersion) {
 	first := d.random.IntN(len(d.world.nodes))
-	for offset := range 1 + d.random.IntN(burstNodeMost) {
-		wanting := d.world.nodes[(first+offset)%len(d.world.nodes)]
-		if wanting.serves() {
-			d.callsAt(wanting, model)
+	for offset := range 1 + d.random.IntN(maxNodesPerBurst) {
+		caller := d.world.nodes[(first+offset)%len(d.world.nodes)]
+		if caller.acceptsCalls() {
+			d.callsAt(caller, model)
 		}
 	}
 }
 
-func (d *demand) callsAt(wanting *node, model fleet.ModelVersion) {
+func (d *demand) callsAt(caller *node, model fleet.ModelVersion) {
 	priority := d.random.IntN(10)
-	for range 1 + d.random.IntN(callsAtOnce) {
-		drawn := d.newCall(wanting, model, priority)
+	for range 1 + d.random.IntN(maxCallsPerNode) {
+		drawn := d.newCall(caller, model, priority)
 		drawn.send()
 		if sim.Chance(d.random, cancelShare) {
-			drawn.leaveAfter(sim.Between(d.random, 0, cancelMost))
+			drawn.cancelAfter(sim.Between(d.random, 0, maxCancelDelay))
 		}
 	}
 }
 
-// serviceCalls draws calls that may not be repeated, at any nodes.
+// serviceCalls draws non-repeatable service calls at random nodes.
 func (d *demand) serviceCalls() {
-	for range d.random.IntN(serviceCallsMost) {
+	for range d.random.IntN(maxServiceCalls) {
 		at := d.world.nodes[d.random.IntN(len(d.world.nodes))]
-		patience, seed := sim.Between(d.random, patienceLeast, serviceWaitMost), d.random.Uint64()
-		if !at.serves() {
+		patience, seed := sim.Between(d.random, minPatience, maxServicePatience), d.random.Uint64()
+		if !at.acceptsCalls() {
 			continue
 		}
 		d.calls++
 		id := fleet.RequestID(fmt.Sprintf("s%05d", d.calls))
-		d.world.judge.serviceSent(at.callService(id, patience, seed))
+		d.world.checker.serviceSent(at.callService(id, patience, seed))
 	}
 }
 
-// serves reports whether the node takes new calls.
-func (n *node) serves() bool {
+// acceptsCalls reports whether the node accepts new calls.
+func (n *node) acceptsCalls() bool {
 	return n.process.State() == sim.ProcessRunning && !n.requests.draining
 }
 
-// want calls for a model again and again until a replica is ready by the
-// tables that the node routes by, or until patience ends; served, if set, is
-// told.
-func (n *node) want(model fleet.ModelVersion, priority int, served func(bool)) {
-	deadline := n.process.Now().Add(wantPatience)
+// retryUntilReady repeats calls to a model until the node's routing tables show
+// a ready replica or retryPatience is over. done, if not nil, receives whether a
+// replica is ready.
+func (n *node) retryUntilReady(model fleet.ModelVersion, priority int, done func(bool)) {
+	deadline := n.process.Now().Add(retryPatience)
 	boot := n.process.Boot()
-	var again func()
-	again = func() {
+	var try func()
+	try = func() {
 		ready := n.ready(model)
 		if ready || n.process.Now().After(deadline) {
-			if served != nil {
-				served(ready)
+			if done != nil {
+				done(ready)
 			}
 			return
 		}
 		n.callFor(model, priority)
-		n.world.scheduler.After(wantInterval, func() { n.process.Do(boot, again) })
+		n.world.scheduler.After(retryInterval, func() { n.process.Do(boot, try) })
 	}
-	again()
+	try()
 }
 
-// callFor sends a patient call.
+// callFor sends a call with a patience of retryPatience.
 func (n *node) callFor(model fleet.ModelVersion, priority int) {
-	wanted := n.world.demand.newCall(n, model, priority)
-	wanted.patience = wantPatience
-	wanted.send()
+	created := n.world.demand.newCall(n, model, priority)
+	created.patience = retryPatience
+	created.send()
 }
 
-// wantEverything wants every model.
-func (n *node) wantEverything() {
+// requestAllModels calls every model until it is ready.
+func (n *node) requestAllModels() {
 	for index := range modelCount {
-		n.want(modelAt(index), 1, nil)
+		n.retryUntilReady(modelAt(index), 1, nil)
 	}
 }
 
-// ready reports whether the node knows a ready replica in any zone.
+// ready reports whether the node's routing tables contain a ready replica in
+// any zone, on an engine that is not leaving.
 func (n *node) ready(model fleet.ModelVersion) bool {
 	for _, table := range n.tables {
 		for index := range table.Engines {
--- a/internal/sim/world/doc.go
+++ b/internal/sim/world/doc.go
@@ -1,7 +1,10 @@
-// Package world puts the product's cores on the simulation's frame: nodes made
-// of the very cores that run in production, the stand-ins' models of engines,
-// object store, machine list and weight store, operators and callers, the
-// faults, and the judge that holds the engines' own state against the rules.
+// Package world simulates a whole fleet on the framework of package sim. Nodes
+// consist of the same cores that run in production. Engines, services, the
+// object store, the machine list and the weight store are the models of the
+// stand-ins. Operators and callers generate load, faults are injected, and a
+// checker compares the actual state of engines, services, store and nodes with
+// the rules.
 //
-// It may import sim, the cores, the stand-ins' models and the wire types.
+// It may import only sim, the cores, the models of the stand-ins and the wire
+// types.
 package world
--- a/internal/sim/world/engine.go
+++ b/internal/sim/world/engine.go
@@ -14,25 +14,27 @@
 
 const (
 	engineKVReserve = 16 * engine.GiB
-	// remoteLoad is shorter than in earnest, so that a run sees many loads.
+	// remoteLoad is shorter than in production, so that a run contains many
+	// loads.
 	remoteLoad = 2 * time.Second
-	// iterationBase is longer than in earnest: each iteration is an event.
+	// iterationBase is longer than in production, because each iteration costs
+	// an event.
 	iterationBase = 50 * time.Millisecond
 )
 
-// engineProcess drives the stand-in's model of an engine.
+// engineProcess runs the stand-in's model of an engine.
 type engineProcess struct {
 	world   *World
 	process *sim.Process
 	backend fleet.Backend
 	core    *engine.Core
 	waker   *sim.Waker
-	// faults are those in force within the model.
+	// faults are the faults currently enabled in the model.
 	faults engine.Faults
 
 	lastCall engine.CallID
 	replies  map[engine.CallID]func(any)
-	// readers are the links that the engine's streams go to.
+	// readers are the links that receive the engine's streams, by call.
 	readers map[engine.CallID]*link
 }
 
@@ -64,7 +66,8 @@
 	return created
 }
 
-// start is called at each boot. A death forgets everything but the books.
+// start is called at each boot. When the process dies, the model loses all its
+// state except its books, the log that the checker reads.
 func (e *engineProcess) start(uint64) {
 	e.process.OnDeath(func() {
 		e.step(engine.Restart{})
@@ -74,7 +77,8 @@
 	e.waker.Set(e.core.NextWake())
 }
 
-// call feeds a message that is answered by an effect with its call.
+// call steps the model with a message; reply receives the effect that answers
+// it.
 func (e *engineProcess) call(message func(engine.CallID) engine.Message, reply func(any)) {
 	e.lastCall++
 	e.replies[e.lastCall] = reply
@@ -83,9 +87,9 @@
 
 func (e *engineProcess) step(message engine.Message) {
 	effects := e.core.Step(e.process.Now(), message)
-	e.strike(message, effects)
+	e.applyArmedFaults(message, effects)
 	if order, taken := message.(engine.TakeOrder); taken {
-		e.world.judge.ordered(e, order.Order, effects)
+		e.world.checker.orderAnswered(e, order.Order, effects)
 	}
 	for _, effect := range effects {
 		e.perform(effect)
@@ -93,8 +97,9 @@
 	e.waker.Set(e.core.NextWake())
 }
 
-// strike lets armed faults hit the engine at a granted claim or a begun load.
-func (e *engineProcess) strike(message engine.Message, effects []engine.Effect) {
+// applyArmedFaults applies armed faults when the engine has granted a claim or
+// accepted a load order.
+func (e *engineProcess) applyArmedFaults(message engine.Message, effects []engine.Effect) {
 	granted := slices.ContainsFunc(effects, func(effect engine.Effect) bool {
 		_, found := effect.(engine.StateRead)
 		return found
@@ -104,15 +109,15 @@
 	}
 	switch message := message.(type) {
 	case engine.TakeClaim:
-		if _, found := e.world.strike(faultDieAtGrant, e.backend.Zone); found {
-			e.world.dieAfter(e, 0)
+		if _, found := e.world.takeArmed(faultDieAtGrant, e.backend.Zone); found {
+			e.world.restartAfter(e, 0)
 		}
 	case engine.TakeOrder:
 		if message.Order.Action != backend.ActionLoad {
 			return
 		}
-		if fault, found := e.world.strike(faultDieInLoad, e.backend.Zone); found {
-			e.world.dieAfter(e, fault.For)
+		if fault, found := e.world.takeArmed(faultDieInLoad, e.backend.Zone); found {
+			e.world.restartAfter(e, fault.For)
 		}
 	}
 }
--- a/internal/sim/world/engine_streams.go
+++ b/internal/sim/world/engine_streams.go
@@ -5,8 +5,8 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// serve takes a request that came over a link. Only the first that comes has
-// a reader: a copy's answer goes nowhere.
+// serve handles a request that arrived over a link. Only the first copy gets a
+// reader; the answer to a duplicate is discarded.
 func (e *engineProcess) serve(from *link, message func(engine.CallID) engine.Message) {
 	e.lastCall++
 	id := e.lastCall
@@ -19,13 +19,13 @@
 	}
 	from.calls = append(from.calls, id)
 	e.step(message(id))
-	if from.closed {
-		e.hangUp(from)
+	if from.readerClosed {
+		e.readerClosed(from)
 	}
 }
 
-// hangUp is told that the node reads a link no more.
-func (e *engineProcess) hangUp(from *link) {
+// readerClosed handles that the node has closed its side of a link.
+func (e *engineProcess) readerClosed(from *link) {
 	for _, id := range from.calls {
 		delete(e.readers, id)
 		e.step(engine.Detach{Call: id})
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -13,8 +13,8 @@
 	faultNodePause   sim.FaultKind = "node-pause"
 	faultLeaderPause sim.FaultKind = "leader-pause"
 	faultLeaderCut   sim.FaultKind = "leader-cut"
-	// faultLeaderCutEngines is a pair: a leader cut from its peers, and all
-	// engines of its zone restarted before it is back.
+	// faultLeaderCutEngines combines two faults: a leader is cut from its
+	// peers, and all engines of its zone restart before the cut is healed.
 	faultLeaderCutEngines sim.FaultKind = "leader-cut-engines-restart"
 	faultEnginesSlow      sim.FaultKind = "zone-engines-slow"
 	faultEnginesKill      sim.FaultKind = "zone-engines-kill"
@@ -36,7 +36,8 @@
 	faultWeightsSlow      sim.FaultKind = "weight-store-slow"
 )
 
-// faultSpecs say how many of each kind a run draws and how long they last.
+// faultSpecs returns how many faults of each kind a run draws and how long they
+// last.
 func (w *World) faultSpecs() []sim.FaultSpec {
 	second := time.Second
 	return []sim.FaultSpec{
@@ -94,13 +95,15 @@
 	fault.Target = string(w.services[random.IntN(len(w.services))].backend.Name)
 }
 
-// aimLeader aims at a zone's leader; the platform is cut off too, or not.
+// aimLeader draws the zone whose leader is cut off, and whether it is cut off
+// from the platform as well.
 func (w *World) aimLeader(random *rand.Rand, fault *sim.Fault) {
 	w.aimZone(random, fault)
 	fault.Amount = float64(random.IntN(2))
 }
 
-// aimZones cuts one way or both ways, between two zones or from the platform.
+// aimZones draws a cut between two zones or between a zone and the platform, in
+// one or both directions.
 func (w *World) aimZones(random *rand.Rand, fault *sim.Fault) {
 	places := []string{platformZone}
 	for _, zone := range w.zones {
@@ -112,7 +115,7 @@
 	fault.Amount = float64(random.IntN(2))
 }
 
-// aimLink cuts one way between a node and another process.
+// aimLink draws a one-way cut between a node and another process.
 func (w *World) aimLink(random *rand.Rand, fault *sim.Fault) {
 	w.aimNode(random, fault)
 	fault.Other = w.drawProcess(random).Name()
--- a/internal/sim/world/inject.go
+++ b/internal/sim/world/inject.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// bothWays is the amount of a zone cut that stops both directions.
+	// bothWays is the fault amount of a zone cut in both directions.
 	bothWays = 1
-	// slowestStore is the longest extra time of a call to a slow store.
-	slowestStore = 3 * time.Second
-	// lostAnswers is the share of answers that the store loses.
-	lostAnswers = 0.5
-	// withPlatform is the amount of a leader's cut that includes the platform.
+	// maxStoreDelay is the maximum additional time of a call to a slow store.
+	maxStoreDelay = 3 * time.Second
+	// lostAnswerShare is the probability that an answer of the store is lost.
+	lostAnswerShare = 0.5
+	// withPlatform is the fault amount of a leader cut that includes the
+	// platform.
 	withPlatform = 1
-	// slowestEngineCall is the longest extra delay on the way to an engine.
-	slowestEngineCall = 800 * time.Millisecond
-	// disturbedDelay is the longest extra delay in a disturbed network.
-	disturbedDelay = 300 * time.Millisecond
-	// lateMessages is the share of messages that come far too late, within
-	// latestMessage, in a disturbed network.
-	lateMessages  = 0.05
-	latestMessage = 8 * time.Second
+	// maxEngineDelay is the maximum additional delay of messages to an engine.
+	maxEngineDelay = 800 * time.Millisecond
+	// maxDisturbedDelay is the maximum additional delay in a disturbed network.
+	maxDisturbedDelay = 300 * time.Millisecond
+	// lateMessageShare is the share of messages in a disturbed network that are
+	// delayed by up to maxLateDelay, well beyond the timeouts.
+	lateMessageShare = 0.05
+	maxLateDelay     = 8 * time.Second
 )
 
 // Begin implements sim.Injector.
@@ -77,13 +78,13 @@
 		w.store.breakWatches()
 		return func() { w.store.down-- }
 	case faultStoreSlow:
-		w.store.slow = slowestStore
+		w.store.slow = maxStoreDelay
 		return func() { w.store.slow = 0 }
 	case faultStoreStale:
 		w.store.objects.Freeze(true)
 		return func() { w.store.objects.Freeze(false) }
 	case faultAnswersLost:
-		w.store.answersLost = lostAnswers
+		w.store.answersLost = lostAnswerShare
 		return func() { w.store.answersLost = 0 }
 	case faultMachinesDown:
 		w.machines.down++
@@ -93,7 +94,7 @@
 	case faultWeightsSlow:
 		return w.weights.slow()
 	default:
-		panic(fmt.Sprintf("world: fault of unknown kind %q", fault.Kind))
+		panic(fmt.Sprintf("world: unknown fault kind %q", fault.Kind))
 	}
 }
 
@@ -132,7 +133,8 @@
 	}
 }
 
-// restartNodes kills all nodes of a zone, or of the fleet, at once.
+// restartNodes kills all nodes of a zone at once, or of the fleet if the zone is
+// empty. The returned function starts them again.
 func (w *World) restartNodes(zone string) func() {
 	var killed []*sim.Process
 	for _, node := range w.nodes {
@@ -148,7 +150,7 @@
 	}
 }
 
-// withLeader applies a fault to whoever leads the zone when it begins.
+// withLeader applies a fault to the current leader of the zone, if there is one.
 func (w *World) withLeader(zone string, begin func(*node) func()) func() {
 	for _, candidate := range w.nodes {
 		if string(candidate.zone) != zone || candidate.process.State() != sim.ProcessRunning {
@@ -161,52 +163,54 @@
 	return nil
 }
 
-// cutFromPeers cuts a node from all nodes, both ways, but not from the
-// engines: it goes on leading while another takes over. With the store still
-// at hand the two claim the engines from each other again and again.
-func (w *World) cutFromPeers(lonely *node, platformToo bool) func() {
+// cutFromPeers cuts a node from all other nodes in both directions, but not from
+// the engines, so that it continues to lead while another node takes over. If
+// the store remains reachable, the two leaders repeatedly claim the engines from
+// each other.
+func (w *World) cutFromPeers(isolated *node, platformToo bool) func() {
 	var others []*sim.Process
 	if platformToo {
 		others = append(others, w.store.process, w.machines.process)
 	}
 	for _, other := range w.nodes {
-		if other != lonely {
+		if other != isolated {
 			others = append(others, other.process)
 		}
 	}
 	for _, other := range others {
-		w.network.Cut(string(lonely.name), other.Name())
-		w.network.Cut(other.Name(), string(lonely.name))
+		w.network.Cut(string(isolated.name), other.Name())
+		w.network.Cut(other.Name(), string(isolated.name))
 	}
 	return func() {
 		for _, other := range others {
-			w.network.Heal(string(lonely.name), other.Name())
-			w.network.Heal(other.Name(), string(lonely.name))
+			w.network.Heal(string(isolated.name), other.Name())
+			w.network.Heal(other.Name(), string(isolated.name))
 		}
 	}
 }
 
-// cutLeaderAndEngines cuts the zone's leader from its peers and restarts all
-// engines of the zone while another leads: the engines forget who led last,
-// and the callers of the node that is cut off want every model.
+// cutLeaderAndEngines cuts the leader of a zone from its peers and restarts all
+// engines of the zone while another node leads. The engines lose the fence of
+// the new leader, and calls to every model arrive at the isolated node.
 func (w *World) cutLeaderAndEngines(fault sim.Fault) func() {
 	return w.withLeader(fault.Target, func(leader *node) func() {
 		boot := leader.process.Boot()
 		w.scheduler.After(fault.For/2, func() {
 			restart := w.killEngines(fault.Target)
-			w.scheduler.After(restartTime, restart)
-			leader.process.Do(boot, leader.wantEverything)
+			w.scheduler.After(engineDownTime, restart)
+			leader.process.Do(boot, leader.requestAllModels)
 		})
 		return w.cutFromPeers(leader, true)
 	})
 }
 
-// slowEngines delays what comes to a zone's engines by up to almost as long as
-// nodes wait, so that claims and orders of several nodes interleave.
+// slowEngines delays messages to the engines of a zone by up to slightly less
+// than the call timeout of nodes, so that claims and orders of several nodes
+// interleave.
 func (w *World) slowEngines(zone string) func() {
 	engines := w.enginesOf(fleet.Zone(zone))
 	for _, slow := range engines {
-		w.network.SlowTo(string(slow.backend.Name), slowestEngineCall)
+		w.network.SlowTo(string(slow.backend.Name), maxEngineDelay)
 	}
 	return func() {
 		for _, slow := range engines {
@@ -215,7 +219,8 @@
 	}
 }
 
-// killEngines restarts all engines of a zone at once: each forgets its fence.
+// killEngines kills all engines of a zone at once; each loses its fence. The
+// returned function starts them again.
 func (w *World) killEngines(zone string) func() {
 	engines := w.enginesOf(fleet.Zone(zone))
 	for _, killed := range engines {
@@ -240,7 +245,8 @@
 	}
 }
 
-// cutOff cuts a zone from all others and from the platform, both ways.
+// cutOff cuts a zone from all other zones and from the platform, in both
+// directions.
 func (w *World) cutOff(zone string) func() {
 	others := []string{platformZone}
 	for _, other := range w.zones {
@@ -262,7 +268,7 @@
 
 func (w *World) disturb(amount float64) func() {
 	w.network.Disturb(sim.Disturbance{
-		Loss: amount, Duplicate: amount, ExtraDelay: disturbedDelay, Late: lateMessages, LateMost: latestMessage,
+		Loss: amount, Duplicate: amount, ExtraDelay: maxDisturbedDelay, Late: lateMessageShare, LateMost: maxLateDelay,
 	})
 	return func() { w.network.Disturb(sim.Disturbance{}) }
 }
--- a/internal/sim/world/inject_streams.go
+++ b/internal/sim/world/inject_streams.go
@@ -5,7 +5,8 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// Faults of the answers of one engine.
+// Faults of a single engine: its response streams, its speed, its reports and
+// its loads.
 const (
 	faultStreamsBreak   sim.FaultKind = "engine-breaks-streams"
 	faultStreamsCut     sim.FaultKind = "engine-cuts-answers-short"
@@ -18,13 +19,15 @@
 )
 
 const (
-	// tokensBeforeBreak is how much of an answer comes before a fault cuts it.
+	// tokensBeforeBreak is the number of tokens sent before a fault cuts an
+	// answer.
 	tokensBeforeBreak = 3
-	// slowIterations stretches the iterations of a slow engine.
-	slowIterations = 20
+	// slowIterationFactor multiplies the iteration time of a slow engine.
+	slowIterationFactor = 20
 )
 
-// streamFault applies a fault within the model of an engine.
+// streamFault enables a fault in the model of an engine. The returned function
+// disables it.
 func (w *World) streamFault(fault sim.Fault) func() {
 	target := w.engineAt(fault.Target)
 	change := func(on bool) {
@@ -48,7 +51,7 @@
 	case faultChunksLate:
 		faults.LateChunks = on
 	case faultEngineSlow:
-		faults.SlowFactor = float64(valueIf(on, slowIterations))
+		faults.SlowFactor = float64(valueIf(on, slowIterationFactor))
 	case faultReportsFrozen:
 		faults.FreezeReport = on
 	case faultEngineLoadHang:
--- a/internal/sim/world/judge.go
+++ b/internal/sim/world/judge.go
@@ -9,23 +9,24 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// The rules. Each is checked against what really is: the store's own objects,
-// the engines' own state, each node's own cores.
+// The rules on configuration and membership. All rules are checked against the
+// actual state: the objects in the store, the state of the engines and the cores
+// of each node.
 const (
-	// ruleVersionsGrow: on a node neither an object nor the version in force
-	// goes back.
+	// ruleVersionsGrow: on a node, neither the version of an object nor the
+	// configuration version in force decreases.
 	ruleVersionsGrow sim.RuleName = "versions-only-grow"
-	// ruleNoRevert: what was once in force on all live nodes is in force on
-	// every node that serves from then on.
+	// ruleNoRevert: once a version of an object was in force on all live nodes,
+	// no serving node has an earlier version in force.
 	ruleNoRevert sim.RuleName = "accepted-write-never-reverts"
-	// ruleInForce: an accepted write is in force on all live nodes within
-	// bounded time once faults are over.
+	// ruleInForce: an accepted write is in force on all live nodes within a
+	// bounded time after the faults have ended.
 	ruleInForce sim.RuleName = "accepted-write-in-force"
-	// ruleMembers: all live nodes of a zone hold each other for alive within
-	// bounded time once faults are over.
+	// ruleMembers: all live nodes of a zone see each other as alive within a
+	// bounded time after the faults have ended.
 	ruleMembers sim.RuleName = "members-converge"
-	// ruleDead: a node that died is held for dead by its zone within bounded
-	// time, once faults are over.
+	// ruleDead: when a node dies after the faults have ended, the other nodes of
+	// its zone detect it within a bounded time.
 	ruleDead sim.RuleName = "dead-node-is-noticed"
 )
 
@@ -38,35 +39,39 @@
 }
 
 const (
-	// inForceBound is how long an accepted write may take once nothing fails.
+	// inForceBound is the maximum time until an accepted write is in force on
+	// all live nodes in the absence of faults.
 	inForceBound = 10 * time.Second
-	// quietBound is how long the fleet may take to get over the last fault.
-	quietBound = 45 * time.Second
-	// deathBound is how long a death may go unnoticed.
-	deathBound = 12 * time.Second
+	// recoveryBound is the maximum time for the fleet to recover after the last
+	// fault.
+	recoveryBound = 45 * time.Second
+	// deathDetectionBound is the maximum time until the death of a node is
+	// detected.
+	deathDetectionBound = 12 * time.Second
 )
 
-// judge keeps what the rules need to know of the past.
-type judge struct {
+// checker checks the rules and holds the history that they need.
+type checker struct {
 	world *World
-	// views are what each node was seen to hold, by boot.
+	// views hold the last observed configuration of each node.
 	views map[fleet.NodeName]*configView
-	// everywhere are the versions that all live nodes held at one moment.
-	everywhere map[objectstore.Key]uint64
-	// record is the record of allotments as it stands in the store.
+	// heldByAll is, for each object, the highest version that all live nodes
+	// held at the same time.
+	heldByAll map[objectstore.Key]uint64
+	// record is the allotment record currently in the store.
 	record allotment.Record
-	// loadOrders are the IDs of the load orders that engines took.
+	// loadOrders are the IDs of the load orders that engines accepted.
 	loadOrders map[string]bool
-	// victim is the node that was killed for good.
+	// victim is the node that was killed and is not restarted.
 	victim *node
-	// probing counts the wants of probeLoads that are not yet served.
-	probing int
-	// calls are all that were made.
+	// pendingProbes counts the probes of probeLoads that have not finished.
+	pendingProbes int
+	// calls and serviceCalls are all calls of the run.
 	calls        []*call
 	serviceCalls []*serviceCall
 }
 
-// configView is what a node's present boot holds.
+// configView is the observed configuration of the current boot of a node.
 type configView struct {
 	boot     uint64
 	version  uint64
@@ -74,41 +79,43 @@
 	versions map[objectstore.Key]uint64
 }
 
-func newJudge(world *World) *judge {
-	return &judge{
+func newChecker(world *World) *checker {
+	return &checker{
 		world:      world,
 		views:      make(map[fleet.NodeName]*configView),
-		everywhere: make(map[objectstore.Key]uint64),
+		heldByAll:  make(map[objectstore.Key]uint64),
 		loadOrders: make(map[string]bool),
 	}
 }
 
-// accepted is told once an operator knows that its write took effect. The
-// check comes after the bound, counted from the end of the faults.
-func (j *judge) accepted(object objectstore.Object) {
-	world := j.world
-	from := max(world.scheduler.Elapsed(), world.faultsOver+quietBound-inForceBound)
+// writeAccepted is called when an operator knows that its write was accepted. It
+// schedules the check that the write is in force, inForceBound later and not
+// before the fleet has had recoveryBound to recover from the last fault.
+func (c *checker) writeAccepted(object objectstore.Object) {
+	world := c.world
+	from := max(world.scheduler.Elapsed(), world.faultsOver+recoveryBound-inForceBound)
 	world.scheduler.At(from+inForceBound, func() {
 		for _, node := range world.nodes {
-			j.checkInForce(node, object)
+			c.checkInForce(node, object)
 		}
 	})
 }
 
-func (j *judge) checkInForce(node *node, object objectstore.Object) {
+func (c *checker) checkInForce(node *node, object objectstore.Object) {
 	if node.process.State() != sim.ProcessRunning {
 		return
 	}
 	held, found := node.config.core.Lookup(object.Key())
-	j.world.rules.Check(ruleInForce, found && held.Version >= object.Version,
+	c.world.rules.Check(ruleInForce, found && held.Version >= object.Version,
 		"%s holds %s/%s at version %d; %d by %s was accepted", node.name, object.Kind, object.Name,
 		held.Version, object.Version, object.ChangedBy)
 }
 
-// configChanged is called after each change of what a node has in force.
-func (j *judge) configChanged(node *node, version uint64, changed []objectstore.Object) {
-	view := j.view(node)
-	rules := j.world.rules
+// configChanged is called after each change of the configuration in force on a
+// node.
+func (c *checker) configChanged(node *node, version uint64, changed []objectstore.Object) {
+	view := c.view(node)
+	rules := c.world.rules
 	rules.Check(ruleVersionsGrow, version >= view.version,
 		"%s went from version %d to %d", node.name, view.version, version)
 	view.version = version
@@ -120,48 +127,49 @@
 		view.versions[key] = object.Version
 	}
 	if view.loaded {
-		j.checkNoRevert(node)
-		j.noteEverywhere(changed)
+		c.checkNoRevert(node)
+		c.recordHeldByAll(changed)
 	}
 }
 
-func (j *judge) view(node *node) *configView {
-	view := j.views[node.name]
+func (c *checker) view(node *node) *configView {
+	view := c.views[node.name]
 	if view == nil || view.boot != node.process.Boot() {
 		view = &configView{boot: node.process.Boot(), versions: make(map[objectstore.Key]uint64)}
-		j.views[node.name] = view
+		c.views[node.name] = view
 	}
 	return view
 }
 
-// checkNoRevert holds what a serving node has against what was in force
-// everywhere before.
-func (j *judge) checkNoRevert(node *node) {
-	for key, version := range j.everywhere {
+// checkNoRevert compares the objects in force on a node with the versions that
+// all live nodes held earlier.
+func (c *checker) checkNoRevert(node *node) {
+	for key, version := range c.heldByAll {
 		held, _ := node.config.core.Lookup(key)
 		if held.Version >= version {
 			continue
 		}
-		j.world.rules.Check(ruleNoRevert, false, "%s serves %s/%s at version %d; %d was in force everywhere",
+		c.world.rules.Check(ruleNoRevert, false, "%s serves %s/%s at version %d; %d was in force everywhere",
 			node.name, key.Kind, key.Name, held.Version, version)
 	}
-	j.world.rules.Check(ruleNoRevert, true, "")
+	c.world.rules.Check(ruleNoRevert, true, "")
 }
 
-// noteEverywhere records what all live nodes now hold of the changed objects.
-func (j *judge) noteEverywhere(changed []objectstore.Object) {
+// recordHeldByAll records the versions of the changed objects that all live
+// nodes now hold.
+func (c *checker) recordHeldByAll(changed []objectstore.Object) {
 	for _, object := range changed {
 		key := object.Key()
-		least, known := j.leastHeld(key)
-		if known && least > j.everywhere[key] {
-			j.everywhere[key] = least
+		least, known := c.minHeldVersion(key)
+		if known && least > c.heldByAll[key] {
+			c.heldByAll[key] = least
 		}
 	}
 }
 
-func (j *judge) leastHeld(key objectstore.Key) (uint64, bool) {
+func (c *checker) minHeldVersion(key objectstore.Key) (uint64, bool) {
 	least, known := uint64(0), false
-	for _, node := range j.world.nodes {
+	for _, node := range c.world.nodes {
 		if !node.alive() {
 			continue
 		}
@@ -173,46 +181,47 @@
 	return least, known
 }
 
-// finish checks what must hold at the end of a run.
-func (j *judge) finish() {
-	j.judgeCalls()
-	j.judgeServices()
-	if j.world.scheduler.Elapsed() < j.world.faultsOver+quietBound {
+// finish checks the rules that apply to the end of a run.
+func (c *checker) finish() {
+	c.checkCalls()
+	c.checkServices()
+	if c.world.scheduler.Elapsed() < c.world.faultsOver+recoveryBound {
 		return
 	}
-	j.world.rules.Check(ruleLoads, j.probing == 0, "%d wants are neither served nor given up", j.probing)
-	for _, observer := range j.world.nodes {
+	c.world.rules.Check(ruleLoads, c.pendingProbes == 0, "%d wants are neither served nor given up", c.pendingProbes)
+	for _, observer := range c.world.nodes {
 		if observer.process.State() == sim.ProcessRunning {
-			j.checkMembers(observer)
+			c.checkMembers(observer)
 		}
 	}
 }
 
-func (j *judge) checkMembers(observer *node) {
+func (c *checker) checkMembers(observer *node) {
 	states := make(map[fleet.NodeName]fleet.MemberState)
 	for _, member := range observer.membership.core.Members() {
 		states[member.Name] = member.State
 	}
-	for _, other := range j.world.nodes {
+	for _, other := range c.world.nodes {
 		if other.zone != observer.zone || other.process.State() != sim.ProcessRunning {
 			continue
 		}
-		j.world.rules.Check(ruleMembers, states[other.name] == fleet.MemberAlive,
+		c.world.rules.Check(ruleMembers, states[other.name] == fleet.MemberAlive,
 			"%s holds %s for %q", observer.name, other.name, states[other.name])
 	}
-	if victim := j.victim; victim != nil && victim.zone == observer.zone {
+	if victim := c.victim; victim != nil && victim.zone == observer.zone {
 		state := states[victim.name]
-		j.world.rules.Check(ruleDead, state != fleet.MemberAlive && state != fleet.MemberSuspect,
-			"%s holds %s, dead for %s, for %q", observer.name, victim.name, deathBound, state)
+		c.world.rules.Check(ruleDead, state != fleet.MemberAlive && state != fleet.MemberSuspect,
+			"%s holds %s, dead for %s, for %q", observer.name, victim.name, deathDetectionBound, state)
 	}
 }
 
-// killOne kills a node for good shortly before the end of a run.
-func (j *judge) killOne() {
-	random := j.world.streams.Stream("victim")
-	victim := j.world.nodes[random.IntN(len(j.world.nodes))]
+// killNodeForGood kills a random node shortly before the end of a run without
+// restarting it.
+func (c *checker) killNodeForGood() {
+	random := c.world.streams.Stream("victim")
+	victim := c.world.nodes[random.IntN(len(c.world.nodes))]
 	if victim.process.State() == sim.ProcessRunning {
 		victim.process.Die()
-		j.victim = victim
+		c.victim = victim
 	}
 }
--- a/internal/sim/world/judge_services.go
+++ b/internal/sim/world/judge_services.go
@@ -6,39 +6,40 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// ruleRunsOnce: a call that may not be repeated is in the services' books at
-// most once.
+// ruleRunsOnce: a non-repeatable call is in the services' books at most once.
 const ruleRunsOnce sim.RuleName = "unrepeatable-call-runs-once"
 
-// serviceSent is told of each call of a service.
-func (j *judge) serviceSent(sent *serviceCall) {
-	j.serviceCalls = append(j.serviceCalls, sent)
-	world := j.world
-	world.scheduler.At(sent.node.process.Clock().Elapsed(sent.deadline)+deadlineSlack, func() {
-		if !sent.excused() {
-			world.rules.Check(ruleInTime, sent.ends == 1, "%s at %s was ended %d times by its deadline", sent.id, sent.node.name, sent.ends)
+// serviceSent is called for each service call. It schedules the check at the
+// deadline.
+func (c *checker) serviceSent(call *serviceCall) {
+	c.serviceCalls = append(c.serviceCalls, call)
+	world := c.world
+	world.scheduler.At(call.node.process.Clock().Elapsed(call.deadline)+deadlineSlack, func() {
+		if !call.nodeInterrupted() {
+			world.rules.Check(ruleInTime, call.ends == 1, "%s at %s was ended %d times by its deadline", call.id, call.node.name, call.ends)
 		}
 	})
 }
 
-func (j *judge) serviceEnded(ended *serviceCall) {
-	j.world.count("service-call-" + string(ended.end.Outcome))
-	j.world.trace.Record("service-end/"+string(ended.end.Outcome), string(ended.node.name), string(ended.id), uint64(ended.end.Attempts))
-	j.world.rules.Check(ruleAnswer, ended.own, "%s at %s got the answer to another call", ended.id, ended.node.name)
+func (c *checker) serviceEnded(call *serviceCall) {
+	c.world.count("service-call-" + string(call.end.Outcome))
+	c.world.trace.Record("service-end/"+string(call.end.Outcome), string(call.node.name), string(call.id), uint64(call.end.Attempts))
+	c.world.rules.Check(ruleAnswer, call.ownAnswer, "%s at %s got the answer to another call", call.id, call.node.name)
 }
 
-// judgeServices holds the calls against the services' books at the end.
-func (j *judge) judgeServices() {
+// checkServices compares all service calls with the services' books at the end
+// of a run.
+func (c *checker) checkServices() {
 	runs := make(map[fleet.RequestID]int)
-	for _, process := range j.world.services {
+	for _, process := range c.world.services {
 		for _, execution := range process.book() {
 			runs[execution.RequestID]++
 		}
 	}
-	for _, call := range j.serviceCalls {
-		j.world.rules.Check(ruleRunsOnce, runs[call.id] <= 1, "%s at %s ran %d times", call.id, call.node.name, runs[call.id])
+	for _, call := range c.serviceCalls {
+		c.world.rules.Check(ruleRunsOnce, runs[call.id] <= 1, "%s at %s ran %d times", call.id, call.node.name, runs[call.id])
 		if call.ends > 0 && call.end.Outcome == attempt.OutcomeNotRun {
-			j.world.rules.Check(ruleNotRun, runs[call.id] == 0, "%s at %s was called not run (%s), but ran",
+			c.world.rules.Check(ruleNotRun, runs[call.id] == 0, "%s at %s was called not run (%s), but ran",
 				call.id, call.node.name, call.end.Code)
 		}
 	}
--- a/internal/sim/world/known_test.go
+++ b/internal/sim/world/known_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestReplicasHoldAtSeed102 is a run of 1,000 that shows two replicas in a zone
-// with a ceiling of one; see KNOWN-RED.txt.
+// TestReplicasHoldAtSeed102 guards against two replicas in a zone with a ceiling
+// of one, which this seed showed in a batch of 1,000.
 func TestReplicasHoldAtSeed102(t *testing.T) {
 	const seed = 102
 	report := Run(DefaultConfig(), seed, nil, nil)
--- a/internal/sim/world/machines.go
+++ b/internal/sim/world/machines.go
@@ -13,13 +13,14 @@
 	machineCallTimeout = 2 * time.Second
 )
 
-// machinesProcess is the platform's list of machines: the stand-in's own
-// model, fed by the heartbeats of the processes that run.
+// machinesProcess is the platform's machine list: the stand-in's model, fed with
+// heartbeats of the running processes.
 type machinesProcess struct {
 	world   *World
 	process *sim.Process
 	core    *machines.Core
-	// down refuses calls, frozen stops the heartbeats and so ages the list.
+	// down, if positive, refuses calls. frozen, if not nil, is the outdated list
+	// that is served.
 	down   int
 	frozen *objectstore.MachineList
 }
@@ -39,8 +40,8 @@
 	})
 }
 
-// heartbeat reports every process that runs. The platform's own channel to its
-// machines is not cut with the zones.
+// heartbeat reports every running process. The platform has a channel of its own
+// to the machines, which zone cuts do not affect.
 func (m *machinesProcess) heartbeat() {
 	now := m.process.Now()
 	probes := m.core.Step(now, machines.Report{Machines: m.running()})
@@ -113,7 +114,8 @@
 	})
 }
 
-// freeze keeps showing the present list.
+// freeze makes the process serve the current list until the returned function is
+// called.
 func (m *machinesProcess) freeze() func() {
 	list := m.core.List(m.process.Now())
 	m.frozen = &list
--- a/internal/sim/world/node.go
+++ b/internal/sim/world/node.go
@@ -11,25 +11,26 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// node is one process of the fleet: the product's cores, each with a thin part
-// that turns its effects into messages of the simulated network.
+// node is one node of the fleet. Each of its cores has a thin adapter, called a
+// part, that turns the effects of the core into messages on the simulated
+// network.
 type node struct {
 	world     *World
 	process   *sim.Process
 	name      fleet.NodeName
 	zone      fleet.Zone
 	addresses fleet.Addresses
-	// random draws what differs for each boot.
+	// random draws the values that differ between boots.
 	random *rand.Rand
 
-	// What follows is built anew at each start.
+	// The following fields are rebuilt at each start.
 	membership *membershipPart
 	config     *configPart
 	control    *controlPart
 	requests   *requestsPart
 	services   *servicePart
 	compiler   *catalog.Compiler
-	// tables are those that the node routes by.
+	// tables are the node's current routing tables.
 	tables map[fleet.Zone]fleet.RouteTable
 }
 
@@ -53,7 +54,7 @@
 	return created
 }
 
-// start builds the cores of a new boot; nothing of an earlier one is left.
+// start builds the cores of a new boot. No state of an earlier boot is kept.
 func (n *node) start(uint64) {
 	self := n.member(n.random.Uint64())
 	seed := n.random.Uint64()
@@ -75,14 +76,14 @@
 	}
 }
 
-// post runs the action in this node's process after what is under way, as a
-// message to a mailbox does; so no core is stepped within another's step.
+// post runs the action in this node's process after the current event, like a
+// message to a mailbox, so that no core is stepped during another core's step.
 func (n *node) post(action func()) {
 	boot := n.process.Boot()
 	n.world.scheduler.After(0, func() { n.process.Do(boot, action) })
 }
 
-// alive reports whether the process has started and not died.
+// alive reports whether the process is started and has not died.
 func (n *node) alive() bool {
 	return n.process.State() != sim.ProcessDead
 }
@@ -93,7 +94,8 @@
 	}
 }
 
-// membersChanged is the view that membership writes.
+// membersChanged passes a changed member list from membership to the other
+// cores.
 func (n *node) membersChanged(members []fleet.Member) {
 	n.post(func() {
 		n.config.membersChanged(members)
@@ -101,7 +103,8 @@
 	})
 }
 
-// machinesChanged is the view of the machine list that configuration writes.
+// machinesChanged passes a changed machine list from the configuration core to
+// the other cores.
 func (n *node) machinesChanged(list objectstore.MachineList) {
 	n.post(func() {
 		n.membership.machinesChanged(list)
@@ -110,9 +113,9 @@
 	})
 }
 
-// configChanged is told of each change of what is in force.
+// configChanged handles a change of the configuration in force.
 func (n *node) configChanged(version uint64, changed []objectstore.Object) {
-	n.world.judge.configChanged(n, version, changed)
+	n.world.checker.configChanged(n, version, changed)
 	n.post(func() {
 		n.membership.configVersion(version)
 		n.compile(changed)
@@ -124,7 +127,7 @@
 	})
 }
 
-// compile hands what is in force to those that work by it.
+// compile compiles the configuration in force and passes it to the control core.
 func (n *node) compile(changed []objectstore.Object) {
 	n.compiler.Apply(changed)
 	version, loaded := n.config.core.Version()
--- a/internal/sim/world/node_attempt.go
+++ b/internal/sim/world/node_attempt.go
@@ -11,28 +11,29 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// request drives the attempt core of one call, as the gateway does.
+// request drives the attempt core of one call in the same way as the gateway.
 type request struct {
 	part    *requestsPart
 	call    *call
 	core    *attempt.Core
 	waker   *sim.Waker
 	arrived time.Time
-	// ticket names the present attempt to queue and routing; 0 for none.
-	ticket  uint64
-	misses  int
-	exclude []fleet.BackendName
-	engine  *engineProcess
-	link    *link
-	opened  time.Time
-	// began is set once the present attempt has brought a token.
+	// ticket identifies the current attempt to queue and routing; 0 if there is
+	// none.
+	ticket       uint64
+	pickFailures int
+	exclude      []fleet.BackendName
+	engine       *engineProcess
+	link         *link
+	opened       time.Time
+	// began is set once the current attempt has delivered a token.
 	began     bool
 	abandoned bool
 	over      bool
 }
 
-// take serves a call; its end is told to the call.
-func (p *requestsPart) take(call *call) {
+// serveCall starts serving a call; the call is notified of its end.
+func (p *requestsPart) serveCall(call *call) {
 	now := p.node.process.Now()
 	r := &request{part: p, call: call, arrived: now}
 	r.core = attempt.New(attempt.Options{
@@ -49,7 +50,7 @@
 	p.submit(r, attempt.Reassign{})
 }
 
-// post steps the core once what is under way is done.
+// post steps the core after the current event.
 func (r *request) post(message attempt.Message) {
 	r.part.node.post(func() { r.step(message) })
 }
@@ -73,13 +74,13 @@
 		r.call.token(effect.Text)
 		if !r.began {
 			r.began = true
-			r.part.began(r.ticket, now.Sub(r.opened))
+			r.part.firstToken(r.ticket, now.Sub(r.opened))
 		}
 	case attempt.Open:
 		r.opened, r.began = now, false
-		wanted := r.call.engineRequest(effect.Attempt, len(effect.ContinueFrom))
+		engineRequest := r.call.engineRequest(effect.Attempt, len(effect.ContinueFrom))
 		r.connect(effect.Connection, "engine/submit", func(id engine.CallID) engine.Message {
-			return engine.Submit{Call: id, Request: wanted}
+			return engine.Submit{Call: id, Request: engineRequest}
 		})
 	case attempt.Resume:
 		r.part.node.world.count("resumed")
@@ -100,8 +101,8 @@
 	}
 }
 
-// reassign asks for another back end after the pause; its exclusions are valid
-// until the next step.
+// reassign requests another back end after the delay of the effect. It copies
+// the exclusions, which are valid only until the next step of the core.
 func (r *request) reassign(effect attempt.Reassign) {
 	effect.Exclude = slices.Clone(effect.Exclude)
 	boot := r.part.node.process.Boot()
@@ -114,7 +115,7 @@
 	})
 }
 
-// callerGone tells that the caller went away.
+// callerGone handles that the caller has disconnected.
 func (r *request) callerGone() {
 	if r.over {
 		return
@@ -129,11 +130,11 @@
 	if r.ticket == 0 {
 		return
 	}
-	r.part.ended(r.ticket, r.result())
+	r.part.attemptEnded(r.ticket, r.result())
 	r.ticket = 0
 }
 
-// result is what the gateway tells routing.
+// result returns the result of the attempt that the gateway reports to routing.
 func (r *request) result() routing.Result {
 	return resultOf(r.core.LastFailure(), r.abandoned)
 }
--- a/internal/sim/world/node_config.go
+++ b/internal/sim/world/node_config.go
@@ -14,7 +14,7 @@
 	digestTimeout = 5 * time.Second
 )
 
-// configPart drives a node's configuration core.
+// configPart runs a node's configuration core.
 type configPart struct {
 	node  *node
 	core  *configsync.Core
@@ -130,7 +130,7 @@
 		From: p.node.process, To: target.process, Kind: "config/push",
 		Size: uint64(len(effect.Push.Changes.Objects)), Timeout: pushTimeout, Resent: true,
 		Serve: func(reply func(any)) {
-			call := target.config.expect(reply)
+			call := target.config.registerReply(reply)
 			target.config.step(configsync.PushReceived{Call: call, From: p.node.name, Push: effect.Push})
 		},
 		Done: func(any, sim.CallOutcome) {},
@@ -145,7 +145,7 @@
 	p.node.world.network.Call(sim.Call{
 		From: p.node.process, To: target.process, Kind: "config/digest", Timeout: digestTimeout, Resent: true,
 		Serve: func(reply func(any)) {
-			call := target.config.expect(reply)
+			call := target.config.registerReply(reply)
 			target.config.step(configsync.DigestReceived{Call: call, From: p.node.name, Digest: effect.Digest})
 		},
 		Done: func(answer any, outcome sim.CallOutcome) {
@@ -158,8 +158,9 @@
 	})
 }
 
-// expect keeps where the answer to a peer's call goes.
-func (p *configPart) expect(reply func(any)) uint64 {
+// registerReply stores the reply function of a peer's call and returns the call
+// ID.
+func (p *configPart) registerReply(reply func(any)) uint64 {
 	p.lastCall++
 	p.replies[p.lastCall] = reply
 	return p.lastCall
--- a/internal/sim/world/node_control.go
+++ b/internal/sim/world/node_control.go
@@ -10,14 +10,14 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// controlPart drives a node's control core.
+// controlPart runs a node's control core.
 type controlPart struct {
 	node  *node
 	core  *control.Core
 	waker *sim.Waker
-	// vouched is set once the record was read from the store, or learned from
-	// a majority, since this boot.
-	vouched bool
+	// confirmed is set once this boot has read the record from the store or
+	// learned it from a majority.
+	confirmed bool
 }
 
 func newControlPart(node *node, self fleet.Member, seed uint64) *controlPart {
@@ -34,8 +34,8 @@
 	return part
 }
 
-// controlSettings are the product's own but for the times that would let a run
-// see few loads: models are given up soon, and may be.
+// controlSettings returns the default settings with shorter placement times.
+// Idle models are unloaded sooner, so that a run contains many loads.
 func controlSettings() control.Settings {
 	settings := control.DefaultSettings()
 	settings.Placement.KeepAlive = 6 * time.Second
@@ -49,11 +49,11 @@
 	p.step(control.Tick{})
 }
 
-// step feeds the core and carries out its effects; it returns the refusals
-// that go to other nodes as the answer to their report.
+// step steps the core and performs its effects. It returns the refusals that are
+// sent to other nodes in the answer to their report.
 func (p *controlPart) step(message control.Message) map[fleet.NodeName][]fleet.LoadRefusal {
 	if learned, found := message.(control.RecordLearned); found && !learned.Failed && learned.Record.Generation > 0 {
-		p.vouched = true
+		p.confirmed = true
 	}
 	refusals := make(map[fleet.NodeName][]fleet.LoadRefusal)
 	for _, effect := range p.core.Step(p.node.process.Now(), message) {
@@ -109,7 +109,7 @@
 	world.trace.Note("leadership %s leading=%t fence=%s %s", p.node.name, effect.Leading, effect.Fence, effect.Reason)
 }
 
-// catalogChanged takes what the node has in force.
+// catalogChanged passes the catalog in force to the core.
 func (p *controlPart) catalogChanged(snapshot *catalog.Snapshot) {
 	p.step(control.CatalogChanged{
 		Models:          snapshot.Models(),
@@ -120,7 +120,8 @@
 	})
 }
 
-// recordChanged takes the record of allotments as the configuration spreads it.
+// recordChanged passes the allotment record, as distributed with the
+// configuration, to the core.
 func (p *controlPart) recordChanged(object objectstore.Object) {
 	if record, decoded := decodeRecord(object); decoded {
 		p.step(control.AllotmentsChanged{VersionedRecord: record})
--- a/internal/sim/world/node_control_engines.go
+++ b/internal/sim/world/node_control_engines.go
@@ -14,8 +14,8 @@
 
 const engineCallTimeout = 900 * time.Millisecond
 
-// callEngine calls an engine's control API; done gets the engine's answering
-// effect, or nil where no answer came.
+// callEngine calls an engine's control API. done receives the engine's effect
+// that answers the call, or nil if no answer arrived.
 func (p *controlPart) callEngine(address, kind string, message func(engine.CallID) engine.Message, done func(engine.Effect)) {
 	target := p.node.world.engineAt(address)
 	if target == nil {
@@ -65,14 +65,14 @@
 func (p *controlPart) sendOrder(effect control.SendOrder) {
 	p.node.world.trace.Note("order %s to %s %s %s fence=%s", p.node.name, effect.Engine, effect.Order.Action,
 		effect.Order.Model, effect.Order.Fence)
-	p.node.world.pauseInOrder(p.node)
+	p.node.world.pauseBeforeOrder(p.node)
 	p.node.process.Do(p.node.process.Boot(), func() { p.callOrder(effect) })
 }
 
 func (p *controlPart) callOrder(effect control.SendOrder) {
 	message := func(call engine.CallID) engine.Message { return engine.TakeOrder{Call: call, Order: effect.Order} }
 	if effect.Order.Action == backend.ActionLoad {
-		p.node.world.orderTwice(effect.Address, message)
+		p.node.world.repeatOrder(effect.Address, message)
 	}
 	p.callEngine(effect.Address, "engine/order", message, func(answer engine.Effect) {
 		answered := control.OrderAnswered{Engine: effect.Engine, OrderID: effect.Order.ID}
@@ -90,7 +90,7 @@
 	})
 }
 
-// engineAt returns the engine that listens at an address, or nil.
+// engineAt returns the engine that listens on an address, or nil.
 func (w *World) engineAt(address string) *engineProcess {
 	for _, candidate := range w.engines {
 		if candidate.backend.Address == address {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// enginesOf lists the engines of a zone, or of the fleet where it is empty.
+// enginesOf returns the engines of a zone, or of the fleet if the zone is empty.
 func (w *World) enginesOf(zone fleet.Zone) []*engineProcess {
 	var engines []*engineProcess
 	for _, candidate := range w.engines {
--- a/internal/sim/world/node_control_peers.go
+++ b/internal/sim/world/node_control_peers.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// tell calls a peer whose answer nobody waits for.
-func (p *controlPart) tell(member fleet.Member, kind string, message control.Message) {
+// notifyPeer sends a message to a peer and ignores the answer.
+func (p *controlPart) notifyPeer(member fleet.Member, kind string, message control.Message) {
 	p.callPeer(member, kind, func(peer *controlPart, reply func(any)) {
 		peer.step(message)
 		reply(nil)
@@ -33,18 +33,18 @@
 
 func (p *controlPart) publishTable(effect control.PublishTable) {
 	for _, member := range effect.To {
-		p.tell(member, "control/publish", control.TableReceived{From: p.node.name, Update: effect.Update})
+		p.notifyPeer(member, "control/publish", control.TableReceived{From: p.node.name, Update: effect.Update})
 	}
 }
 
 func (p *controlPart) broadcastLeaving(effect control.BroadcastLeaving) {
 	for _, member := range effect.To {
-		p.tell(member, "control/leaving", control.LeavingNoticeReceived{From: p.node.name, Backends: effect.Backends})
+		p.notifyPeer(member, "control/leaving", control.LeavingNoticeReceived{From: p.node.name, Backends: effect.Backends})
 	}
 }
 
 func (p *controlPart) handOver(effect control.HandOver) {
-	p.tell(effect.To, "control/hand-over", control.HandOverRequested{From: p.node.name, Fence: effect.Fence})
+	p.notifyPeer(effect.To, "control/hand-over", control.HandOverRequested{From: p.node.name, Fence: effect.Fence})
 }
 
 func (p *controlPart) pullTables(effect control.PullTables) {
--- a/internal/sim/world/node_control_record.go
+++ b/internal/sim/world/node_control_record.go
@@ -24,7 +24,8 @@
 	return control.VersionedRecord{Record: record, StoreVersion: object.Version}, true
 }
 
-// learnRecord asks the store, then the members.
+// learnRecord reads the record from the store, and from the members if the store
+// does not answer.
 func (p *controlPart) learnRecord(effect control.LearnRecord) {
 	p.node.world.store.get(p.node.process, recordKey, func(answer storeAnswer, outcome sim.CallOutcome) {
 		if outcome != sim.Answered {
@@ -36,54 +37,54 @@
 	})
 }
 
-// askMajority takes the newest record that a majority of the zone's members
-// vouches for, this node included.
+// askMajority asks the zone's members, this node included, for the record. It
+// takes the newest one and fails unless a majority has a confirmed record.
 func (p *controlPart) askMajority(effect control.LearnRecord) {
 	awaited := len(effect.Members) + 1
-	vouched := 0
+	confirmations := 0
 	var newest control.VersionedRecord
-	take := func(answer control.VersionedRecord) {
+	collect := func(answer control.VersionedRecord) {
 		awaited--
 		if answer.Record.Generation > 0 {
-			vouched++
+			confirmations++
 		}
 		if answer.Record.Generation > newest.Record.Generation {
 			newest = answer
 		}
 		if awaited == 0 {
-			p.step(control.RecordLearned{ID: effect.ID, VersionedRecord: newest, Failed: vouched < effect.Majority})
+			p.step(control.RecordLearned{ID: effect.ID, VersionedRecord: newest, Failed: confirmations < effect.Majority})
 		}
 	}
 	for _, member := range effect.Members {
-		p.askRecord(member, take)
+		p.askRecord(member, collect)
 	}
-	p.node.post(func() { take(p.vouchedRecord()) })
+	p.node.post(func() { collect(p.confirmedRecord()) })
 }
 
-func (p *controlPart) askRecord(member fleet.Member, take func(control.VersionedRecord)) {
+func (p *controlPart) askRecord(member fleet.Member, collect func(control.VersionedRecord)) {
 	p.callPeer(member, "control/allotments", func(peer *controlPart, reply func(any)) {
-		reply(peer.vouchedRecord())
+		reply(peer.confirmedRecord())
 	}, func(answer any, outcome sim.CallOutcome) {
 		record, _ := answer.(control.VersionedRecord)
-		take(record)
+		collect(record)
 	})
 }
 
-// vouchedRecord is the record, or none where this boot has it from hearsay
-// only.
-func (p *controlPart) vouchedRecord() control.VersionedRecord {
-	if !p.vouched {
+// confirmedRecord returns the record, or none if this boot has neither read it
+// from the store nor learned it from a majority.
+func (p *controlPart) confirmedRecord() control.VersionedRecord {
+	if !p.confirmed {
 		return control.VersionedRecord{}
 	}
 	return p.core.Record()
 }
 
-// writeRecord writes by compare-and-set. A conflict that names the write's own
-// change id is its success.
+// writeRecord writes the record by compare-and-set. A conflict with the write's
+// own change ID means that the write has succeeded.
 func (p *controlPart) writeRecord(effect control.WriteRecord) {
 	body, err := json.Marshal(effect.Record)
 	if err != nil {
-		panic(fmt.Sprintf("world: record: %v", err))
+		panic(fmt.Sprintf("world: encoding the allotment record: %v", err))
 	}
 	request := objectstore.WriteRequest{ExpectedVersion: effect.Expected, Object: objectstore.Object{
 		Kind: recordKey.Kind, Name: recordKey.Name, Spec: body, ChangedBy: string(p.node.name),
@@ -99,15 +100,15 @@
 	if outcome != sim.Answered {
 		return written
 	}
-	standing := answer.object
+	current := answer.object
 	written.Result = control.WriteDone
 	if answer.conflict != nil {
-		standing = answer.conflict.Current
+		current = answer.conflict.Current
 	}
-	if answer.conflict != nil && standing.ChangeID != request.Object.ChangeID {
+	if answer.conflict != nil && current.ChangeID != request.Object.ChangeID {
 		written.Result = control.WriteConflict
 	}
-	record, decoded := decodeRecord(standing)
+	record, decoded := decodeRecord(current)
 	if !decoded {
 		return control.RecordWritten{ID: id}
 	}
--- a/internal/sim/world/node_link.go
+++ b/internal/sim/world/node_link.go
@@ -12,10 +12,9 @@
 )
 
 const (
-	// dialTimeout is when a connection is given up that is not made.
+	// dialTimeout is the time after which establishing a connection fails.
 	dialTimeout = time.Second
-	// cutDetection is how long a reader takes to notice that a connection
-	// was cut.
+	// cutDetection is the time that a reader takes to detect a cut connection.
 	cutDetection = 3 * time.Second
 )
 
@@ -25,76 +24,77 @@
 	number  int
 	boot    uint64
 	engine  *engineProcess
-	// reached is set once the engine has got the request, void once it is
-	// proved that it never will.
-	reached, void bool
-	// closed is set once the node reads no more, over once the engine writes
-	// no more.
-	closed, over bool
-	stream       *sim.Stream
-	calls        []engine.CallID
+	// reached is set once the engine has received the request, neverSent once
+	// it is certain that it never will.
+	reached, neverSent bool
+	// readerClosed is set once the node no longer reads, engineDone once the
+	// engine no longer writes.
+	readerClosed, engineDone bool
+	stream                   *sim.Stream
+	calls                    []engine.CallID
 }
 
-// connect replaces the link. The former is closed only when the engine has got
-// the new one: to an engine, a reader that leaves is a cancel.
+// connect replaces the link. It closes the previous one only after sending the
+// request on the new one, because an engine cancels a request without a reader.
 func (r *request) connect(number int, kind string, message func(engine.CallID) engine.Message) {
 	network, process := r.part.node.world.network, r.part.node.process
-	former := r.link
+	previous := r.link
 	opened := &link{request: r, number: number, boot: process.Boot(), engine: r.engine}
 	r.link = opened
 	if network.IsCut(process, r.engine.process) {
-		opened.void = true
+		opened.neverSent = true
 		r.part.node.world.scheduler.After(dialTimeout, func() { opened.refused() })
-		former.close()
+		previous.close()
 		return
 	}
 	network.Send(sim.Message{
 		From: process, To: r.engine.process, Transport: sim.Resent, Kind: kind, Size: uint64(number),
 		Deliver: func() {
-			if !opened.void {
+			if !opened.neverSent {
 				opened.engine.serve(opened, message)
 			}
 		},
 		Refused: func() {
 			if !opened.reached {
-				opened.void = true
+				opened.neverSent = true
 				opened.refused()
 			}
 		},
 	})
-	former.close()
+	previous.close()
 }
 
-// refused tells that no connection was made, so that nothing can have run.
+// refused reports that no connection was established, so that the request cannot
+// have run.
 func (l *link) refused() {
-	l.over = true
+	l.engineDone = true
 	l.request.part.node.process.Do(l.boot, func() {
 		l.read(attempt.Failure{Connection: l.number, Evidence: attempt.NeverSent, Detail: "no connection"})
 	})
 }
 
-// read hands the core what came, unless the node reads the link no more.
+// read passes a message to the core unless the node has closed the link.
 func (l *link) read(message attempt.Message) {
-	if !l.closed {
+	if !l.readerClosed {
 		l.request.step(message)
 	}
 }
 
-// close hangs up; the engine hears of it unless it is done.
+// close closes the link and notifies the engine unless the engine is done.
 func (l *link) close() {
-	if l == nil || l.closed {
+	if l == nil || l.readerClosed {
 		return
 	}
-	l.closed = true
+	l.readerClosed = true
 	if l.stream != nil {
 		l.stream.Abandon()
 	}
-	if l.over {
+	if l.engineDone {
 		return
 	}
 	l.request.part.node.world.network.Send(sim.Message{
 		From: l.request.part.node.process, To: l.engine.process, Transport: sim.Connection, Kind: "engine/hang-up",
-		Deliver: func() { l.engine.hangUp(l) },
+		Deliver: func() { l.engine.readerClosed(l) },
 	})
 }
 
@@ -103,7 +103,7 @@
 	r.link = nil
 }
 
-// cancel tells an engine that nobody waits for the attempt's answer.
+// cancel tells an engine that the answer of the attempt is no longer needed.
 func (r *request) cancel(cancel attempt.Cancel) {
 	target := r.part.node.world.engineAt(string(cancel.Backend))
 	id := r.call.id
@@ -117,7 +117,8 @@
 	})
 }
 
-// chunk and the following are what the engine's end of the link sends.
+// chunk sends a chunk from the engine to the node. The following methods are
+// also called on the engine's side of the link.
 func (l *link) chunk(chunk backend.Chunk) {
 	l.stream.Send("chunk", uint64(chunk.Sequence), func() {
 		l.read(&attempt.Chunk{Connection: l.number, RequestID: chunk.RequestID, Attempt: chunk.Attempt,
@@ -127,28 +128,29 @@
 
 func (l *link) ended(terminated bool) {
 	l.stream.Close(func() {
-		l.over = true
+		l.engineDone = true
 		l.read(attempt.Ended{Connection: l.number, Terminated: terminated})
 	})
 }
 
 func (l *link) broken() {
-	l.over = true
+	l.engineDone = true
 	l.read(attempt.Failure{Connection: l.number, Evidence: attempt.MaybeSent, Detail: "the connection broke"})
 }
 
-// spreadLeaving does as the gateway does: the refusal is a sign of the leaving.
-func (l *link) spreadLeaving() {
+// reportEngineLeaving reports to control that the engine is leaving, as the
+// gateway does when an engine refuses a request for that reason.
+func (l *link) reportEngineLeaving() {
 	leaving := control.LeavingNoticeReceived{Backends: []fleet.BackendName{l.engine.backend.Name}}
 	l.request.part.node.control.step(leaving)
 }
 
 func (l *link) refusal(reason engine.RefusalReason) {
 	l.stream.Close(func() {
-		l.over = true
+		l.engineDone = true
 		evidence := attempt.ErrorStatus
 		if reason == engine.RefusedLeaving {
-			l.spreadLeaving()
+			l.reportEngineLeaving()
 		}
 		switch reason {
 		case engine.RefusedNotReady, engine.RefusedLeaving, engine.RefusedOverfull:
--- a/internal/sim/world/node_membership.go
+++ b/internal/sim/world/node_membership.go
@@ -7,11 +7,11 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// seedNodes is how many nodes are named as seeds to every node; the machine
-// list has to bring the rest together.
+// seedNodes is the number of nodes given to every node as gossip seeds. The
+// others must be found through the machine list.
 const seedNodes = 2
 
-// membershipPart drives a node's failure detector.
+// membershipPart runs a node's membership core, its failure detector.
 type membershipPart struct {
 	node  *node
 	core  *membership.Core
--- a/internal/sim/world/node_queue.go
+++ b/internal/sim/world/node_queue.go
@@ -10,8 +10,9 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// stepQueue feeds the queue. Its effects are valid until its next step, which
-// carrying them out may bring about.
+// stepQueue steps the queue and performs its effects. The effects are copied
+// because they are valid only until the next step, which performing them may
+// cause.
 func (p *requestsPart) stepQueue(message queue.Message) {
 	for _, effect := range slices.Clone(p.queue.Step(p.node.process.Now(), message)) {
 		switch effect := effect.(type) {
@@ -42,10 +43,10 @@
 	waiting.unassigned(string(refuse.Reason))
 }
 
-// loadRefused takes the leader's word that models cannot be loaded now.
+// loadRefused passes the leader's load refusals to the queue.
 func (p *requestsPart) loadRefused(refusals []fleet.LoadRefusal) {
 	p.stepQueue(queue.LoadRefused{Refusals: refusals})
-	p.arm()
+	p.scheduleWake()
 }
 
 func (r *request) unassigned(code string) {
--- a/internal/sim/world/node_requests.go
+++ b/internal/sim/world/node_requests.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// waitingMost is small, so that a burst fills a node's queue.
-	waitingMost = 24
-	// requestBytes is what a waiting request is taken to hold.
-	requestBytes = 16 << 10
-	// missesMost is the gateway's bound on putting a request back.
-	missesMost = 5
-	// forgetfulWake is how soon a queue is woken that forgets deadlines.
-	forgetfulWake = 100 * time.Millisecond
+	// maxQueuedRequests is small so that a burst can fill a node's queue.
+	maxQueuedRequests = 24
+	// queuedRequestBytes is the assumed memory of a queued request.
+	queuedRequestBytes = 16 << 10
+	// maxPickFailures is the number of times that a request is requeued when
+	// routing finds no back end, as in the gateway.
+	maxPickFailures = 5
+	// minWakeDelay is the minimum delay until the next wake of a queue with the
+	// defect ForgetDeadlines.
+	minWakeDelay = 100 * time.Millisecond
 )
 
-// requestsPart drives a node's queue, its routing and the attempts of its
-// requests, as the gateway's dispatcher does.
+// requestsPart runs a node's queue, its routing and the attempts of its requests
+// in the same way as the gateway's dispatcher.
 type requestsPart struct {
 	node    *node
 	queue   *queue.Core
@@ -31,15 +33,15 @@
 	budget  *attempt.Budget
 	waker   *sim.Waker
 	tickets uint64
-	// pending have no back end yet, assigned have one.
+	// pending holds the attempts without a back end, assigned those with one.
 	pending  map[uint64]*request
 	assigned map[uint64]assignment
-	// running are all requests that are not over, in the order of their start.
+	// running holds all unfinished requests in the order of their start.
 	running  []*request
 	draining bool
 }
 
-// assignment is an attempt that a back end was picked for.
+// assignment is an attempt for which a back end was picked.
 type assignment struct {
 	model fleet.ModelVersion
 	since time.Time
@@ -50,7 +52,7 @@
 	part := &requestsPart{
 		node: node,
 		queue: queue.New(queue.Options{
-			Node: node.name, Zone: node.zone, MaxItems: waitingMost, Defects: defects.Queue,
+			Node: node.name, Zone: node.zone, MaxItems: maxQueuedRequests, Defects: defects.Queue,
 		}),
 		routing:  routing.New(routing.Options{Zone: node.zone, Seed: seed, Defects: defects.Routing}),
 		budget:   attempt.NewBudget(attempt.DefaultRetryShare, attempt.DefaultRetryBurst),
@@ -58,12 +60,12 @@
 		assigned: make(map[uint64]assignment),
 	}
 	part.waker = sim.NewWaker(node.process, part.tick)
-	node.process.OnDeath(part.hangUp)
+	node.process.OnDeath(part.closeConnections)
 	return part
 }
 
-// hangUp closes the connections of a node that died.
-func (p *requestsPart) hangUp() {
+// closeConnections closes all connections when the node dies.
+func (p *requestsPart) closeConnections() {
 	for _, running := range p.running {
 		running.close()
 	}
@@ -74,22 +76,23 @@
 	p.stepRouting(routing.Tick{})
 	p.stepQueue(queue.Tick{})
 	for _, line := range p.queue.Queues() {
-		p.offer(line.Model)
+		p.updateQueueCapacity(line.Model)
 	}
-	p.arm()
+	p.scheduleWake()
 }
 
-func (p *requestsPart) arm() {
+func (p *requestsPart) scheduleWake() {
 	wake := p.queue.NextWake()
 	if p.node.world.config.Defects.Queue.ForgetDeadlines && !wake.IsZero() {
-		// That queue asks for times gone by, at which a run would stand still.
-		wake = later(wake, p.node.process.Now().Add(forgetfulWake))
+		// With this defect the queue requests wakes in the past; without a
+		// delay the virtual time would not advance.
+		wake = later(wake, p.node.process.Now().Add(minWakeDelay))
 	}
 	p.waker.Set(wake)
 	p.waker.Set(p.routing.NextWake())
 }
 
-// submit asks for the back end of an attempt.
+// submit requests a back end for an attempt.
 func (p *requestsPart) submit(r *request, reassign attempt.Reassign) {
 	retry := reassign.Exclude != nil
 	switch {
@@ -100,42 +103,42 @@
 		return
 	}
 	p.tickets++
-	r.ticket, r.misses = p.tickets, 0
+	r.ticket, r.pickFailures = p.tickets, 0
 	r.exclude = slices.Clone(reassign.Exclude)
 	p.pending[r.ticket] = r
-	p.offer(r.call.model)
-	p.arrive(r, retry)
-	p.arm()
+	p.updateQueueCapacity(r.call.model)
+	p.enqueue(r, retry)
+	p.scheduleWake()
 }
 
-func (p *requestsPart) arrive(r *request, again bool) {
+func (p *requestsPart) enqueue(r *request, requeued bool) {
 	p.stepQueue(queue.Arrive{Item: queue.Item{
 		Ticket: queue.Ticket(r.ticket), Model: r.call.model, Priority: r.call.priority, Deadline: r.core.NextWake(),
-		ArrivedAt: r.arrived, Bytes: requestBytes, Requeued: again,
+		ArrivedAt: r.arrived, Bytes: queuedRequestBytes, Requeued: requeued,
 	}})
 }
 
-// abandon takes a request out whose caller has gone.
+// abandon removes a request from the queue whose caller has disconnected.
 func (p *requestsPart) abandon(r *request) {
 	if _, found := p.pending[r.ticket]; found {
 		delete(p.pending, r.ticket)
 		p.stepQueue(queue.Cancel{Ticket: queue.Ticket(r.ticket)})
 		r.ticket = 0
 	}
-	p.arm()
+	p.scheduleWake()
 }
 
-// began tells of an attempt's first token.
-func (p *requestsPart) began(ticket uint64, after time.Duration) {
+// firstToken tells of an attempt's first token.
+func (p *requestsPart) firstToken(ticket uint64, after time.Duration) {
 	if known, found := p.assigned[ticket]; found {
 		p.stepQueue(queue.FirstTokenReceived{Model: known.model, Latency: after})
 	}
 	p.stepRouting(routing.FirstToken{Ticket: routing.Ticket(ticket), After: after})
-	p.arm()
+	p.scheduleWake()
 }
 
-// ended tells that an attempt is over.
-func (p *requestsPart) ended(ticket uint64, result routing.Result) {
+// attemptEnded tells that an attempt is over.
+func (p *requestsPart) attemptEnded(ticket uint64, result routing.Result) {
 	known, found := p.assigned[ticket]
 	if !found {
 		return
@@ -145,7 +148,7 @@
 		p.stepQueue(queue.Completed{Model: known.model, ServiceTime: p.node.process.Now().Sub(known.since)})
 	}
 	p.stepRouting(routing.Ended{Ticket: routing.Ticket(ticket), Result: result})
-	p.arm()
+	p.scheduleWake()
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/sim/world/node_routing.go
+++ b/internal/sim/world/node_routing.go
@@ -11,7 +11,7 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// stepRouting feeds the routing; see stepQueue.
+// stepRouting steps the routing and performs its effects; see stepQueue.
 func (p *requestsPart) stepRouting(message routing.Message) {
 	for _, effect := range slices.Clone(p.routing.Step(p.node.process.Now(), message)) {
 		switch effect := effect.(type) {
@@ -20,17 +20,17 @@
 		case routing.NonePicked:
 			p.nonePicked(uint64(effect.Ticket))
 		case routing.CapacityChanged:
-			p.offer(effect.Model)
+			p.updateQueueCapacity(effect.Model)
 		}
 	}
 }
 
-// offer tells the queue the present room for a model.
-func (p *requestsPart) offer(model fleet.ModelVersion) {
+// updateQueueCapacity passes the current capacity for a model to the queue.
+func (p *requestsPart) updateQueueCapacity(model fleet.ModelVersion) {
 	rooms := p.routing.Capacity(p.node.process.Now(), model)
 	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
-	for _, room := range rooms.Replicas {
-		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots, Adapters: room.Adapters})
+	for _, replica := range rooms.Replicas {
+		replicas = append(replicas, queue.Replica{Name: replica.Name, FreeSlots: replica.FreeSlots, Adapters: replica.Adapters})
 	}
 	p.stepQueue(queue.CapacityChanged{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
 }
@@ -46,23 +46,23 @@
 	waiting.post(attempt.Assigned{Backend: backend.Name})
 }
 
-// nonePicked puts a request back into the queue, a bounded number of times.
+// nonePicked requeues a request, at most maxPickFailures times.
 func (p *requestsPart) nonePicked(ticket uint64) {
 	waiting := p.pending[ticket]
 	if waiting == nil {
 		return
 	}
-	waiting.misses++
-	if waiting.misses > missesMost {
+	waiting.pickFailures++
+	if waiting.pickFailures > maxPickFailures {
 		delete(p.pending, ticket)
 		waiting.unassigned("no-backend")
 		return
 	}
-	p.offer(waiting.call.model)
-	p.arrive(waiting, true)
+	p.updateQueueCapacity(waiting.call.model)
+	p.enqueue(waiting, true)
 }
 
-// tablesChanged takes the tables that control shows.
+// tablesChanged passes changed routing tables from control to the routings.
 func (p *requestsPart) tablesChanged(tables map[fleet.Zone]fleet.RouteTable) {
 	var list []fleet.RouteTable
 	for _, zone := range slices.Sorted(maps.Keys(tables)) {
@@ -70,10 +70,11 @@
 	}
 	p.stepRouting(routing.Tables{Tables: list})
 	p.node.services.step(routing.Tables{Tables: list})
-	p.arm()
+	p.scheduleWake()
 }
 
-// machinesChanged takes the back ends that the machine list shows as leaving.
+// machinesChanged passes the back ends that are leaving according to the machine
+// list to the routings.
 func (p *requestsPart) machinesChanged(list objectstore.MachineList) {
 	var leaving []fleet.BackendName
 	for _, machine := range list.Machines {
@@ -83,5 +84,5 @@
 	}
 	p.stepRouting(routing.Leaving{Backends: leaving})
 	p.node.services.step(routing.Leaving{Backends: leaving})
-	p.arm()
+	p.scheduleWake()
 }
--- a/internal/sim/world/node_service.go
+++ b/internal/sim/world/node_service.go
@@ -11,13 +11,13 @@
 	"github.com/spanlanding/spanlanding/internal/standin/service"
 )
 
-// servicePart drives the calls of a node that may not be repeated. As in the
-// gateway they have a routing of their own and no queue.
+// servicePart runs the non-repeatable calls of a node. As in the gateway, they
+// have a separate routing core and no queue.
 type servicePart struct {
 	node    *node
 	routing *routing.Core
 	tickets routing.Ticket
-	// inProgress counts the calls that are not over.
+	// inProgress counts the unfinished calls.
 	inProgress int
 	waiting    map[routing.Ticket]*serviceCall
 }
@@ -38,22 +38,22 @@
 	for _, effect := range slices.Clone(p.routing.Step(now, message)) {
 		switch effect := effect.(type) {
 		case routing.Picked:
-			p.take(effect.Ticket).post(attempt.Assigned{Backend: effect.Backend.Name})
+			p.takeWaiting(effect.Ticket).post(attempt.Assigned{Backend: effect.Backend.Name})
 		case routing.NonePicked:
-			call := p.take(effect.Ticket)
+			call := p.takeWaiting(effect.Ticket)
 			call.ticket = 0
 			call.post(attempt.Unassigned{Code: "no-backend"})
 		}
 	}
 }
 
-func (p *servicePart) take(ticket routing.Ticket) *serviceCall {
+func (p *servicePart) takeWaiting(ticket routing.Ticket) *serviceCall {
 	call := p.waiting[ticket]
 	delete(p.waiting, ticket)
 	return call
 }
 
-// serviceCall is one call that may not be repeated, from its caller to its end.
+// serviceCall is one non-repeatable call.
 type serviceCall struct {
 	node     *node
 	boot     uint64
@@ -62,17 +62,17 @@
 	deadline time.Time
 	core     *attempt.Core
 	ticket   routing.Ticket
-	// connection is the one whose answer is awaited.
+	// connection is the number of the connection whose answer is awaited.
 	connection int
 	ends       int
 	end        attempt.Finish
-	// own is false once an answer to another call came.
-	own bool
+	// ownAnswer is false once an answer to another call came.
+	ownAnswer bool
 }
 
 func (n *node) callService(id fleet.RequestID, patience time.Duration, seed uint64) *serviceCall {
 	call := &serviceCall{
-		node: n, boot: n.process.Boot(), pauses: n.process.Pauses(), id: id, own: true,
+		node: n, boot: n.process.Boot(), pauses: n.process.Pauses(), id: id, ownAnswer: true,
 		deadline: n.process.Now().Add(patience),
 	}
 	n.services.inProgress++
@@ -115,13 +115,13 @@
 			c.ends++
 			c.node.services.inProgress--
 			c.end = effect
-			c.node.world.judge.serviceEnded(c)
+			c.node.world.checker.serviceEnded(c)
 		}
 	}
 }
 
-// open sends the call. It is not sent again on its way: the product's client
-// does not let a call be repeated that may not be.
+// open sends the call. The network never duplicates it, because the product's
+// client disables retries of non-repeatable calls.
 func (c *serviceCall) open(open attempt.Open) {
 	target := c.node.world.serviceNamed(open.Backend)
 	c.connection = open.Connection
@@ -142,7 +142,7 @@
 func (c *serviceCall) refused() { c.broken(c.connection, attempt.RefusedBeforeRun) }
 
 func (c *serviceCall) answered(answer service.Answer) {
-	c.own = c.own && answer.RequestID == c.id
+	c.ownAnswer = c.ownAnswer && answer.RequestID == c.id
 	c.step(attempt.Answered{Connection: c.connection})
 }
 
@@ -155,6 +155,6 @@
 	c.ticket = 0
 }
 
-func (c *serviceCall) excused() bool {
+func (c *serviceCall) nodeInterrupted() bool {
 	return c.node.process.Boot() != c.boot || c.node.process.State() != sim.ProcessRunning || c.node.process.Pauses() != c.pauses
 }
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	operatorCount     = 2
-	operatorLeast     = time.Second
-	operatorMost      = 8 * time.Second
-	operatorReadBack  = 500 * time.Millisecond
-	operatorReadTries = 60
+	operatorCount       = 2
+	minOperatorInterval = time.Second
+	maxOperatorInterval = 8 * time.Second
+	readBackInterval    = 500 * time.Millisecond
+	maxReadBackTries    = 60
 )
 
-// operator changes declarations by compare-and-set, as apply does: it reads,
-// writes with a change id, and reads back where the answer is lost. Operators
-// race each other on the same objects.
+// operator changes declarations by compare-and-set in the same way as the apply
+// command: it reads the object, writes it with a change ID, and reads it back if
+// the answer is lost. Operators compete for the same objects.
 type operator struct {
 	world   *World
 	process *sim.Process
@@ -38,7 +38,7 @@
 }
 
 func (o *operator) next() {
-	pause := sim.Between(o.random, operatorLeast, operatorMost)
+	pause := sim.Between(o.random, minOperatorInterval, maxOperatorInterval)
 	o.world.scheduler.After(pause, func() { o.change(o.world.drawDeclaration(o.random)) })
 }
 
@@ -60,23 +60,23 @@
 		switch {
 		case outcome == sim.TimedOut:
 			o.world.count("operator-answer-lost")
-			o.readBack(request, operatorReadTries)
+			o.readBack(request, maxReadBackTries)
 			return
 		case outcome == sim.Answered && answer.conflict != nil && answer.conflict.Current.ChangeID == request.Object.ChangeID:
-			o.world.judge.accepted(answer.conflict.Current)
+			o.world.checker.writeAccepted(answer.conflict.Current)
 		case outcome == sim.Answered && answer.conflict != nil:
 			o.world.count("operator-conflict")
 		case outcome == sim.Answered:
 			o.world.count("operator-accepted")
-			o.world.judge.accepted(answer.object)
+			o.world.checker.writeAccepted(answer.object)
 		}
 		o.next()
 	})
 }
 
-// readBack settles a write whose answer was lost: it was accepted if the
-// object carries its change id, and was not if it carries a later change that
-// expected the version before.
+// readBack determines the outcome of a write whose answer was lost. The write
+// was accepted if the object has its change ID, and counts as a conflict if the
+// object has another change at a version later than the expected one.
 func (o *operator) readBack(request objectstore.WriteRequest, tries int) {
 	if tries == 0 {
 		o.next()
@@ -85,7 +85,7 @@
 	o.world.store.get(o.process, request.Object.Key(), func(answer storeAnswer, outcome sim.CallOutcome) {
 		if outcome == sim.Answered && answer.object.ChangeID == request.Object.ChangeID {
 			o.world.count("operator-read-back")
-			o.world.judge.accepted(answer.object)
+			o.world.checker.writeAccepted(answer.object)
 			o.next()
 			return
 		}
@@ -94,6 +94,6 @@
 			o.next()
 			return
 		}
-		o.world.scheduler.After(operatorReadBack, func() { o.readBack(request, tries-1) })
+		o.world.scheduler.After(readBackInterval, func() { o.readBack(request, tries-1) })
 	})
 }
--- a/internal/sim/world/planted_test.go
+++ b/internal/sim/world/planted_test.go
@@ -15,24 +15,27 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// plantedSeeds bounds the search for a run that shows a planted defect.
+// plantedSeeds is the number of seeds tried to detect a planted defect.
 const plantedSeeds = 60
 
-// oneModelMemory holds one model beside the KV cache.
+// oneModelMemory is enough memory for one model and the KV cache reserve.
 const oneModelMemory = engineKVReserve + modelMemory + 8*engine.GiB
 
-// plantedConfig is a small fleet with the faults of a large one.
+// plantedConfig returns a small fleet that is subject to the faults of a large
+// one.
 func plantedConfig(defects Defects) Config {
 	return Config{Zones: 2, Nodes: 6, Engines: 6, EngineMemory: 80 * engine.GiB, Duration: 3 * time.Minute, Defects: defects}
 }
 
-// TestEachPlantedDefectIsCaught shows for each rule that its check can fail.
+// TestEachPlantedDefectIsCaught shows that the check of each rule can fail: a
+// run with a matching defect violates the rule.
 func TestEachPlantedDefectIsCaught(t *testing.T) {
 	cases := []struct {
 		name    string
 		defects Defects
 		rule    sim.RuleName
-		// first is where the search begins, for defects that few seeds show.
+		// first is the first seed of the search; it is not 0 for defects that
+		// only few seeds reveal.
 		first uint64
 	}{
 		{"control without fence", Defects{Control: control.Defects{NoFence: true}}, ruleCeiling, 0},
@@ -49,11 +52,11 @@
 		{"no sequence check", Defects{Attempt: attempt.Defects{NoSequenceCheck: true}}, ruleAnswer, 0},
 		{"truncated answers passed", Defects{Attempt: attempt.Defects{PassTruncated: true}}, ruleAnswer, 0},
 		{"deadlines forgotten", Defects{Queue: queue.Defects{ForgetDeadlines: true}}, ruleInTime, 0},
-		{"shed without a word", Defects{Queue: queue.Defects{DropShed: true}}, ruleEndsOnce, 0},
+		{"shed requests not reported", Defects{Queue: queue.Defects{DropShed: true}}, ruleEndsOnce, 0},
 		{"leaving ignored", Defects{Routing: routing.Defects{IgnoreLeaving: true}}, ruleLeaving, 170},
 		{"blind resend", Defects{Attempt: attempt.Defects{BlindResend: true}}, ruleRunsOnce, 0},
 		{"drain cuts", Defects{Node: NodeDefects{CutAtDrain: true}}, rulePlannedStop, 0},
-		{"the dead resurrected", Defects{Membership: membership.Defects{ResurrectDead: true}}, ruleDead, 55},
+		{"dead members resurrected", Defects{Membership: membership.Defects{ResurrectDead: true}}, ruleDead, 55},
 	}
 	for _, planted := range cases {
 		t.Run(planted.name, func(t *testing.T) {
@@ -63,7 +66,8 @@
 			case ruleMemory:
 				config.EngineMemory = oneModelMemory
 			case ruleCeiling:
-				// More nodes dispute a zone's engines in a larger fleet.
+				// In a larger fleet more nodes compete for the engines of a
+				// zone.
 				config = DefaultConfig()
 				config.Defects = planted.defects
 			}
@@ -74,7 +78,7 @@
 					return
 				}
 			}
-			t.Errorf("%s not violated in %d seeds", planted.rule, plantedSeeds)
+			t.Errorf("rule %s was not violated in %d seeds", planted.rule, plantedSeeds)
 		})
 	}
 }
--- a/internal/sim/world/service.go
+++ b/internal/sim/world/service.go
@@ -18,14 +18,14 @@
 	serviceTime = 300 * time.Millisecond
 )
 
-// serviceProcess drives the stand-in's model of a command server.
+// serviceProcess runs the stand-in's model of a command server.
 type serviceProcess struct {
 	world   *World
 	process *sim.Process
 	backend fleet.Backend
 	core    *service.Core
 	waker   *sim.Waker
-	// executions are those of earlier boots.
+	// executions are the executions of earlier boots.
 	executions []books.Execution
 	lastCall   service.CallID
 	open       map[service.CallID]*serviceCall
@@ -49,7 +49,7 @@
 	s.process.OnDeath(s.died)
 }
 
-// died closes the connections of a server that died.
+// died saves the executions and closes the connections when the server dies.
 func (s *serviceProcess) died() {
 	s.executions = append(s.executions, s.core.Book().Executions...)
 	for _, id := range slices.Sorted(maps.Keys(s.open)) {
@@ -69,24 +69,24 @@
 	s.waker.Set(s.core.NextWake())
 }
 
-// answer tells the node that made the call what came of it.
-func (s *serviceProcess) answer(id service.CallID, kind string, tell func(*serviceCall)) {
+// answer sends the result of a call to the node that made it.
+func (s *serviceProcess) answer(id service.CallID, kind string, notify func(*serviceCall)) {
 	caller := s.open[id]
 	delete(s.open, id)
 	s.world.network.Send(sim.Message{
 		From: s.process, To: caller.node.process, Transport: sim.Connection, Kind: kind,
-		Deliver: func() { caller.node.process.Do(caller.boot, func() { tell(caller) }) },
+		Deliver: func() { caller.node.process.Do(caller.boot, func() { notify(caller) }) },
 	})
 }
 
-// serve takes a call.
+// serve runs a call.
 func (s *serviceProcess) serve(call *serviceCall, number int) {
 	s.lastCall++
 	s.open[s.lastCall] = call
 	s.step(service.Run{Call: s.lastCall, RequestID: call.id, Attempt: number, Method: "POST", Path: "/charge"})
 }
 
-// book is everything that ran here, over all boots.
+// book returns the executions of all boots.
 func (s *serviceProcess) book() []books.Execution {
 	if s.process.State() == sim.ProcessDead {
 		return s.executions
--- a/internal/sim/world/stops.go
+++ b/internal/sim/world/stops.go
@@ -10,50 +10,52 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// Planned stops come near the end of a run, where nothing else fails: what they
-// promise holds without faults.
+// Planned stops take place near the end of a run, when no faults are in effect,
+// because their guarantees hold only in the absence of faults.
 const (
-	leaveBefore = 15 * time.Second
-	drainBefore = 11 * time.Second
-	drainCheck  = 200 * time.Millisecond
-	// leaveDelay lets calls reach the engine before it says that it leaves.
-	leaveDelay = 150 * time.Millisecond
-	leaveCalls = 450 * time.Millisecond
-	// leaderAway is shorter than callers and attempts wait.
-	leaderAway    = 4 * time.Second
-	leavePriority = 5
+	leaveTimeBeforeEnd = 15 * time.Second
+	drainTimeBeforeEnd = 11 * time.Second
+	drainCheckInterval = 200 * time.Millisecond
+	// leaveDelay lets calls reach the engine before it announces that it is
+	// leaving.
+	leaveDelay        = 150 * time.Millisecond
+	leaveCallInterval = 450 * time.Millisecond
+	// leaderPauseTime is shorter than the timeouts of callers and attempts.
+	leaderPauseTime = 4 * time.Second
+	leavePriority   = 5
 )
 
-// leaveOne lets an engine say that it goes away, with work in progress and more
-// coming. The zone's leader is paused meanwhile, so that nobody unloads what
-// the engine holds: each node has to hear of it by the machine list.
-func (w *World) leaveOne() {
-	if w.scheduler.Elapsed() < w.faultsOver+quietBound {
+// announceEngineLeaving makes an engine announce that it is leaving while it has
+// requests in progress and receives new ones. The leader of the zone is paused
+// meanwhile so that the models of the engine are not unloaded; every node has to
+// learn of the leaving from the machine list.
+func (w *World) announceEngineLeaving() {
+	if w.scheduler.Elapsed() < w.faultsOver+recoveryBound {
 		return
 	}
 	chosen := w.engineToLeave()
 	if chosen == nil {
 		return
 	}
-	w.callReplicas(chosen)
+	w.callModelsOf(chosen)
 	w.scheduler.After(leaveDelay, func() {
 		w.trace.Record("leave", string(chosen.backend.Name), "", 0)
 		for _, reader := range chosen.readers {
-			reader.request.call.stopping = string(chosen.backend.Name)
+			reader.request.call.stoppingProcess = string(chosen.backend.Name)
 		}
 		chosen.step(engine.Leave{})
 		resume := w.withLeader(string(chosen.backend.Zone), func(leader *node) func() { return pause(leader.process) })
 		if resume != nil {
-			w.scheduler.After(leaderAway, resume)
+			w.scheduler.After(leaderPauseTime, resume)
 		}
 	})
-	w.scheduler.Every(leaveCalls, func() bool {
-		w.callReplicas(chosen)
-		return w.config.Duration-w.scheduler.Elapsed() > leaveBefore-leaderAway
+	w.scheduler.Every(leaveCallInterval, func() bool {
+		w.callModelsOf(chosen)
+		return w.config.Duration-w.scheduler.Elapsed() > leaveTimeBeforeEnd-leaderPauseTime
 	})
 }
 
-// engineToLeave is the one with the most models ready.
+// engineToLeave returns the running engine with the most ready models, or nil.
 func (w *World) engineToLeave() *engineProcess {
 	var chosen *engineProcess
 	most := 0
@@ -78,20 +80,20 @@
 	return ready
 }
 
-// callReplicas calls for the models of an engine from every node.
-func (w *World) callReplicas(wanted *engineProcess) {
-	for _, model := range wanted.readyModels() {
+// callModelsOf sends a call to each ready model of an engine at every node.
+func (w *World) callModelsOf(target *engineProcess) {
+	for _, model := range target.readyModels() {
 		for _, caller := range w.nodes {
-			if caller.serves() {
+			if caller.acceptsCalls() {
 				caller.callFor(model, leavePriority)
 			}
 		}
 	}
 }
 
-// drainOne stops a node as planned; it prefers one at work.
-func (w *World) drainOne() {
-	if w.scheduler.Elapsed() < w.faultsOver+quietBound {
+// drainNode begins a planned stop of the node with the most unfinished requests.
+func (w *World) drainNode() {
+	if w.scheduler.Elapsed() < w.faultsOver+recoveryBound {
 		return
 	}
 	var chosen *node
@@ -109,17 +111,17 @@
 	}
 }
 
-// inProgress counts what the node still owes its callers.
+// inProgress returns the number of unfinished requests and service calls.
 func (n *node) inProgress() int {
 	return len(n.requests.running) + n.services.inProgress
 }
 
-// drain is what a node does at a planned stop: it takes no new calls, hands its
-// leadership over, finishes what it has and leaves.
+// drain performs a planned stop: the node accepts no new calls, hands over its
+// leadership, finishes the calls in progress and leaves.
 func (n *node) drain() {
 	n.requests.draining = true
 	for _, running := range n.requests.running {
-		running.call.stopping = string(n.name)
+		running.call.stoppingProcess = string(n.name)
 	}
 	n.membership.step(membership.SetDraining{Draining: true})
 	n.control.step(control.StopRequested{})
@@ -127,10 +129,10 @@
 	var check func()
 	check = func() {
 		if n.inProgress() > 0 && !n.world.config.Defects.Node.CutAtDrain {
-			n.world.scheduler.After(drainCheck, func() { n.process.Do(boot, check) })
+			n.world.scheduler.After(drainCheckInterval, func() { n.process.Do(boot, check) })
 			return
 		}
-		n.world.judge.drained(n)
+		n.world.checker.nodeDrained(n)
 		n.membership.step(membership.Leave{})
 		n.process.Die()
 	}
--- a/internal/sim/world/store.go
+++ b/internal/sim/world/store.go
@@ -17,8 +17,8 @@
 	storeHistoryLimit = 200
 )
 
-// storeProcess is the platform's object API: the stand-in's own model, and
-// what goes wrong around it.
+// storeProcess is the platform's object API: the stand-in's model and the faults
+// applied to it.
 type storeProcess struct {
 	world   *World
 	process *sim.Process
@@ -26,8 +26,9 @@
 	random  *rand.Rand
 	watches []*watch
 
-	// down refuses everything, slow adds to the time of each call, and
-	// answersLost is the probability that an answer is lost after its change.
+	// down, if positive, refuses all calls. slow is the maximum additional time
+	// of each call. answersLost is the probability that the answer to a call is
+	// lost after the call has taken effect.
 	down        int
 	slow        time.Duration
 	answersLost float64
@@ -36,11 +37,11 @@
 // watch is one reader's stream of changes.
 type watch struct {
 	since uint64
-	// boot is that of the reader when it asked.
+	// boot is the boot of the reader that opened the watch.
 	boot   uint64
 	stream *sim.Stream
-	// take runs at the reader.
-	take func(version uint64, objects []objectstore.Object)
+	// onEvents runs at the reader.
+	onEvents func(version uint64, objects []objectstore.Object)
 }
 
 func newStoreProcess(world *World) *storeProcess {
@@ -53,12 +54,12 @@
 
 func (s *storeProcess) start(uint64) {
 	s.world.scheduler.Every(watchHeartbeat, func() bool {
-		s.pump(true)
+		s.sendChanges(true)
 		return true
 	})
 }
 
-// storeAnswer is what a call to the store brings back.
+// storeAnswer is the answer to a call to the store.
 type storeAnswer struct {
 	list     objectstore.ObjectList
 	object   objectstore.Object
@@ -86,9 +87,9 @@
 	s.call(from, "store/write", func() storeAnswer {
 		object, conflict := s.objects.Write(request)
 		if conflict == nil {
-			s.world.judge.written(object)
+			s.world.checker.storeChanged(object)
 			s.world.trace.Record("written", object.Name, object.Kind, object.Version)
-			s.pump(false)
+			s.sendChanges(false)
 		}
 		return storeAnswer{object: object, found: conflict == nil, conflict: conflict}
 	}, done)
@@ -112,8 +113,8 @@
 	})
 }
 
-// serve answers after the service time; nil stands for an error status before
-// anything was done.
+// serve answers after the service time. A nil answer stands for an error status
+// without any effect.
 func (s *storeProcess) serve(serve func() storeAnswer, reply func(any)) {
 	if s.down > 0 {
 		reply(nil)
@@ -131,10 +132,10 @@
 	})
 }
 
-// watch opens a stream of changes after a version. ended runs at the reader
-// once the stream is over.
+// watch opens a stream of the changes after a version. ended runs at the reader
+// when the stream has ended.
 func (s *storeProcess) watch(from *sim.Process, since uint64, take func(uint64, []objectstore.Object), ended func(compacted bool)) *watch {
-	opened := &watch{since: since, boot: from.Boot(), take: take}
+	opened := &watch{since: since, boot: from.Boot(), onEvents: take}
 	s.world.network.Call(sim.Call{
 		From: from, To: s.process, Kind: "store/watch", Timeout: storeCallTimeout,
 		Serve: func(reply func(any)) { reply(s.openWatch(opened, from, ended)) },
@@ -148,13 +149,13 @@
 	return opened
 }
 
-// watchResult answers the opening of a watch.
+// watchResult is the answer to opening a watch.
 type watchResult int
 
 const (
 	watchUnavailable watchResult = iota
 	watchOpened
-	// watchCompacted means that the store no longer keeps the changes.
+	// watchCompacted means that the store no longer has the requested changes.
 	watchCompacted
 )
 
@@ -169,7 +170,7 @@
 		From: s.process, To: from, ToBoot: opened.boot, Detection: watchDetection, Broken: func() { ended(false) },
 	})
 	s.watches = append(s.watches, opened)
-	s.pumpOne(opened, true)
+	s.sendChangesTo(opened, true)
 	return watchOpened
 }
 
@@ -179,9 +180,9 @@
 	}
 }
 
-// pump sends each watch what it has not seen; a heartbeat also tells the
+// sendChanges sends each watch what it has not seen; a heartbeat also tells the
 // revision where nothing changed.
-func (s *storeProcess) pump(heartbeat bool) {
+func (s *storeProcess) sendChanges(heartbeat bool) {
 	open := s.watches[:0]
 	for _, one := range s.watches {
 		if one.stream.Open() {
@@ -193,11 +194,11 @@
 		return
 	}
 	for _, one := range s.watches {
-		s.pumpOne(one, heartbeat)
+		s.sendChangesTo(one, heartbeat)
 	}
 }
 
-func (s *storeProcess) pumpOne(one *watch, heartbeat bool) {
+func (s *storeProcess) sendChangesTo(one *watch, heartbeat bool) {
 	events, complete := s.objects.Changes(one.since)
 	if !complete {
 		return
@@ -211,10 +212,10 @@
 		return
 	}
 	version := max(one.since, s.objects.Version())
-	one.stream.Send("store/event", uint64(len(changed)), func() { one.take(version, changed) })
+	one.stream.Send("store/event", uint64(len(changed)), func() { one.onEvents(version, changed) })
 }
 
-// breakWatches ends all watches, as a restart of the store does.
+// breakWatches ends all watches, like a restart of the store.
 func (s *storeProcess) breakWatches() {
 	for _, one := range s.watches {
 		one.stream.Break()
--- a/internal/sim/world/weights.go
+++ b/internal/sim/world/weights.go
@@ -13,12 +13,12 @@
 const (
 	weightReadsPerSecond = 3
 	weightConcurrency    = 6
-	// slowestWeights is how much a slow weight store stretches each read.
-	slowestWeights = 10
+	// slowWeightsFactor multiplies the time of each read of a slow weight store.
+	slowWeightsFactor = 10
 )
 
-// weightsProcess is the platform's weight store: the stand-in's own model. A
-// read is not cut with the zones; a cut shows as a store that is slow.
+// weightsProcess is the platform's weight store: the stand-in's model. Zone cuts
+// do not affect reads; the fault weight-store-slow stands for them.
 type weightsProcess struct {
 	world   *World
 	process *sim.Process
@@ -61,7 +61,7 @@
 	load, err := strconv.ParseUint(number, 10, 64)
 	reader := w.world.engineAt(address)
 	if err != nil || reader == nil {
-		panic(fmt.Sprintf("world: read %q", id))
+		panic(fmt.Sprintf("world: invalid weight read ID %q", id))
 	}
 	boot := reader.process.Boot()
 	w.world.scheduler.After(0, func() {
@@ -70,6 +70,6 @@
 }
 
 func (w *weightsProcess) slow() func() {
-	w.step(weights.Slow{Factor: slowestWeights})
+	w.step(weights.Slow{Factor: slowWeightsFactor})
 	return func() { w.step(weights.Slow{Factor: 1}) }
 }
--- a/internal/sim/world/world.go
+++ b/internal/sim/world/world.go
@@ -10,7 +10,7 @@
 	"github.com/spanlanding/spanlanding/internal/sim"
 )
 
-// World is one simulated fleet with all that is around it.
+// World is one simulated fleet with its platform, callers and operators.
 type World struct {
 	config    Config
 	scheduler *sim.Scheduler
@@ -18,7 +18,7 @@
 	trace     *sim.Trace
 	network   *sim.Network
 	rules     *sim.Rules
-	judge     *judge
+	checker   *checker
 
 	zones     []fleet.Zone
 	nodes     []*node
@@ -32,7 +32,7 @@
 	demand    *demand
 	operators []*operator
 
-	// faultsOver is when the last fault of the plan ends.
+	// faultsOver is the time at which the last fault of the plan ends.
 	faultsOver time.Duration
 	counters   map[string]uint64
 	armed      map[armedKey][]sim.Fault
@@ -41,8 +41,8 @@
 // servicesInZone is the number of command servers in each zone.
 const servicesInZone = 2
 
-// platformZone is where the platform's services run. No fault of a fleet zone
-// reaches it, but zones can be cut off from it.
+// platformZone is the zone of the platform's services. Faults of fleet zones do
+// not affect it, but fleet zones can be cut off from it.
 const platformZone = "platform"
 
 var (
@@ -56,8 +56,8 @@
 	}
 )
 
-// Run simulates one seed. A nil plan is drawn from the seed; the trace, if not
-// nil, gets a line for each event.
+// Run simulates one seed. If the plan is nil, it is drawn from the seed. The
+// trace writer, if not nil, receives a line for each event.
 func Run(config Config, seed uint64, plan sim.Plan, trace io.Writer) sim.Report {
 	world := build(config, seed, trace)
 	if plan == nil {
@@ -68,7 +68,7 @@
 	sim.Inject(world.scheduler, world.trace, plan, world, injected)
 	world.start()
 	world.scheduler.Run(config.Duration)
-	world.judge.finish()
+	world.checker.finish()
 	return sim.Report{
 		Seed:     seed,
 		Hash:     world.trace.Hash(),
@@ -93,7 +93,7 @@
 	world.trace = sim.NewTrace(world.scheduler, trace)
 	world.rules = sim.NewRules(world.scheduler, world.trace, ruleNames()...)
 	world.network = sim.NewNetwork(world.scheduler, world.trace, world.streams, sameZoneLink, crossZoneLink)
-	world.judge = newJudge(world)
+	world.checker = newChecker(world)
 	for index := range config.Zones {
 		world.zones = append(world.zones, fleet.Zone(fmt.Sprintf("zone%d", index+1)))
 	}
@@ -122,7 +122,8 @@
 	w.byGossip[added.addresses.Gossip] = added
 }
 
-// start brings up the platform, then the fleet over the first second.
+// start starts the platform immediately and the fleet and the operators within
+// the first seconds.
 func (w *World) start() {
 	w.seedDeclarations()
 	w.store.process.Start()
@@ -146,22 +147,22 @@
 
 func (w *World) startDemand() {
 	w.demand.next()
-	w.scheduler.At(w.faultsOver+quietBound, w.judge.probeLoads)
-	w.scheduler.At(w.config.Duration-leaveBefore, w.leaveOne)
-	w.scheduler.At(w.config.Duration-drainBefore, w.drainOne)
-	w.scheduler.At(w.config.Duration-deathBound, w.judge.killOne)
+	w.scheduler.At(w.faultsOver+recoveryBound, w.checker.probeLoads)
+	w.scheduler.At(w.config.Duration-leaveTimeBeforeEnd, w.announceEngineLeaving)
+	w.scheduler.At(w.config.Duration-drainTimeBeforeEnd, w.drainNode)
+	w.scheduler.At(w.config.Duration-deathDetectionBound, w.checker.killNodeForGood)
 }
 
 func (w *World) count(name string) {
 	w.counters[name]++
 }
 
-// zoneOf spreads the n-th of a kind over the zones in turn.
+// zoneOf assigns processes to the zones in round-robin order.
 func (w *World) zoneOf(index int) fleet.Zone {
 	return w.zones[index%len(w.zones)]
 }
 
-// drawClock draws a clock that is wrong as clocks of machines are.
+// drawClock draws a clock with a realistic offset and drift.
 func drawClock(random *rand.Rand) sim.Clock {
 	return sim.Clock{
 		Offset:   sim.Between(random, -20*time.Millisecond, 20*time.Millisecond),
--- a/internal/sim/world/world_test.go
+++ b/internal/sim/world/world_test.go
@@ -20,7 +20,7 @@
 	}
 	t.Log(lines.String())
 	if !summary.Passed() {
-		t.Error("a rule was violated, or never exercised")
+		t.Error("a rule was violated or never exercised")
 	}
 }
 
