--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -11,28 +11,30 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// judgeEnded demands that each request had one end, that a model request had
-// its first token or its refusal by its deadline, and a plain call its answer.
-func judgeEnded(evidence Evidence, tolerances Tolerances) Verdict {
+// checkEnded checks that each request ended exactly once, that each model
+// request got its first token or a refusal by its deadline, and that each plain
+// call got its answer by its deadline. Requests affected by a killed or paused
+// node are exempt.
+func checkEnded(evidence Evidence, tolerances Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleEnded, Unit: "requests"}
-	excused := 0
+	exempt := 0
 	for _, record := range evidence.Records {
-		if evidence.hitByKill(record) || evidence.hitByPause(record) {
-			excused++
+		if evidence.affectedByKill(record) || evidence.affectedByPause(record) {
+			exempt++
 			continue
 		}
 		verdict.Exercised++
 		if problem := endProblem(evidence, record, tolerances); problem != "" {
-			verdict.find(record.Sent, "request %s (%s at %s): %s", record.RequestID, record.Kind, record.Node, problem)
+			verdict.addFinding(record.Sent, "request %s (%s at %s): %s", record.RequestID, record.Kind, record.Node, problem)
 		}
 	}
-	if excused > 0 {
-		verdict.note("%d requests at nodes that were killed or paused meanwhile are not judged", excused)
+	if exempt > 0 {
+		verdict.addNote("%d requests at nodes that were killed or paused meanwhile are not judged", exempt)
 	}
 	return verdict
 }
 
-// endProblem says what is wrong with the end of a request, if anything.
+// endProblem describes a violation in how a request ended, or returns "".
 func endProblem(evidence Evidence, record history.Record, tolerances Tolerances) string {
 	limit := record.Deadline + tolerances.Deadline
 	switch record.Outcome {
@@ -56,8 +58,8 @@
 		first = record.ToFirstToken()
 	}
 	if record.Kind == history.KindWhole && record.Outcome == history.Answered {
-		// The deadline bounds the first token, which a whole answer hides; the
-		// whole answer may take the time of its tokens on top.
+		// The deadline bounds the time to the first token, which can't be
+		// observed in a non-streamed answer. Allow for its token generation.
 		limit += wholeAnswerAllowance(record)
 	}
 	if first > limit {
@@ -66,56 +68,57 @@
 	return ""
 }
 
-// judgeOwnAnswer recomputes each answer from the request and the model that
-// the books say ran it.
-func judgeOwnAnswer(evidence Evidence, _ Tolerances) Verdict {
+// checkOwnAnswer recomputes each answer from the request and the model that
+// ran it according to the books, and compares it with what the caller got.
+func checkOwnAnswer(evidence Evidence, _ Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleOwnAnswer, Unit: "answers"}
 	byRequest := evidence.executionsByRequest()
-	unjudged := 0
+	unverified := 0
 	for _, record := range evidence.Records {
 		if record.Outcome != history.Answered {
 			continue
 		}
 		if record.AnswerID != "" && record.AnswerID != string(record.RequestID) && record.Key == "" {
-			verdict.find(record.Ended, "request %s got an answer that names %s", record.RequestID, record.AnswerID)
+			verdict.addFinding(record.Ended, "request %s got an answer that names %s", record.RequestID, record.AnswerID)
 		}
 		if !record.Kind.ForModel() {
 			verdict.Exercised++
-			if wrong := evidence.wrongPlainAnswer(record); wrong != "" {
-				verdict.find(record.Ended, "request %s: %s", record.RequestID, wrong)
+			if wrong := evidence.plainAnswerProblem(record); wrong != "" {
+				verdict.addFinding(record.Ended, "request %s: %s", record.RequestID, wrong)
 			}
 			continue
 		}
 		runs := byRequest[record.RequestID]
 		if evidence.Answers == nil || len(runs) == 0 {
-			unjudged++
+			unverified++
 			continue
 		}
 		verdict.Exercised++
-		if !evidence.answerIsRight(record, runs) {
-			verdict.find(record.Ended, "request %s: %s", record.RequestID, evidence.describeWrong(record, runs))
+		if !evidence.answerIsExpected(record, runs) {
+			verdict.addFinding(record.Ended, "request %s: %s", record.RequestID, evidence.describeMismatch(record, runs))
 		}
 	}
-	if unjudged > 0 {
-		verdict.note("%d answers could not be recomputed: their run is in no book that is left", unjudged)
+	if unverified > 0 {
+		verdict.addNote("%d answers could not be recomputed: their run is in no book that is left", unverified)
 	}
 	return verdict
 }
 
-// plainAnswer is what a command server says of the call that it ran.
+// plainAnswer is the body in which a service describes the call it executed.
 type plainAnswer struct {
 	Method    string          `json:"method"`
 	Path      string          `json:"path"`
 	RequestID fleet.RequestID `json:"requestId"`
 }
 
-// wrongPlainAnswer says how the answer to a plain call is another call's. A
-// key's stored answer names the request that ran, so there the path decides,
-// which no other key shares.
-func (e Evidence) wrongPlainAnswer(record history.Record) string {
+// plainAnswerProblem describes why the answer to a plain call is incomplete or
+// belongs to another call, or returns "". The stored answer of an idempotency
+// key names the request that ran, which may be another one, so calls with a key
+// are matched by path, which is unique to the key.
+func (e Evidence) plainAnswerProblem(record history.Record) string {
 	var answer plainAnswer
 	if err := json.Unmarshal([]byte(record.Text), &answer); err != nil {
-		return fmt.Sprintf("the answer is not whole: %v: %q", err, shortened(record.Text))
+		return fmt.Sprintf("the answer is not whole: %v: %q", err, truncated(record.Text))
 	}
 	if answer.Method != record.Method || answer.Path != record.Path {
 		return fmt.Sprintf("the answer is to %s %s", answer.Method, answer.Path)
@@ -126,9 +129,9 @@
 	return ""
 }
 
-// answerIsRight reports whether the text is what a target that the request
-// allows had to answer, with a model that the books say ran it.
-func (e Evidence) answerIsRight(record history.Record, runs []execution) bool {
+// answerIsExpected reports whether the text is the expected answer of an allowed
+// target whose model ran the request according to the books.
+func (e Evidence) answerIsExpected(record history.Record, runs []execution) bool {
 	for _, target := range record.Targets {
 		ran := slices.ContainsFunc(runs, func(run execution) bool { return run.Model == target.Model })
 		if ran && record.Text == e.Answers.Expected(target, record.Body, record.MaxTokens) {
@@ -138,9 +141,9 @@
 	return false
 }
 
-// describeWrong tells a cut answer, one of a target that is not allowed, and
-// one of another request apart.
-func (e Evidence) describeWrong(record history.Record, runs []execution) string {
+// describeMismatch distinguishes a truncated answer from one that no allowed
+// target would have given.
+func (e Evidence) describeMismatch(record history.Record, runs []execution) string {
 	for _, target := range record.Targets {
 		expected := e.Answers.Expected(target, record.Body, record.MaxTokens)
 		if strings.HasPrefix(expected, record.Text) {
@@ -148,10 +151,10 @@
 		}
 	}
 	return fmt.Sprintf("the answer is no allowed one: ran by %s, allowed %v, got %q",
-		runs[len(runs)-1].Model, record.Targets, shortened(record.Text))
+		runs[len(runs)-1].Model, record.Targets, truncated(record.Text))
 }
 
-func shortened(text string) string {
+func truncated(text string) string {
 	const limit = 60
 	if len(text) <= limit {
 		return text
@@ -159,8 +162,8 @@
 	return text[:limit] + "..."
 }
 
-// judgeNotRun looks for a run of each request that was refused as not run.
-func judgeNotRun(evidence Evidence, _ Tolerances) Verdict {
+// checkNotRun looks for executions of requests that were refused as not run.
+func checkNotRun(evidence Evidence, _ Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleNotRun, Unit: "refusals that say not-run"}
 	byRequest := evidence.executionsByRequest()
 	for _, record := range evidence.Records {
@@ -169,18 +172,19 @@
 		}
 		verdict.Exercised++
 		for _, run := range byRequest[record.RequestID] {
-			verdict.find(record.Ended, "request %s was refused as not run (%s), but ran at %s (attempt %d)",
+			verdict.addFinding(record.Ended, "request %s was refused as not run (%s), but ran at %s (attempt %d)",
 				record.RequestID, record.Code, run.backend, run.Attempt)
 		}
 	}
-	if lost := evidence.lostBooks(); len(lost) > 0 {
-		verdict.note("books are not whole for: %s", joinNames(lost))
+	if incomplete := evidence.incompleteBooks(); len(incomplete) > 0 {
+		verdict.addNote("books are not whole for: %s", joinNames(incomplete))
 	}
 	return verdict
 }
 
-// lostBooks are the back ends whose book could not be read at the end.
-func (e Evidence) lostBooks() []fleet.BackendName {
+// incompleteBooks lists the back ends whose book could not be read at the end
+// of the run.
+func (e Evidence) incompleteBooks() []fleet.BackendName {
 	var lost []fleet.BackendName
 	for _, book := range e.Books {
 		if !book.Final {
@@ -198,26 +202,26 @@
 	return strings.Join(texts, ", ")
 }
 
-// judgePlannedStop looks for requests that were at a node when its planned
-// stop began and did not get their end from it, and for stops that failed.
-func judgePlannedStop(evidence Evidence, _ Tolerances) Verdict {
+// checkPlannedStops looks for planned stops that failed and for requests that
+// were in progress at a node when its planned stop began and lost their answer.
+func checkPlannedStops(evidence Evidence, _ Tolerances) Verdict {
 	verdict := Verdict{Rule: RulePlannedStop, Unit: "requests in progress at a planned stop"}
 	for _, fault := range evidence.Faults {
 		if fault.Kind == history.NodeStopped {
-			judgeStop(&verdict, evidence, fault)
+			checkStop(&verdict, evidence, fault)
 		}
 	}
 	return verdict
 }
 
-func judgeStop(verdict *Verdict, evidence Evidence, stop history.Fault) {
+func checkStop(verdict *Verdict, evidence Evidence, stop history.Fault) {
 	exits := evidence.faultsAt(history.NodeExited, stop.Target)
 	if len(exits) == 0 {
-		verdict.find(stop.At, "node %s was told to stop and did not end", stop.Target)
+		verdict.addFinding(stop.At, "node %s was told to stop and did not end", stop.Target)
 	}
 	for _, exit := range exits {
 		if exit.Detail != "0" {
-			verdict.find(exit.At, "node %s ended its planned stop with exit code %s", exit.Target, exit.Detail)
+			verdict.addFinding(exit.At, "node %s ended its planned stop with exit code %s", exit.Target, exit.Detail)
 		}
 	}
 	for _, record := range evidence.Records {
@@ -226,16 +230,16 @@
 			continue
 		}
 		verdict.Exercised++
-		if wasCut(record) {
-			verdict.find(record.Ended, "request %s at %s was cut by the planned stop: %s %s",
+		if lostAnswer(record) {
+			verdict.addFinding(record.Ended, "request %s at %s was cut by the planned stop: %s %s",
 				record.RequestID, record.Node, record.Outcome, record.Error)
 		}
 	}
 }
 
-// wasCut reports whether a request lost its answer. A refusal as not run is an
-// answer; one that began to run must be finished.
-func wasCut(record history.Record) bool {
+// lostAnswer reports whether a request got neither its result nor a refusal as
+// not run. A request that began to run must be finished by the stopping node.
+func lostAnswer(record history.Record) bool {
 	switch record.Outcome {
 	case history.Broken, history.Unended, history.Unreachable, history.Unknown, history.Failed, history.Malformed:
 		return true
@@ -243,7 +247,8 @@
 	return false
 }
 
-// tokenAllowance bounds the time of one token of a whole answer.
+// tokenAllowance is the maximum generation time per token of a non-streamed
+// answer.
 const tokenAllowance = 200 * time.Millisecond
 
 func wholeAnswerAllowance(record history.Record) time.Duration {
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -22,7 +22,8 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// textAnswers answers with the model and the body.
+// textAnswers expects an answer made of the model name, the body and the token
+// limit.
 type textAnswers struct{}
 
 func (textAnswers) Expected(target history.Target, body string, maxTokens int) string {
@@ -33,8 +34,8 @@
 	return fmt.Sprintf(`{"method":"POST","path":%q,"requestId":%q}`, path, request)
 }
 
-// healthy is a run in which every rule came into play and was kept.
-func healthy() Evidence {
+// healthyEvidence returns a run that exercises and keeps every rule.
+func healthyEvidence() Evidence {
 	model := func(id string, sent float64) history.Record {
 		return history.Record{
 			RequestID: fleet.RequestID(id), Node: "n1", Kind: history.KindStream, Method: "POST",
@@ -103,7 +104,7 @@
 }
 
 func TestHealthyRunKeepsEveryRule(t *testing.T) {
-	for _, verdict := range Judge(healthy(), DefaultTolerances()).Verdicts {
+	for _, verdict := range Judge(healthyEvidence(), DefaultTolerances()).Verdicts {
 		if verdict.State != Kept {
 			t.Errorf("%s is %s: %v", verdict.Rule, verdict.State, verdict.Findings)
 		}
@@ -113,7 +114,7 @@
 func TestEmptyRunExercisesNoRule(t *testing.T) {
 	report := Judge(Evidence{}, DefaultTolerances())
 	if len(report.Verdicts) != 9 {
-		t.Fatalf("%d rules are judged", len(report.Verdicts))
+		t.Fatalf("%d rules were checked, expected 9", len(report.Verdicts))
 	}
 	for _, verdict := range report.Verdicts {
 		if verdict.State != NotExercised {
@@ -122,13 +123,13 @@
 	}
 }
 
-// TestPlantedViolationIsFound plants one violation at a time; exactly its rule
-// must be found broken.
+// TestPlantedViolationIsFound introduces one violation at a time and checks that
+// exactly its rule is reported as violated.
 func TestPlantedViolationIsFound(t *testing.T) {
 	cases := []struct {
-		name  string
-		rule  Rule
-		plant func(*Evidence)
+		name      string
+		rule      Rule
+		introduce func(*Evidence)
 	}{
 		{"second replica beyond the decision", RuleReplicas, func(e *Evidence) {
 			e.Books[1].Residencies = append(e.Books[1].Residencies,
@@ -154,7 +155,7 @@
 			e.Records[0].Outcome, e.Records[0].Text, e.Records[0].Ends = history.Unended, "", 0
 		}},
 		{"request with two ends", RuleEnded, func(e *Evidence) { e.Records[1].Ends = 2 }},
-		{"silent end", RuleEnded, func(e *Evidence) {
+		{"connection closed without an answer", RuleEnded, func(e *Evidence) {
 			e.Records[4].Outcome, e.Records[4].Ends = history.Broken, 0
 		}},
 		{"undocumented refusal", RuleEnded, func(e *Evidence) {
@@ -171,16 +172,16 @@
 				history.Fault{At: at(2), Kind: history.NodeContinued, Target: "n2"})
 			e.Records[4].Ended = at(14.5)
 		}},
-		{"node out of reach without a cause", RuleEnded, func(e *Evidence) {
+		{"unreachable node without a fault", RuleEnded, func(e *Evidence) {
 			e.Records[4].Outcome, e.Records[4].Ends = history.Unreachable, 0
 		}},
-		{"cut answer", RuleOwnAnswer, func(e *Evidence) { e.Records[0].Text = e.Records[0].Text[:9] }},
-		{"another request's answer", RuleOwnAnswer, func(e *Evidence) { e.Records[0].Text = e.Records[1].Text }},
+		{"truncated answer", RuleOwnAnswer, func(e *Evidence) { e.Records[0].Text = e.Records[0].Text[:9] }},
+		{"answer to another request", RuleOwnAnswer, func(e *Evidence) { e.Records[0].Text = e.Records[1].Text }},
 		{"answer by a model that is not allowed", RuleOwnAnswer, func(e *Evidence) {
 			e.Records[0].Targets = []history.Target{{Model: chat}}
 		}},
 		{"answer that names another request", RuleOwnAnswer, func(e *Evidence) { e.Records[0].AnswerID = "m2" }},
-		{"another command's answer", RuleOwnAnswer, func(e *Evidence) {
+		{"answer to another command", RuleOwnAnswer, func(e *Evidence) {
 			e.Records[4].Text = plainText("c1", "/boxes/1")
 		}},
 		{"refused as not run, but ran", RuleNotRun, func(e *Evidence) {
@@ -201,49 +202,50 @@
 		{"two answers to one key", RuleAtMostOnce, func(e *Evidence) {
 			e.Records[3].Text = plainText("c2", "/boxes/1")
 		}},
-		{"answer before the run", RuleAtMostOnce, func(e *Evidence) { e.Books[2].Executions[1].Started = at(6.9) }},
-		{"request at a back end that leaves", RuleLeaving, func(e *Evidence) {
+		{"answer before the execution", RuleAtMostOnce, func(e *Evidence) { e.Books[2].Executions[1].Started = at(6.9) }},
+		{"request to a leaving back end", RuleLeaving, func(e *Evidence) {
 			e.Books[1].Executions = append(e.Books[1].Executions,
 				books.Execution{RequestID: "m2", Model: menu, Started: at(32.5)})
 		}},
-		{"load at a back end that leaves", RuleLeaving, func(e *Evidence) {
+		{"load on a leaving back end", RuleLeaving, func(e *Evidence) {
 			e.Decisions[1].Replicas[chat] = 1
 			e.Books[1].Residencies = append(e.Books[1].Residencies,
 				books.Residency{Model: chat, From: at(32.5), OrderID: "o3", Bytes: 10})
 		}},
-		{"request that a leaving back end had to refuse", RuleLeaving, func(e *Evidence) {
+		{"request refused by a leaving back end", RuleLeaving, func(e *Evidence) {
 			e.Books[1].TurnedAway = []books.TurnedAway{{RequestID: "m2", At: at(31.9)}, {RequestID: "m2", At: at(32.5)}}
 		}},
-		{"stream cut by a planned stop", RulePlannedStop, func(e *Evidence) {
+		{"stream interrupted by a planned stop", RulePlannedStop, func(e *Evidence) {
 			e.Records[1].Outcome, e.Records[1].Code = history.Unknown, "stopped"
 		}},
 		{"planned stop that failed", RulePlannedStop, func(e *Evidence) { e.Faults[1].Detail = "3" }},
-		{"planned stop without an end", RulePlannedStop, func(e *Evidence) { e.Faults = e.Faults[:1] }},
-		{"change not in force in time", RuleConfig, func(e *Evidence) {
+		{"planned stop without an exit", RulePlannedStop, func(e *Evidence) { e.Faults = e.Faults[:1] }},
+		{"configuration change in force too late", RuleConfig, func(e *Evidence) {
 			e.ConfigSamples[2].Version = 7
 		}},
-		{"version that went back", RuleConfig, func(e *Evidence) {
+		{"configuration version that decreased", RuleConfig, func(e *Evidence) {
 			e.ConfigSamples = append(e.ConfigSamples, ConfigSample{At: at(17), Node: "n1", BootID: 1, Version: 7})
 		}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			evidence := healthy()
-			test.plant(&evidence)
-			var broken []Rule
+			evidence := healthyEvidence()
+			test.introduce(&evidence)
+			var violated []Rule
 			for _, verdict := range Judge(evidence, DefaultTolerances()).Verdicts {
 				if verdict.State == Violated {
-					broken = append(broken, verdict.Rule)
+					violated = append(violated, verdict.Rule)
 				}
 			}
-			if difference := cmp.Diff([]Rule{test.rule}, broken); difference != "" {
-				t.Errorf("broken rules (-expected +found):\n%s", difference)
+			if difference := cmp.Diff([]Rule{test.rule}, violated); difference != "" {
+				t.Errorf("violated rules (-expected +found):\n%s", difference)
 			}
 		})
 	}
 }
 
-// TestWhatIsAllowedIsNoViolation has the cases that look like violations.
+// TestWhatIsAllowedIsNoViolation covers allowed behavior that resembles a
+// violation.
 func TestWhatIsAllowedIsNoViolation(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -266,18 +268,18 @@
 				history.Fault{At: at(14), Kind: history.NodeContinued, Target: "n2"})
 			e.Records[4].Ended = at(14.5)
 		}},
-		{"refusal by a stopping node of what it did not run", func(e *Evidence) {
+		{"not-run refusal by a stopping node", func(e *Evidence) {
 			e.Records[1].Outcome, e.Records[1].Text = history.NotRun, ""
 			e.Books[0].Executions = e.Books[0].Executions[:1]
 		}},
-		{"decision noted a little after the load", func(e *Evidence) { e.Decisions[0].At = at(0.05) }},
+		{"decision recorded shortly after the load", func(e *Evidence) { e.Decisions[0].At = at(0.05) }},
 		{"lowered decision while the replica is unloaded", func(e *Evidence) {
 			e.Books[1].Residencies[0].To = at(21)
 		}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			evidence := healthy()
+			evidence := healthyEvidence()
 			test.alter(&evidence)
 			for _, verdict := range Judge(evidence, DefaultTolerances()).Verdicts {
 				if verdict.State == Violated {
--- a/internal/lab/check/config.go
+++ b/internal/lab/check/config.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// judgeConfig demands that the version in force at one start of a node never
-// falls, and that each accepted change is in force at every node within the
-// tolerance. A node that was not sampled after that time is not judged.
-func judgeConfig(evidence Evidence, tolerances Tolerances) Verdict {
+// checkConfig checks that the configuration version in force never decreases
+// between two restarts of a node, and that each accepted change is in force at
+// every node within the tolerance. A node without a sample after that time is
+// not checked.
+func checkConfig(evidence Evidence, tolerances Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleConfig, Unit: "changes seen at nodes"}
 	byStart := make(map[nodeStart][]ConfigSample)
 	for _, sample := range evidence.ConfigSamples {
@@ -21,12 +22,13 @@
 		slices.SortStableFunc(samples, func(a, b ConfigSample) int { return a.At.Compare(b.At) })
 		findReverts(&verdict, samples)
 		for _, change := range evidence.ConfigChanges {
-			judgeChange(&verdict, samples, change, tolerances.Config)
+			checkChange(&verdict, samples, change, tolerances.Config)
 		}
 	}
 	return verdict
 }
 
+// nodeStart identifies one start of a node process.
 type nodeStart struct {
 	node   string
 	bootID uint64
@@ -47,13 +49,13 @@
 	for index := 1; index < len(samples); index++ {
 		before, after := samples[index-1], samples[index]
 		if after.Version < before.Version {
-			verdict.find(after.At, "node %s went back from version %d to %d", after.Node, before.Version, after.Version)
+			verdict.addFinding(after.At, "node %s went back from version %d to %d", after.Node, before.Version, after.Version)
 		}
 	}
 }
 
-// judgeChange judges one change by the first sample after the time allowed.
-func judgeChange(verdict *Verdict, samples []ConfigSample, change ConfigChange, allowed time.Duration) {
+// checkChange checks one change against the first sample after the allowed time.
+func checkChange(verdict *Verdict, samples []ConfigSample, change ConfigChange, allowed time.Duration) {
 	due := change.At.Add(allowed)
 	for _, sample := range samples {
 		if sample.At.Before(due) {
@@ -61,7 +63,7 @@
 		}
 		verdict.Exercised++
 		if sample.Version < change.Version {
-			verdict.find(sample.At, "node %s has version %d in force %s after version %d was accepted",
+			verdict.addFinding(sample.At, "node %s has version %d in force %s after version %d was accepted",
 				sample.Node, sample.Version, sample.At.Sub(change.At), change.Version)
 		}
 		return
--- a/internal/lab/check/evidence.go
+++ b/internal/lab/check/evidence.go
@@ -11,46 +11,46 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// Evidence is all that is known of a run.
+// Evidence is the data collected during a run.
 type Evidence struct {
 	Records []history.Record
 	Faults  []history.Fault
-	// Books has the newest sample of each back end and incarnation.
+	// Books has the latest sample of each back end and incarnation.
 	Books []BookSample
-	// Decisions are the decided replicas in the order of their making.
+	// Decisions are the replica decisions, in the order in which they were made.
 	Decisions []Decision
-	// MaxReplicas are the declared bounds of each model version.
+	// MaxReplicas is the declared maximum of replicas for each model version.
 	MaxReplicas map[fleet.ModelVersion]int
-	// ConfigSamples tell the version that nodes had in force.
+	// ConfigSamples are the configuration versions in force at nodes.
 	ConfigSamples []ConfigSample
-	// ConfigChanges are the changes that the store accepted.
+	// ConfigChanges are the configuration changes that the store accepted.
 	ConfigChanges []ConfigChange
-	// Answers knows the right text of an answer; nil if nobody does.
+	// Answers computes expected answers. If nil, model answers are not checked.
 	Answers Answers
-	// Started and Ended bound the run.
+	// Started and Ended are the start and end of the run.
 	Started time.Time
 	Ended   time.Time
 }
 
-// BookSample is the newest sample of one incarnation of a back end.
+// BookSample is the latest copy of the book of one back end incarnation.
 type BookSample struct {
 	books.Book
 	SampledAt time.Time
-	// Final is set if it was taken at the end of the run, so that the book is
-	// whole; a killed back end's is not.
+	// Final is set if the sample was taken at the end of the run, so that the
+	// book is complete. The book of a killed back end is not.
 	Final bool
 }
 
-// Decision is the number of replicas decided for each model version, as the
-// store had it from At on.
+// Decision is the number of replicas decided for each model version, as stored
+// from At on.
 type Decision struct {
 	At       time.Time
 	Version  uint64
 	Replicas map[fleet.ModelVersion]int
 }
 
-// ConfigSample is the configuration version that one start of a node had in
-// force.
+// ConfigSample is the configuration version in force at a node. BootID
+// identifies the start of the node process.
 type ConfigSample struct {
 	At      time.Time
 	Node    string
@@ -58,31 +58,36 @@
 	Version uint64
 }
 
-// ConfigChange is one accepted change of the declarations.
+// ConfigChange is one accepted change of the declared configuration.
 type ConfigChange struct {
 	At      time.Time
 	Version uint64
 }
 
-// Answers knows what an engine has to answer.
+// Answers computes the answers expected from engines.
 type Answers interface {
-	// Expected returns the whole text that the target answers to a body.
+	// Expected returns the complete text with which the target answers a request
+	// body.
 	Expected(target history.Target, body string, maxTokens int) string
 }
 
-// Tolerances are the times that the rules allow for.
+// Tolerances are the delays that the rules allow for.
 type Tolerances struct {
-	// Deadline is added to each request's deadline, for the way to the caller.
+	// Deadline is added to each request's deadline to allow for transmission to
+	// the caller.
 	Deadline time.Duration
-	// Leaving is how long a leaving back end may still get new work.
+	// Leaving is how long a back end may still get new work after it announced
+	// that it leaves.
 	Leaving time.Duration
-	// Config is how soon an accepted change must be in force everywhere.
+	// Config is the time within which an accepted change must be in force at
+	// every node.
 	Config time.Duration
-	// Decision is how late the time noted of a decision may be.
+	// Decision is how much later than the decision itself its recorded time may
+	// be.
 	Decision time.Duration
 }
 
-// DefaultTolerances are used by spanlab load.
+// DefaultTolerances returns the tolerances used by spanlab load.
 func DefaultTolerances() Tolerances {
 	return Tolerances{
 		Deadline: time.Second,
@@ -92,13 +97,13 @@
 	}
 }
 
-// execution is one run of a request at a back end.
+// execution is one execution of a request by a back end.
 type execution struct {
 	books.Execution
 	backend fleet.BackendName
 }
 
-// executions are all runs in all books, in the order of their start.
+// executions lists the executions of all books by start time.
 func (e Evidence) executions() []execution {
 	var all []execution
 	for _, book := range e.Books {
@@ -112,54 +117,59 @@
 	return all
 }
 
-// executionsByRequest groups all runs by the request that they belong to.
+// executionsByRequest groups all executions by the caller's request ID.
 func (e Evidence) executionsByRequest() map[fleet.RequestID][]execution {
 	byRequest := make(map[fleet.RequestID][]execution)
 	for _, run := range e.executions() {
-		byRequest[run.caller()] = append(byRequest[run.caller()], run)
+		byRequest[run.callerRequestID()] = append(byRequest[run.callerRequestID()], run)
 	}
 	return byRequest
 }
 
-// attemptMark divides the identity that a caller chose from what a node adds to
-// tell two requests with one identity apart. Callers' identities don't have it.
-const attemptMark = "~"
+// attemptSeparator separates the request ID chosen by the caller from the suffix
+// that a node adds to distinguish two requests with the same ID. IDs chosen by
+// callers don't contain it.
+const attemptSeparator = "~"
 
-// caller is the identity that the caller knows the run by.
-func (e execution) caller() fleet.RequestID {
-	id, _, _ := strings.Cut(string(e.RequestID), attemptMark)
+// callerRequestID returns the request ID as the caller sent it, without the
+// suffix added by a node.
+func (e execution) callerRequestID() fleet.RequestID {
+	id, _, _ := strings.Cut(string(e.RequestID), attemptSeparator)
 	return fleet.RequestID(id)
 }
 
-// stay is one model's stay on one engine with a known end.
-type stay struct {
+// residentInterval is the time during which a model was loaded on an engine,
+// with a resolved end.
+type residentInterval struct {
 	books.Residency
 	backend fleet.BackendName
 	until   time.Time
 }
 
-// stays lists every stay. One without an end lasts to the engine's death, if
-// it was killed, and else beyond the run.
-func (e Evidence) stays() []stay {
-	var all []stay
+// residentIntervals lists the intervals of all books by start time. An interval
+// without a recorded end lasts until the incarnation of the engine ended.
+func (e Evidence) residentIntervals() []residentInterval {
+	var all []residentInterval
 	for _, book := range e.Books {
-		end := e.endOf(book)
+		end := e.endOfIncarnation(book)
 		for _, residency := range book.Residencies {
 			until := residency.To
 			if until.IsZero() {
 				until = end
 			}
-			all = append(all, stay{Residency: residency, backend: book.Backend.Name, until: until})
+			all = append(all, residentInterval{Residency: residency, backend: book.Backend.Name, until: until})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b stay) int {
+	slices.SortStableFunc(all, func(a, b residentInterval) int {
 		return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.backend, b.backend))
 	})
 	return all
 }
 
-// endOf is when the sampled incarnation of a back end ceased to be.
-func (e Evidence) endOf(book BookSample) time.Time {
+// endOfIncarnation returns when the sampled incarnation of a back end ended:
+// beyond the run for a final sample, the time of the kill if it was killed, and
+// the time of the last sample otherwise.
+func (e Evidence) endOfIncarnation(book BookSample) time.Time {
 	if book.Final {
 		return e.Ended.Add(time.Hour)
 	}
@@ -172,7 +182,7 @@
 	return book.SampledAt
 }
 
-// faultsAt lists the faults of one kind at one target.
+// faultsAt lists the faults of the given kind at a target.
 func (e Evidence) faultsAt(kind history.FaultKind, target string) []history.Fault {
 	var found []history.Fault
 	for _, fault := range e.Faults {
@@ -183,8 +193,10 @@
 	return found
 }
 
-// hitByKill reports whether the request's node was killed while it ran.
-func (e Evidence) hitByKill(record history.Record) bool {
+// affectedByKill reports whether the request's node was killed before the
+// request ended or within a second after. Requests without an end are never
+// exempt.
+func (e Evidence) affectedByKill(record history.Record) bool {
 	for _, fault := range e.faultsAt(history.NodeKilled, record.Node) {
 		if !fault.At.After(record.Ended.Add(time.Second)) && record.Outcome != history.Unended {
 			return true
@@ -193,12 +205,12 @@
 	return false
 }
 
-// pauseWake is how long a node may take to catch up after a pause.
-const pauseWake = 2 * time.Second
+// pauseRecovery is how long a node may take to recover after a pause.
+const pauseRecovery = 2 * time.Second
 
-// hitByPause reports whether the request's node was paused while it ran, and so
-// could not answer in time.
-func (e Evidence) hitByPause(record history.Record) bool {
+// affectedByPause reports whether the request's node was paused while the
+// request was in progress, so that it could not answer in time.
+func (e Evidence) affectedByPause(record history.Record) bool {
 	for _, pause := range e.faultsAt(history.NodePaused, record.Node) {
 		end := e.Ended
 		for _, resumed := range e.faultsAt(history.NodeContinued, record.Node) {
@@ -206,14 +218,14 @@
 				end = resumed.At
 			}
 		}
-		if record.Ended.After(pause.At) && record.Sent.Before(end.Add(pauseWake)) {
+		if record.Ended.After(pause.At) && record.Sent.Before(end.Add(pauseRecovery)) {
 			return true
 		}
 	}
 	return false
 }
 
-// RanModels tells the model that ran each request.
+// RanModels returns the model that executed each request.
 func (e Evidence) RanModels() map[fleet.RequestID]fleet.ModelVersion {
 	models := make(map[fleet.RequestID]fleet.ModelVersion)
 	for request, runs := range e.executionsByRequest() {
--- a/internal/lab/check/once.go
+++ b/internal/lab/check/once.go
@@ -10,16 +10,16 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// onceCall is one operation on the register of a key: a run that a book shows,
-// or an answer that a caller got.
+// onceCall is one operation on a register of the at-most-once model: an
+// execution recorded in a book, or a call with the answer that the caller got.
 type onceCall struct {
-	// register is the Idempotency-Key, or the request's identity where a
-	// command was sent without a key.
+	// register names the Idempotency-Key, or the request ID if the command was
+	// sent without a key.
 	register string
 	run      bool
 }
 
-// onceResult is what the operation showed.
+// onceResult is the observed result of the operation.
 type onceResult struct {
 	outcome history.Outcome
 	text    string
@@ -32,8 +32,9 @@
 	text     string
 }
 
-// onceModel is an at-most-once register for each key. A second run is not
-// allowed; an answer needs a run before it and is the same for every caller.
+// onceModel is a porcupine model with an at-most-once register for each key. A
+// register allows one execution; an answer must follow the execution and be the
+// same for every caller.
 func onceModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
@@ -70,7 +71,7 @@
 	if call.run {
 		return fmt.Sprintf("%s ran", call.register)
 	}
-	return fmt.Sprintf("%s: %s %q", call.register, result.outcome, shortened(result.text))
+	return fmt.Sprintf("%s: %s %q", call.register, result.outcome, truncated(result.text))
 }
 
 func partitionByRegister(operations []porcupine.Operation) [][]porcupine.Operation {
@@ -90,28 +91,29 @@
 	return partitions
 }
 
-// onceCheckLimit bounds the search for one key's order.
+// onceCheckLimit bounds the linearizability check of one register.
 const onceCheckLimit = 10 * time.Second
 
-// judgeAtMostOnce checks every key, and every command sent without one,
-// against the register.
-func judgeAtMostOnce(evidence Evidence, _ Tolerances) Verdict {
+// checkAtMostOnce checks that the operations of each key, and of each command
+// sent without a key, are linearizable under the at-most-once model.
+func checkAtMostOnce(evidence Evidence, _ Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleAtMostOnce, Unit: "keys and commands without a key"}
 	for _, operations := range partitionByRegister(evidence.onceOperations()) {
 		verdict.Exercised++
 		switch porcupine.CheckOperationsTimeout(onceModel(), operations, onceCheckLimit) {
 		case porcupine.Illegal:
-			verdict.find(time.Unix(0, operations[0].Call), "%s", describeIllegal(operations))
+			verdict.addFinding(time.Unix(0, operations[0].Call), "%s", describeIllegal(operations))
 		case porcupine.Unknown:
-			verdict.find(time.Unix(0, operations[0].Call), "%s: no order found within %s",
+			verdict.addFinding(time.Unix(0, operations[0].Call), "%s: no order found within %s",
 				operations[0].Input.(onceCall).register, onceCheckLimit)
 		}
 	}
 	return verdict
 }
 
-// onceOperations lists the callers' commands and the runs of them. A run ends
-// for the register when it begins, since a run that began counts.
+// onceOperations lists the commands sent by callers and their executions. An
+// execution counts as complete when it starts, since it may have taken effect
+// from then on.
 func (e Evidence) onceOperations() []porcupine.Operation {
 	registers := make(map[string]string)
 	var operations []porcupine.Operation
@@ -119,7 +121,7 @@
 		if record.Kind != history.KindCommand {
 			continue
 		}
-		register := registerOf(record.Key, string(record.RequestID))
+		register := registerName(record.Key, string(record.RequestID))
 		registers[string(record.RequestID)] = register
 		operations = append(operations, porcupine.Operation{
 			ClientId: client,
@@ -131,9 +133,9 @@
 	}
 	clients := len(e.Records)
 	for index, run := range e.executions() {
-		register, command := registers[string(run.caller())]
+		register, command := registers[string(run.callerRequestID())]
 		if run.Key != "" {
-			register, command = registerOf(run.Key, ""), true
+			register, command = registerName(run.Key, ""), true
 		}
 		if !command {
 			continue
@@ -149,7 +151,7 @@
 	return operations
 }
 
-func registerOf(key, request string) string {
+func registerName(key, request string) string {
 	if key != "" {
 		return "key " + key
 	}
--- a/internal/lab/check/verdict.go
+++ b/internal/lab/check/verdict.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Rule names a rule of the brief.
+// Rule names a correctness rule.
 type Rule string
 
-// The rules, in the order of the brief.
+// The rules, in the order of the report's verdicts.
 const (
 	RuleReplicas    Rule = "replicas-within-decision"
 	RuleMemory      Rule = "memory-not-overcommitted"
@@ -21,7 +21,7 @@
 	RuleConfig      Rule = "configuration-in-force-never-reverts"
 )
 
-// State is what came of judging a rule.
+// State is the result of checking a rule.
 type State string
 
 // The states of a verdict.
@@ -37,24 +37,24 @@
 	Detail string    `json:"detail"`
 }
 
-// Verdict is what one judge found.
+// Verdict is the result of one rule's check.
 type Verdict struct {
 	Rule  Rule  `json:"rule"`
 	State State `json:"state"`
-	// Exercised counts the cases that were judged; Unit says of what.
+	// Exercised counts the cases that were checked; Unit names what is counted.
 	Exercised int       `json:"exercised"`
 	Unit      string    `json:"unit"`
 	Findings  []Finding `json:"findings,omitempty"`
-	// Notes say what limits the verdict.
+	// Notes describe limitations of the verdict.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// Report has the verdicts in the order of the rules.
+// Report holds one verdict for each rule.
 type Report struct {
 	Verdicts []Verdict `json:"verdicts"`
 }
 
-// Violations counts the findings of all rules.
+// Violations returns the number of findings of all rules.
 func (r Report) Violations() int {
 	count := 0
 	for _, verdict := range r.Verdicts {
@@ -63,7 +63,7 @@
 	return count
 }
 
-// Of returns the verdict of one rule.
+// Of returns the verdict of the given rule.
 func (r Report) Of(rule Rule) Verdict {
 	for _, verdict := range r.Verdicts {
 		if verdict.Rule == rule {
@@ -73,21 +73,22 @@
 	return Verdict{Rule: rule, State: NotExercised}
 }
 
-// Judge judges every rule.
+// Judge checks every rule and returns the verdicts.
 func Judge(evidence Evidence, tolerances Tolerances) Report {
-	judges := []func(Evidence, Tolerances) Verdict{
-		judgeReplicas, judgeMemory, judgeEnded, judgeOwnAnswer, judgeNotRun,
-		judgeAtMostOnce, judgeLeaving, judgePlannedStop, judgeConfig,
+	checks := []func(Evidence, Tolerances) Verdict{
+		checkReplicas, checkMemory, checkEnded, checkOwnAnswer, checkNotRun,
+		checkAtMostOnce, checkLeaving, checkPlannedStops, checkConfig,
 	}
 	var report Report
-	for _, judge := range judges {
-		report.Verdicts = append(report.Verdicts, judge(evidence, tolerances).settled())
+	for _, check := range checks {
+		report.Verdicts = append(report.Verdicts, check(evidence, tolerances).withState())
 	}
 	return report
 }
 
-// settled sets the state that the counts amount to.
-func (v Verdict) settled() Verdict {
+// withState returns the verdict with its state derived from the findings and
+// the number of checked cases.
+func (v Verdict) withState() Verdict {
 	switch {
 	case len(v.Findings) > 0:
 		v.State = Violated
@@ -99,10 +100,10 @@
 	return v
 }
 
-func (v *Verdict) find(at time.Time, format string, arguments ...any) {
+func (v *Verdict) addFinding(at time.Time, format string, arguments ...any) {
 	v.Findings = append(v.Findings, Finding{At: at, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-func (v *Verdict) note(format string, arguments ...any) {
+func (v *Verdict) addNote(format string, arguments ...any) {
 	v.Notes = append(v.Notes, fmt.Sprintf(format, arguments...))
 }
