--- a/internal/lab/history/file.go
+++ b/internal/lab/history/file.go
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// WriteRecords writes one record a line.
+// WriteRecords writes the records as JSON lines.
 func WriteRecords(to io.Writer, records []Record) error {
 	buffered := bufio.NewWriter(to)
 	encoder := json.NewEncoder(buffered)
@@ -21,7 +21,8 @@
 	return buffered.Flush()
 }
 
-// ReadFaults reads one fault a line. A file that is not there has none.
+// ReadFaults reads faults from a file of JSON lines. A missing file is treated
+// as empty.
 func ReadFaults(path string) ([]Fault, error) {
 	content, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
