--- a/internal/lab/inject/inject_test.go
+++ b/internal/lab/inject/inject_test.go
@@ -33,17 +33,17 @@
 			t.Errorf("%s lasts from %s to %s", window.kind, window.from, window.to)
 		}
 		if index > 0 && windows[index-1].to <= window.from {
-			t.Errorf("%s begins after %s is over", window.kind, windows[index-1].kind)
+			t.Errorf("window of %s starts after that of %s has ended", window.kind, windows[index-1].kind)
 		}
 	}
 	if difference := cmp.Diff(windows, plan(Kinds(), zoneTargets(), 20*time.Second, 3), cmp.AllowUnexported(window{})); difference != "" {
-		t.Errorf("one seed gave two plans:\n%s", difference)
+		t.Errorf("the same seed produced different plans:\n%s", difference)
 	}
 }
 
 func TestZoneCutGoesBothWays(t *testing.T) {
 	windows := plan([]Kind{ZoneCut}, zoneTargets(), 10*time.Second, 1)
-	cut, other := windows[0].name, "b"
+	cut, other := windows[0].target, "b"
 	if cut == "b" {
 		other = "a"
 	}
@@ -53,12 +53,12 @@
 	} {
 		set := windows[0].sets[wanted.url]
 		if len(set.Cuts) != 1 || string(set.Cuts[0].From) != wanted.from || string(set.Cuts[0].To) != wanted.to {
-			t.Errorf("%s has the cuts %v, expected from %s to %s", wanted.url, set.Cuts, wanted.from, wanted.to)
+			t.Errorf("%s: got cuts %v, expected one from %s to %s", wanted.url, set.Cuts, wanted.from, wanted.to)
 		}
 	}
 }
 
-// recorder notes the sets that a target is given.
+// recorder records the fault sets posted to a target.
 type recorder struct {
 	mutex sync.Mutex
 	sets  []faults.Set
@@ -86,17 +86,17 @@
 		t.Fatal(err)
 	}
 	if len(recorded.sets) != 4 || len(log) != 4 {
-		t.Fatalf("%d sets, %d entries", len(recorded.sets), len(log))
+		t.Fatalf("got %d sets and %d log entries, expected 4 of each", len(recorded.sets), len(log))
 	}
 	both := recorded.sets[1]
 	if both.Delay == 0 || !both.StaleReads {
-		t.Errorf("the second set is %+v, expected both faults", both)
+		t.Errorf("got second set %+v, expected both faults", both)
 	}
 	if difference := cmp.Diff(faults.Set{}, recorded.sets[3]); difference != "" {
-		t.Errorf("the last set leaves faults:\n%s", difference)
+		t.Errorf("faults remain after the last set:\n%s", difference)
 	}
 	if log[0].Kind != history.FaultInjected || log[3].Kind != history.FaultCleared {
-		t.Errorf("the entries are %v", log)
+		t.Errorf("unexpected log entries: %v", log)
 	}
 }
 
@@ -106,34 +106,35 @@
 	defer server.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		// The error is of calls that the end of the run cut; the sets decide.
+		defer close(done)
+		// Calls interrupted by the cancellation return errors. Only the posted
+		// sets matter here.
 		_, _ = Run(ctx, Options{Kinds: []Kind{"store-down"}, Targets: Targets(server.URL, nil), Duration: time.Hour, Seed: 1})
 	}()
-	for given := 0; given == 0; {
+	for received := 0; received == 0; {
 		recorded.mutex.Lock()
-		given = len(recorded.sets)
+		received = len(recorded.sets)
 		recorded.mutex.Unlock()
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	<-ended
+	<-done
 	last := recorded.sets[len(recorded.sets)-1]
 	if difference := cmp.Diff(faults.Set{}, last); difference != "" {
-		t.Errorf("the last set leaves faults:\n%s", difference)
+		t.Errorf("faults remain after the last set:\n%s", difference)
 	}
 }
 
 func TestKindsAreCheckedByName(t *testing.T) {
 	if kinds, err := ParseKinds([]string{"all"}); err != nil || len(kinds) != len(definitions) {
-		t.Errorf("all gives %v, %v", kinds, err)
+		t.Errorf("ParseKinds(all) returned %v, %v", kinds, err)
 	}
 	if kinds, err := ParseKinds([]string{"none"}); err != nil || len(kinds) != 0 {
-		t.Errorf("none gives %v, %v", kinds, err)
+		t.Errorf("ParseKinds(none) returned %v, %v", kinds, err)
 	}
 	if _, err := ParseKinds([]string{"store-up"}); err == nil {
-		t.Error("an unknown fault was taken")
+		t.Error("ParseKinds accepted an unknown fault")
 	}
 }
--- a/internal/lab/inject/injector.go
+++ b/internal/lab/inject/injector.go
@@ -15,7 +15,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// Options say which faults come when.
+// Options configure which faults are injected, where and for how long.
 type Options struct {
 	Kinds    []Kind
 	Targets  []Target
@@ -25,11 +25,11 @@
 
 const postTimeout = 2 * time.Second
 
-// injector carries out one plan.
+// injector executes one fault schedule.
 type injector struct {
 	windows []window
 	client  *http.Client
-	// active are the windows open at each URL.
+	// active has the fault sets in force at each URL.
 	active map[string][]faults.Set
 	log    []history.Fault
 	errors []error
@@ -42,9 +42,9 @@
 	open   bool
 }
 
-// Run brings the faults about until the last is over or the context ends, and
-// leaves every target without faults. It returns what it did, in order; the
-// error has every call that failed.
+// Run injects the scheduled faults until the last one ends or the context is
+// canceled, and then clears the faults of every target. It returns the fault
+// events in order; the error joins the errors of all failed calls.
 func Run(ctx context.Context, options Options) ([]history.Fault, error) {
 	i := &injector{
 		windows: plan(options.Kinds, options.Targets, options.Duration, options.Seed),
@@ -56,18 +56,19 @@
 		if !sleep(ctx, time.Until(start.Add(next.at))) {
 			break
 		}
-		i.cross(ctx, next)
+		i.apply(ctx, next)
 	}
 	i.clear(context.WithoutCancel(ctx))
 	return i.log, errors.Join(i.errors...)
 }
 
-// boundaries are in the order of time; at one time ends go first.
+// boundaries lists the starts and ends of the windows by time. At the same time,
+// ends precede starts.
 func (i *injector) boundaries() []boundary {
 	var all []boundary
 	for index, window := range i.windows {
 		all = append(all, boundary{at: window.from, window: index, open: true})
-		if !window.once {
+		if !window.oneShot {
 			all = append(all, boundary{at: window.to, window: index})
 		}
 	}
@@ -86,12 +87,13 @@
 	return all
 }
 
-func (i *injector) cross(ctx context.Context, next boundary) {
-	crossed := i.windows[next.window]
-	for _, url := range slices.Sorted(maps.Keys(crossed.sets)) {
-		set := crossed.sets[url]
+// apply starts or ends a window at its targets and records the event.
+func (i *injector) apply(ctx context.Context, next boundary) {
+	changed := i.windows[next.window]
+	for _, url := range slices.Sorted(maps.Keys(changed.sets)) {
+		set := changed.sets[url]
 		switch {
-		case crossed.once:
+		case changed.oneShot:
 			i.post(ctx, url, merge(append(slices.Clone(i.active[url]), set)))
 			continue
 		case next.open:
@@ -105,10 +107,10 @@
 	if !next.open {
 		kind = history.FaultCleared
 	}
-	i.log = append(i.log, history.Fault{At: time.Now(), Kind: kind, Target: crossed.name, Detail: string(crossed.kind)})
+	i.log = append(i.log, history.Fault{At: time.Now(), Kind: kind, Target: changed.target, Detail: string(changed.kind)})
 }
 
-// remove takes one set equal to the given one away.
+// remove removes one active set equal to the given one.
 func (i *injector) remove(url string, set faults.Set) {
 	wanted := fmt.Sprint(set)
 	for index, active := range i.active[url] {
@@ -119,6 +121,7 @@
 	}
 }
 
+// clear removes the faults of every target that still has some.
 func (i *injector) clear(ctx context.Context) {
 	for _, url := range slices.Sorted(maps.Keys(i.active)) {
 		if len(i.active[url]) > 0 {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// sleep returns false if the context ended first.
+// sleep returns false if the context is canceled before the wait is over.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/lab/inject/kinds.go
+++ b/internal/lab/inject/kinds.go
@@ -10,30 +10,30 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// Kind names a fault.
+// Kind is the name of a fault.
 type Kind string
 
-// All stands for every kind.
+// All selects every kind of fault.
 const All Kind = "all"
 
-// role is what a kind of fault is brought about at.
+// role is the type of target that a fault is injected into.
 type role string
 
 const (
 	rolePlatform role = "platform"
 	roleEngine   role = "engine"
 	roleService  role = "service"
-	// roleZone is all of a zone and what it reaches.
+	// roleZone is a zone: its back ends and everything they communicate with.
 	roleZone role = "zone"
 )
 
-// definition says what a kind of fault is.
+// definition describes a kind of fault.
 type definition struct {
 	role role
 	set  faults.Set
-	// once marks a fault that is brought about at the start of its window and
-	// has no end.
-	once bool
+	// oneShot marks a fault that is injected at the start of its window and
+	// not cleared at its end.
+	oneShot bool
 }
 
 const (
@@ -45,10 +45,12 @@
 	loseAllAnswers    = -1
 )
 
-// ZoneCut parts one zone from the store and from the back ends of the others.
+// ZoneCut isolates one zone from the store and from the back ends of other
+// zones.
 const ZoneCut Kind = "zone-cut"
 
-// definitions are the kinds beside ZoneCut, whose sets differ by target.
+// definitions has every kind of fault. ZoneCut has no set here, because its sets
+// differ by target.
 var definitions = map[Kind]definition{
 	"store-down":            {role: rolePlatform, set: faults.Set{Unavailable: true}},
 	"store-slow":            {role: rolePlatform, set: faults.Set{Delay: slowStoreDelay}},
@@ -61,20 +63,21 @@
 	"engine-breaks-streams": {role: roleEngine, set: faults.Set{Engine: engine.Faults{BreakAfterTokens: breakAfterTokens}}},
 	"engine-crosses-chunks": {role: roleEngine, set: faults.Set{Engine: engine.Faults{CrossChunks: true, DuplicateChunks: true, LateChunks: true}}},
 	"engine-dies-in-load":   {role: roleEngine, set: faults.Set{Engine: engine.Faults{DieInLoad: dieInLoadAfter}}},
-	"engine-restart":        {role: roleEngine, set: faults.Set{Restart: true}, once: true},
-	"engine-leaving":        {role: roleEngine, set: faults.Set{Leaving: true}, once: true},
+	"engine-restart":        {role: roleEngine, set: faults.Set{Restart: true}, oneShot: true},
+	"engine-leaving":        {role: roleEngine, set: faults.Set{Leaving: true}, oneShot: true},
 	"service-unreachable":   {role: roleService, set: faults.Set{Down: true}},
 	"service-loses-answers": {role: roleService, set: faults.Set{LoseAnswers: loseAllAnswers}},
-	"service-leaving":       {role: roleService, set: faults.Set{Leaving: true}, once: true},
+	"service-leaving":       {role: roleService, set: faults.Set{Leaving: true}, oneShot: true},
 	ZoneCut:                 {role: roleZone},
 }
 
-// Kinds lists every kind in order.
+// Kinds returns every kind of fault in alphabetical order.
 func Kinds() []Kind {
 	return slices.Sorted(maps.Keys(definitions))
 }
 
-// ParseKinds checks names; "all" stands for every kind and "none" for none.
+// ParseKinds converts fault names to kinds. "all" selects every kind, and "none"
+// is ignored.
 func ParseKinds(names []string) ([]Kind, error) {
 	var kinds []Kind
 	for _, name := range names {
@@ -91,7 +94,7 @@
 	return kinds, nil
 }
 
-// merge adds up the faults of sets that are in force at one target at once.
+// merge combines the fault sets that are in force at a target at the same time.
 func merge(sets []faults.Set) faults.Set {
 	var merged faults.Set
 	for _, set := range sets {
--- a/internal/lab/inject/plan.go
+++ b/internal/lab/inject/plan.go
@@ -11,11 +11,11 @@
 	"github.com/spanlanding/spanlanding/internal/standin/faults"
 )
 
-// longestWindow keeps faults of the store within the time in which an accepted
-// change has to be in force.
+// longestWindow keeps faults of the store shorter than the time within which an
+// accepted change must be in force.
 const longestWindow = 3 * time.Second
 
-// Target is a stand-in that takes faults.
+// Target is a stand-in into which faults can be injected.
 type Target struct {
 	Name string
 	URL  string
@@ -23,7 +23,8 @@
 	role role
 }
 
-// Targets are the platform and the back ends that it lists.
+// Targets returns the platform and the live back ends of its machine list, by
+// name.
 func Targets(platformURL string, machines []objectstore.Machine) []Target {
 	targets := []Target{{Name: "platform", URL: platformURL, Zone: faults.PlatformZone, role: rolePlatform}}
 	for _, machine := range machines {
@@ -38,20 +39,22 @@
 	return targets
 }
 
-// window is one fault at its targets, from the start of the run on.
+// window schedules one fault at its targets. Its times are relative to the start
+// of the run.
 type window struct {
 	kind Kind
-	// name is the target's name, or the zone's.
-	name string
-	// sets are by the URL of the target.
-	sets map[string]faults.Set
-	from time.Duration
-	to   time.Duration
-	once bool
+	// target is the name of the stand-in or of the zone.
+	target string
+	// sets has the faults by target URL.
+	sets    map[string]faults.Set
+	from    time.Duration
+	to      time.Duration
+	oneShot bool
 }
 
-// plan gives each kind one window; each window overlaps the next one, so that
-// faults come by pairs. Order and targets are drawn from the seed.
+// plan schedules one window for each kind. Each window overlaps the next one, so
+// that two faults are in force at the same time. The order and the targets are
+// chosen at random from the seed. Kinds without a suitable target are left out.
 func plan(kinds []Kind, targets []Target, duration time.Duration, seed uint64) []window {
 	random := rand.New(rand.NewPCG(seed, 0x696e6a656374))
 	shuffled := slices.Clone(kinds)
@@ -59,12 +62,12 @@
 	slot := duration / time.Duration(len(shuffled)+1)
 	var windows []window
 	for index, kind := range shuffled {
-		next := window{kind: kind, from: slot * time.Duration(index), once: definitions[kind].once}
+		next := window{kind: kind, from: slot * time.Duration(index), oneShot: definitions[kind].oneShot}
 		next.to = next.from + min(2*slot, longestWindow)
 		if kind == ZoneCut {
-			next.name, next.sets = cutZone(targets, random)
+			next.target, next.sets = isolateZone(targets, random)
 		} else {
-			next.name, next.sets = atOne(definitions[kind], targets, random)
+			next.target, next.sets = chooseTarget(definitions[kind], targets, random)
 		}
 		if len(next.sets) > 0 {
 			windows = append(windows, next)
@@ -73,22 +76,24 @@
 	return windows
 }
 
-func atOne(definition definition, targets []Target, random *rand.Rand) (string, map[string]faults.Set) {
-	var fitting []Target
+// chooseTarget picks a random target of the role that the fault applies to.
+func chooseTarget(definition definition, targets []Target, random *rand.Rand) (string, map[string]faults.Set) {
+	var candidates []Target
 	for _, target := range targets {
 		if target.role == definition.role {
-			fitting = append(fitting, target)
+			candidates = append(candidates, target)
 		}
 	}
-	if len(fitting) == 0 {
+	if len(candidates) == 0 {
 		return "", nil
 	}
-	chosen := fitting[random.IntN(len(fitting))]
+	chosen := candidates[random.IntN(len(candidates))]
 	return chosen.Name, map[string]faults.Set{chosen.URL: definition.set}
 }
 
-// cutZone parts one zone from all that lies outside, both ways.
-func cutZone(targets []Target, random *rand.Rand) (string, map[string]faults.Set) {
+// isolateZone picks a random zone and blocks the traffic between it and
+// everything outside it in both directions.
+func isolateZone(targets []Target, random *rand.Rand) (string, map[string]faults.Set) {
 	var zones []fleet.Zone
 	for _, target := range targets {
 		if target.role != rolePlatform && !slices.Contains(zones, target.Zone) {
