--- a/internal/lab/load/calls.go
+++ b/internal/lab/load/calls.go
@@ -9,13 +9,13 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// Paths of the callers' API.
+// Paths of the API for callers.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
 )
 
-// modelCall draws a request for a model.
+// modelCall generates a random request for a model.
 func (p *planner) modelCall(class Class, phase, node string, at time.Duration) Call {
 	call := Call{
 		At: at, Phase: phase, Node: node, Class: class,
@@ -32,15 +32,15 @@
 	return call
 }
 
-// prompt shares its beginning with the other prompts of its class, so that
-// prefix caches are of use, and ends in a way no other request does.
+// prompt returns a prompt that shares a prefix with the other prompts of its
+// class, so that prefix caches have hits, and has a unique ending.
 func (p *planner) prompt(class Class) string {
 	prefix := strings.Repeat(class.Name+" instructions. ", p.Profile.PrefixRepeats)
-	return fmt.Sprintf("%s%s %s", prefix, p.Profile.Question, p.name("case"))
+	return fmt.Sprintf("%s%s %s", prefix, p.Profile.Question, p.uniqueName("case"))
 }
 
-// plainCall draws a command or a look-up.
-func (p *planner) plainCall(node string, at time.Duration) Call {
+// serviceCall generates a random service call, a command or a lookup.
+func (p *planner) serviceCall(node string, at time.Duration) Call {
 	commands, lookups := p.commandTemplates(), p.lookupTemplates()
 	if len(lookups) > 0 && (len(commands) == 0 || p.random.Float64() < p.Profile.LookupShare) {
 		return p.lookupCall(lookups[p.random.IntN(len(lookups))], node, at)
@@ -49,7 +49,7 @@
 	return p.commandCall(commands[p.random.IntN(len(commands))], PhaseSteady, node, at, withKey)
 }
 
-// template is a plain call of a service that is declared.
+// template is a possible call of a declared service.
 type template struct {
 	class  Class
 	suffix string
@@ -63,13 +63,13 @@
 	return p.templates(p.Profile.Lookups, defaultLookups)
 }
 
-// templates pairs each declared service with the path endings that the profile
-// has for it. A service that the profile does not know gets the default ones.
+// templates pairs each declared service with the path suffixes that the profile
+// lists for it. Services that the profile doesn't list get the default suffixes.
 func (p *planner) templates(byPrefix map[string][]string, byDefault []string) []template {
 	var templates []template
 	for _, class := range p.Classes.Services {
 		suffixes, known := byPrefix[class.PathPrefix]
-		if !known && !p.Profile.knowsService(class.PathPrefix) {
+		if !known && !p.Profile.hasService(class.PathPrefix) {
 			suffixes = byDefault
 		}
 		for _, suffix := range suffixes {
@@ -80,7 +80,7 @@
 }
 
 func (p *planner) commandCall(template template, phase, node string, at time.Duration, withKey bool) Call {
-	subject := p.name("subject")
+	subject := p.uniqueName("subject")
 	call := Call{
 		At: at, Phase: phase, Node: node, Class: template.class,
 		Kind: history.KindCommand, Method: http.MethodPost,
@@ -88,7 +88,7 @@
 		Body: fmt.Sprintf(`{"subject":%q}`, subject),
 	}
 	if withKey {
-		call.Key = p.name("key")
+		call.Key = p.uniqueName("key")
 	}
 	return call
 }
@@ -97,6 +97,6 @@
 	return Call{
 		At: at, Phase: PhaseSteady, Node: node, Class: template.class,
 		Kind: history.KindLookup, Method: http.MethodGet,
-		Path: template.class.PathPrefix + p.name("subject") + template.suffix,
+		Path: template.class.PathPrefix + p.uniqueName("subject") + template.suffix,
 	}
 }
--- a/internal/lab/load/class.go
+++ b/internal/lab/load/class.go
@@ -14,62 +14,64 @@
 )
 
 const (
-	// modelLabel is the request label that carries the body's model field.
+	// modelLabel is the request label that stands for the body's model field.
 	modelLabel = "model"
-	// anyModel names no deployment: the request's labels are to decide.
+	// anyModel names no deployment, so that the request's labels select one.
 	anyModel = "any"
 )
 
-// Defaults that the declarations leave out; see package spec.
+// Deadlines that apply if the declarations have none; see package spec.
 const (
 	defaultModelDeadline   = 30 * time.Second
 	defaultServiceDeadline = 5 * time.Second
 )
 
-// Class is a sort of traffic that the declared objects allow.
+// Class is a class of traffic that the declared objects allow.
 type Class struct {
 	Name string
-	// Model is the model field of the body, empty for a plain call.
+	// Model is the model field of the body. It is empty for service calls.
 	Model string
-	// Labels go into the header of request labels.
+	// Labels are sent in the request labels header.
 	Labels map[string]string
-	// PathPrefix is a service's path, empty for a model.
+	// PathPrefix is the service's path prefix. It is empty for models.
 	PathPrefix string
 	Deadline   time.Duration
-	// Targets are what may answer.
+	// Targets are the model versions that may answer.
 	Targets []history.Target
-	// Standing is set if replicas are kept ready, so that no request is cold.
+	// Standing is set if replicas are always kept ready, so that no request
+	// waits for a model load.
 	Standing bool
 }
 
-// sharesModel reports whether one of the models may answer the class.
+// sharesModel reports whether any of the models may answer the class.
 func (c Class) sharesModel(models map[fleet.ModelVersion]bool) bool {
 	return slices.ContainsFunc(c.Targets, func(target history.Target) bool { return models[target.Model] })
 }
 
-// Classes are the sorts of traffic, models and services apart.
+// Classes are the traffic classes of models and of services.
 type Classes struct {
 	Models   []Class
 	Services []Class
 }
 
-// ReadClasses derives the traffic from declared objects: one class for each
-// deployment by its name, one for each selector with the labels it asks for,
-// one for each service.
+// ReadClasses derives the traffic classes from the declared objects: one for
+// each deployment, requested by name; one for each selector, requested with
+// matching labels; and one for each service. Classes of models without a target
+// are left out.
 func ReadClasses(objects []objectstore.Object) (Classes, error) {
-	read, err := readDeclared(objects)
+	declared, err := readDeclarations(objects)
 	if err != nil {
 		return Classes{}, err
 	}
 	var classes Classes
-	for _, deployment := range read.deployments {
+	for _, deployment := range declared.deployments {
 		labels := map[string]string{modelLabel: deployment.name}
-		classes.Models = append(classes.Models, read.modelClass("deployment/"+deployment.name, labels))
+		classes.Models = append(classes.Models, declared.modelClass("deployment/"+deployment.name, labels))
 	}
-	for _, selector := range read.selectors {
-		classes.Models = append(classes.Models, read.modelClass("selector/"+selector.name, labelsFor(selector.spec.Match)))
+	for _, selector := range declared.selectors {
+		classes.Models = append(classes.Models, declared.modelClass("selector/"+selector.name, labelsFor(selector.spec.Match)))
 	}
-	for _, service := range read.services {
+	for _, service := range declared.services {
 		classes.Services = append(classes.Services, Class{
 			Name: "service/" + service.name, PathPrefix: service.spec.PathPrefix,
 			Deadline: cmp.Or(time.Duration(service.spec.Deadline), defaultServiceDeadline),
@@ -82,7 +84,7 @@
 	return classes, nil
 }
 
-// labelsFor are request labels that the conditions match.
+// labelsFor returns request labels that satisfy the selector's conditions.
 func labelsFor(selector spec.LabelSelector) map[string]string {
 	labels := map[string]string{modelLabel: anyModel}
 	maps.Copy(labels, selector.MatchLabels)
@@ -99,7 +101,7 @@
 	return labels
 }
 
-// labelHeader writes labels as "k=v,k=v" in the order of their keys.
+// labelHeader formats labels as "k=v,k=v", sorted by key.
 func labelHeader(labels map[string]string) string {
 	parts := make([]string, 0, len(labels))
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
@@ -110,7 +112,7 @@
 
 // Call is one request to send.
 type Call struct {
-	// At is the time of sending from the start of the run.
+	// At is the time of sending, relative to the start of the run.
 	At     time.Duration
 	Phase  string
 	Node   string
@@ -120,7 +122,7 @@
 	Path   string
 	Key    string
 	Prompt string
-	// Body is what a plain call sends.
+	// Body is the request body of a service call.
 	Body      string
 	MaxTokens int
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -16,7 +16,7 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// Headers of the callers' API.
+// Headers and the content type of refusals in the API for callers.
 const (
 	headerRequestID = "X-Request-Id"
 	headerLabels    = "X-Spanlanding-Labels"
@@ -26,23 +26,23 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// grace is how long beyond any deadline a caller waits before it gives up,
-	// so that a request without an end is seen as one.
-	grace = 10 * time.Second
-	// tokenTime bounds the time of one token.
-	tokenTime = 200 * time.Millisecond
-	// maxAnswerBytes bounds what is read of an answer.
+	// giveUpMargin is how long after the deadline the client gives up on a
+	// request. It is long enough to tell a late answer from one that never comes.
+	giveUpMargin = 10 * time.Second
+	// maxTokenTime is the time allowed for the generation of one token.
+	maxTokenTime = 200 * time.Millisecond
+	// maxAnswerBytes limits how much of an answer is read.
 	maxAnswerBytes = 4 << 20
 )
 
-// Client sends single requests.
+// Client sends requests over HTTP.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client that uses each connection once: net/http would
-// otherwise send a request again by itself when a reused connection breaks,
-// and a key sent twice by the load generator would look like the system's act.
+// NewClient returns a client that uses each connection for one request only. On
+// a reused connection that breaks, net/http may retry a request on its own, and a
+// key that the load generator sent twice would look like a retry by the system.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{
@@ -52,30 +52,31 @@
 	}}}
 }
 
-// Send sends one call and returns when it has ended or the caller gave up.
+// Send sends one call and returns its record when the call has ended or timed
+// out.
 func (c *Client) Send(ctx context.Context, call Call, id fleet.RequestID) history.Record {
 	record := history.Record{
 		RequestID: id, Phase: call.Phase, Node: call.Node, Kind: call.Kind,
 		Method: call.Method, Path: call.Path, Key: call.Key, Model: call.Class.Model,
 		MaxTokens: call.MaxTokens, Deadline: call.Class.Deadline, Targets: call.Class.Targets,
 	}
-	ctx, cancel := context.WithTimeout(ctx, call.Class.Deadline+time.Duration(call.MaxTokens)*tokenTime+grace)
+	ctx, cancel := context.WithTimeout(ctx, call.Class.Deadline+time.Duration(call.MaxTokens)*maxTokenTime+giveUpMargin)
 	defer cancel()
-	body, err := bodyOf(call)
+	body, err := requestBody(call)
 	if err != nil {
-		fail(&record, history.Malformed, err)
+		recordFailure(&record, history.Malformed, err)
 		return record
 	}
 	record.Body = string(body)
 	request, err := newRequest(ctx, call, id, body)
 	record.Sent = time.Now()
 	if err != nil {
-		fail(&record, history.Malformed, err)
+		recordFailure(&record, history.Malformed, err)
 		return record
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		fail(&record, outcomeOfError(ctx, err), err)
+		recordFailure(&record, outcomeOf(ctx, err), err)
 		return record
 	}
 	defer response.Body.Close()
@@ -116,7 +117,7 @@
 	Prompt    string        `json:"prompt,omitempty"`
 }
 
-func bodyOf(call Call) ([]byte, error) {
+func requestBody(call Call) ([]byte, error) {
 	if !call.Kind.ForModel() {
 		return []byte(call.Body), nil
 	}
@@ -132,7 +133,7 @@
 	return json.Marshal(body)
 }
 
-// readAnswer reads a refusal, a stream or a whole answer into the record.
+// readAnswer reads a refusal, a stream or a non-streamed answer into the record.
 func readAnswer(ctx context.Context, record *history.Record, response *http.Response) {
 	contentType := response.Header.Get("Content-Type")
 	body := io.LimitReader(response.Body, maxAnswerBytes)
@@ -140,7 +141,7 @@
 	case strings.HasPrefix(contentType, problemType):
 		readProblem(ctx, record, body)
 	case response.StatusCode >= http.StatusBadRequest:
-		fail(record, history.Malformed, fmt.Errorf("status %d with content type %q", response.StatusCode, contentType))
+		recordFailure(record, history.Malformed, fmt.Errorf("status %d with content type %q", response.StatusCode, contentType))
 	case record.Kind == history.KindStream:
 		readStream(ctx, record, body)
 	default:
@@ -148,7 +149,7 @@
 	}
 }
 
-// problem is the part of a refusal that is judged.
+// problem has the fields of a refusal that are recorded.
 type problem struct {
 	Outcome history.Outcome `json:"outcome"`
 	Code    string          `json:"code"`
@@ -158,37 +159,38 @@
 func readProblem(ctx context.Context, record *history.Record, body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		fail(record, outcomeOfError(ctx, err), err)
+		recordFailure(record, outcomeOf(ctx, err), err)
 		return
 	}
 	var refusal problem
 	if err := json.Unmarshal(content, &refusal); err != nil {
-		fail(record, history.Malformed, err)
+		recordFailure(record, history.Malformed, err)
 		return
 	}
-	refuse(record, refusal)
+	recordRefusal(record, refusal)
 }
 
-// refuse ends the record with what a refusal states.
-func refuse(record *history.Record, refusal problem) {
+// recordRefusal records the outcome that a refusal states.
+func recordRefusal(record *history.Record, refusal problem) {
 	record.Code, record.Error = refusal.Code, refusal.Detail
 	switch refusal.Outcome {
 	case history.NotRun, history.Unknown, history.Failed:
 		record.Outcome = refusal.Outcome
 		record.Ends++
 	default:
-		fail(record, history.Malformed, fmt.Errorf("a refusal with the outcome %q", refusal.Outcome))
+		recordFailure(record, history.Malformed, fmt.Errorf("a refusal with the outcome %q", refusal.Outcome))
 	}
 }
 
-func fail(record *history.Record, outcome history.Outcome, err error) {
+// recordFailure records an outcome with its error and the time of the end.
+func recordFailure(record *history.Record, outcome history.Outcome, err error) {
 	record.Outcome = outcome
 	record.Error = err.Error()
 	record.Ended = time.Now()
 }
 
-// outcomeOfError tells what an error of the connection means for the caller.
-func outcomeOfError(ctx context.Context, err error) history.Outcome {
+// outcomeOf classifies a connection error from the caller's point of view.
+func outcomeOf(ctx context.Context, err error) history.Outcome {
 	var operation *net.OpError
 	switch {
 	case errors.As(err, &operation) && operation.Op == "dial":
--- a/internal/lab/load/declared.go
+++ b/internal/lab/load/declared.go
@@ -14,51 +14,51 @@
 	"github.com/spanlanding/spanlanding/internal/spec"
 )
 
-// declared are the declarations that make traffic. Which targets a request may
-// reach is worked out here anew and not by the product's own catalog, which it
-// is to judge.
-type declared struct {
+// declarations are the declared objects that determine the traffic. The targets
+// of a request are computed here independently of the system's own catalog,
+// because the results are used to check the system.
+type declarations struct {
 	models      map[string]spec.Model
-	deployments []named[spec.Deployment]
-	selectors   []named[spec.Selector]
-	services    []named[spec.Service]
-	capacities  []named[spec.Capacity]
+	deployments []namedObject[spec.Deployment]
+	selectors   []namedObject[spec.Selector]
+	services    []namedObject[spec.Service]
+	capacities  []namedObject[spec.Capacity]
 }
 
-// named is one declared object.
-type named[T any] struct {
+// namedObject is one declared object with its decoded spec.
+type namedObject[T any] struct {
 	name   string
 	labels map[string]string
 	spec   T
 }
 
-func decode[T any](into []named[T], object objectstore.Object) ([]named[T], error) {
-	entry := named[T]{name: object.Name, labels: object.Labels}
+func decode[T any](into []namedObject[T], object objectstore.Object) ([]namedObject[T], error) {
+	entry := namedObject[T]{name: object.Name, labels: object.Labels}
 	if err := json.Unmarshal(object.Spec, &entry.spec); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", object.Kind, object.Name, err)
 	}
 	return append(into, entry), nil
 }
 
-func readDeclared(objects []objectstore.Object) (declared, error) {
-	read := declared{models: make(map[string]spec.Model)}
+func readDeclarations(objects []objectstore.Object) (declarations, error) {
+	declared := declarations{models: make(map[string]spec.Model)}
 	for _, object := range objects {
 		if object.Deleted {
 			continue
 		}
-		if err := read.add(object); err != nil {
-			return declared{}, err
+		if err := declared.add(object); err != nil {
+			return declarations{}, err
 		}
 	}
-	slices.SortFunc(read.selectors, bySelectorOrder)
-	slices.SortFunc(read.deployments, func(a, b named[spec.Deployment]) int { return cmp.Compare(a.name, b.name) })
-	return read, nil
+	slices.SortFunc(declared.selectors, bySelectorOrder)
+	slices.SortFunc(declared.deployments, func(a, b namedObject[spec.Deployment]) int { return cmp.Compare(a.name, b.name) })
+	return declared, nil
 }
 
-func (d *declared) add(object objectstore.Object) (err error) {
+func (d *declarations) add(object objectstore.Object) (err error) {
 	switch spec.Kind(object.Kind) {
 	case spec.KindModel:
-		var models []named[spec.Model]
+		var models []namedObject[spec.Model]
 		if models, err = decode(models, object); err == nil {
 			d.models[object.Name] = models[0].spec
 		}
@@ -74,8 +74,9 @@
 	return err
 }
 
-// bySelectorOrder puts the selector that is taken first in front.
-func bySelectorOrder(a, b named[spec.Selector]) int {
+// bySelectorOrder sorts selectors by priority: higher precedence first, then more
+// conditions, then name.
+func bySelectorOrder(a, b namedObject[spec.Selector]) int {
 	conditions := func(selector spec.LabelSelector) int {
 		return len(selector.MatchLabels) + len(selector.MatchExpressions)
 	}
@@ -86,54 +87,56 @@
 	)
 }
 
-// modelClass is the traffic with the given request labels.
-func (d *declared) modelClass(name string, labels map[string]string) Class {
+// modelClass returns the class of requests with the given labels. The first
+// selector that matches them decides the targets and the deadline.
+func (d *declarations) modelClass(name string, labels map[string]string) Class {
 	class := Class{Name: name, Model: labels[modelLabel], Deadline: defaultModelDeadline}
 	class.Labels = maps.Clone(labels)
 	delete(class.Labels, modelLabel)
 	for _, selector := range d.selectors {
-		if selects(selector.spec.Match, labels) {
+		if selectorMatches(selector.spec.Match, labels) {
 			class.Deadline = cmp.Or(time.Duration(selector.spec.Deadline), defaultModelDeadline)
-			d.reach(&class, selector.spec.Deployments)
+			d.addTargets(&class, selector.spec.Deployments)
 			return class
 		}
 	}
-	d.reach(&class, spec.LabelSelector{})
+	d.addTargets(&class, spec.LabelSelector{})
 	if !d.namesDeployment(class.Model) {
 		class.Targets = nil
 	}
 	return class
 }
 
-func (d *declared) namesDeployment(name string) bool {
-	return slices.ContainsFunc(d.deployments, func(deployment named[spec.Deployment]) bool {
+func (d *declarations) namesDeployment(name string) bool {
+	return slices.ContainsFunc(d.deployments, func(deployment namedObject[spec.Deployment]) bool {
 		return deployment.name == name
 	})
 }
 
-// reach adds the targets of the deployments that the selector names; only of
-// the one that the request itself names, if that is among them.
-func (d *declared) reach(class *Class, selector spec.LabelSelector) {
-	var reached []named[spec.Deployment]
+// addTargets adds the targets of the deployments that match the selector. If the
+// deployment that the request names is among them, only its targets are added.
+func (d *declarations) addTargets(class *Class, selector spec.LabelSelector) {
+	var selected []namedObject[spec.Deployment]
 	for _, deployment := range d.deployments {
-		if !selects(selector, deployment.labels) {
+		if !selectorMatches(selector, deployment.labels) {
 			continue
 		}
 		if deployment.name == class.Model {
-			reached = []named[spec.Deployment]{deployment}
+			selected = []namedObject[spec.Deployment]{deployment}
 			break
 		}
-		reached = append(reached, deployment)
+		selected = append(selected, deployment)
 	}
-	for _, deployment := range reached {
+	for _, deployment := range selected {
 		class.Targets = append(class.Targets, d.targets(deployment.spec)...)
 		class.Standing = class.Standing || d.isStanding(deployment)
 	}
 }
 
-// targets are the versions that the deployment offers: those with a weight, or
-// all if none has one, or the model's last if none is listed.
-func (d *declared) targets(deployment spec.Deployment) []history.Target {
+// targets returns the model versions that the deployment may use: those with a
+// weight, or all listed versions if none has a weight, or the model's last
+// version if none is listed.
+func (d *declarations) targets(deployment spec.Deployment) []history.Target {
 	versions := slices.Clone(deployment.Versions)
 	if weighted := func(v spec.WeightedVersion) bool { return v.Weight > 0 }; slices.ContainsFunc(versions, weighted) {
 		versions = slices.DeleteFunc(versions, func(v spec.WeightedVersion) bool { return v.Weight <= 0 })
@@ -151,30 +154,31 @@
 	return targets
 }
 
-// isStanding reports whether replicas are kept ready for the deployment.
-func (d *declared) isStanding(deployment named[spec.Deployment]) bool {
+// isStanding reports whether replicas are always kept ready for the deployment.
+func (d *declarations) isStanding(deployment namedObject[spec.Deployment]) bool {
 	return d.models[deployment.spec.Model].Replicas.Min > 0 ||
-		slices.ContainsFunc(d.capacities, func(capacity named[spec.Capacity]) bool {
-			return selects(capacity.spec.Deployments, deployment.labels)
+		slices.ContainsFunc(d.capacities, func(capacity namedObject[spec.Capacity]) bool {
+			return selectorMatches(capacity.spec.Deployments, deployment.labels)
 		})
 }
 
-// selects is the matching of labels, as the operators of spec say.
-func selects(selector spec.LabelSelector, labels map[string]string) bool {
+// selectorMatches reports whether the labels satisfy the selector, as defined by
+// the operators of package spec.
+func selectorMatches(selector spec.LabelSelector, labels map[string]string) bool {
 	for key, value := range selector.MatchLabels {
 		if labels[key] != value {
 			return false
 		}
 	}
 	for _, requirement := range selector.MatchExpressions {
-		if !holds(requirement, labels) {
+		if !requirementMatches(requirement, labels) {
 			return false
 		}
 	}
 	return true
 }
 
-func holds(requirement spec.Requirement, labels map[string]string) bool {
+func requirementMatches(requirement spec.Requirement, labels map[string]string) bool {
 	value, present := labels[requirement.Key]
 	listed := present && slices.Contains(requirement.Values, value)
 	switch requirement.Operator {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -95,10 +95,10 @@
 func TestPlanIsDrawnFromItsSeed(t *testing.T) {
 	first, second := Plan(planOptions(t, 1)), Plan(planOptions(t, 1))
 	if difference := cmp.Diff(first, second); difference != "" {
-		t.Errorf("one seed gave two plans:\n%s", difference)
+		t.Errorf("the same seed produced different plans:\n%s", difference)
 	}
 	if cmp.Equal(first, Plan(planOptions(t, 2))) {
-		t.Error("two seeds gave one plan")
+		t.Error("different seeds produced the same plan")
 	}
 }
 
@@ -111,7 +111,7 @@
 		switch call.Phase {
 		case PhaseBurst:
 			if call.Class.Model != "chat-plain" {
-				t.Errorf("a burst asks for %s, which is kept standing", call.Class.Name)
+				t.Errorf("burst requests %s, which has standing replicas", call.Class.Name)
 			}
 			burstNodes[call.Node] = true
 		case PhaseRepeat:
@@ -123,26 +123,26 @@
 		case PhaseSteady:
 			steady++
 			if call.Class.Model == "chat-plain" {
-				t.Error("the steady traffic asks for the model of the burst")
+				t.Error("steady traffic requests the model reserved for the burst")
 			}
 		}
 	}
 	if len(burstNodes) != 3 {
-		t.Errorf("the burst reaches %d nodes", len(burstNodes))
+		t.Errorf("burst reaches %d nodes, expected 3", len(burstNodes))
 	}
 	mostNodes := 0
 	for _, nodes := range sameMoment {
 		mostNodes = max(mostNodes, len(nodes))
 	}
 	if mostNodes != 3 {
-		t.Errorf("a key goes through %d nodes at one moment", mostNodes)
+		t.Errorf("key sent through at most %d nodes at the same time, expected 3", mostNodes)
 	}
 	if steady < 850 || steady > 1150 {
-		t.Errorf("%d steady calls in 20 s at 50 a second", steady)
+		t.Errorf("%d steady calls in 20 s at 50 per second", steady)
 	}
 }
 
-// slowSender takes an hour for each call and notes when it was sent.
+// slowSender takes an hour for each call and records when it was sent.
 type slowSender struct{ start time.Time }
 
 func (s slowSender) Send(_ context.Context, call Call, id fleet.RequestID) history.Record {
@@ -164,7 +164,7 @@
 	})
 }
 
-// refusingSender can't reach one node.
+// refusingSender reports one node as unreachable.
 type refusingSender struct{ down string }
 
 func (s refusingSender) Send(_ context.Context, call Call, id fleet.RequestID) history.Record {
@@ -211,18 +211,18 @@
 		ends        int
 		text        string
 	}{
-		{"whole stream", stream, 200, events, streamStart + streamFinish + streamEnd, history.Answered, 1, " one two"},
-		{"silent end", stream, 200, events, streamStart, history.Broken, 0, " one two"},
+		{"complete stream", stream, 200, events, streamStart + streamFinish + streamEnd, history.Answered, 1, " one two"},
+		{"connection closed without a finish", stream, 200, events, streamStart, history.Broken, 0, " one two"},
 		{"no finish reason", stream, 200, events, streamStart + streamEnd, history.Malformed, 0, " one two"},
 		{"error event", stream, 200, events, streamStart + streamError, history.Unknown, 1, " one two"},
 		{"error after the finish", stream, 200, events, streamStart + streamFinish + streamError, history.Unknown, 2, " one two"},
 		{"text after the end", stream, 200, events, streamStart + streamFinish + streamEnd + streamStart, history.Answered, 3, " one two"},
 		{"refusal", stream, 503, problem, `{"outcome":"not-run","code":"overloaded"}`, history.NotRun, 1, ""},
 		{"refusal without an outcome", stream, 503, problem, `{"code":"overloaded"}`, history.Malformed, 0, ""},
-		{"plain error", command, 500, "text/plain", "oops", history.Malformed, 0, ""},
-		{"whole chat answer", whole, 200, "application/json", `{"choices":[{"message":{"content":"hello"},"finish_reason":"stop"}]}`, history.Answered, 1, "hello"},
-		{"whole answer without a choice", whole, 200, "application/json", `{"choices":[]}`, history.Malformed, 1, ""},
-		{"plain answer", command, 200, "application/json", `{"executed":1}`, history.Answered, 1, `{"executed":1}`},
+		{"error without a refusal", command, 500, "text/plain", "oops", history.Malformed, 0, ""},
+		{"non-streamed chat answer", whole, 200, "application/json", `{"choices":[{"message":{"content":"hello"},"finish_reason":"stop"}]}`, history.Answered, 1, "hello"},
+		{"non-streamed answer without a choice", whole, 200, "application/json", `{"choices":[]}`, history.Malformed, 1, ""},
+		{"service answer", command, 200, "application/json", `{"executed":1}`, history.Answered, 1, `{"executed":1}`},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -251,18 +251,18 @@
 	readStream(t.Context(), &record, strings.NewReader(
 		fmt.Sprintf(piece, "own")+fmt.Sprintf(piece, "other")+fmt.Sprintf(piece, "own")+streamFinish+streamEnd))
 	if record.AnswerID != "other" {
-		t.Errorf("the identity noted is %q", record.AnswerID)
+		t.Errorf("got answer ID %q, expected \"other\"", record.AnswerID)
 	}
 }
 
 func TestConnectionsThatFail(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer broken.Close()
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
 	for address, expected := range map[string]history.Outcome{
 		broken.URL: history.Broken,
-		gone.URL:   history.Unreachable,
+		closed.URL: history.Unreachable,
 	} {
 		call := Call{Node: strings.TrimPrefix(address, "http://"), Kind: history.KindCommand, Method: http.MethodPost, Path: "/x", Class: Class{Deadline: time.Minute}}
 		if record := NewClient().Send(t.Context(), call, "id"); record.Outcome != expected {
@@ -271,12 +271,12 @@
 	}
 }
 
-// TestKeyedCommandIsSentOnce guards against the resending of net/http, which
-// takes a request with an Idempotency-Key for repeatable.
+// TestKeyedCommandIsSentOnce guards against automatic retries by net/http, which
+// treats a request with an Idempotency-Key as safe to repeat.
 func TestKeyedCommandIsSentOnce(t *testing.T) {
-	var seen atomic.Int64
+	var received atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		if seen.Add(1) > 1 {
+		if received.Add(1) > 1 {
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprint(writer, "{}")
@@ -286,7 +286,7 @@
 	call := Call{Node: strings.TrimPrefix(server.URL, "http://"), Kind: history.KindCommand, Method: http.MethodPost, Path: "/x", Key: "k", Class: Class{Deadline: time.Minute}}
 	client.Send(t.Context(), call, "first")
 	client.Send(t.Context(), call, "second")
-	if seen.Load() != 2 {
-		t.Errorf("two sends reached the server %d times", seen.Load())
+	if received.Load() != 2 {
+		t.Errorf("two calls reached the server %d times", received.Load())
 	}
 }
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -19,23 +19,23 @@
 	PhaseBad    = "bad"
 )
 
-// PlanOptions shape a plan. The same options give the same plan.
+// PlanOptions configure a plan. The same options produce the same plan.
 type PlanOptions struct {
 	Seed uint64
-	// RunID makes keys and prompts differ between runs against one system.
+	// RunID makes keys and prompts unique among runs against the same system.
 	RunID    string
 	Nodes    []string
 	Classes  Classes
 	Profile  Profile
 	Duration time.Duration
-	// LongAt is when long streams are begun at every node, so that some are in
-	// progress at the moments after it; zero for never.
+	// LongAt is when long streams are started at every node, so that some are
+	// in progress during the following seconds. Zero starts none.
 	LongAt time.Duration
-	// Rate is the mean number of requests a second of the steady traffic.
+	// Rate is the mean request rate of the steady traffic, per second.
 	Rate float64
 }
 
-// planner draws one plan.
+// planner generates one plan.
 type planner struct {
 	PlanOptions
 	random *rand.Rand
@@ -43,10 +43,10 @@
 	serial int
 }
 
-// Plan draws the calls of a scenario, in the order of their sending: steady
-// traffic with exponential gaps from the start on, bursts of first requests
-// for models that nothing else asks for, and commands whose key is sent
-// through several nodes at the same moment.
+// Plan generates the calls of a scenario, in the order of sending: steady traffic
+// with exponentially distributed gaps, bursts of requests for models that
+// are not requested otherwise, commands whose key is sent through several nodes
+// at the same time, long streams, and requests for an undeclared model.
 func Plan(options PlanOptions) []Call {
 	p := &planner{
 		PlanOptions: options,
@@ -62,30 +62,31 @@
 	return p.calls
 }
 
-// splitModels sets models apart for the bursts: they are not kept standing,
-// and no other class shares a model version with them.
+// splitModels reserves classes for the bursts (cold). They have no standing
+// replicas and share no model version with the classes of the steady traffic
+// (warm), so that their first requests need a model load.
 func (p *planner) splitModels() (cold, warm []Class) {
 	shuffled := slices.Clone(p.Classes.Models)
 	p.random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-	taken := make(map[fleet.ModelVersion]bool)
+	reserved := make(map[fleet.ModelVersion]bool)
 	for _, class := range shuffled {
-		if len(cold) < p.Profile.Bursts && len(class.Targets) > 0 && !class.Standing && !class.sharesModel(taken) {
+		if len(cold) < p.Profile.Bursts && len(class.Targets) > 0 && !class.Standing && !class.sharesModel(reserved) {
 			cold = append(cold, class)
 			for _, target := range class.Targets {
-				taken[target.Model] = true
+				reserved[target.Model] = true
 			}
 		}
 	}
 	for _, class := range shuffled {
-		if !class.sharesModel(taken) {
+		if !class.sharesModel(reserved) {
 			warm = append(warm, class)
 		}
 	}
 	return cold, warm
 }
 
-// bursts spreads the bursts over the first half of the run, the first at the
-// very start, when nothing is loaded yet.
+// bursts spreads the bursts over the first half of the run. The first one is at
+// the start, when no model is loaded yet.
 func (p *planner) bursts(cold []Class) {
 	for index, class := range cold {
 		at := p.Duration * time.Duration(index) / time.Duration(2*len(cold))
@@ -97,7 +98,7 @@
 	}
 }
 
-// steady draws arrivals with exponential gaps.
+// steady generates arrivals with exponentially distributed gaps.
 func (p *planner) steady(warm []Class) {
 	if p.Rate <= 0 {
 		return
@@ -114,15 +115,15 @@
 		isCommand := p.random.Float64() < p.Profile.CommandShare
 		switch {
 		case isCommand && len(p.Classes.Services) > 0:
-			p.add(p.plainCall(node, at))
+			p.add(p.serviceCall(node, at))
 		case len(warm) > 0:
 			p.add(p.modelCall(warm[popularity.Uint64()], PhaseSteady, node, at))
 		}
 	}
 }
 
-// repeats sends one key through several nodes at the same moment, again and
-// again over the run, and once more a little later.
+// repeats adds commands at regular intervals over the run. The key of each is
+// sent through several nodes at the same time, and once more after repeatDelay.
 func (p *planner) repeats() {
 	templates := p.commandTemplates()
 	if len(templates) == 0 || p.Profile.Repeats == 0 {
@@ -139,15 +140,15 @@
 			repeated.Node = p.Nodes[node]
 			p.add(repeated)
 		}
-		late := first
-		late.Node = p.Nodes[order[0]]
-		late.At += repeatDelay
-		p.add(late)
+		laterCopy := first
+		laterCopy.Node = p.Nodes[order[0]]
+		laterCopy.At += repeatDelay
+		p.add(laterCopy)
 	}
 }
 
-// badRequests asks each node for a model that is not declared. Nothing can run
-// then, so that each run has refusals that must say so.
+// badRequests asks each node for a model that is not declared. Such a request
+// can't run, so every plan has requests that must be refused as not run.
 func (p *planner) badRequests() {
 	undeclared := Class{Name: "undeclared", Model: undeclaredModel, Deadline: defaultModelDeadline}
 	for index, node := range p.Nodes {
@@ -156,13 +157,14 @@
 	}
 }
 
-// undeclaredModel is what no example declares.
+// undeclaredModel is a model name that no example configuration declares.
 const undeclaredModel = "no-such-model"
 
-// longTokens make a stream last for some seconds.
-const longTokens = 300
+// longStreamTokens is enough for a stream to last several seconds.
+const longStreamTokens = 300
 
-// longStreams asks for the most wanted models, which are most likely ready.
+// longStreams adds long streams of the most popular models, which are most
+// likely loaded.
 func (p *planner) longStreams(warm []Class) {
 	if p.LongAt == 0 || len(warm) == 0 {
 		return
@@ -170,25 +172,25 @@
 	for _, node := range p.Nodes {
 		for index := range p.Profile.LongPerNode {
 			call := p.modelCall(warm[index%len(warm)], PhaseLong, node, p.LongAt)
-			call.Kind, call.MaxTokens = history.KindStream, longTokens
+			call.Kind, call.MaxTokens = history.KindStream, longStreamTokens
 			p.add(call)
 		}
 	}
 }
 
-// repeatDelay is when a caller that did not hear asks again.
+// repeatDelay is after how long a caller without an answer sends a command again.
 const repeatDelay = 2 * time.Second
 
 func (p *planner) add(call Call) {
 	p.calls = append(p.calls, call)
 }
 
-func (p *planner) next() int {
+func (p *planner) nextSerial() int {
 	p.serial++
 	return p.serial
 }
 
-// name makes a name that no other run uses.
-func (p *planner) name(prefix string) string {
-	return fmt.Sprintf("%s-%s-%06d", prefix, p.RunID, p.next())
+// uniqueName returns a name that is unique among all runs.
+func (p *planner) uniqueName(prefix string) string {
+	return fmt.Sprintf("%s-%s-%06d", prefix, p.RunID, p.nextSerial())
 }
--- a/internal/lab/load/profile.go
+++ b/internal/lab/load/profile.go
@@ -6,37 +6,39 @@
 	"slices"
 )
 
-// Profile is the shape of one user's traffic. Which models and services there
-// are comes from the declarations.
+// Profile describes the traffic of one workload. The models and services come
+// from the declared objects.
 type Profile struct {
 	Name string
 	// Popularity is the exponent of the Zipf distribution over the models.
 	Popularity float64
-	// Bursts counts models whose first requests come at all nodes at once,
-	// BurstPerNode the requests of each at each node.
+	// Bursts is the number of model classes that are first requested at all nodes
+	// at the same time, and BurstPerNode the number of requests per node in each
+	// burst.
 	Bursts       int
 	BurstPerNode int
-	// Repeats counts commands whose key goes through RepeatCopies nodes at
-	// the same moment.
+	// Repeats is the number of commands whose key is sent through RepeatCopies
+	// nodes at the same time.
 	Repeats      int
 	RepeatCopies int
-	// LongPerNode counts the long streams begun at each node at one moment.
+	// LongPerNode is the number of long streams started at each node.
 	LongPerNode int
-	// Shares of the steady traffic, from 0 to 1. CommandShare is of all;
-	// LookupShare and KeyShare are of the plain calls and commands;
-	// WholeShare and CompletionsShare are of the model requests.
+	// Shares of the steady traffic, from 0 to 1. CommandShare is the share of
+	// service calls among all requests, LookupShare that of lookups among service
+	// calls, and KeyShare that of commands with a key among commands. WholeShare
+	// and CompletionsShare are shares of the model requests.
 	CommandShare     float64
 	LookupShare      float64
 	KeyShare         float64
 	WholeShare       float64
 	CompletionsShare float64
-	// MinTokens and MaxTokens bound the length asked for.
+	// MinTokens and MaxTokens are the range of max_tokens in model requests.
 	MinTokens int
 	MaxTokens int
-	// PrefixRepeats sets the length of the prefix that prompts share.
+	// PrefixRepeats determines the length of the prefix that prompts share.
 	PrefixRepeats int
 	Question      string
-	// Commands and Lookups are path endings by the path prefix of a service.
+	// Commands and Lookups are path suffixes by the path prefix of a service.
 	Commands map[string][]string
 	Lookups  map[string][]string
 }
@@ -46,7 +48,7 @@
 	defaultLookups  = []string{"/status"}
 )
 
-// profiles are the workloads of the brief.
+// profiles are the predefined workloads by name.
 var profiles = map[string]Profile{
 	"fjordkurv": {
 		Name: "fjordkurv", Popularity: 1.2, Bursts: 4, BurstPerNode: 2,
@@ -70,7 +72,7 @@
 	},
 }
 
-// FindProfile returns a profile by its name.
+// FindProfile returns the profile with the given name.
 func FindProfile(name string) (Profile, error) {
 	profile, known := profiles[name]
 	if !known {
@@ -79,8 +81,8 @@
 	return profile, nil
 }
 
-// knowsService reports whether the profile has calls of its own for a service.
-func (p Profile) knowsService(pathPrefix string) bool {
+// hasService reports whether the profile lists calls for a service.
+func (p Profile) hasService(pathPrefix string) bool {
 	_, commands := p.Commands[pathPrefix]
 	_, lookups := p.Lookups[pathPrefix]
 	return commands || lookups
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -11,28 +11,29 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// Sender sends one call; Client is the one that does so over HTTP.
+// Sender sends one call. Client implements it over HTTP.
 type Sender interface {
 	Send(ctx context.Context, call Call, id fleet.RequestID) history.Record
 }
 
-// RunOptions say how a plan is carried out.
+// RunOptions configure how a plan is executed.
 type RunOptions struct {
 	RunID  string
 	Sender Sender
-	// Nodes are those that callers may turn to when theirs can't be reached.
+	// Nodes are the nodes to which callers may fail over if theirs is down.
 	Nodes []string
-	// Progress is called after each end with the numbers so far; it may be
-	// nil and must not block.
+	// Progress is called with the current counts whenever a call was sent or
+	// has ended. It may be nil and must not block.
 	Progress func(sent, ended int)
 }
 
-// Run sends each call at its time, whether or not earlier ones have ended, and
-// returns the records in the order of the plan when all have ended.
+// Run sends each call at its planned time, whether or not earlier ones have
+// ended. It returns when all have ended, with the records in the order of the
+// plan.
 func Run(ctx context.Context, plan []Call, options RunOptions) []history.Record {
 	records := make([]history.Record, len(plan))
 	progress := &progressCount{report: options.Progress}
-	nodes := newNodeChoice(options.Nodes)
+	nodes := newNodeSelector(options.Nodes)
 	start := time.Now()
 	var senders sync.WaitGroup
 	sent := 0
@@ -46,7 +47,7 @@
 		call.Node = nodes.choose(call.Node)
 		senders.Go(func() {
 			records[index] = options.Sender.Send(ctx, call, id)
-			if turnsAway(records[index]) {
+			if indicatesUnavailable(records[index]) {
 				nodes.markDown(call.Node)
 			}
 			progress.add(0, 1)
@@ -56,7 +57,7 @@
 	return records[:sent]
 }
 
-// sleepUntil returns false if the context ended first.
+// sleepUntil returns false if the context is canceled before the given time.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	if ctx.Err() != nil {
 		return false
@@ -75,7 +76,7 @@
 	}
 }
 
-// progressCount adds up sent and ended requests.
+// progressCount counts sent and ended requests.
 type progressCount struct {
 	mutex       sync.Mutex
 	sent, ended int
@@ -92,29 +93,30 @@
 	}
 }
 
-// codeStopping is the code of a refusal by a node that stops as planned.
+// codeStopping is the refusal code of a node during its planned stop.
 const codeStopping = "node-stopping"
 
-// turnsAway reports whether the node is not to be asked any more.
-func turnsAway(record history.Record) bool {
+// indicatesUnavailable reports whether the node should get no further requests.
+func indicatesUnavailable(record history.Record) bool {
 	return record.Outcome == history.Unreachable || record.Code == codeStopping
 }
 
-// nodeChoice turns callers away from nodes that could not be reached or that
-// said that they stop, as an address list at the callers' side does. The
-// request that found it out stays as it ended.
-type nodeChoice struct {
+// nodeSelector directs callers away from nodes that were unreachable or refused a
+// request because they were stopping, like a client-side address list. The
+// request that detects this is not retried.
+type nodeSelector struct {
 	mutex sync.Mutex
 	nodes []string
 	down  map[string]bool
 }
 
-func newNodeChoice(nodes []string) *nodeChoice {
-	return &nodeChoice{nodes: nodes, down: make(map[string]bool)}
+func newNodeSelector(nodes []string) *nodeSelector {
+	return &nodeSelector{nodes: nodes, down: make(map[string]bool)}
 }
 
-// choose returns the node itself or the next one in the list that is up.
-func (n *nodeChoice) choose(node string) string {
+// choose returns the node itself if it is up, or the next node in the list that
+// is. If none is up, it returns the node itself.
+func (n *nodeSelector) choose(node string) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	first := slices.Index(n.nodes, node)
@@ -130,7 +132,7 @@
 	return node
 }
 
-func (n *nodeChoice) markDown(node string) {
+func (n *nodeSelector) markDown(node string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.down[node] = true
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -13,8 +13,8 @@
 	"github.com/spanlanding/spanlanding/internal/lab/history"
 )
 
-// answerChunk covers the forms in which text comes: a delta of a chat stream,
-// the text of a completions stream, a whole chat answer.
+// answerChunk covers all formats of answer text: the delta of a chat stream, the
+// text of a completions answer, and the message of a non-streamed chat answer.
 type answerChunk struct {
 	ID      string         `json:"id"`
 	Choices []answerChoice `json:"choices"`
@@ -34,36 +34,37 @@
 
 const streamDone = "[DONE]"
 
-// streamReader follows one answer stream.
+// streamReader reads one answer stream.
 type streamReader struct {
-	record *history.Record
-	text   strings.Builder
-	last   time.Time
-	done   bool
+	record   *history.Record
+	text     strings.Builder
+	lastText time.Time
+	done     bool
 }
 
-// readStream reads server-sent events to their end. A right stream has one
-// finish and then "[DONE]", or one error event.
+// readStream reads server-sent events until the stream ends. A correct stream has
+// one finish reason followed by "[DONE]", or one error event.
 func readStream(ctx context.Context, record *history.Record, body io.Reader) {
 	reader := &streamReader{record: record}
-	err := scanEvents(body, reader.event)
+	err := scanEvents(body, reader.handleEvent)
 	record.Text = reader.text.String()
 	switch {
 	case record.Outcome != "":
-		// An error event or a malformed one has ended it.
+		// An error event or a malformed event has set the outcome.
 	case err != nil:
-		fail(record, outcomeOfError(ctx, err), err)
+		recordFailure(record, outcomeOf(ctx, err), err)
 	case !reader.done:
-		fail(record, history.Broken, errors.New("the stream ended without a finish or an error"))
+		recordFailure(record, history.Broken, errors.New("the stream ended without a finish or an error"))
 	case record.Finish == "":
-		fail(record, history.Malformed, errors.New("the stream is done but has no finish reason"))
+		recordFailure(record, history.Malformed, errors.New("the stream is done but has no finish reason"))
 	default:
 		record.Outcome = history.Answered
 	}
 }
 
-// event takes one server-sent event.
-func (r *streamReader) event(name, data string) {
+// handleEvent processes one server-sent event. Events after "[DONE]" count as
+// further ends.
+func (r *streamReader) handleEvent(name, data string) {
 	if r.done {
 		r.record.Ends++
 		return
@@ -74,22 +75,22 @@
 	}
 	var chunk answerChunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-		fail(r.record, history.Malformed, fmt.Errorf("event %q: %w", name, err))
+		recordFailure(r.record, history.Malformed, fmt.Errorf("event %q: %w", name, err))
 		return
 	}
 	if name == "error" || chunk.Outcome != "" {
-		refuse(r.record, chunk.problem)
+		recordRefusal(r.record, chunk.problem)
 		return
 	}
-	noteAnswerID(r.record, chunk.ID)
+	recordAnswerID(r.record, chunk.ID)
 	for _, choice := range chunk.Choices {
-		r.choice(choice)
+		r.handleChoice(choice)
 	}
 }
 
-func (r *streamReader) choice(choice answerChoice) {
+func (r *streamReader) handleChoice(choice answerChoice) {
 	if text := choice.content(); text != "" {
-		r.piece(text)
+		r.addText(text)
 	}
 	if choice.FinishReason != "" {
 		r.record.Finish = choice.FinishReason
@@ -97,27 +98,28 @@
 	}
 }
 
-func (r *streamReader) piece(text string) {
+// addText appends generated text and records its timing.
+func (r *streamReader) addText(text string) {
 	now := time.Now()
 	if r.record.FirstToken.IsZero() {
 		r.record.FirstToken = now
 	} else {
-		r.record.TokenGaps = append(r.record.TokenGaps, now.Sub(r.last))
+		r.record.TokenGaps = append(r.record.TokenGaps, now.Sub(r.lastText))
 	}
-	r.last = now
+	r.lastText = now
 	r.text.WriteString(text)
 }
 
-// noteAnswerID keeps the identity that a piece of an answer names; one that is
-// not the request's own stays.
-func noteAnswerID(record *history.Record, id string) {
+// recordAnswerID records the request ID that a chunk of an answer states. Once an
+// ID of another request was seen, it is kept.
+func recordAnswerID(record *history.Record, id string) {
 	foreign := record.AnswerID != "" && record.AnswerID != string(record.RequestID)
 	if id != "" && !foreign {
 		record.AnswerID = id
 	}
 }
 
-// scanEvents calls the function for each event until the body ends.
+// scanEvents calls event for each server-sent event until the body ends.
 func scanEvents(body io.Reader, event func(name, data string)) error {
 	lines := bufio.NewReader(body)
 	var name string
@@ -143,12 +145,12 @@
 	}
 }
 
-// readWhole reads an answer that comes at once: of a model its text, of a
-// plain call the body as it is.
+// readWhole reads a non-streamed answer. It records the generated text of a model
+// answer, and the unchanged body of a service call's answer.
 func readWhole(ctx context.Context, record *history.Record, body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		fail(record, outcomeOfError(ctx, err), err)
+		recordFailure(record, outcomeOf(ctx, err), err)
 		return
 	}
 	record.Outcome = history.Answered
@@ -159,14 +161,14 @@
 	}
 	var answer answerChunk
 	if err := json.Unmarshal(content, &answer); err != nil {
-		fail(record, history.Malformed, err)
+		recordFailure(record, history.Malformed, err)
 		return
 	}
 	if len(answer.Choices) != 1 {
-		fail(record, history.Malformed, fmt.Errorf("%d choices", len(answer.Choices)))
+		recordFailure(record, history.Malformed, fmt.Errorf("%d choices", len(answer.Choices)))
 		return
 	}
-	noteAnswerID(record, answer.ID)
+	recordAnswerID(record, answer.ID)
 	record.FirstToken = time.Now()
 	record.Text = answer.Choices[0].content()
 	record.Finish = answer.Choices[0].FinishReason
