--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -83,7 +83,7 @@
 		}
 		if !record.Kind.ForModel() {
 			verdict.Exercised++
-			if wrong := evidence.plainAnswerProblem(record); wrong != "" {
+			if wrong := evidence.serviceAnswerProblem(record); wrong != "" {
 				verdict.addFinding(record.Ended, "request %s: %s", record.RequestID, wrong)
 			}
 			continue
@@ -104,19 +104,19 @@
 	return verdict
 }
 
-// plainAnswer is the body in which a service describes the call it executed.
-type plainAnswer struct {
+// serviceAnswer is the body in which a service describes the call it executed.
+type serviceAnswer struct {
 	Method    string          `json:"method"`
 	Path      string          `json:"path"`
 	RequestID fleet.RequestID `json:"requestId"`
 }
 
-// plainAnswerProblem describes why the answer to a plain call is incomplete or
+// serviceAnswerProblem describes why the answer to a service call is incomplete or
 // belongs to another call, or returns "". The stored answer of an idempotency
 // key names the request that ran, which may be another one, so calls with a key
 // are matched by path, which is unique to the key.
-func (e Evidence) plainAnswerProblem(record history.Record) string {
-	var answer plainAnswer
+func (e Evidence) serviceAnswerProblem(record history.Record) string {
+	var answer serviceAnswer
 	if err := json.Unmarshal([]byte(record.Text), &answer); err != nil {
 		return fmt.Sprintf("the answer is not whole: %v: %q", err, truncated(record.Text))
 	}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s answers %s with %d", target.Model, body, maxTokens)
 }
 
-func plainText(request, path string) string {
+func serviceAnswerText(request, path string) string {
 	return fmt.Sprintf(`{"method":"POST","path":%q,"requestId":%q}`, path, request)
 }
 
@@ -49,7 +49,7 @@
 		return history.Record{
 			RequestID: fleet.RequestID(id), Node: "n2", Kind: history.KindCommand, Method: "POST",
 			Path: "/boxes/1", Key: key, Deadline: 5 * time.Second, Sent: at(sent), Ended: at(sent + 0.5),
-			Outcome: history.Answered, Ends: 1, Text: plainText(ran, "/boxes/1"),
+			Outcome: history.Answered, Ends: 1, Text: serviceAnswerText(ran, "/boxes/1"),
 		}
 	}
 	refused := command("c4", "", "c4", 7)
@@ -182,7 +182,7 @@
 		}},
 		{"answer that names another request", RuleOwnAnswer, func(e *Evidence) { e.Records[0].AnswerID = "m2" }},
 		{"answer to another command", RuleOwnAnswer, func(e *Evidence) {
-			e.Records[4].Text = plainText("c1", "/boxes/1")
+			e.Records[4].Text = serviceAnswerText("c1", "/boxes/1")
 		}},
 		{"refused as not run, but ran", RuleNotRun, func(e *Evidence) {
 			e.Books[2].Executions = append(e.Books[2].Executions,
@@ -200,7 +200,7 @@
 			e.Books[2].Executions = e.Books[2].Executions[:1]
 		}},
 		{"two answers to one key", RuleAtMostOnce, func(e *Evidence) {
-			e.Records[3].Text = plainText("c2", "/boxes/1")
+			e.Records[3].Text = serviceAnswerText("c2", "/boxes/1")
 		}},
 		{"answer before the execution", RuleAtMostOnce, func(e *Evidence) { e.Books[2].Executions[1].Started = at(6.9) }},
 		{"request to a leaving back end", RuleLeaving, func(e *Evidence) {
