--- a/internal/lab/collect/collector.go
+++ b/internal/lab/collect/collector.go
@@ -18,59 +18,61 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// Options say where to gather from.
+// Options configure the sources and the sampling interval of a Collector.
 type Options struct {
 	// Platform is the base URL of the platform.
 	Platform string
-	// Operators are operators' addresses of nodes, beside those listed.
+	// Operators are operator addresses of nodes, in addition to those on the
+	// machine list.
 	Operators []string
-	// Books are further URLs of books beside those of the listed machines.
+	// Books are URLs of books, in addition to those of the machines on the list.
 	Books []string
-	// Interval is the time between two samples.
+	// Interval is the sampling interval.
 	Interval time.Duration
 }
 
 const (
 	defaultInterval = 250 * time.Millisecond
 	callTimeout     = 5 * time.Second
-	// statusTimeout is short, so that a paused node does not hold up the
-	// sampling of the books.
+	// statusTimeout is short so that a paused node doesn't delay the sampling of
+	// the books.
 	statusTimeout = time.Second
-	// samplers bounds the calls under way at one time.
-	samplers = 16
+	// maxConcurrentReads limits the concurrent requests of one sample.
+	maxConcurrentReads = 16
 )
 
-// Collector gathers until it is stopped. Its methods may be called from any
-// goroutine.
+// Collector samples its sources until it is stopped. It is safe for concurrent
+// use.
 type Collector struct {
 	options Options
 	client  *http.Client
 
-	// journal is held while the journal is read, so that changes are taken in
-	// their order.
-	journal sync.Mutex
+	// journalMutex is held while the journal is read, so that changes are applied
+	// in order.
+	journalMutex sync.Mutex
 
-	mutex    sync.Mutex
-	backends map[string]string // book URL by back end name
-	nodes    map[string]bool   // operators' addresses
-	books    map[bookKey]check.BookSample
-	store    storeHistory
-	samples  []check.ConfigSample
-	problems map[string]Problem
-	machines []objectstore.Machine
+	mutex         sync.Mutex
+	backends      map[string]string // book URL by back end name
+	nodes         map[string]bool   // operator addresses
+	books         map[bookKey]check.BookSample
+	store         storeHistory
+	configSamples []check.ConfigSample
+	problems      map[string]Problem
+	machines      []objectstore.Machine
 }
 
+// bookKey identifies one incarnation of a back end.
 type bookKey struct {
 	name        fleet.BackendName
 	incarnation uint64
 }
 
-// New returns a collector that has gathered nothing.
+// New returns a collector that has not read anything yet.
 func New(options Options) *Collector {
 	options.Interval = cmp.Or(options.Interval, defaultInterval)
 	collector := &Collector{
 		options:  options,
-		client:   &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: samplers}},
+		client:   &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentReads}},
 		backends: make(map[string]string),
 		nodes:    make(map[string]bool),
 		books:    make(map[bookKey]check.BookSample),
@@ -86,8 +88,9 @@
 	return collector
 }
 
-// Run gathers until the context ends. It returns an error only if the store's
-// journal cannot be read at the start.
+// Run samples at each interval until the context is canceled. It calls started
+// after the first sample. It returns an error only if the store's journal can't
+// be read at the start.
 func (c *Collector) Run(ctx context.Context, started func()) error {
 	if err := c.readJournal(ctx); err != nil {
 		return fmt.Errorf("read the store's journal: %w", err)
@@ -106,33 +109,34 @@
 	}
 }
 
-// Finish takes the last sample, in which each book that can be read is whole.
+// Finish takes the last sample after the run. Each book read by it is complete.
 func (c *Collector) Finish(ctx context.Context) {
 	c.sample(ctx, true)
 }
 
-// sample reads the journal, the machine list and then all books and nodes once.
+// sample reads the journal and the machine list, and then all books and nodes,
+// once.
 func (c *Collector) sample(ctx context.Context, final bool) {
 	if err := c.readJournal(ctx); err != nil {
-		c.problem(ctx, "the store's journal", err)
+		c.addProblem(ctx, "the store's journal", err)
 	}
 	c.readMachines(ctx)
 	c.mutex.Lock()
 	backends, nodes := maps.Clone(c.backends), maps.Clone(c.nodes)
 	c.mutex.Unlock()
 	var group errgroup.Group
-	group.SetLimit(samplers)
+	group.SetLimit(maxConcurrentReads)
 	for name, url := range backends {
 		group.Go(func() error { c.readBook(ctx, name, url, final); return nil })
 	}
 	for address := range nodes {
 		group.Go(func() error { c.readNode(ctx, address); return nil })
 	}
-	// The reads count their own errors as problems.
+	// The functions never return an error; they record problems themselves.
 	_ = group.Wait()
 }
 
-// Roles of machines on the list.
+// Roles on the machine list.
 const (
 	roleNode    = "node"
 	roleEngine  = "engine"
@@ -142,7 +146,7 @@
 func (c *Collector) readMachines(ctx context.Context) {
 	var list objectstore.MachineList
 	if err := c.get(ctx, c.options.Platform+"/v1/machines", &list); err != nil {
-		c.problem(ctx, "the machine list", err)
+		c.addProblem(ctx, "the machine list", err)
 		return
 	}
 	c.mutex.Lock()
@@ -161,7 +165,7 @@
 func (c *Collector) readBook(ctx context.Context, name, url string, final bool) {
 	var book books.Book
 	if err := c.get(ctx, url, &book); err != nil {
-		c.problem(ctx, "the book of "+name, err)
+		c.addProblem(ctx, "the book of "+name, err)
 		return
 	}
 	c.mutex.Lock()
@@ -170,7 +174,7 @@
 	c.books[key] = check.BookSample{Book: book, SampledAt: time.Now(), Final: final}
 }
 
-// nodeStatus is the part of a node's status that is sampled.
+// nodeStatus has the sampled fields of a node's status.
 type nodeStatus struct {
 	Node          fleet.NodeName `json:"node"`
 	ConfigVersion uint64         `json:"configVersion"`
@@ -182,7 +186,8 @@
 	defer cancel()
 	var status nodeStatus
 	if err := c.get(ctx, "http://"+address+"/status", &status); err != nil {
-		// A node may be down; the checks judge the samples that there are.
+		// The node may be down as part of the run. The checks use the samples that
+		// were taken.
 		return
 	}
 	sample := check.ConfigSample{At: time.Now(), Node: string(status.Node), Version: status.ConfigVersion}
@@ -193,57 +198,57 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.samples = append(c.samples, sample)
+	c.configSamples = append(c.configSamples, sample)
 }
 
-// problem counts what could not be read. What the end of the run cut off is
-// none.
-func (c *Collector) problem(ctx context.Context, what string, err error) {
+// addProblem counts a failed read, unless it was interrupted by the end of the
+// run.
+func (c *Collector) addProblem(ctx context.Context, what string, err error) {
 	if ctx.Err() == nil {
 		c.Note(what, err)
 	}
 }
 
-// Note counts a problem of the laboratory itself, so that it is shown.
+// Note counts a problem of the test setup itself, so that it is reported.
 func (c *Collector) Note(what string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.problems[what]
-	c.problems[what] = Problem{Times: known.Times + 1, Last: err.Error()}
+	previous := c.problems[what]
+	c.problems[what] = Problem{Times: previous.Times + 1, Last: err.Error()}
 }
 
-// Fill puts what was gathered into the evidence.
+// Fill stores the collected data in the evidence.
 func (c *Collector) Fill(evidence *check.Evidence) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	evidence.Books = mergeBooks(slices.Collect(maps.Values(c.books)))
-	evidence.ConfigSamples = slices.Clone(c.samples)
+	evidence.ConfigSamples = slices.Clone(c.configSamples)
 	evidence.Decisions = slices.Clone(c.store.decisions)
 	evidence.ConfigChanges = slices.Clone(c.store.changes)
 	evidence.MaxReplicas = maps.Clone(c.store.maxReplicas)
 }
 
-// Problem tells how often something could not be read, and why at last.
+// Problem counts the failed reads of one source and has the last error.
 type Problem struct {
 	Times int    `json:"times"`
 	Last  string `json:"last"`
 }
 
-// Problems lists what could not be read.
+// Problems returns the problems by source.
 func (c *Collector) Problems() map[string]Problem {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return maps.Clone(c.problems)
 }
 
-// Machines returns the machine list as last read.
+// Machines returns the last machine list read.
 func (c *Collector) Machines() []objectstore.Machine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.machines)
 }
 
-// Objects returns the declared objects as last seen.
+// Objects returns the latest known objects of the store, sorted by kind and name.
 func (c *Collector) Objects() []objectstore.Object {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/lab/collect/merge.go
+++ b/internal/lab/collect/merge.go
@@ -10,7 +10,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// residencyKey and executionKey identify a record among the samples of one
+// residencyKey identifies a model load in the books of all incarnations of a
 // back end.
 type residencyKey struct {
 	backend fleet.BackendName
@@ -18,6 +18,8 @@
 	from    time.Time
 }
 
+// executionKey identifies an execution in the books of all incarnations of a
+// back end.
 type executionKey struct {
 	backend fleet.BackendName
 	request fleet.RequestID
@@ -25,9 +27,10 @@
 	started time.Time
 }
 
-// mergeBooks sorts the samples. Where a back end restarted within its process,
-// its later book still has the records of the earlier incarnation; these are
-// taken from the latest sample only, so that nothing counts twice.
+// mergeBooks sorts the samples by back end, the latest first, and removes
+// duplicate records. If a back end restarted within its process, its later book
+// still has the records of the earlier incarnation. These are kept in the latest
+// sample only, so that nothing is counted twice.
 func mergeBooks(samples []check.BookSample) []check.BookSample {
 	slices.SortFunc(samples, func(a, b check.BookSample) int {
 		return cmp.Or(cmp.Compare(a.Backend.Name, b.Backend.Name), b.SampledAt.Compare(a.SampledAt))
@@ -37,19 +40,20 @@
 	for index := range samples {
 		sample := &samples[index]
 		name := sample.Backend.Name
-		sample.Residencies = unseen(sample.Residencies, residencies, func(r books.Residency) residencyKey {
+		sample.Residencies = withoutSeen(sample.Residencies, residencies, func(r books.Residency) residencyKey {
 			return residencyKey{backend: name, order: r.OrderID, from: r.From.UTC()}
 		})
-		sample.Executions = unseen(sample.Executions, executions, func(e books.Execution) executionKey {
+		sample.Executions = withoutSeen(sample.Executions, executions, func(e books.Execution) executionKey {
 			return executionKey{backend: name, request: e.RequestID, attempt: e.Attempt, started: e.Started.UTC()}
 		})
 	}
 	return samples
 }
 
-// unseen keeps the records that no sample before had. Equal records within one
-// sample are kept: a book that says twice that something ran must be judged so.
-func unseen[T any, K comparable](records []T, seen map[K]bool, key func(T) K) []T {
+// withoutSeen returns the records that no earlier sample contained. Equal records
+// within one sample are all kept: if a book lists an execution twice, the checks
+// must see both.
+func withoutSeen[T any, K comparable](records []T, seen map[K]bool, key func(T) K) []T {
 	var kept []T
 	for _, record := range records {
 		if !seen[key(record)] {
--- a/internal/lab/collect/store.go
+++ b/internal/lab/collect/store.go
@@ -17,8 +17,8 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// storeHistory is what the store was seen to hold, in the order of its
-// revisions.
+// storeHistory is the observed content of the store and its changes, in the order
+// of revisions.
 type storeHistory struct {
 	version     uint64
 	objects     map[objectstore.Key]objectstore.Object
@@ -34,32 +34,33 @@
 	}
 }
 
-// allotmentRecord is the part of the allotment record that is judged by.
+// allotmentRecord has the fields of the allotment record that the checks use.
 type allotmentRecord struct {
 	Models map[fleet.ModelVersion]struct {
 		Decided int `json:"decided"`
 	} `json:"models"`
 }
 
-// take adds one change.
-func (h *storeHistory) take(change books.StoreChange) error {
+// apply adds one change of the store.
+func (h *storeHistory) apply(change books.StoreChange) error {
 	object, at := change.Object, change.At
 	h.version = max(h.version, object.Version)
 	h.objects[object.Key()] = object
 	if object.Kind == objectstore.KindAllotments {
-		return h.takeDecision(object, at)
+		return h.applyDecision(object, at)
 	}
 	if !slices.Contains(spec.Kinds(), spec.Kind(object.Kind)) {
 		return nil
 	}
 	h.changes = append(h.changes, check.ConfigChange{At: at, Version: object.Version})
 	if spec.Kind(object.Kind) == spec.KindModel && !object.Deleted {
-		return h.takeModel(object)
+		return h.applyModel(object)
 	}
 	return nil
 }
 
-func (h *storeHistory) takeDecision(object objectstore.Object, at time.Time) error {
+// applyDecision records the replica counts of an allotment record.
+func (h *storeHistory) applyDecision(object objectstore.Object, at time.Time) error {
 	var record allotmentRecord
 	if err := json.Unmarshal(object.Spec, &record); err != nil {
 		return fmt.Errorf("allotments at version %d: %w", object.Version, err)
@@ -72,9 +73,9 @@
 	return nil
 }
 
-// takeModel keeps the largest bound that was ever declared: lowered bounds take
-// effect through the decisions.
-func (h *storeHistory) takeModel(object objectstore.Object) error {
+// applyModel keeps the largest replica maximum that was ever declared. A lowered
+// maximum takes effect through the decisions.
+func (h *storeHistory) applyModel(object objectstore.Object) error {
 	var model spec.Model
 	if err := json.Unmarshal(object.Spec, &model); err != nil {
 		return fmt.Errorf("model %s: %w", object.Name, err)
@@ -98,12 +99,12 @@
 	return objects
 }
 
-// readJournal takes the changes since the last read, with the times at which
-// they took effect. It is no call of the object API, so that a store that is
-// down, slow or stale for the nodes hides nothing from the judge.
+// readJournal applies the changes since the last read, with the times at which
+// they took effect. It doesn't use the object API, because faults that make the
+// store unavailable, slow or stale for the nodes must not affect the checks.
 func (c *Collector) readJournal(ctx context.Context) error {
-	c.journal.Lock()
-	defer c.journal.Unlock()
+	c.journalMutex.Lock()
+	defer c.journalMutex.Unlock()
 	c.mutex.Lock()
 	since := c.store.version
 	c.mutex.Unlock()
@@ -115,19 +116,20 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, change := range changes {
-		if err := c.store.take(change); err != nil {
+		if err := c.store.apply(change); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// get reads JSON.
+// get reads JSON from a URL with the collector's client.
 func (c *Collector) get(ctx context.Context, url string, into any) error {
 	return GetJSON(ctx, c.client, url, into)
 }
 
-// GetJSON reads what a stand-in or a node answers to a GET.
+// GetJSON sends a GET request to a stand-in or a node and decodes the JSON
+// answer into the given value.
 func GetJSON(ctx context.Context, client *http.Client, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
