--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -12,9 +12,9 @@
 )
 
 // checkEnded checks that each request ended exactly once, that each model
-// request got its first token or a refusal by its deadline, and that each plain
-// call got its answer by its deadline. Requests affected by a killed or paused
-// node are exempt.
+// request got its first token or a refusal by its deadline, and that each
+// service call got its answer by its deadline. Requests affected by a killed or
+// paused node are exempt.
 func checkEnded(evidence Evidence, tolerances Tolerances) Verdict {
 	verdict := Verdict{Rule: RuleEnded, Unit: "requests"}
 	exempt := 0
@@ -111,8 +111,8 @@
 	RequestID fleet.RequestID `json:"requestId"`
 }
 
-// serviceAnswerProblem describes why the answer to a service call is incomplete or
-// belongs to another call, or returns "". The stored answer of an idempotency
+// serviceAnswerProblem describes why the answer to a service call is incomplete
+// or belongs to another call, or returns "". The stored answer of an idempotency
 // key names the request that ran, which may be another one, so calls with a key
 // are matched by path, which is unique to the key.
 func (e Evidence) serviceAnswerProblem(record history.Record) string {
