--- a/internal/lab/policy/clairvoyant.go
+++ b/internal/lab/policy/clairvoyant.go
@@ -7,82 +7,85 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// clairvoyant knows the trace: it loads just in time, unloads at once where the
-// next request is far, and evicts what is wanted last.
+// clairvoyant is a policy that knows the future requests of the trace: it loads
+// just in time, unloads at once if the next request is far away, and evicts the
+// model whose next request is the latest.
 type clairvoyant struct {
-	world    *world
-	zone     *zone
-	preloads bool
+	simulation *simulation
+	zone       *zone
+	preloads   bool
 }
 
 const (
-	// preloadMargin covers the time between two plans and the order's way.
-	preloadMargin = idleTick + time.Second
-	// keepFactor is how many loads' time an idle model is kept for.
+	// preloadMargin covers the interval between two plans and the latency of the
+	// order.
+	preloadMargin = idlePlanInterval + time.Second
+	// keepFactor is how many load times an idle model is kept for.
 	keepFactor = 2
 )
 
 func (clairvoyant) RequestsArrived(time.Time, fleet.ModelVersion) {}
 
-// untilNext is the time until the model's next request.
+// untilNext returns the time until the model's next request.
 func (c clairvoyant) untilNext(model int) time.Duration {
-	times := c.world.trace.arrivals[model]
-	index, _ := slices.BinarySearch(times, c.world.now)
+	times := c.simulation.trace.arrivals[model]
+	index, _ := slices.BinarySearch(times, c.simulation.now)
 	if index == len(times) {
 		return never
 	}
-	return times[index] - c.world.now
+	return times[index] - c.simulation.now
 }
 
-// ShouldUnload keeps a model only where a load would have to begin about at once.
+// ShouldUnload keeps an idle model only if its reload would have to begin soon.
 func (c clairvoyant) ShouldUnload(_, _ time.Time, model fleet.ModelVersion) bool {
-	index := c.world.modelIndex[model]
+	index := c.simulation.modelIndex[model]
 	for _, engine := range c.zone.engines {
-		// One that unloads can't be loaded again before it has ended its work.
-		if held := engine.find(index); held != nil && held.running > 0 {
+		// An unloading replica can't be loaded again before its running requests
+		// end.
+		if held := engine.findReplica(index); held != nil && held.running > 0 {
 			return false
 		}
 	}
-	reload := loadTime(c.world.trace.models[index].bytes, fleet.TierMemory)
+	reload := loadTime(c.simulation.trace.models[index].bytes, fleet.TierMemory)
 	return c.untilNext(index) > keepFactor*reload+preloadMargin
 }
 
 func (c clairvoyant) EvictionCost(_, _ time.Time, model fleet.ModelVersion) float64 {
-	return 1 / (1 + c.untilNext(c.world.modelIndex[model]).Minutes())
+	return 1 / (1 + c.untilNext(c.simulation.modelIndex[model]).Minutes())
 }
 
 func (c clairvoyant) LikelyToWake(_ time.Time, model fleet.ModelVersion) bool {
 	if !c.preloads {
 		return false
 	}
-	index := c.world.modelIndex[model]
+	index := c.simulation.modelIndex[model]
 	best := c.bestEngine(index)
 	if best == nil || best.zone != c.zone {
 		return false
 	}
-	takes := loadTime(c.world.trace.models[index].bytes, best.cache.tier(index))
-	return c.untilNext(index) <= takes+preloadMargin
+	duration := loadTime(c.simulation.trace.models[index].bytes, best.cache.tier(index))
+	return c.untilNext(index) <= duration+preloadMargin
 }
 
-// bestEngine is where the model would be loaded fastest; nil where some engine
-// has it already.
+// bestEngine returns the engine that would load the model fastest, or nil if some
+// engine has it already or none may load it.
 func (c clairvoyant) bestEngine(model int) *engine {
 	var best *engine
-	bytes := c.world.trace.models[model].bytes
+	bytes := c.simulation.trace.models[model].bytes
 	var bestTime time.Duration
-	for _, candidate := range c.world.engines {
-		if !candidate.up || c.world.record.Limit(c.world.facts[model].Model, candidate.zone.name) == 0 {
+	for _, candidate := range c.simulation.engines {
+		if !candidate.up || c.simulation.record.Limit(c.simulation.models[model].Model, candidate.zone.name) == 0 {
 			continue
 		}
-		if candidate.find(model) != nil {
+		if candidate.findReplica(model) != nil {
 			return nil
 		}
-		takes := loadTime(bytes, candidate.cache.tier(model))
+		duration := loadTime(bytes, candidate.cache.tier(model))
 		if !candidate.fits(bytes) {
-			takes += time.Minute
+			duration += time.Minute
 		}
-		if best == nil || takes < bestTime {
-			best, bestTime = candidate, takes
+		if best == nil || duration < bestTime {
+			best, bestTime = candidate, duration
 		}
 	}
 	return best
--- a/internal/lab/policy/doc.go
+++ b/internal/lab/policy/doc.go
@@ -1,7 +1,8 @@
-// Package policy compares policies of keep-alive, preload and eviction on one
-// trace: the placement core of each zone runs on a virtual clock against
-// simulated engines and the model of the weight store. It is an experiment
-// runner; the same parameters give the same figures, bit by bit.
+// Package policy compares keep-alive, preload and eviction policies in a
+// discrete-event simulation. It replays one generated trace of requests and
+// faults against the placement core of each zone, with simulated engines and a
+// model of the weight store, on a virtual clock. Run is the runner that the
+// experiment package calls; equal parameters give bit-identical results.
 //
 // It may import experiment, placement, allotment, catalog, fleet, backend's
 // wire types and standin/weights.
--- a/internal/lab/policy/engine.go
+++ b/internal/lab/policy/engine.go
@@ -8,7 +8,7 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// engine is one simulated server: capacity, checkpoints and what is loaded.
+// engine is a simulated server with its loaded replicas and cached checkpoints.
 type engine struct {
 	name        fleet.BackendName
 	rack        string
@@ -17,22 +17,22 @@
 	incarnation uint64
 	fence       fleet.Fence
 	replicas    []*replica // by model
-	cache       checkpoints
+	cache       checkpointCache
 }
 
-// replica is a model in an engine's memory.
+// replica is a model loaded in an engine's memory.
 type replica struct {
 	engine *engine
 	model  int
 	state  fleet.LoadState
 	bytes  int64
-	// readID names its read from the weight store, "" for none.
+	// readID identifies its read from the weight store, if one is in progress.
 	readID     string
 	readySince time.Time
 	running    int
 	adapters   []loadedAdapter
-	// since is when its time was last counted.
-	since time.Duration
+	// recordedUntil is when its time was last added to the statistics.
+	recordedUntil time.Duration
 }
 
 type loadedAdapter struct {
@@ -40,7 +40,7 @@
 	ready   bool
 }
 
-func (e *engine) find(model int) *replica {
+func (e *engine) findReplica(model int) *replica {
 	for _, held := range e.replicas {
 		if held.model == model {
 			return held
@@ -65,7 +65,7 @@
 	e.replicas = slices.DeleteFunc(e.replicas, func(held *replica) bool { return held == gone })
 }
 
-func (e *engine) state(w *world) fleet.EngineState {
+func (e *engine) state(w *simulation) fleet.EngineState {
 	state := fleet.EngineState{
 		Backend:     fleet.Backend{Name: e.name, Kind: fleet.KindEngine, Zone: e.zone.name, Rack: e.rack},
 		Incarnation: e.incarnation, Fence: e.fence,
@@ -75,11 +75,11 @@
 	}
 	for _, held := range e.replicas {
 		loaded := fleet.LoadedModel{
-			Model: w.facts[held.model].Model, State: held.state, Bytes: held.bytes, ReadySince: held.readySince,
+			Model: w.models[held.model].Model, State: held.state, Bytes: held.bytes, ReadySince: held.readySince,
 		}
 		for _, adapter := range held.adapters {
 			if adapter.ready {
-				loaded.Adapters = append(loaded.Adapters, w.adapterFacts[adapter.adapter].Adapter)
+				loaded.Adapters = append(loaded.Adapters, w.adapters[adapter.adapter].Adapter)
 			}
 		}
 		state.Models = append(state.Models, loaded)
@@ -87,8 +87,9 @@
 	return state
 }
 
-// has reports whether the replica can run a request with the adapter.
-func (r *replica) has(adapter int) bool {
+// canServe reports whether the replica can run a request with the adapter; a
+// negative adapter means none.
+func (r *replica) canServe(adapter int) bool {
 	if r.state != fleet.LoadReady {
 		return false
 	}
@@ -97,12 +98,13 @@
 	})
 }
 
-// checkpoints are those kept beside the accelerator, from the least to the most
-// recently used; a full host memory drops to disk, a full disk drops out.
-type checkpoints struct {
+// checkpointCache holds the checkpoints in an engine's host memory and on its
+// disk, from the least to the most recently used. When host memory is full, the
+// least recently used move to disk; when the disk is full, they are dropped.
+type checkpointCache struct {
 	entries []checkpoint
-	// cached is what tiers returned last, nil once it has changed.
-	cached map[fleet.ModelVersion]fleet.Tier
+	// tierByModel caches the result of tiers; nil after a change.
+	tierByModel map[fleet.ModelVersion]fleet.Tier
 }
 
 type checkpoint struct {
@@ -111,7 +113,7 @@
 	tier  fleet.Tier
 }
 
-func (c *checkpoints) tier(model int) fleet.Tier {
+func (c *checkpointCache) tier(model int) fleet.Tier {
 	for _, entry := range c.entries {
 		if entry.model == model {
 			return entry.tier
@@ -120,16 +122,16 @@
 	return fleet.TierRemote
 }
 
-func (c *checkpoints) add(model int, bytes int64, tier fleet.Tier) {
+func (c *checkpointCache) add(model int, bytes int64, tier fleet.Tier) {
 	c.entries = slices.DeleteFunc(c.entries, func(entry checkpoint) bool { return entry.model == model })
 	c.entries = append(c.entries, checkpoint{model, bytes, tier})
 	c.demote(fleet.TierMemory, fleet.TierDisk, hostCacheBytes)
 	c.demote(fleet.TierDisk, fleet.TierRemote, diskCacheBytes)
 	c.entries = slices.DeleteFunc(c.entries, func(entry checkpoint) bool { return entry.tier == fleet.TierRemote })
-	c.cached = nil
+	c.tierByModel = nil
 }
 
-func (c *checkpoints) demote(from, to fleet.Tier, limit int64) {
+func (c *checkpointCache) demote(from, to fleet.Tier, limit int64) {
 	var used int64
 	for _, entry := range c.entries {
 		if entry.tier == from {
@@ -147,17 +149,17 @@
 	}
 }
 
-func (c *checkpoints) tiers(w *world) map[fleet.ModelVersion]fleet.Tier {
-	if c.cached == nil {
-		c.cached = make(map[fleet.ModelVersion]fleet.Tier, len(c.entries))
+func (c *checkpointCache) tiers(w *simulation) map[fleet.ModelVersion]fleet.Tier {
+	if c.tierByModel == nil {
+		c.tierByModel = make(map[fleet.ModelVersion]fleet.Tier, len(c.entries))
 		for _, entry := range c.entries {
-			c.cached[w.facts[entry.model].Model] = entry.tier
+			c.tierByModel[w.models[entry.model].Model] = entry.tier
 		}
 	}
-	return c.cached
+	return c.tierByModel
 }
 
-// loadTime is how long a load takes from a tier at full speed.
+// loadTime returns how long a load from a tier takes at full speed.
 func loadTime(bytes int64, tier fleet.Tier) time.Duration {
 	speed := remoteSpeed
 	switch tier {
@@ -170,16 +172,17 @@
 	return time.Duration(float64(bytes) / speed * float64(time.Second))
 }
 
-// take carries an order out; it returns a reason where it refuses.
-func (e *engine) take(w *world, order backend.Order) string {
+// execute carries out an order. It returns the reason if it refuses, otherwise an
+// empty string.
+func (e *engine) execute(w *simulation, order backend.Order) string {
 	if order.Fence != e.fence || order.Incarnation != e.incarnation {
 		return "fence"
 	}
 	model := w.modelIndex[order.Model]
-	held := e.find(model)
+	held := e.findReplica(model)
 	switch order.Action {
 	case backend.ActionLoad:
-		return e.takeLoad(w, held, model, order)
+		return e.executeLoad(w, held, model, order)
 	case backend.ActionUnload:
 		if held == nil {
 			return backend.ReasonNotLoaded
@@ -203,7 +206,7 @@
 	return ""
 }
 
-func (e *engine) takeLoad(w *world, held *replica, model int, order backend.Order) string {
+func (e *engine) executeLoad(w *simulation, held *replica, model int, order backend.Order) string {
 	if held != nil {
 		return backend.ReasonDuplicate
 	}
--- a/internal/lab/policy/figures.go
+++ b/internal/lab/policy/figures.go
@@ -6,51 +6,52 @@
 	"github.com/spanlanding/spanlanding/internal/fleet"
 )
 
-// figures are what one run measured, within its measured time.
-type figures struct {
-	trace     *Trace
-	from, end time.Duration
+// statistics are the results of one run, within its measured period.
+type statistics struct {
+	trace      *Trace
+	start, end time.Duration
 
-	// waits are of all requests, firstWaits of first ones, in seconds.
-	waits      []float64
-	firstWaits []float64
-	cold       int
-	met        int
-	unserved   int
-	refusals   int
-	loads      map[fleet.Tier]int
-	unloads    int
-	evictions  int
+	// waits has the waiting times of all requests in seconds, firstWaits those of
+	// first requests.
+	waits        []float64
+	firstWaits   []float64
+	cold         int
+	deadlinesMet int
+	unserved     int
+	refusals     int
+	loads        map[fleet.Tier]int
+	unloads      int
+	evictions    int
 
-	// Hours of replicas and of memory, by what the replica did.
+	// Replica hours and GiB hours, by the state of the replica.
 	idle, busy, loading          float64
 	idleGiB, busyGiB, loadingGiB float64
 	idleByHour                   [24]float64
 }
 
-func (f *figures) measured(at time.Duration) bool { return at >= f.from && at < f.end }
+func (f *statistics) inWindow(at time.Duration) bool { return at >= f.start && at < f.end }
 
-// served notes that a request begins to run, or that the end of the run cut
-// its wait off.
-func (f *figures) served(waits *pending, now time.Duration) {
-	if !f.measured(waits.at) {
+// recordStart records the wait of a request that begins to run, or that still
+// waits at the end of the trace.
+func (f *statistics) recordStart(request *pendingRequest, now time.Duration) {
+	if !f.inWindow(request.at) {
 		return
 	}
-	waited := now - waits.at
+	waited := now - request.at
 	f.waits = append(f.waits, waited.Seconds())
-	if waits.first {
+	if request.first {
 		f.firstWaits = append(f.firstWaits, waited.Seconds())
 	}
 	if waited > 0 {
 		f.cold++
 	}
-	if waited <= f.trace.models[waits.model].deadline {
-		f.met++
+	if waited <= f.trace.models[request.model].deadline {
+		f.deadlinesMet++
 	}
 }
 
-func (f *figures) load(now time.Duration, tier fleet.Tier) {
-	if !f.measured(now) {
+func (f *statistics) recordLoad(now time.Duration, tier fleet.Tier) {
+	if !f.inWindow(now) {
 		return
 	}
 	if f.loads == nil {
@@ -59,8 +60,8 @@
 	f.loads[tier]++
 }
 
-func (f *figures) unload(now time.Duration, evicts bool) {
-	if !f.measured(now) {
+func (f *statistics) recordUnload(now time.Duration, evicts bool) {
+	if !f.inWindow(now) {
 		return
 	}
 	f.unloads++
@@ -69,18 +70,18 @@
 	}
 }
 
-func (f *figures) refuse(now time.Duration) {
-	if f.measured(now) {
+func (f *statistics) recordRefusal(now time.Duration) {
+	if f.inWindow(now) {
 		f.refusals++
 	}
 }
 
-// count adds up a replica's time since it was last counted.
-func (w *world) count(held *replica) {
-	f := w.figures
-	from := max(held.since, f.from)
+// recordReplicaTime adds a replica's time since it was last recorded.
+func (w *simulation) recordReplicaTime(held *replica) {
+	f := w.statistics
+	from := max(held.recordedUntil, f.start)
 	to := min(w.now, f.end)
-	held.since = w.now
+	held.recordedUntil = w.now
 	if to <= from {
 		return
 	}
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -12,7 +12,8 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// shortRun measures a morning after a night.
+// shortRun measures two hours of the morning after a warm-up of five hours of the
+// night, and returns the values by policy and metric.
 func shortRun(t *testing.T, policies ...string) map[string]map[string]float64 {
 	t.Helper()
 	file := experiment.File{
@@ -20,9 +21,9 @@
 		Matrix:  experiment.Matrix{Profile: []string{"holmgaard"}, Policy: policies},
 		Options: map[string]string{optionLearn: "5h"},
 	}
-	const sideBySide = 2
+	const parallelRuns = 2
 	result, err := experiment.Execute(t.Context(), file, experiment.Registry{Name: experiment.RunnerFunc(Run)},
-		experiment.Options{Parallel: sideBySide})
+		experiment.Options{Parallel: parallelRuns})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +38,7 @@
 }
 
 func TestPoliciesAreInTheOrderThatMustHold(t *testing.T) {
-	figures := shortRun(t, "fixed-1m", "fixed-10m", neverName, ownName, clairvoyantName)
+	figures := shortRun(t, "fixed-1m", "fixed-10m", neverUnloadName, ownName, clairvoyantName)
 	atMost := func(metric string, names ...string) {
 		for index := 1; index < len(names); index++ {
 			less, more := figures[names[index-1]][metric], figures[names[index]][metric]
@@ -46,18 +47,18 @@
 			}
 		}
 	}
-	atMost("idle memory", "fixed-1m", "fixed-10m", neverName)
-	atMost("cold", neverName, "fixed-10m", "fixed-1m")
-	atMost("loads", neverName, "fixed-10m", "fixed-1m")
-	for _, name := range []string{"fixed-1m", "fixed-10m", neverName, ownName} {
+	atMost("idle memory", "fixed-1m", "fixed-10m", neverUnloadName)
+	atMost("cold", neverUnloadName, "fixed-10m", "fixed-1m")
+	atMost("loads", neverUnloadName, "fixed-10m", "fixed-1m")
+	for _, name := range []string{"fixed-1m", "fixed-10m", neverUnloadName, ownName} {
 		atMost("idle memory", clairvoyantName, name)
 	}
 	for _, name := range []string{"fixed-1m", "fixed-10m"} {
 		atMost("first wait mean", clairvoyantName, name)
 	}
 	for name, values := range figures {
-		if values["requests"] == 0 || values["requests"] != figures[neverName]["requests"] {
-			t.Errorf("%s served %v requests of the trace", name, values["requests"])
+		if values["requests"] == 0 || values["requests"] != figures[neverUnloadName]["requests"] {
+			t.Errorf("%s recorded %v requests, expected the same number for every policy", name, values["requests"])
 		}
 	}
 }
@@ -94,45 +95,45 @@
 	}
 	trace := NewTrace(shape, 1, 0, 24*time.Hour)
 	if !slices.IsSortedFunc(trace.requests, func(a, b request) int { return int(a.at - b.at) }) {
-		t.Error("the requests are not in order")
+		t.Error("the requests are not sorted by time")
 	}
 	nodes := make(map[int]map[int]bool)
 	bursts := 0
-	for _, asked := range trace.requests {
-		if asked.first {
-			nodes[asked.model] = make(map[int]bool)
+	for _, request := range trace.requests {
+		if request.first {
+			nodes[request.model] = make(map[int]bool)
 		}
-		nodes[asked.model][asked.node] = true
-		if asked.first {
+		nodes[request.model][request.node] = true
+		if request.first {
 			continue
 		}
-		if len(nodes[asked.model]) == 3 {
+		if len(nodes[request.model]) == 3 {
 			bursts++
 		}
 	}
 	if bursts < 100 {
-		t.Errorf("%d requests came to a third node", bursts)
+		t.Errorf("%d requests reached a third node, expected at least 100", bursts)
 	}
 }
 
 func TestUnknownPoliciesAreRefused(t *testing.T) {
 	shape, _ := FindShape("fjordkurv")
 	for _, name := range []string{"", "own-2", "own-x", "fixed-", "own-without-luck", "best"} {
-		if _, err := findSetup(name, shape); err == nil {
-			t.Errorf("%q was taken", name)
+		if _, err := parseSetup(name, shape); err == nil {
+			t.Errorf("unknown policy %q was accepted", name)
 		}
 	}
 }
 
 func TestCheckpointsDropFromHostToDiskAndOut(t *testing.T) {
-	var cache checkpoints
+	var cache checkpointCache
 	for model := range 5 {
 		cache.add(model, 48*gib, fleet.TierMemory)
 	}
 	want := []fleet.Tier{fleet.TierRemote, fleet.TierRemote, fleet.TierDisk, fleet.TierDisk, fleet.TierMemory}
 	for model, tier := range want {
 		if got := cache.tier(model); got != tier {
-			t.Errorf("model %d lies in %s, expected %s", model, got, tier)
+			t.Errorf("model %d has tier %s, expected %s", model, got, tier)
 		}
 	}
 }
--- a/internal/lab/policy/queue.go
+++ b/internal/lab/policy/queue.go
@@ -8,25 +8,26 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// queue has the requests that wait for one model, at all nodes.
+// queue holds the requests of all nodes that wait for one model.
 type queue struct {
 	model   int
-	pending []*pending
-	// asked are the zones that know of wants, refusedBy those that refused
-	// until the time.
-	asked     map[int]bool
-	refusedBy map[int]time.Duration
-	// starved counts the zones whose wants nobody could serve, until the time.
-	starved map[int]time.Duration
-	// repeatedAt is when the wants were last repeated to a zone.
+	pending []*pendingRequest
+	// reportedTo are the zones that have been told of wants; refusedUntil holds,
+	// by zone, when a refusal expires.
+	reportedTo   map[int]bool
+	refusedUntil map[int]time.Duration
+	// starvedUntil holds, by zone, until when its wants count as starved because
+	// no zone could serve them.
+	starvedUntil map[int]time.Duration
+	// repeatedAt is when the wants were last reported to each zone.
 	repeatedAt map[int]time.Duration
 }
 
-// pending is a request that waits.
-type pending struct {
+// pendingRequest is a waiting request.
+type pendingRequest struct {
 	*request
-	// refusedUntil is when a refused caller comes again.
-	refusedUntil time.Duration
+	// retryAt is when a refused caller retries.
+	retryAt time.Duration
 }
 
 const (
@@ -35,76 +36,77 @@
 	starvedLifetime = 5 * time.Second
 )
 
-// nodeZone is the zone of a node.
-func (w *world) nodeZone(node int) int { return node % len(w.zones) }
+// nodeZone returns the index of a node's zone.
+func (w *simulation) nodeZone(node int) int { return node % len(w.zones) }
 
-func (w *world) arrive(asked *request) {
+func (w *simulation) arrive(arrived *request) {
 	for _, zone := range w.zones {
-		if zone.core != nil && w.record.Limit(w.facts[asked.model].Model, zone.name) > 0 {
-			zone.arrived[asked.model]++
+		if zone.core != nil && w.record.Limit(w.models[arrived.model].Model, zone.name) > 0 {
+			zone.arrived[arrived.model]++
 		}
 	}
-	waits := &pending{request: asked}
-	if w.serve(waits) {
+	pending := &pendingRequest{request: arrived}
+	if w.serve(pending) {
 		return
 	}
-	queue := w.waiting[asked.model]
-	queue.pending = append(queue.pending, waits)
-	w.want(queue)
+	queue := w.queues[arrived.model]
+	queue.pending = append(queue.pending, pending)
+	w.reportWants(queue)
 }
 
-// serve starts the request at the replica with the least running.
-func (w *world) serve(waits *pending) bool {
+// serve starts the request at the replica with the fewest running requests.
+func (w *simulation) serve(pending *pendingRequest) bool {
 	var best *replica
 	for _, engine := range w.engines {
 		if !engine.up {
 			continue
 		}
-		held := engine.find(waits.model)
-		if held != nil && held.has(waits.adapter) && (best == nil || held.running < best.running) {
+		held := engine.findReplica(pending.model)
+		if held != nil && held.canServe(pending.adapter) && (best == nil || held.running < best.running) {
 			best = held
 		}
 	}
 	if best == nil {
 		return false
 	}
-	w.figures.served(waits, w.now)
-	w.count(best)
+	w.statistics.recordStart(pending, w.now)
+	w.recordReplicaTime(best)
 	best.running++
-	w.after(waits.runs, func() {
-		if best.engine.find(best.model) != best {
+	w.scheduleAfter(pending.serviceTime, func() {
+		if best.engine.findReplica(best.model) != best {
 			return
 		}
-		w.count(best)
+		w.recordReplicaTime(best)
 		best.running--
 		w.freeWhenIdle(best)
 	})
 	return true
 }
 
-// dispatch serves what waits and can run now.
-func (w *world) dispatch(model int) {
-	queue := w.waiting[model]
+// dispatch starts the waiting requests that can run now.
+func (w *simulation) dispatch(model int) {
+	queue := w.queues[model]
 	if len(queue.pending) == 0 {
 		return
 	}
-	var left []*pending
-	for _, waits := range queue.pending {
-		if !w.serve(waits) {
-			left = append(left, waits)
+	var left []*pendingRequest
+	for _, pending := range queue.pending {
+		if !w.serve(pending) {
+			left = append(left, pending)
 		}
 	}
 	queue.pending = left
-	w.want(queue)
+	w.reportWants(queue)
 }
 
-// target is the zone that a zone's wants go to: itself where it has allotment,
-// else the one with the most that has not just refused; -1 for none.
-func (q *queue) target(w *world, home int) int {
-	model := w.facts[q.model].Model
+// targetZone returns the zone that gets the wants of the home zone: the home zone
+// if it has an allotment, otherwise the zone with the largest allotment. Zones
+// that refused recently are left out; -1 means no zone.
+func (q *queue) targetZone(w *simulation, home int) int {
+	model := w.models[q.model].Model
 	usable := func(index int) bool {
 		zone := w.zones[index]
-		return zone.core != nil && w.record.Limit(model, zone.name) > 0 && q.refusedBy[index] <= w.now
+		return zone.core != nil && w.record.Limit(model, zone.name) > 0 && q.refusedUntil[index] <= w.now
 	}
 	if usable(home) {
 		return home
@@ -120,26 +122,26 @@
 
 type wantKey struct{ node, adapter int }
 
-// wantsFor merges what waits at each node and goes to the zone.
-func (q *queue) wantsFor(w *world, target int) []fleet.Want {
+// wantsFor returns the wants for the target zone, one for each node and adapter.
+func (q *queue) wantsFor(w *simulation, target int) []fleet.Want {
 	var wants []fleet.Want
 	index := make(map[wantKey]int)
-	for _, waits := range q.pending {
-		if q.target(w, w.nodeZone(waits.node)) != target {
+	for _, pending := range q.pending {
+		if q.targetZone(w, w.nodeZone(pending.node)) != target {
 			continue
 		}
-		key := wantKey{waits.node, waits.adapter}
+		key := wantKey{pending.node, pending.adapter}
 		at, known := index[key]
 		if !known {
 			at = len(wants)
 			index[key] = at
 			want := fleet.Want{
-				Model: w.facts[q.model].Model, Node: fleet.NodeName(fmt.Sprintf("node-%d", waits.node)),
-				Zone: w.zones[w.nodeZone(waits.node)].name, Priority: w.trace.models[q.model].priority,
-				Deadline: w.epoch.Add(waits.at + w.trace.models[q.model].deadline),
+				Model: w.models[q.model].Model, Node: fleet.NodeName(fmt.Sprintf("node-%d", pending.node)),
+				Zone: w.zones[w.nodeZone(pending.node)].name, Priority: w.trace.models[q.model].priority,
+				Deadline: w.epoch.Add(pending.at + w.trace.models[q.model].deadline),
 			}
-			if waits.adapter >= 0 {
-				want.Adapter = w.adapterFacts[waits.adapter].Adapter
+			if pending.adapter >= 0 {
+				want.Adapter = w.adapters[pending.adapter].Adapter
 			}
 			wants = append(wants, want)
 		}
@@ -148,25 +150,25 @@
 	return wants
 }
 
-// want tells the zones at once what waits; those that were told before and get
-// nothing now learn that nothing waits.
-func (w *world) want(queue *queue) {
-	if queue.asked == nil {
-		queue.asked, queue.repeatedAt = make(map[int]bool), make(map[int]time.Duration)
-		queue.refusedBy, queue.starved = make(map[int]time.Duration), make(map[int]time.Duration)
+// reportWants reports the waiting requests to the zones. Zones that had wants
+// before and have none now get wants with a count of zero.
+func (w *simulation) reportWants(queue *queue) {
+	if queue.reportedTo == nil {
+		queue.reportedTo, queue.repeatedAt = make(map[int]bool), make(map[int]time.Duration)
+		queue.refusedUntil, queue.starvedUntil = make(map[int]time.Duration), make(map[int]time.Duration)
 	}
 	for index, zone := range w.zones {
 		wants := queue.wantsFor(w, index)
 		switch {
 		case zone.core == nil:
 		case len(wants) > 0:
-			queue.asked[index] = true
+			queue.reportedTo[index] = true
 			queue.repeatedAt[index] = w.now
-			// Not at once: what a core decides may come back to this queue.
-			w.after(0, func() { zone.report(queue.clear(w, index, wants)) })
-		case queue.asked[index]:
-			delete(queue.asked, index)
-			w.after(0, func() { zone.report(queue.clear(w, index, nil)) })
+			// Deferred, because the effects of the core's step may change this queue.
+			w.scheduleAfter(0, func() { zone.report(queue.appendZeroWants(w, index, wants)) })
+		case queue.reportedTo[index]:
+			delete(queue.reportedTo, index)
+			w.scheduleAfter(0, func() { zone.report(queue.appendZeroWants(w, index, nil)) })
 		}
 	}
 }
@@ -175,12 +177,13 @@
 	if z.core == nil {
 		return
 	}
-	z.tell(placement.WantsReported{Wants: wants})
-	z.schedule(busyTick)
+	z.step(placement.WantsReported{Wants: wants})
+	z.schedulePlan(busyPlanInterval)
 }
 
-// clear adds, for each node and adapter without a want, that nothing waits.
-func (q *queue) clear(w *world, target int, wants []fleet.Want) []fleet.Want {
+// appendZeroWants adds a want with a count of zero for each node and adapter
+// without one.
+func (q *queue) appendZeroWants(w *simulation, target int, wants []fleet.Want) []fleet.Want {
 	type key struct {
 		node    fleet.NodeName
 		adapter fleet.AdapterName
@@ -191,54 +194,56 @@
 	}
 	names := []fleet.AdapterName{""}
 	for _, adapter := range w.trace.models[q.model].adapters {
-		names = append(names, w.adapterFacts[adapter].Adapter)
+		names = append(names, w.adapters[adapter].Adapter)
 	}
 	for node := range w.trace.shape.NodesPerZone * len(w.zones) {
 		for _, adapter := range names {
 			name := fleet.NodeName(fmt.Sprintf("node-%d", node))
 			if !present[key{name, adapter}] {
-				wants = append(wants, fleet.Want{Model: w.facts[q.model].Model, Node: name, Adapter: adapter})
+				wants = append(wants, fleet.Want{Model: w.models[q.model].Model, Node: name, Adapter: adapter})
 			}
 		}
 	}
 	return wants
 }
 
-// repeated are the wants that the zone must hear again.
-func (q *queue) repeated(z *zone) []fleet.Want {
-	if len(q.pending) == 0 || z.world.now-q.repeatedAt[z.index] < repeatInterval {
+// dueWants returns the wants that are due to be reported to the zone again.
+func (q *queue) dueWants(z *zone) []fleet.Want {
+	if len(q.pending) == 0 || z.simulation.now-q.repeatedAt[z.index] < repeatInterval {
 		return nil
 	}
-	q.repeatedAt[z.index] = z.world.now
-	wants := q.wantsFor(z.world, z.index)
+	q.repeatedAt[z.index] = z.simulation.now
+	wants := q.wantsFor(z.simulation, z.index)
 	if len(wants) > 0 {
-		q.asked[z.index] = true
+		q.reportedTo[z.index] = true
 	}
 	return wants
 }
 
-// refused notes that a zone cannot load the model now. Where no other can,
-// the callers are told and come again later.
-func (w *world) refused(zone *zone, model int, wait time.Duration) {
-	queue := w.waiting[model]
-	queue.refusedBy[zone.index] = w.now + refusalLifetime
-	for _, waits := range queue.pending {
-		home := w.nodeZone(waits.node)
-		if queue.target(w, home) >= 0 {
+// handleRefusal records that a zone can't load the model now. If no other zone
+// can, the callers are refused and retry later.
+func (w *simulation) handleRefusal(zone *zone, model int, wait time.Duration) {
+	queue := w.queues[model]
+	queue.refusedUntil[zone.index] = w.now + refusalLifetime
+	for _, pending := range queue.pending {
+		home := w.nodeZone(pending.node)
+		if queue.targetZone(w, home) >= 0 {
 			continue
 		}
-		queue.starved[home] = w.now + starvedLifetime
-		w.undecided = true
-		if waits.refusedUntil <= w.now {
-			waits.refusedUntil = w.now + wait
-			w.figures.refuse(w.now)
+		queue.starvedUntil[home] = w.now + starvedLifetime
+		w.allotmentsStale = true
+		if pending.retryAt <= w.now {
+			pending.retryAt = w.now + wait
+			w.statistics.recordRefusal(w.now)
 		}
 	}
 }
 
-func (q *queue) starvedZones(w *world) map[fleet.Zone]int {
+// starvedZones returns the zones whose wants no zone could serve recently.
+// starvedZones returns the zones whose wants no zone could serve recently.
+func (q *queue) starvedZones(w *simulation) map[fleet.Zone]int {
 	var starved map[fleet.Zone]int
-	for index, until := range q.starved {
+	for index, until := range q.starvedUntil {
 		if until > w.now {
 			if starved == nil {
 				starved = make(map[fleet.Zone]int)
--- a/internal/lab/policy/runner.go
+++ b/internal/lab/policy/runner.go
@@ -13,7 +13,8 @@
 // Name is the runner's name in experiment files.
 const Name = "keepalive"
 
-// optionLearn is the time before measuring begins, in which policies learn.
+// optionLearn names the option for the warm-up period, in which policies learn
+// before measuring begins.
 const optionLearn = "learn"
 
 const (
@@ -27,7 +28,7 @@
 	if err != nil {
 		return experiment.Measurements{}, err
 	}
-	policy, err := findSetup(parameters.Policy, shape)
+	policy, err := parseSetup(parameters.Policy, shape)
 	if err != nil {
 		return experiment.Measurements{}, err
 	}
@@ -38,14 +39,14 @@
 		}
 	}
 	trace := NewTrace(shape, parameters.Seed, learn, cmp.Or(parameters.Duration, defaultDuration))
-	w := newWorld(trace, policy)
+	w := newSimulation(trace, policy)
 	if err := w.run(ctx); err != nil {
 		return experiment.Measurements{}, err
 	}
-	return w.figures.measurements(), nil
+	return w.statistics.measurements(), nil
 }
 
-func (f *figures) measurements() experiment.Measurements {
+func (f *statistics) measurements() experiment.Measurements {
 	value := func(metric, unit string, value float64) experiment.Value {
 		return experiment.Value{Metric: metric, Unit: unit, Value: value}
 	}
@@ -63,7 +64,7 @@
 			value("requests", "requests", float64(len(f.waits))),
 			value("first requests", "requests", float64(len(f.firstWaits))),
 			value("cold", "% of requests", 100*float64(f.cold)/max(1, float64(len(f.waits)))),
-			value("deadlines met", "% of requests", 100*float64(f.met)/max(1, float64(len(f.waits)))),
+			value("deadlines met", "% of requests", 100*float64(f.deadlinesMet)/max(1, float64(len(f.waits)))),
 			value("loads", "loads", float64(loads)),
 			value("remote loads", "loads", float64(f.loads[fleet.TierRemote])),
 			value("unloads", "unloads", float64(f.unloads)),
--- a/internal/lab/policy/setups.go
+++ b/internal/lab/policy/setups.go
@@ -10,20 +10,21 @@
 	"github.com/spanlanding/spanlanding/internal/placement"
 )
 
-// setup is one policy under which the fleet runs.
+// setup configures the placement cores for one policy.
 type setup struct {
-	// weight is the preference from 0, only idle hours count, to 1.
+	// weight is the cold-start weight: at 0 only idle hours count, at 1 only cold
+	// starts.
 	weight   float64
 	settings placement.Settings
-	without  placement.DisabledMechanisms
-	// preloadEvicts lets models that are loaded ahead evict others.
+	disabled placement.DisabledMechanisms
+	// preloadEvicts lets preloaded models evict others.
 	preloadEvicts bool
-	// policy replaces the core's own; nil for none.
-	policy func(w *world, z *zone) placement.Policy
+	// policy replaces the core's own policy, if not nil.
+	policy func(w *simulation, z *zone) placement.Policy
 }
 
-func (s setup) options(w *world, z *zone) placement.Options {
-	options := placement.Options{Settings: s.settings, Disabled: s.without, PreloadEvicts: s.preloadEvicts}
+func (s setup) options(w *simulation, z *zone) placement.Options {
+	options := placement.Options{Settings: s.settings, Disabled: s.disabled, PreloadEvicts: s.preloadEvicts}
 	options.Settings.StoreLoadsPerSecond = w.trace.shape.StoreRate
 	options.Settings.StoreConcurrency = w.trace.shape.StoreConcurrency
 	if s.policy != nil {
@@ -32,20 +33,21 @@
 	return options
 }
 
-// Names of policies; ownPrefix and fixedPrefix take a number.
+// Names of policies. ownPrefix is followed by a cold-start weight, the fixed
+// prefixes by a keep-alive duration and withoutPrefix by a mechanism.
 const (
-	ownName         = "own"
-	ownPrefix       = "own-"
-	fixedPrefix     = "fixed-"
-	fixedAnyPrefix  = "fixed-any-engine-"
-	neverName       = "never-unload"
-	clairvoyantName = "clairvoyant"
-	clairvoyantKeep = "clairvoyant-no-preload"
-	withoutPrefix   = "own-without-"
+	ownName                  = "own"
+	ownPrefix                = "own-"
+	fixedPrefix              = "fixed-"
+	fixedAnyEnginePrefix     = "fixed-any-engine-"
+	neverUnloadName          = "never-unload"
+	clairvoyantName          = "clairvoyant"
+	clairvoyantNoPreloadName = "clairvoyant-no-preload"
+	withoutPrefix            = "own-without-"
 )
 
-// withouts are the mechanisms that can be turned off.
-var withouts = map[string]placement.DisabledMechanisms{
+// disableableMechanisms are the mechanisms that a policy name can turn off.
+var disableableMechanisms = map[string]placement.DisabledMechanisms{
 	"preload":       {Preload: true},
 	"idle-times":    {IdleTimes: true},
 	"eviction-cost": {EvictionCost: true},
@@ -53,27 +55,27 @@
 	"coalescing":    {Coalescing: true},
 }
 
-// findSetup reads the name of a policy, such as own-0.8, fixed-10m or
+// parseSetup parses the name of a policy, such as own-0.8, fixed-10m or
 // own-without-tiers.
-func findSetup(name string, shape Shape) (setup, error) {
+func parseSetup(name string, shape Shape) (setup, error) {
 	found := setup{weight: shape.ColdStartWeight, settings: placement.DefaultSettings()}
 	unknown := fmt.Errorf("policy %q is not known", name)
 	switch {
 	case name == ownName:
-	case name == neverName:
-		found.policy = fixed(never)
-	case name == clairvoyantName, name == clairvoyantKeep:
+	case name == neverUnloadName:
+		found.policy = fixedPolicy(never)
+	case name == clairvoyantName, name == clairvoyantNoPreloadName:
 		found.settings.MinResidence = 0
 		found.preloadEvicts = true
-		found.policy = func(w *world, z *zone) placement.Policy {
-			return clairvoyant{world: w, zone: z, preloads: name == clairvoyantName}
+		found.policy = func(w *simulation, z *zone) placement.Policy {
+			return clairvoyant{simulation: w, zone: z, preloads: name == clairvoyantName}
 		}
 	case strings.HasPrefix(name, withoutPrefix):
-		without, known := withouts[strings.TrimPrefix(name, withoutPrefix)]
+		mechanisms, known := disableableMechanisms[strings.TrimPrefix(name, withoutPrefix)]
 		if !known {
 			return setup{}, unknown
 		}
-		found.without = without
+		found.disabled = mechanisms
 	case strings.HasPrefix(name, ownPrefix):
 		weight, err := strconv.ParseFloat(strings.TrimPrefix(name, ownPrefix), 64)
 		if err != nil || weight < 0 || weight > 1 {
@@ -81,7 +83,7 @@
 		}
 		found.weight = weight
 	case strings.HasPrefix(name, fixedPrefix):
-		span, anyEngine := strings.CutPrefix(name, fixedAnyPrefix)
+		span, anyEngine := strings.CutPrefix(name, fixedAnyEnginePrefix)
 		if !anyEngine {
 			span = strings.TrimPrefix(name, fixedPrefix)
 		}
@@ -89,17 +91,18 @@
 		if err != nil {
 			return setup{}, unknown
 		}
-		found.without.Tiers = anyEngine
-		found.policy = fixed(keepAlive)
+		found.disabled.Tiers = anyEngine
+		found.policy = fixedPolicy(keepAlive)
 	default:
 		return setup{}, unknown
 	}
 	return found, nil
 }
 
-// fixed keeps every model for a time and evicts the least recently used.
-func fixed(keepAlive time.Duration) func(*world, *zone) placement.Policy {
-	return func(*world, *zone) placement.Policy { return fixedKeepAlive(keepAlive) }
+// fixedPolicy keeps every idle model for a fixed time and evicts the least
+// recently used.
+func fixedPolicy(keepAlive time.Duration) func(*simulation, *zone) placement.Policy {
+	return func(*simulation, *zone) placement.Policy { return fixedKeepAlive(keepAlive) }
 }
 
 type fixedKeepAlive time.Duration
--- a/internal/lab/policy/shape.go
+++ b/internal/lab/policy/shape.go
@@ -7,28 +7,29 @@
 
 const gib = int64(1) << 30
 
-// Shape is the fleet and the traffic of one user.
+// Shape describes the fleet and the traffic of one profile.
 type Shape struct {
 	Name     string
 	Zones    int
 	Engines  int
 	Models   int
 	Adapters int
-	// StoreRate and StoreConcurrency are the weight store's loads a second and
-	// reads at once at full speed.
+	// StoreRate is the weight store's limit of loads a second; StoreConcurrency is
+	// how many concurrent reads it serves at full speed.
 	StoreRate        float64
 	StoreConcurrency int
-	// ColdStartWeight is the declared preference.
+	// ColdStartWeight is the declared weight of cold starts against idle memory.
 	ColdStartWeight float64
-	// NodesPerZone see the bursts of first requests.
+	// NodesPerZone is how many nodes of a zone receive requests; bursts of first
+	// requests spread over them.
 	NodesPerZone int
-	// Kinds are the shares of the models by what wakes them, in the order of
-	// the kinds; the rest is rare.
+	// The shares of the models by arrival pattern, in the order of the kinds; the
+	// rest is rare.
 	Steady, Office, Periodic, Daily float64
 }
 
-// Engine sizes: 80 GiB a server, of which the KV cache of long contexts takes
-// a part; checkpoints in host memory and on the server's disk.
+// Engine sizes: 80 GiB a server, of which a part is reserved for the KV cache of
+// long contexts, and the checkpoint caches in host memory and on disk.
 const (
 	engineMemory   = 80 * gib
 	engineReserve  = 24 * gib
@@ -36,14 +37,16 @@
 	diskCacheBytes = 128 * gib
 )
 
-// Speeds of a load by where the checkpoint lies, in bytes a second: 14 GiB take
-// 20 s from the weight store, 5 s from disk and 1 s from host memory.
+// Load speeds by the tier of the checkpoint, in bytes a second: 14 GiB take 20 s from
+// the weight store, 5 s from disk and 1 s from host memory.
 const (
 	remoteSpeed = 14 * float64(gib) / 20
 	diskSpeed   = 14 * float64(gib) / 5
 	hostSpeed   = 14 * float64(gib) / 1
 )
 
+// Durations of the other engine operations.
+// Durations of the other engine operations.
 const (
 	adapterLoad  = 200 * time.Millisecond
 	unloadTime   = 50 * time.Millisecond
@@ -63,7 +66,7 @@
 	},
 }
 
-// FindShape returns the shape of a profile.
+// FindShape returns the shape of the named profile.
 func FindShape(name string) (Shape, error) {
 	for _, shape := range shapes {
 		if shape.Name == name {
--- a/internal/lab/policy/trace.go
+++ b/internal/lab/policy/trace.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// kind is what wakes a model.
+// kind is the arrival pattern of a model's requests.
 type kind int
 
 const (
 	// steady models have requests all day, fewer at night.
 	steady kind = iota
-	// office models wake by people at work, with heavy-tailed idle times.
+	// office models are used by people at work, with heavy-tailed idle times.
 	office
-	// periodic ones are asked at fixed intervals.
+	// periodic models get requests at fixed intervals.
 	periodic
-	// daily ones run at about the same hours each day: overnight re-plans and
-	// morning reports.
+	// daily models run at about the same hours each day, such as for overnight
+	// planning and morning reports.
 	daily
-	// rare ones wake a few times a day, at any hour.
+	// rare models get requests a few times a day, at any hour.
 	rare
 )
 
@@ -42,51 +42,54 @@
 	model   int
 	adapter int // -1 for none
 	node    int
-	// runs is how long an engine works on it.
-	runs time.Duration
-	// first is set where the model had no request for wakeGap before.
+	// serviceTime is how long an engine works on it.
+	serviceTime time.Duration
+	// first is set if the model had no request for wakeGap before.
 	first bool
 }
 
-// wakeGap is the silence after which a request counts as a first one.
+// wakeGap is the idle time after which a request counts as a first one.
 const wakeGap = time.Minute
 
-// fault is a change of the surroundings.
+// fault is a failure or recovery of an engine or zone, or a change of the weight
+// store's speed.
 type fault struct {
 	at   time.Duration
 	kind faultKind
-	// engine or zone is what is struck; slow is the store's factor.
+	// engine or zone is the index of what is affected; slowdown is the factor by
+	// which the store slows down.
 	engine, zone int
-	slow         float64
+	slowdown     float64
 }
 
 type faultKind int
 
 const (
-	engineDies faultKind = iota
-	engineBack
-	zoneDies
-	zoneBack
-	storeSlow
+	engineFails faultKind = iota
+	engineRestarts
+	zoneFails
+	zoneRecovers
+	storeSlows
 )
 
-// Trace is all that happens to the fleet from outside.
+// Trace holds all external inputs of a simulation: the declared models, the
+// requests and the faults.
 type Trace struct {
 	shape  Shape
 	models []model
-	// adapterModels names the base model of each adapter.
+	// adapterModels has the base model of each adapter.
 	adapterModels []int
 	requests      []request
 	faults        []fault
 	// cached are the engines that have a model's checkpoint on disk at the start.
 	cached [][]int
-	// measuredFrom separates the time in which policies learn.
+	// measuredFrom is the end of the warm-up, in which policies learn.
 	measuredFrom, end time.Duration
 	// arrivals are the times of each model's requests.
 	arrivals [][]time.Duration
 }
 
-// generator draws a trace.
+// generator generates a trace.
 type generator struct {
 	*Trace
 	random *rand.Rand
@@ -94,7 +97,8 @@
 
 const traceSeed = 0x7472616365
 
-// NewTrace draws the trace of a seed: learn is the time before measuring.
+// NewTrace generates the trace of a seed: learn is the warm-up before the
+// measured period.
 func NewTrace(shape Shape, seed uint64, learn, measured time.Duration) *Trace {
 	g := generator{
 		Trace:  &Trace{shape: shape, measuredFrom: learn, end: learn + measured},
@@ -110,7 +114,7 @@
 	return g.Trace
 }
 
-// sizes of models in GiB: most are of medium size.
+// sizes of models in GiB; most are of medium size.
 var sizes = []int64{4, 6, 8, 8, 12, 12, 14, 14, 16, 18, 22, 28, 32, 40}
 
 const (
@@ -142,12 +146,12 @@
 		case share < 0.3:
 			drawn.maxReplicas = 2
 		}
-		g.adjust(&drawn)
+		g.applyKind(&drawn)
 		g.models = append(g.models, drawn)
 		g.cached = append(g.cached, g.random.Perm(g.shape.Engines)[:g.random.IntN(3)])
 	}
 	for adapter := range g.shape.Adapters {
-		// Adapters gather at few bases.
+		// The exponent concentrates adapters on a few base models.
 		base := int(float64(g.shape.Models) * math.Pow(g.random.Float64(), 1.6))
 		g.adapterModels = append(g.adapterModels, base)
 		g.models[base].adapters = append(g.models[base].adapters, adapter)
@@ -156,8 +160,8 @@
 
 func kindOf(index int) kind { return kind(index) }
 
-// adjust sets what goes with a kind of model.
-func (g *generator) adjust(drawn *model) {
+// applyKind sets the properties that depend on the kind of model.
+func (g *generator) applyKind(drawn *model) {
 	switch drawn.kind {
 	case steady:
 		drawn.bytes = min(drawn.bytes, 8*gib)
@@ -174,42 +178,44 @@
 	}
 }
 
+// markFirst marks the first requests and collects the arrival times by model.
+// markFirst marks the first requests and collects the arrival times by model.
 func (g *generator) markFirst() {
 	g.arrivals = make([][]time.Duration, len(g.models))
 	for index := range g.requests {
-		asked := &g.requests[index]
-		times := g.arrivals[asked.model]
-		asked.first = len(times) == 0 || asked.at-times[len(times)-1] >= wakeGap
-		g.arrivals[asked.model] = append(times, asked.at)
+		request := &g.requests[index]
+		times := g.arrivals[request.model]
+		request.first = len(times) == 0 || request.at-times[len(times)-1] >= wakeGap
+		g.arrivals[request.model] = append(times, request.at)
 	}
 }
 
-// drawFaults has one slow hour of the store, a few machines lost and one zone
-// lost in each day.
+// drawFaults adds faults for each day: one hour in which the store is slow, three
+// engine failures and one zone failure.
 func (g *generator) drawFaults() {
 	const day = 24 * time.Hour
 	for start := time.Duration(0); start < g.end; start += day {
 		slow := start + time.Duration(9+g.random.IntN(8))*time.Hour
 		g.faults = append(g.faults,
-			fault{at: slow, kind: storeSlow, slow: 3},
-			fault{at: slow + time.Hour, kind: storeSlow, slow: 1})
+			fault{at: slow, kind: storeSlows, slowdown: 3},
+			fault{at: slow + time.Hour, kind: storeSlows, slowdown: 1})
 		for range 3 {
-			at := start + g.within(day)
+			at := start + g.uniform(day)
 			engine := g.random.IntN(g.shape.Engines)
 			g.faults = append(g.faults,
-				fault{at: at, kind: engineDies, engine: engine},
-				fault{at: at + 5*time.Minute + g.within(15*time.Minute), kind: engineBack, engine: engine})
+				fault{at: at, kind: engineFails, engine: engine},
+				fault{at: at + 5*time.Minute + g.uniform(15*time.Minute), kind: engineRestarts, engine: engine})
 		}
-		at := start + 8*time.Hour + g.within(10*time.Hour)
+		at := start + 8*time.Hour + g.uniform(10*time.Hour)
 		zone := g.random.IntN(g.shape.Zones)
 		g.faults = append(g.faults,
-			fault{at: at, kind: zoneDies, zone: zone},
-			fault{at: at + 10*time.Minute, kind: zoneBack, zone: zone})
+			fault{at: at, kind: zoneFails, zone: zone},
+			fault{at: at + 10*time.Minute, kind: zoneRecovers, zone: zone})
 	}
 	slices.SortStableFunc(g.faults, func(a, b fault) int { return cmp.Compare(a.at, b.at) })
 }
 
-// within is an even draw from zero to the span.
-func (g *generator) within(span time.Duration) time.Duration {
+// uniform draws from a uniform distribution between zero and the span.
+func (g *generator) uniform(span time.Duration) time.Duration {
 	return time.Duration(g.random.Float64() * float64(span))
 }
--- a/internal/lab/policy/world.go
+++ b/internal/lab/policy/world.go
@@ -13,9 +13,9 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// world is the fleet under one policy. Its time is counted from the start of
-// the trace.
-type world struct {
+// simulation is a discrete-event simulation of the fleet under one policy. Its
+// time is counted from the start of the trace.
+type simulation struct {
 	trace  *Trace
 	policy setup
 	epoch  time.Time
@@ -24,33 +24,36 @@
 	events   events
 	sequence uint64
 
-	facts        []catalog.ModelInfo
-	adapterFacts []catalog.AdapterInfo
+	models       []catalog.ModelInfo
+	adapters     []catalog.AdapterInfo
 	modelIndex   map[fleet.ModelVersion]int
 	adapterIndex map[fleet.AdapterName]int
 
 	zones   []*zone
 	engines []*engine
 	record  allotment.Record
-	// undecided is set while the record may have to change.
-	undecided bool
+	// allotmentsStale is set while the allotment record may have to change.
+	allotmentsStale bool
 
 	store     *weights.Core
 	storeWake time.Duration
 	reads     map[string]*replica
 	readCount int
 
-	waiting []*queue // by model
-	figures *figures
+	queues     []*queue // by model
+	statistics *statistics
 }
 
-// event is something that happens at a time; earlier ones of one time go first.
+// event is a callback due at a time. Events due at the same time run in the
+// order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	do       func()
 }
 
+// events is a heap of events, the next one due first.
+// events is a heap of events, the next one due first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -69,60 +72,60 @@
 	return last
 }
 
-func (w *world) at(at time.Duration, do func()) {
+func (w *simulation) scheduleAt(at time.Duration, do func()) {
 	w.sequence++
 	heap.Push(&w.events, event{at: max(at, w.now), sequence: w.sequence, do: do})
 }
 
-func (w *world) after(span time.Duration, do func()) { w.at(w.now+span, do) }
+func (w *simulation) scheduleAfter(span time.Duration, do func()) { w.scheduleAt(w.now+span, do) }
 
-func (w *world) clock() time.Time { return w.epoch.Add(w.now) }
+func (w *simulation) clock() time.Time { return w.epoch.Add(w.now) }
 
-func newWorld(trace *Trace, policy setup) *world {
-	w := &world{
+func newSimulation(trace *Trace, policy setup) *simulation {
+	w := &simulation{
 		trace: trace, policy: policy, epoch: time.Unix(0, 0).UTC(),
 		modelIndex:   make(map[fleet.ModelVersion]int),
 		adapterIndex: make(map[fleet.AdapterName]int),
 		store: weights.New(weights.Options{
 			ReadsPerSecond: trace.shape.StoreRate, Concurrency: trace.shape.StoreConcurrency,
 		}),
-		storeWake: never,
-		reads:     make(map[string]*replica),
-		waiting:   make([]*queue, len(trace.models)),
-		figures:   &figures{from: trace.measuredFrom, end: trace.end, trace: trace},
+		storeWake:  never,
+		reads:      make(map[string]*replica),
+		queues:     make([]*queue, len(trace.models)),
+		statistics: &statistics{start: trace.measuredFrom, end: trace.end, trace: trace},
 	}
-	w.declare()
+	w.buildCatalog()
 	w.buildFleet()
 	return w
 }
 
-// never is beyond the end of every trace.
+// never is a time after the end of every trace.
 const never = time.Duration(1<<63 - 1)
 
-func (w *world) declare() {
+func (w *simulation) buildCatalog() {
 	for index, drawn := range w.trace.models {
 		name := fleet.ModelVersion{Model: fmt.Sprintf("model-%02d", index), Version: "1"}
 		w.modelIndex[name] = index
-		w.facts = append(w.facts, catalog.ModelInfo{
+		w.models = append(w.models, catalog.ModelInfo{
 			Model: name, MemoryBytes: drawn.bytes, CheckpointBytes: drawn.bytes,
 			MaxReplicas: drawn.maxReplicas, StandingReplicas: drawn.standing, Priority: drawn.priority,
 		})
-		w.waiting[index] = &queue{model: index}
+		w.queues[index] = &queue{model: index}
 	}
 	const adapterBytes = 240 << 20
 	for index, base := range w.trace.adapterModels {
 		name := fleet.AdapterName(fmt.Sprintf("adapter-%02d", index))
 		w.adapterIndex[name] = index
-		w.adapterFacts = append(w.adapterFacts, catalog.AdapterInfo{
-			Adapter: name, Model: w.facts[base].Model.Model, MemoryBytes: adapterBytes,
+		w.adapters = append(w.adapters, catalog.AdapterInfo{
+			Adapter: name, Model: w.models[base].Model.Model, MemoryBytes: adapterBytes,
 		})
 	}
 }
 
-func (w *world) buildFleet() {
+func (w *simulation) buildFleet() {
 	for index := range w.trace.shape.Zones {
 		w.zones = append(w.zones, &zone{
-			world: w, index: index, name: fleet.Zone(fmt.Sprintf("zone-%d", index)), tickAt: never,
+			simulation: w, index: index, name: fleet.Zone(fmt.Sprintf("zone-%d", index)), nextPlanAt: never,
 		})
 	}
 	for index := range w.trace.shape.Engines {
@@ -139,19 +142,19 @@
 			w.engines[engine].cache.add(model, w.trace.models[model].bytes, fleet.TierDisk)
 		}
 	}
-	w.decide()
+	w.decideAllotments()
 	for _, zone := range w.zones {
-		zone.start()
+		zone.startLeader()
 	}
 }
 
-// run plays the whole trace.
-func (w *world) run(ctx context.Context) error {
+// run replays the whole trace.
+func (w *simulation) run(ctx context.Context) error {
 	for _, fault := range w.trace.faults {
-		w.at(fault.at, func() { w.strike(fault) })
+		w.scheduleAt(fault.at, func() { w.applyFault(fault) })
 	}
 	w.nextRequest(0)
-	w.at(decideInterval, w.decideOften)
+	w.scheduleAt(allotmentInterval, w.refreshAllotments)
 	for steps := 0; len(w.events) > 0; steps++ {
 		next := heap.Pop(&w.events).(event)
 		if next.at > w.trace.end {
@@ -164,72 +167,74 @@
 		next.do()
 	}
 	w.now = w.trace.end
-	w.finish()
+	w.recordUnfinished()
 	return nil
 }
 
-func (w *world) nextRequest(index int) {
+func (w *simulation) nextRequest(index int) {
 	if index >= len(w.trace.requests) {
 		return
 	}
-	w.at(w.trace.requests[index].at, func() {
+	w.scheduleAt(w.trace.requests[index].at, func() {
 		w.arrive(&w.trace.requests[index])
 		w.nextRequest(index + 1)
 	})
 }
 
-// finish counts what is still there at the end.
-func (w *world) finish() {
+// recordUnfinished adds the replicas still loaded and the requests still waiting
+// at the end of the trace to the statistics.
+func (w *simulation) recordUnfinished() {
 	for _, engine := range w.engines {
 		for _, held := range engine.replicas {
-			w.count(held)
+			w.recordReplicaTime(held)
 		}
 	}
-	for _, queue := range w.waiting {
+	for _, queue := range w.queues {
 		for _, pending := range queue.pending {
-			w.figures.served(pending, w.now)
-			w.figures.unserved++
+			w.statistics.recordStart(pending, w.now)
+			w.statistics.unserved++
 		}
 	}
 }
 
-const decideInterval = time.Second
+const allotmentInterval = time.Second
 
-// decideOften keeps the record of the allotments up to date.
-func (w *world) decideOften() {
-	if w.undecided {
-		w.decide()
+// refreshAllotments updates the allotment record at regular intervals while it
+// is stale.
+func (w *simulation) refreshAllotments() {
+	if w.allotmentsStale {
+		w.decideAllotments()
 	}
-	w.after(decideInterval, w.decideOften)
+	w.scheduleAfter(allotmentInterval, w.refreshAllotments)
 }
 
-func (w *world) decide() {
-	w.undecided = false
+func (w *simulation) decideAllotments() {
+	w.allotmentsStale = false
 	input := allotment.Input{
-		Models:       w.facts,
+		Models:       w.models,
 		Engines:      make(map[fleet.Zone]int),
 		Demand:       make(map[fleet.ModelVersion]map[fleet.Zone]int),
 		IdleReplicas: make(map[fleet.ModelVersion]map[fleet.Zone]int),
 	}
 	for _, zone := range w.zones {
-		if count := zone.live(); count > 0 {
+		if count := zone.liveEngines(); count > 0 {
 			input.Engines[zone.name] = count
 		}
 	}
-	for model, facts := range w.facts {
+	for model, facts := range w.models {
 		idle := make(map[fleet.Zone]int)
 		for _, zone := range w.zones {
-			idle[zone.name] = w.record.Limit(facts.Model, zone.name) - zone.loaded(model)
+			idle[zone.name] = w.record.Limit(facts.Model, zone.name) - zone.replicaCount(model)
 		}
 		input.IdleReplicas[facts.Model] = idle
-		input.Demand[facts.Model] = w.waiting[model].starvedZones(w)
+		input.Demand[facts.Model] = w.queues[model].starvedZones(w)
 	}
 	next, changed := allotment.Decide(w.record, input)
 	w.record = next
 	for _, zone := range w.zones {
 		var confirmed []fleet.ModelVersion
 		for _, model := range w.record.Unconfirmed(zone.name) {
-			if zone.loaded(w.modelIndex[model]) <= w.record.Limit(model, zone.name) {
+			if zone.replicaCount(w.modelIndex[model]) <= w.record.Limit(model, zone.name) {
 				confirmed = append(confirmed, model)
 			}
 		}
@@ -241,66 +246,70 @@
 	if !changed {
 		return
 	}
-	w.undecided = true
+	w.allotmentsStale = true
 	for _, zone := range w.zones {
-		zone.tell(zone.limits())
+		zone.step(zone.limits())
 	}
 }
 
-func (w *world) strike(fault fault) {
+func (w *simulation) applyFault(fault fault) {
 	switch fault.kind {
-	case engineDies:
-		w.engines[fault.engine].die(w)
-	case engineBack:
+	case engineFails:
+		w.engines[fault.engine].fail(w)
+	case engineRestarts:
 		if struck := w.engines[fault.engine]; !struck.zone.lost {
-			struck.back(w)
+			struck.restart(w)
 		}
-	case zoneDies:
+	case zoneFails:
 		zone := w.zones[fault.zone]
 		zone.lost = true
 		zone.core = nil
 		for _, engine := range zone.engines {
-			engine.die(w)
+			engine.fail(w)
 		}
-	case zoneBack:
+	case zoneRecovers:
 		zone := w.zones[fault.zone]
 		zone.lost = false
 		for _, engine := range zone.engines {
-			engine.back(w)
+			engine.restart(w)
 		}
-		zone.start()
-	case storeSlow:
-		w.stepStore(weights.Slow{Factor: fault.slow})
+		zone.startLeader()
+	case storeSlows:
+		w.stepStore(weights.Slow{Factor: fault.slowdown})
 	}
-	w.undecided = true
+	w.allotmentsStale = true
 }
 
-// die loses all that the engine held, also on its disk.
-func (e *engine) die(w *world) {
+// fail stops the engine, which loses its replicas and its checkpoints, including
+// those on disk.
+func (e *engine) fail(w *simulation) {
 	if !e.up {
 		return
 	}
 	e.up = false
 	for _, held := range e.replicas {
-		w.count(held)
+		w.recordReplicaTime(held)
 		w.cancelRead(held)
 	}
 	e.replicas = nil
-	e.cache = checkpoints{}
+	e.cache = checkpointCache{}
 	zone := e.zone
-	zone.tell(placement.EngineUnresponsive{Engine: e.name, Unresponsive: true})
-	w.after(goneAfter, func() {
+	zone.step(placement.EngineUnresponsive{Engine: e.name, Unresponsive: true})
+	w.scheduleAfter(removalDelay, func() {
 		if !e.up {
-			zone.tell(placement.EnginesGone{Engines: []fleet.BackendName{e.name}})
-			w.undecided = true
+			zone.step(placement.EnginesGone{Engines: []fleet.BackendName{e.name}})
+			w.allotmentsStale = true
 		}
 	})
 }
 
-// goneAfter is how long the machine list takes to call a machine gone.
-const goneAfter = 10 * time.Second
+// removalDelay is how long the machine list takes to report a failed machine as
+// gone.
+const removalDelay = 10 * time.Second
 
-func (e *engine) back(w *world) {
+// restart brings a failed engine up again, empty and with a new incarnation.
+// restart brings a failed engine up again, empty and with a new incarnation.
+func (e *engine) restart(w *simulation) {
 	if e.up {
 		return
 	}
@@ -308,7 +317,7 @@
 	e.incarnation++
 	e.fence = 0
 	if !e.zone.lost && e.zone.core != nil {
-		e.zone.newRound()
+		e.zone.beginRound()
 	}
-	w.undecided = true
+	w.allotmentsStale = true
 }
--- a/internal/lab/policy/zone.go
+++ b/internal/lab/policy/zone.go
@@ -12,90 +12,91 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// zone is one zone with the placement core of its leader.
+// zone is a zone with its engines and the placement core of its leader.
 type zone struct {
-	world   *world
-	index   int
-	name    fleet.Zone
-	engines []*engine
-	core    *placement.Core
-	fence   fleet.Fence
-	asked   uint64
-	lost    bool
-	tickAt  time.Duration
+	simulation    *simulation
+	index         int
+	name          fleet.Zone
+	engines       []*engine
+	core          *placement.Core
+	fence         fleet.Fence
+	querySequence uint64
+	lost          bool
+	nextPlanAt    time.Duration
 	// arrived counts requests since the last report, by model.
 	arrived []int
-	// elsewhere and used are what the core was told of the other zones last.
-	elsewhere map[fleet.ModelVersion]bool
-	used      placement.StoreUsage
+	// loadedElsewhere and storeUsage are the last reports about the other zones
+	// that the core received.
+	loadedElsewhere map[fleet.ModelVersion]bool
+	storeUsage      placement.StoreUsage
 }
 
-// Times between two steps of a core without other cause.
+// Intervals between two planning steps of a core that no other event causes.
 const (
-	busyTick = 500 * time.Millisecond
-	idleTick = 2 * time.Second
+	busyPlanInterval = 500 * time.Millisecond
+	idlePlanInterval = 2 * time.Second
 )
 
-// start begins a new leader, which knows nothing of the past.
-func (z *zone) start() {
-	w := z.world
+// startLeader starts a new leader, which has no state of the previous one.
+func (z *zone) startLeader() {
+	w := z.simulation
 	z.core = placement.New(w.policy.options(w, z))
-	z.arrived = make([]int, len(w.facts))
-	z.elsewhere, z.used = nil, placement.StoreUsage{}
-	z.tell(placement.CatalogChanged{
-		Models: w.facts, Adapters: w.adapterFacts, ColdStartWeight: w.policy.weight,
+	z.arrived = make([]int, len(w.models))
+	z.loadedElsewhere, z.storeUsage = nil, placement.StoreUsage{}
+	z.step(placement.CatalogChanged{
+		Models: w.models, Adapters: w.adapters, ColdStartWeight: w.policy.weight,
 	})
-	z.tell(z.limits())
-	z.newRound()
-	z.schedule(busyTick)
+	z.step(z.limits())
+	z.beginRound()
+	z.schedulePlan(busyPlanInterval)
 }
 
-func (z *zone) schedule(span time.Duration) {
-	at := z.world.now + span
-	if z.tickAt <= at && z.tickAt > z.world.now {
+func (z *zone) schedulePlan(span time.Duration) {
+	at := z.simulation.now + span
+	if z.nextPlanAt <= at && z.nextPlanAt > z.simulation.now {
 		return
 	}
-	z.tickAt = at
-	z.world.at(at, func() {
-		if z.tickAt == at && z.core != nil {
-			z.tick()
+	z.nextPlanAt = at
+	z.simulation.scheduleAt(at, func() {
+		if z.nextPlanAt == at && z.core != nil {
+			z.plan()
 		}
 	})
 }
 
-// tick reports what waits and what came, and lets the core plan.
-func (z *zone) tick() {
-	z.hear()
+// plan reports waiting requests and arrivals to the core and lets it plan.
+func (z *zone) plan() {
+	z.updateOtherZones()
 	var wants []fleet.Want
 	for model, count := range z.arrived {
 		if count > 0 {
 			wants = append(wants, fleet.Want{
-				Model: z.world.facts[model].Model, Node: "nodes", Zone: z.name, Arrivals: count,
+				Model: z.simulation.models[model].Model, Node: "nodes", Zone: z.name, Arrivals: count,
 			})
 			z.arrived[model] = 0
 		}
 	}
-	for _, queue := range z.world.waiting {
-		wants = append(wants, queue.repeated(z)...)
+	for _, queue := range z.simulation.queues {
+		wants = append(wants, queue.dueWants(z)...)
 	}
 	if len(wants) > 0 {
-		z.tell(placement.WantsReported{Wants: wants})
+		z.step(placement.WantsReported{Wants: wants})
 	} else {
-		z.tell(placement.Tick{})
+		z.step(placement.Tick{})
 	}
 	if z.core.Busy() {
-		z.schedule(busyTick)
+		z.schedulePlan(busyPlanInterval)
 		return
 	}
-	z.schedule(idleTick)
+	z.schedulePlan(idlePlanInterval)
 }
 
-// hear tells the core what the other zones hold and take of the weight store,
-// where that has changed.
-func (z *zone) hear() {
+// updateOtherZones tells the core which models the other zones have loaded and
+// how they use the weight store, if that has changed.
+func (z *zone) updateOtherZones() {
 	elsewhere := make(map[fleet.ModelVersion]bool)
 	var used placement.StoreUsage
-	for _, other := range z.world.zones {
+	for _, other := range z.simulation.zones {
 		if other == z {
 			continue
 		}
@@ -110,56 +111,56 @@
 					used.Loading++
 				}
 				if held.state != fleet.LoadUnloading {
-					elsewhere[z.world.facts[held.model].Model] = true
+					elsewhere[z.simulation.models[held.model].Model] = true
 				}
 			}
 		}
 	}
-	if !maps.Equal(elsewhere, z.elsewhere) {
-		z.elsewhere = elsewhere
-		z.tell(placement.ReplicasElsewhere{Models: elsewhere})
+	if !maps.Equal(elsewhere, z.loadedElsewhere) {
+		z.loadedElsewhere = elsewhere
+		z.step(placement.ReplicasElsewhere{Models: elsewhere})
 	}
-	if used != z.used {
-		z.used = used
-		z.tell(used)
+	if used != z.storeUsage {
+		z.storeUsage = used
+		z.step(used)
 	}
 }
 
-// tell steps the core and carries out what it decides.
-func (z *zone) tell(message placement.Message) {
+// step passes a message to the core and carries out the effects.
+func (z *zone) step(message placement.Message) {
 	if z.core == nil {
 		return
 	}
-	for _, effect := range z.core.Step(z.world.clock(), message) {
+	for _, effect := range z.core.Step(z.simulation.clock(), message) {
 		switch decided := effect.(type) {
 		case placement.SendOrder:
-			z.send(decided)
+			z.sendOrder(decided)
 		case placement.Refuse:
-			z.world.refused(z, z.world.modelIndex[decided.Refusal.Model], decided.Refusal.RetryAfter)
+			z.simulation.handleRefusal(z, z.simulation.modelIndex[decided.Refusal.Model], decided.Refusal.RetryAfter)
 		case placement.RequestNewRound:
-			z.world.after(0, z.newRound)
+			z.simulation.scheduleAfter(0, z.beginRound)
 		}
 	}
 }
 
-func (z *zone) send(sent placement.SendOrder) {
+func (z *zone) sendOrder(sent placement.SendOrder) {
 	if sent.Order.Action == backend.ActionUnload {
-		z.world.figures.unload(z.world.now, sent.Evicts)
+		z.simulation.statistics.recordUnload(z.simulation.now, sent.Evicts)
 	}
 	core := z.core
-	z.world.after(orderLatency, func() {
+	z.simulation.scheduleAfter(orderLatency, func() {
 		target := z.engine(sent.Engine)
 		if target == nil || !target.up || z.core != core {
 			return
 		}
-		reason := target.take(z.world, sent.Order)
+		reason := target.execute(z.simulation, sent.Order)
 		result := placement.OrderAccepted
 		if reason != "" {
 			result = placement.OrderRefused
 		}
-		z.asked++
-		z.tell(placement.OrderAnswered{ID: sent.Order.ID, Result: result, Reason: reason, QuerySequence: z.asked})
-		z.show(target)
+		z.querySequence++
+		z.step(placement.OrderAnswered{ID: sent.Order.ID, Result: result, Reason: reason, QuerySequence: z.querySequence})
+		z.reportEngineState(target)
 	})
 }
 
@@ -172,17 +173,17 @@
 	return nil
 }
 
-// show lets the core see an engine's state.
-func (z *zone) show(engine *engine) {
+// reportEngineState sends an engine's state to the core.
+func (z *zone) reportEngineState(engine *engine) {
 	if !engine.up {
 		return
 	}
-	z.asked++
-	z.tell(placement.EngineStateReceived{QuerySequence: z.asked, State: engine.state(z.world)})
+	z.querySequence++
+	z.step(placement.EngineStateReceived{QuerySequence: z.querySequence, State: engine.state(z.simulation)})
 }
 
-// newRound claims all engines that live.
-func (z *zone) newRound() {
+// beginRound claims all live engines with a new fence.
+func (z *zone) beginRound() {
 	if z.core == nil {
 		return
 	}
@@ -191,22 +192,22 @@
 	for _, engine := range z.engines {
 		if engine.up {
 			engine.fence = z.fence
-			held[engine.name] = engine.state(z.world)
+			held[engine.name] = engine.state(z.simulation)
 		}
 	}
-	z.tell(placement.RoundEnded{})
-	z.tell(placement.RoundBegan{Fence: z.fence, Held: held})
+	z.step(placement.RoundEnded{})
+	z.step(placement.RoundBegan{Fence: z.fence, Held: held})
 }
 
-// limits are the zone's part of the record.
+// limits returns the zone's part of the allotment record.
 func (z *zone) limits() placement.LimitsChanged {
-	w := z.world
+	w := z.simulation
 	changed := placement.LimitsChanged{
-		Limits:   make(map[fleet.ModelVersion]int, len(w.facts)),
-		Standing: make(map[fleet.ModelVersion]int, len(w.facts)),
+		Limits:   make(map[fleet.ModelVersion]int, len(w.models)),
+		Standing: make(map[fleet.ModelVersion]int, len(w.models)),
 		Zones:    len(w.zones), ZoneIndex: z.index,
 	}
-	for _, facts := range w.facts {
+	for _, facts := range w.models {
 		changed.Limits[facts.Model] = w.record.Limit(facts.Model, z.name)
 		if facts.StandingReplicas > 0 {
 			changed.Standing[facts.Model] = allotment.StandingShare(w.record, facts.Model, z.name, facts.StandingReplicas)
@@ -215,7 +216,7 @@
 	return changed
 }
 
-func (z *zone) live() int {
+func (z *zone) liveEngines() int {
 	count := 0
 	for _, engine := range z.engines {
 		if engine.up {
@@ -225,38 +226,38 @@
 	return count
 }
 
-func (z *zone) loaded(model int) int {
+func (z *zone) replicaCount(model int) int {
 	count := 0
 	for _, engine := range z.engines {
-		if engine.find(model) != nil {
+		if engine.findReplica(model) != nil {
 			count++
 		}
 	}
 	return count
 }
 
-func (w *world) beginLoad(e *engine, model int, order backend.Order) {
-	loading := &replica{engine: e, model: model, state: fleet.LoadLoading, bytes: order.Bytes, since: w.now}
+func (w *simulation) beginLoad(e *engine, model int, order backend.Order) {
+	loading := &replica{engine: e, model: model, state: fleet.LoadLoading, bytes: order.Bytes, recordedUntil: w.now}
 	e.replicas = append(e.replicas, loading)
 	tier := e.cache.tier(model)
-	w.figures.load(w.now, tier)
-	takes := loadTime(order.CheckpointBytes, tier)
+	w.statistics.recordLoad(w.now, tier)
+	duration := loadTime(order.CheckpointBytes, tier)
 	if tier != fleet.TierRemote {
-		w.after(takes, func() { w.loaded(loading) })
+		w.scheduleAfter(duration, func() { w.finishLoad(loading) })
 		return
 	}
 	w.readCount++
 	loading.readID = fmt.Sprint(w.readCount)
 	w.reads[loading.readID] = loading
-	w.stepStore(weights.Read{ID: loading.readID, FullSpeed: takes})
+	w.stepStore(weights.Read{ID: loading.readID, FullSpeed: duration})
 }
 
-func (w *world) stepStore(message weights.Message) {
+func (w *simulation) stepStore(message weights.Message) {
 	for _, done := range w.store.Step(w.clock(), message) {
 		if loading := w.reads[done.ID]; loading != nil {
 			delete(w.reads, done.ID)
 			loading.readID = ""
-			w.loaded(loading)
+			w.finishLoad(loading)
 		}
 	}
 	wake := w.store.NextWake()
@@ -268,7 +269,7 @@
 		return
 	}
 	w.storeWake = at
-	w.at(at, func() {
+	w.scheduleAt(at, func() {
 		if w.storeWake == at {
 			w.storeWake = never
 			w.stepStore(weights.Tick{})
@@ -276,7 +277,7 @@
 	})
 }
 
-func (w *world) cancelRead(held *replica) {
+func (w *simulation) cancelRead(held *replica) {
 	if held.readID == "" {
 		return
 	}
@@ -285,56 +286,57 @@
 	held.readID = ""
 }
 
-// loaded ends a load that was not ended before.
-func (w *world) loaded(loading *replica) {
+// finishLoad makes a loading replica ready, unless it was unloaded or its engine
+// failed meanwhile.
+func (w *simulation) finishLoad(loading *replica) {
 	e := loading.engine
-	if loading.state != fleet.LoadLoading || e.find(loading.model) != loading {
+	if loading.state != fleet.LoadLoading || e.findReplica(loading.model) != loading {
 		return
 	}
-	w.count(loading)
+	w.recordReplicaTime(loading)
 	loading.state = fleet.LoadReady
 	loading.readySince = w.clock()
 	e.cache.add(loading.model, w.trace.models[loading.model].bytes, fleet.TierMemory)
-	e.zone.show(e)
+	e.zone.reportEngineState(e)
 	w.dispatch(loading.model)
 }
 
-// beginUnload ends what runs, then frees the memory.
-func (w *world) beginUnload(held *replica) {
+// beginUnload waits for running requests to end, then frees the memory.
+func (w *simulation) beginUnload(held *replica) {
 	if held.state == fleet.LoadUnloading {
 		return
 	}
-	w.count(held)
+	w.recordReplicaTime(held)
 	held.state = fleet.LoadUnloading
 	w.cancelRead(held)
 	w.freeWhenIdle(held)
 }
 
-func (w *world) freeWhenIdle(held *replica) {
+func (w *simulation) freeWhenIdle(held *replica) {
 	if held.state != fleet.LoadUnloading || held.running > 0 {
 		return
 	}
-	w.after(unloadTime, func() {
+	w.scheduleAfter(unloadTime, func() {
 		e := held.engine
-		if e.find(held.model) != held {
+		if e.findReplica(held.model) != held {
 			return
 		}
-		w.count(held)
+		w.recordReplicaTime(held)
 		e.remove(held)
-		e.zone.show(e)
+		e.zone.reportEngineState(e)
 	})
 }
 
-func (w *world) loadAdapter(held *replica, adapter int, bytes int64) {
+func (w *simulation) loadAdapter(held *replica, adapter int, bytes int64) {
 	held.bytes += bytes
 	held.adapters = append(held.adapters, loadedAdapter{adapter: adapter})
 	index := len(held.adapters) - 1
-	w.after(adapterLoad, func() {
-		if held.engine.find(held.model) != held {
+	w.scheduleAfter(adapterLoad, func() {
+		if held.engine.findReplica(held.model) != held {
 			return
 		}
 		held.adapters[index].ready = true
-		held.engine.zone.show(held.engine)
+		held.engine.zone.reportEngineState(held.engine)
 		w.dispatch(held.model)
 	})
 }
