--- a/internal/lab/scenario/answers.go
+++ b/internal/lab/scenario/answers.go
@@ -7,7 +7,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// engineAnswers works out anew what the engine stand-ins answer.
+// engineAnswers recomputes the answers of the engine stand-ins.
 type engineAnswers struct{}
 
 // Expected implements check.Answers.
--- a/internal/lab/scenario/ready.go
+++ b/internal/lab/scenario/ready.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	readyPoll    = 200 * time.Millisecond
-	readyTimeout = 2 * time.Second
+	readyPollInterval = 200 * time.Millisecond
+	statusTimeout     = 2 * time.Second
 )
 
-// knownBackends is the part of a node's status that tells whether it can route.
-type knownBackends struct {
+// nodeStatus is the part of a node's status that has the numbers of back ends it
+// knows.
+type nodeStatus struct {
 	Zones []struct {
 		Engines  int `json:"engines"`
 		Services int `json:"services"`
 	} `json:"zones"`
 }
 
-// awaitReady returns once the machine list and every node have the back ends,
-// or an error that says what they lack.
+// awaitReady waits until the machine list and every node have the expected number
+// of back ends. After options.Ready it returns an error that lists what is
+// missing.
 func awaitReady(ctx context.Context, options Options) error {
 	ctx, cancel := context.WithTimeout(ctx, options.Ready)
 	defer cancel()
 	for {
-		lacking := errors.Join(lackingNodes(ctx, options)...)
-		if lacking == nil {
+		missing := errors.Join(missingBackends(ctx, options)...)
+		if missing == nil {
 			return nil
 		}
-		if !wait(ctx, time.Now().Add(readyPoll)) {
-			return fmt.Errorf("the fleet was not ready within %s: %w", options.Ready, lacking)
+		if !waitUntil(ctx, time.Now().Add(readyPollInterval)) {
+			return fmt.Errorf("the fleet was not ready within %s: %w", options.Ready, missing)
 		}
 	}
 }
 
-func lackingNodes(ctx context.Context, options Options) []error {
+func missingBackends(ctx context.Context, options Options) []error {
 	listed, err := liveBackends(ctx, options.Platform)
 	if err != nil {
 		return []error{err}
 	}
-	var lacking []error
+	var missing []error
 	if listed < options.Backends {
-		lacking = append(lacking, fmt.Errorf("the platform lists %d of %d back ends", listed, options.Backends))
+		missing = append(missing, fmt.Errorf("the platform lists %d of %d back ends", listed, options.Backends))
 	}
 	for _, address := range options.Operators {
-		var status knownBackends
+		var status nodeStatus
 		if err := getJSON(ctx, "http://"+address+"/status", &status); err != nil {
-			lacking = append(lacking, err)
+			missing = append(missing, err)
 			continue
 		}
 		known := 0
@@ -60,10 +62,10 @@
 			known += zone.Engines + zone.Services
 		}
 		if known < options.Backends {
-			lacking = append(lacking, fmt.Errorf("%s knows %d of %d back ends", address, known, options.Backends))
+			missing = append(missing, fmt.Errorf("%s knows %d of %d back ends", address, known, options.Backends))
 		}
 	}
-	return lacking
+	return missing
 }
 
 func liveBackends(ctx context.Context, platformURL string) (int, error) {
@@ -80,8 +82,8 @@
 	return live, nil
 }
 
-func getJSON(ctx context.Context, url string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+func getJSON(ctx context.Context, url string, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	return collect.GetJSON(ctx, http.DefaultClient, url, into)
+	return collect.GetJSON(ctx, http.DefaultClient, url, result)
 }
--- a/internal/lab/scenario/reference_test.go
+++ b/internal/lab/scenario/reference_test.go
@@ -24,32 +24,32 @@
 	"github.com/spanlanding/spanlanding/internal/standin/weights"
 )
 
-// defects are what a reference fleet can be made to do wrong.
+// defects are the faults that a reference fleet can be built with.
 type defects struct {
-	forgetKeys   bool // runs each request with a key
-	lie          bool // refuses one command in four as not run, after running it
-	crossAnswers bool // gives every stream the first stream's text
+	ignoreKeys   bool // ignores idempotency keys and runs every request
+	falseNotRun  bool // answers not-run to one command in four, after running it
+	crossAnswers bool // answers every stream with the first stream's text
 	loadTwice    bool // loads each model on both engines
 }
 
-// reference is the least fleet that serves: one lock for all nodes, two
-// engines, one command server. It stands in for the product, so that the
-// laboratory can be tried without it.
-type reference struct {
+// referenceFleet is a minimal fleet: one lock for all nodes, two engines, one
+// command server. It replaces the product, so that the lab packages can be tested
+// without it.
+type referenceFleet struct {
 	defects
 	platform string
 	engines  []string
 	service  string
 	commands atomic.Int64
 
-	mutex   sync.Mutex
-	version uint64
-	loaded  map[string]bool
-	answers map[string][]byte // by key
-	pieces  []string          // of the first stream
+	mutex     sync.Mutex
+	version   uint64
+	loaded    map[string]bool
+	answers   map[string][]byte // by idempotency key
+	firstText []string          // text chunks of the first stream
 }
 
-func (r *reference) handler(node string) http.Handler {
+func (r *referenceFleet) handler(node string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/", r.serveModel)
 	mux.HandleFunc("/boxes/", r.serveCommand)
@@ -65,8 +65,9 @@
 	return fleet.ModelVersion{Model: deployment, Version: "v1"}
 }
 
-// load has the model ready at the first engine; the lock makes it one load.
-func (r *reference) load(deployment string) {
+// load orders the model's load at the first engine; the lock makes sure that it
+// is ordered only once.
+func (r *referenceFleet) load(deployment string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.loaded[deployment] {
@@ -91,7 +92,7 @@
 	}
 }
 
-func (r *reference) serveModel(writer http.ResponseWriter, request *http.Request) {
+func (r *referenceFleet) serveModel(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	var fields map[string]json.RawMessage
 	var head backend.CompletionRequest
@@ -109,7 +110,7 @@
 	streamed, _ := json.Marshal(fields)
 	pieces, finish := r.generate(request.Header.Get("X-Request-Id"), request.URL.Path, head.Model, streamed)
 	if r.crossAnswers {
-		pieces = r.firstPieces(pieces)
+		pieces = r.firstStreamText(pieces)
 	}
 	if !head.Stream {
 		fmt.Fprintf(writer, `{"choices":[{"text":%q,"finish_reason":%q}]}`, strings.Join(pieces, ""), finish)
@@ -121,17 +122,17 @@
 	fmt.Fprintf(writer, "data: {\"choices\":[{\"finish_reason\":%q}]}\n\ndata: [DONE]\n\n", finish)
 }
 
-func (r *reference) firstPieces(pieces []string) []string {
+func (r *referenceFleet) firstStreamText(pieces []string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.pieces == nil {
-		r.pieces = pieces
+	if r.firstText == nil {
+		r.firstText = pieces
 	}
-	return r.pieces
+	return r.firstText
 }
 
-// generate asks the first engine until its model is ready.
-func (r *reference) generate(id, path, deployment string, body []byte) (pieces []string, finish string) {
+// generate sends the request to the first engine until the model is ready.
+func (r *referenceFleet) generate(id, path, deployment string, body []byte) (pieces []string, finish string) {
 	for {
 		request, _ := http.NewRequest(http.MethodPost, r.engines[0]+path, bytes.NewReader(body))
 		request.Header.Set(backend.HeaderRequestID, id)
@@ -149,8 +150,8 @@
 	}
 }
 
-func readChunks(from io.Reader) (pieces []string, finish string) {
-	lines := bufio.NewScanner(from)
+func readChunks(body io.Reader) (pieces []string, finish string) {
+	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		var chunk backend.Chunk
 		data, found := strings.CutPrefix(lines.Text(), "data: ")
@@ -166,11 +167,11 @@
 	return pieces, finish
 }
 
-func (r *reference) serveCommand(writer http.ResponseWriter, request *http.Request) {
+func (r *referenceFleet) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	key := request.Header.Get("Idempotency-Key")
-	if key == "" || r.forgetKeys {
-		answer := r.run(request)
-		if request.Method == http.MethodPost && r.lie && r.commands.Add(1)%4 == 0 {
+	if key == "" || r.ignoreKeys {
+		answer := r.runCommand(request)
+		if request.Method == http.MethodPost && r.falseNotRun && r.commands.Add(1)%4 == 0 {
 			writer.Header().Set("Content-Type", "application/problem+json")
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			fmt.Fprint(writer, `{"outcome":"not-run","code":"overloaded"}`)
@@ -182,12 +183,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.answers[key] == nil {
-		r.answers[key] = r.run(request)
+		r.answers[key] = r.runCommand(request)
 	}
 	writer.Write(r.answers[key])
 }
 
-func (r *reference) run(request *http.Request) []byte {
+func (r *referenceFleet) runCommand(request *http.Request) []byte {
 	forwarded, _ := http.NewRequest(request.Method, r.service+request.URL.Path, nil)
 	forwarded.Header.Set(backend.HeaderRequestID, request.Header.Get("X-Request-Id"))
 	forwarded.Header.Set("Idempotency-Key", request.Header.Get("Idempotency-Key"))
@@ -200,8 +201,9 @@
 	return answer
 }
 
-// startReference starts stand-ins and nodes that end with the test.
-func startReference(t *testing.T, wrong defects) (nodes []string, platformURL string) {
+// startReference starts a platform, back ends and nodes; they stop when the test
+// ends.
+func startReference(t *testing.T, injected defects) (nodes []string, platformURL string) {
 	t.Helper()
 	serve := func(handler http.Handler) string {
 		server := httptest.NewServer(handler)
@@ -210,8 +212,8 @@
 	}
 	platformURL = serve(httpdriver.NewPlatform(t.Context(), httpdriver.PlatformOptions{Weights: weights.Options{}}).Handler())
 	client := httpdriver.PlatformClient{URL: platformURL, HTTP: http.DefaultClient}
-	fleetOf := &reference{
-		defects: wrong, platform: platformURL, loaded: make(map[string]bool), answers: make(map[string][]byte),
+	reference := &referenceFleet{
+		defects: injected, platform: platformURL, loaded: make(map[string]bool), answers: make(map[string][]byte),
 	}
 	var machines []objectstore.Machine
 	address := func(url string) string { return strings.TrimPrefix(url, "http://") }
@@ -223,25 +225,26 @@
 		url := serve(started.Handler())
 		claim, _ := json.Marshal(backend.Claim{Fence: 1, Incarnation: 1})
 		post(url+backend.PathEngineClaim, claim)
-		fleetOf.engines = append(fleetOf.engines, url)
+		reference.engines = append(reference.engines, url)
 		machines = append(machines, objectstore.Machine{Role: "engine", Name: name, Zone: "z", State: objectstore.MachineLive, Address: address(url)})
 	}
-	fleetOf.service = serve(httpdriver.NewService(t.Context(), service.Options{
+	reference.service = serve(httpdriver.NewService(t.Context(), service.Options{
 		Backend: fleet.Backend{Name: "s1", Zone: "z", Service: "boxes"}, ServiceTime: time.Millisecond,
 	}).Handler())
-	machines = append(machines, objectstore.Machine{Role: "service", Name: "s1", Zone: "z", State: objectstore.MachineLive, Address: address(fleetOf.service)})
+	machines = append(machines, objectstore.Machine{Role: "service", Name: "s1", Zone: "z", State: objectstore.MachineLive, Address: address(reference.service)})
 	if err := client.ReportMachines(t.Context(), httpdriver.MachineReport{Machines: machines}); err != nil {
 		t.Fatal(err)
 	}
-	fleetOf.declare(t)
+	reference.declareObjects(t)
 	for _, name := range []string{"n1", "n2", "n3"} {
-		nodes = append(nodes, address(serve(fleetOf.handler(name))))
+		nodes = append(nodes, address(serve(reference.handler(name))))
 	}
 	return nodes, platformURL
 }
 
-// declare writes five models, one service and a decision of one replica each.
-func (r *reference) declare(t *testing.T) {
+// declareObjects writes five models, one service, and an allotment of one replica
+// for each model.
+func (r *referenceFleet) declareObjects(t *testing.T) {
 	t.Helper()
 	decided := make(map[string]any)
 	for index := range 5 {
@@ -254,7 +257,7 @@
 	r.put(t, objectstore.KindAllotments, "fleet", map[string]any{"generation": 1, "models": decided})
 }
 
-func (r *reference) put(t *testing.T, kind spec.Kind, name string, value any) {
+func (r *referenceFleet) put(t *testing.T, kind spec.Kind, name string, value any) {
 	t.Helper()
 	content, err := json.Marshal(value)
 	if err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -17,40 +17,41 @@
 	"github.com/spanlanding/spanlanding/internal/lab/report"
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
-	// Nodes are the caller addresses of the nodes.
+	// Nodes are the addresses at which the nodes serve callers.
 	Nodes    []string
 	Platform string
-	// Operators are the operators' addresses of the nodes.
+	// Operators are the addresses at which the nodes serve operators.
 	Operators []string
-	// Books are URLs of books beside those of the listed machines.
+	// Books are URLs of books in addition to those of the listed machines.
 	Books    []string
 	Profile  string
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	// Backends is how many back ends the platform must list and every node must
-	// know before the load begins, Ready how long to wait for that.
+	// know before the load begins. Ready is the timeout for that.
 	Backends int
 	Ready    time.Duration
-	// Faults are brought about at the stand-ins while the load runs.
+	// Faults are injected at the stand-ins while the load runs.
 	Faults []inject.Kind
-	// FaultLog is where whoever else brings faults about notes them; see
+	// FaultLog is the file in which the caller logs the faults that it injects; see
 	// history.ReadFaults. It may be empty.
 	FaultLog string
-	// HistoryFile is where the records are written, if not empty.
+	// HistoryFile is the file to which the records are written, if not empty.
 	HistoryFile string
-	// Announce is called with the name of each moment of the scenario, Progress
-	// with the numbers so far; neither may block.
+	// Announce is called at each moment of the scenario, Progress with the numbers
+	// of requests so far; neither may block.
 	Announce func(moment Moment)
 	Progress func(sent, ended int)
 }
 
-// Moment is a time in a scenario that whoever brings faults about waits for.
+// Moment is a time in a scenario at which the caller acts, such as by injecting a
+// fault.
 type Moment string
 
-// The moments, in their order. Each asks for what its name says.
+// The moments, in order of time. The name of each is the action due.
 const (
 	MomentStart      Moment = "start"
 	MomentKillNode   Moment = "kill-node"
@@ -59,15 +60,15 @@
 	MomentChange     Moment = "change"
 	// MomentContinueNode ends the pause.
 	MomentContinueNode Moment = "continue-node"
-	// MomentLeaveEngine asks an engine to leave as planned.
+	// MomentLeaveEngine starts the planned leaving of an engine.
 	MomentLeaveEngine Moment = "leave-engine"
 	MomentStopNode    Moment = "stop-node"
 	MomentSent        Moment = "all-sent"
 	MomentEnd         Moment = "end"
 )
 
-// moments are when, as a share of the duration, each moment comes.
-var moments = []struct {
+// schedule has the time of each moment, as a share of the duration.
+var schedule = []struct {
 	moment Moment
 	share  float64
 }{
@@ -82,10 +83,11 @@
 	{MomentSent, 1},
 }
 
-// longShare is when long streams are begun: a little before the planned stop.
-const longShare = 0.62
+// longStreamShare is when long streams begin, as a share of the duration: a
+// little before the planned stop of a node, so that they run during it.
+const longStreamShare = 0.62
 
-// Run carries the scenario out and judges it.
+// Run runs the scenario and checks the evidence against the rules.
 func Run(ctx context.Context, options Options) (report.Summary, error) {
 	profile, err := load.FindProfile(options.Profile)
 	if err != nil {
@@ -99,26 +101,26 @@
 	if err != nil {
 		return report.Summary{}, err
 	}
-	evidence, err := run(ctx, options, profile, collector)
+	evidence, err := runLoad(ctx, options, profile, collector)
 	stop()
 	collector.Finish(ctx)
 	if err != nil {
 		return report.Summary{}, err
 	}
 	evidence.Ended = time.Now()
-	if err := gather(ctx, &evidence, options, collector); err != nil {
+	if err := completeEvidence(ctx, &evidence, options, collector); err != nil {
 		return report.Summary{}, err
 	}
 	summary := report.Summarize(evidence, check.Judge(evidence, check.DefaultTolerances()))
 	summary.Profile, summary.Seed = options.Profile, options.Seed
 	summary.Problems = make(map[string]string)
-	for what, problem := range collector.Problems() {
-		summary.Problems[what] = fmt.Sprintf("%d times: %s", problem.Times, problem.Last)
+	for source, problem := range collector.Problems() {
+		summary.Problems[source] = fmt.Sprintf("%d times: %s", problem.Times, problem.Last)
 	}
 	return summary, nil
 }
 
-// startCollecting returns once the first sample is taken.
+// startCollecting starts the collector and returns after its first sample.
 func startCollecting(ctx context.Context, collector *collect.Collector) (stop func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	started := make(chan struct{})
@@ -129,61 +131,63 @@
 		return func() { cancel(); <-ended }, nil
 	case err := <-ended:
 		cancel()
-		return nil, errors.Join(errors.New("the run ended before it began"), err)
+		return nil, errors.Join(errors.New("the collector ended before its first sample"), err)
 	}
 }
 
-// run draws the plan and sends it.
-func run(ctx context.Context, options Options, profile load.Profile, collector *collect.Collector) (check.Evidence, error) {
+// runLoad plans the load and sends it while moments are announced and faults
+// injected.
+func runLoad(ctx context.Context, options Options, profile load.Profile, collector *collect.Collector) (check.Evidence, error) {
 	classes, err := load.ReadClasses(collector.Objects())
 	if err != nil {
 		return check.Evidence{}, err
 	}
 	if len(classes.Models) == 0 {
-		return check.Evidence{}, errors.New("no deployment is declared, so there is nothing to ask for")
+		return check.Evidence{}, errors.New("no deployment is declared, so no request can be sent")
 	}
 	started := time.Now()
 	runID := strconv.FormatUint(options.Seed, 10) + "-" + strconv.FormatInt(started.Unix(), 36)
 	plan := load.Plan(load.PlanOptions{
 		Seed: options.Seed, RunID: runID, Nodes: options.Nodes, Classes: classes,
 		Profile: profile, Duration: options.Duration, Rate: options.Rate,
-		LongAt: time.Duration(longShare * float64(options.Duration)),
+		LongAt: time.Duration(longStreamShare * float64(options.Duration)),
 	})
-	announcing, stop := context.WithCancel(ctx)
-	announced := make(chan struct{})
+	announceContext, stop := context.WithCancel(ctx)
+	announceDone := make(chan struct{})
 	go func() {
-		defer close(announced)
-		announce(announcing, options, started)
+		defer close(announceDone)
+		announceMoments(announceContext, options, started)
 	}()
-	injected := startFaults(announcing, options, collector)
+	injected := startFaults(announceContext, options, collector)
 	records := load.Run(ctx, plan, load.RunOptions{
 		RunID: runID, Sender: load.NewClient(), Nodes: options.Nodes, Progress: options.Progress,
 	})
-	wait(ctx, started.Add(options.Duration+settleTime))
+	waitUntil(ctx, started.Add(options.Duration+settleTime))
 	stop()
-	<-announced
+	<-announceDone
 	injection := <-injected
 	if injection.err != nil {
-		// A back end may have been killed meanwhile; the run is judged all the
-		// same.
+		// The caller may have killed the back end meanwhile, so the failure does not
+		// fail the run.
 		collector.Note("a target of faults", injection.err)
 	}
-	options.tell(MomentEnd)
+	options.announce(MomentEnd)
 	return check.Evidence{
 		Records: records, Faults: injection.faults, Started: started, Answers: engineAnswers{},
 	}, ctx.Err()
 }
 
-// injection is what was brought about at the stand-ins.
-type injection struct {
+// injectionResult has the faults injected at the stand-ins.
+type injectionResult struct {
 	faults []history.Fault
 	err    error
 }
 
-func startFaults(ctx context.Context, options Options, collector *collect.Collector) <-chan injection {
-	done := make(chan injection, 1)
+// startFaults injects the faults in the background and sends the result once.
+func startFaults(ctx context.Context, options Options, collector *collect.Collector) <-chan injectionResult {
+	done := make(chan injectionResult, 1)
 	if len(options.Faults) == 0 {
-		done <- injection{}
+		done <- injectionResult{}
 		return done
 	}
 	go func() {
@@ -191,33 +195,33 @@
 			Kinds: options.Faults, Targets: inject.Targets(options.Platform, collector.Machines()),
 			Duration: options.Duration, Seed: options.Seed,
 		})
-		done <- injection{faults: faults, err: err}
+		done <- injectionResult{faults: faults, err: err}
 	}()
 	return done
 }
 
-// settleTime is how long after the last request the books are still followed.
+// settleTime is how long the books are still read after the last request.
 const settleTime = time.Second
 
-// announce tells each moment at its time.
-func announce(ctx context.Context, options Options, started time.Time) {
-	for _, entry := range moments {
+// announceMoments announces each moment at its time.
+func announceMoments(ctx context.Context, options Options, started time.Time) {
+	for _, entry := range schedule {
 		at := started.Add(time.Duration(entry.share * float64(options.Duration)))
-		if !wait(ctx, at) {
+		if !waitUntil(ctx, at) {
 			return
 		}
-		options.tell(entry.moment)
+		options.announce(entry.moment)
 	}
 }
 
-func (o Options) tell(moment Moment) {
+func (o Options) announce(moment Moment) {
 	if o.Announce != nil {
 		o.Announce(moment)
 	}
 }
 
-// wait returns false if the context ended before the time came.
-func wait(ctx context.Context, at time.Time) bool {
+// waitUntil returns false if the context ends before the time.
+func waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
@@ -228,26 +232,26 @@
 	}
 }
 
-// exitLimit is how long a planned stop may last beyond the end of the load.
-const exitLimit = 10 * time.Second
+// exitTimeout is how long a planned stop may last beyond the end of the load.
+const exitTimeout = 10 * time.Second
 
-// awaitExits reads the faults once every planned stop has its exit code noted,
-// or the limit is over.
+// awaitExits reads the fault log until every planned stop has a logged exit code
+// or exitTimeout is over.
 func awaitExits(ctx context.Context, path string) ([]history.Fault, error) {
 	if path == "" {
 		return nil, nil
 	}
-	deadline := time.Now().Add(exitLimit)
+	deadline := time.Now().Add(exitTimeout)
 	for {
 		faults, err := history.ReadFaults(path)
 		if err != nil || allExited(faults) || time.Now().After(deadline) || ctx.Err() != nil {
 			return faults, err
 		}
-		wait(ctx, time.Now().Add(exitPoll))
+		waitUntil(ctx, time.Now().Add(exitPollInterval))
 	}
 }
 
-const exitPoll = 100 * time.Millisecond
+const exitPollInterval = 100 * time.Millisecond
 
 func allExited(faults []history.Fault) bool {
 	stopped, exited := 0, 0
@@ -262,8 +266,9 @@
 	return stopped == exited
 }
 
-// gather adds what was seen beside the requests.
-func gather(ctx context.Context, evidence *check.Evidence, options Options, collector *collect.Collector) error {
+// completeEvidence adds the collector's data and the logged faults to the
+// evidence, and writes the history file.
+func completeEvidence(ctx context.Context, evidence *check.Evidence, options Options, collector *collect.Collector) error {
 	collector.Fill(evidence)
 	faults, err := awaitExits(ctx, options.FaultLog)
 	if err != nil {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -13,67 +13,68 @@
 	"github.com/spanlanding/spanlanding/internal/lab/report"
 )
 
-func runReference(t *testing.T, wrong defects) report.Summary {
+func runReference(t *testing.T, injected defects) report.Summary {
 	t.Helper()
-	nodes, platformURL := startReference(t, wrong)
-	var seen []Moment
+	nodes, platformURL := startReference(t, injected)
+	var announced []Moment
 	summary, err := Run(t.Context(), Options{
 		Nodes: nodes, Operators: nodes, Platform: platformURL, Profile: "fjordkurv", Backends: 3, Ready: time.Minute,
 		Rate: 60, Duration: 2 * time.Second, Seed: 1,
 		HistoryFile: filepath.Join(t.TempDir(), "history.jsonl"),
-		Announce:    func(moment Moment) { seen = append(seen, moment) },
+		Announce:    func(moment Moment) { announced = append(announced, moment) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen[0] != MomentStart || seen[len(seen)-1] != MomentEnd || !slices.Contains(seen, MomentStopNode) {
-		t.Errorf("the moments were %v", seen)
+	if announced[0] != MomentStart || announced[len(announced)-1] != MomentEnd || !slices.Contains(announced, MomentStopNode) {
+		t.Errorf("announced moments are %v, expected start first, stop-node between and end last", announced)
 	}
 	return summary
 }
 
-// TestReferenceFleetKeepsTheRules runs the whole laboratory over real sockets
-// against a fleet that does everything right but is never disturbed.
+// TestReferenceFleetKeepsTheRules runs all lab packages over real sockets against
+// a correct fleet without faults. No rule may be broken.
 func TestReferenceFleetKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	summary := runReference(t, defects{})
 	if broken := summary.Broken(); len(broken) > 0 {
-		t.Errorf("broken: %v", summary.Verdicts)
+		t.Errorf("broken rules: %v", summary.Verdicts)
 	}
-	// Whether a change grew old enough to be judged hangs on how long the run
-	// took, so the rule of configuration may be in either state.
+	// A configuration change is judged only after a minimum age, which depends on
+	// how long the run took, so the rule may or may not be exercised.
 	missing := slices.DeleteFunc(summary.NotExercised(), func(rule check.Rule) bool { return rule == check.RuleConfig })
 	if difference := cmp.Diff([]check.Rule{check.RuleLeaving, check.RulePlannedStop}, missing); difference != "" {
-		t.Errorf("rules that did not come into play:\n%s", difference)
+		t.Errorf("unexpected set of rules not exercised:\n%s", difference)
 	}
 	if summary.Times[report.TimeColdStart].Count == 0 || summary.Loads.Ordered != 5 {
-		t.Errorf("cold starts %s, %d loads", summary.Times[report.TimeColdStart], summary.Loads.Ordered)
+		t.Errorf("cold starts: %s, expected some; %d loads, expected 5", summary.Times[report.TimeColdStart], summary.Loads.Ordered)
 	}
 	if len(summary.Problems) > 0 {
-		t.Errorf("not read: %v", summary.Problems)
+		t.Errorf("sources with read errors: %v", summary.Problems)
 	}
 }
 
-// TestDefectsOfTheReferenceFleetAreFound plants each defect over real sockets.
+// TestDefectsOfTheReferenceFleetAreFound builds the fleet with one defect at a
+// time. The rule that the defect breaks must be reported as broken.
 func TestDefectsOfTheReferenceFleetAreFound(t *testing.T) {
 	cases := map[check.Rule]defects{
-		check.RuleAtMostOnce: {forgetKeys: true},
-		check.RuleNotRun:     {lie: true},
+		check.RuleAtMostOnce: {ignoreKeys: true},
+		check.RuleNotRun:     {falseNotRun: true},
 		check.RuleOwnAnswer:  {crossAnswers: true},
 		check.RuleReplicas:   {loadTwice: true},
 	}
-	for rule, wrong := range cases {
+	for rule, injected := range cases {
 		t.Run(string(rule), func(t *testing.T) {
 			t.Parallel()
-			if broken := runReference(t, wrong).Broken(); !slices.Contains(broken, rule) {
-				t.Errorf("broken: %v", broken)
+			if broken := runReference(t, injected).Broken(); !slices.Contains(broken, rule) {
+				t.Errorf("the defect was not found; broken rules: %v", broken)
 			}
 		})
 	}
 }
 
-// TestFaultsReachTheBackEnds demands that faults come to the listed back ends
-// too, and that the reference fleet's command server is found down by callers.
+// TestFaultsReachTheBackEnds injects an engine and a service fault. Both must be
+// injected at the listed back ends, cleared again and listed in the summary.
 func TestFaultsReachTheBackEnds(t *testing.T) {
 	t.Parallel()
 	nodes, platformURL := startReference(t, defects{})
