--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -6,27 +6,30 @@
 	"slices"
 )
 
-// Interval is a 95 % bootstrap interval of a mean or of a difference of means.
+// Interval is a 95 % bootstrap confidence interval of a mean or of a difference
+// of means.
 type Interval struct {
 	Mean float64
 	Low  float64
 	High float64
-	// Count is the number of runs behind it.
+	// Count is the number of runs; for a difference of unpaired groups, that of
+	// the smaller group.
 	Count int
 }
 
-// ExcludesZero reports whether the interval lies on one side of zero.
+// ExcludesZero reports whether the interval lies on one side of zero. An interval
+// from a single run never does.
 func (i Interval) ExcludesZero() bool {
 	return i.Count > 1 && (i.Low > 0 || i.High < 0)
 }
 
 const (
-	resamples     = 2000
-	intervalShare = 0.95
-	bootstrapSeed = 1
+	resamples       = 2000
+	confidenceLevel = 0.95
+	bootstrapSeed   = 1
 )
 
-// Group is one metric in one cell, over the seeds.
+// Group is one metric in one cell, aggregated over the seeds.
 type Group struct {
 	Cell
 	Metric string
@@ -39,14 +42,14 @@
 	metric string
 }
 
-// Groups sums the rows up over their seeds, in the order of the rows.
+// Groups aggregates the rows over their seeds, in the order of the rows.
 func Groups(rows []Row) []Group {
-	keys, bySeed := grouped(rows)
+	keys, bySeed := groupBySeed(rows)
 	groups := make([]Group, 0, len(keys))
 	for _, key := range keys {
 		entry := bySeed[key]
 		groups = append(groups, Group{
-			Cell: key.Cell, Metric: key.metric, Unit: entry.unit, Mean: bootstrap(entry.values()),
+			Cell: key.Cell, Metric: key.metric, Unit: entry.unit, Mean: bootstrapMean(entry.values()),
 		})
 	}
 	return groups
@@ -67,7 +70,7 @@
 	return values
 }
 
-func grouped(rows []Row) ([]groupKey, map[groupKey]*seedValues) {
+func groupBySeed(rows []Row) ([]groupKey, map[groupKey]*seedValues) {
 	var keys []groupKey
 	groups := make(map[groupKey]*seedValues)
 	for _, row := range rows {
@@ -91,17 +94,17 @@
 	Unit   string
 	Old    float64
 	New    float64
-	// Change is the interval of new minus old. Where both have the same seeds
-	// it is taken over the pairs.
+	// Change is the interval of new minus old. If both have the same seeds, it is
+	// computed from the differences for each seed.
 	Change Interval
 	Paired bool
 }
 
-// Compare returns the differences of all groups that both have, in the order of
-// the newer rows.
+// Compare returns the differences of all groups that are in both experiments, in
+// the order of the newer rows.
 func Compare(older, newer []Row) []Difference {
-	_, before := grouped(older)
-	keys, after := grouped(newer)
+	_, before := groupBySeed(older)
+	keys, after := groupBySeed(newer)
 	var differences []Difference
 	for _, key := range keys {
 		old, found := before[key]
@@ -113,9 +116,9 @@
 			Cell: key.Cell, Metric: key.metric, Unit: current.unit,
 			Old: mean(old.values()), New: mean(current.values()),
 		}
-		if changes, paired := pairs(old, current); paired {
+		if changes, paired := pairedChanges(old, current); paired {
 			difference.Paired = true
-			difference.Change = bootstrap(changes)
+			difference.Change = bootstrapMean(changes)
 		} else {
 			difference.Change = bootstrapDifference(old.values(), current.values())
 		}
@@ -124,8 +127,8 @@
 	return differences
 }
 
-// pairs returns new minus old for each seed, if both have the same seeds.
-func pairs(old, current *seedValues) ([]float64, bool) {
+// pairedChanges returns new minus old for each seed; false if the seeds differ.
+func pairedChanges(old, current *seedValues) ([]float64, bool) {
 	if len(old.seeds) != len(current.seeds) {
 		return nil, false
 	}
@@ -140,33 +143,34 @@
 	return changes, true
 }
 
-// bootstrap returns the percentile interval of the mean.
-func bootstrap(values []float64) Interval {
+// bootstrapMean returns the percentile interval of the mean.
+func bootstrapMean(values []float64) Interval {
 	random := rand.New(rand.NewPCG(bootstrapSeed, uint64(len(values))))
-	return interval(mean(values), len(values), func() float64 { return resampledMean(random, values) })
+	return percentileInterval(mean(values), len(values), func() float64 { return resampledMean(random, values) })
 }
 
-// bootstrapDifference resamples both sides on their own.
+// bootstrapDifference returns the percentile interval of the difference of means,
+// with both groups resampled independently.
 func bootstrapDifference(old, current []float64) Interval {
 	random := rand.New(rand.NewPCG(bootstrapSeed, uint64(len(old)+len(current))))
-	return interval(mean(current)-mean(old), min(len(old), len(current)), func() float64 {
+	return percentileInterval(mean(current)-mean(old), min(len(old), len(current)), func() float64 {
 		return resampledMean(random, current) - resampledMean(random, old)
 	})
 }
 
-func interval(center float64, count int, draw func() float64) Interval {
+func percentileInterval(center float64, count int, resample func() float64) Interval {
 	if count == 0 {
 		return Interval{Mean: math.NaN(), Low: math.NaN(), High: math.NaN()}
 	}
-	draws := make([]float64, resamples)
-	for index := range draws {
-		draws[index] = draw()
+	means := make([]float64, resamples)
+	for index := range means {
+		means[index] = resample()
 	}
-	slices.Sort(draws)
-	tail := (1 - intervalShare) / 2
+	slices.Sort(means)
+	tail := (1 - confidenceLevel) / 2
 	return Interval{
 		Mean: center, Count: count,
-		Low: Quantile(draws, tail), High: Quantile(draws, 1-tail),
+		Low: Quantile(means, tail), High: Quantile(means, 1-tail),
 	}
 }
 
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -52,15 +52,15 @@
 	_, err := ReadFile(writeFile(t, "matrix: {policy: [a, a]}\n"))
 	for _, part := range []string{"name:", "runner:", "seeds:", "twice"} {
 		if err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("%q is not in the findings: %v", part, err)
+			t.Errorf("%q is not in the error: %v", part, err)
 		}
 	}
 	if _, err := ReadFile(writeFile(t, sample+"colour: red\n")); err == nil {
-		t.Error("an unknown field was taken")
+		t.Error("an unknown field was accepted")
 	}
 }
 
-// sumRunner fails for one cell and else returns figures worked out from the
+// sumRunner fails for one run and otherwise returns values computed from the
 // parameters.
 var sumRunner = RunnerFunc(func(_ context.Context, p Parameters) (Measurements, error) {
 	if p.Policy == "two" && p.Load == 1 && p.Seed == 8 {
@@ -87,7 +87,7 @@
 		t.Errorf("the error is %v", err)
 	}
 	if len(result.Runs) != 7 {
-		t.Errorf("%d of 7 runs are there", len(result.Runs))
+		t.Errorf("the result has %d runs, expected 7", len(result.Runs))
 	}
 }
 
@@ -120,7 +120,7 @@
 		t.Error(difference)
 	}
 	if _, err := ReadCSV(strings.NewReader("a,b,c,d,e,f,g,h\n")); err == nil {
-		t.Error("another table was taken")
+		t.Error("a file with another header was accepted")
 	}
 }
 
@@ -158,14 +158,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			differences := Compare(noisy, test.newer)
 			if len(differences) != 1 {
-				t.Fatalf("%d differences", len(differences))
+				t.Fatalf("%d differences, expected 1", len(differences))
 			}
 			got := differences[0]
 			if got.Change.ExcludesZero() != test.changed || got.Paired != test.paired {
 				t.Errorf("change %+v, paired %v", got.Change, got.Paired)
 			}
 			if got.Change.Low > got.Change.Mean || got.Change.Mean > got.Change.High {
-				t.Errorf("the interval %+v does not hold its mean", got.Change)
+				t.Errorf("the interval %+v does not contain its mean", got.Change)
 			}
 		})
 	}
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -13,34 +13,36 @@
 	"github.com/goccy/go-yaml"
 )
 
-// File is a declared experiment.
+// File is the definition of an experiment.
 type File struct {
 	Name   string `yaml:"name"`
 	Runner string `yaml:"runner"`
-	// Duration of each run in Go's form; the runner has a default.
+	// Duration of each run in Go's notation; without it the runner's default
+	// applies.
 	Duration time.Duration `yaml:"duration,omitempty"`
 	Matrix   Matrix        `yaml:"matrix"`
 	Seeds    []uint64      `yaml:"seeds"`
-	// Options go to each run as they are.
+	// Options are passed to each run unchanged.
 	Options map[string]string `yaml:"options,omitempty"`
-	// Table names the metrics of the summary, a column each.
+	// Table lists the metrics that are columns of the summary.
 	Table []string `yaml:"table,omitempty"`
-	// Plots set one metric against another.
+	// Plots plot one metric against another.
 	Plots []Plot `yaml:"plots,omitempty"`
 }
 
-// Plot has one point for each policy, on lines with names.
+// Plot is a plot with one point for each policy and named lines that join them.
 type Plot struct {
 	Title string `yaml:"title"`
-	// X and Y are metrics.
+	// X and Y are the metrics on the axes.
 	X string `yaml:"x"`
 	Y string `yaml:"y"`
-	// Lines are policies in the order in which they are joined.
+	// Lines has, by name of the line, the policies in the order in which they are
+	// joined.
 	Lines map[string][]string `yaml:"lines"`
 }
 
-// Matrix has the values of each dimension; one without values has the one
-// empty value, or load 1.
+// Matrix has the values of each dimension. A dimension without values has one
+// default value: load 1, fault "none", otherwise the empty string.
 type Matrix struct {
 	Policy  []string  `yaml:"policy,omitempty"`
 	Profile []string  `yaml:"profile,omitempty"`
@@ -48,7 +50,7 @@
 	Fault   []string  `yaml:"fault,omitempty"`
 }
 
-// ReadFile reads an experiment; the error has all that is wrong with it.
+// ReadFile reads and validates an experiment; the error lists all problems.
 func ReadFile(path string) (File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -59,42 +61,43 @@
 	if err := decoder.Decode(&file); err != nil && !errors.Is(err, io.EOF) {
 		return File{}, fmt.Errorf("%s: %s", path, yaml.FormatError(err, false, true))
 	}
-	if err := file.check(); err != nil {
+	if err := file.validate(); err != nil {
 		return File{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return file, nil
 }
 
-func (f File) check() error {
-	var findings []error
+func (f File) validate() error {
+	var problems []error
 	if f.Name == "" {
-		findings = append(findings, errors.New("name: is missing"))
+		problems = append(problems, errors.New("name: is missing"))
 	}
 	if f.Runner == "" {
-		findings = append(findings, errors.New("runner: is missing"))
+		problems = append(problems, errors.New("runner: is missing"))
 	}
 	if len(f.Seeds) == 0 {
-		findings = append(findings, errors.New("seeds: name at least one"))
+		problems = append(problems, errors.New("seeds: name at least one"))
 	}
-	if duplicate(f.Seeds) || duplicate(f.Matrix.Policy) || duplicate(f.Matrix.Profile) ||
-		duplicate(f.Matrix.Load) || duplicate(f.Matrix.Fault) {
-		findings = append(findings, errors.New("matrix, seeds: no value may stand twice"))
+	if hasDuplicates(f.Seeds) || hasDuplicates(f.Matrix.Policy) || hasDuplicates(f.Matrix.Profile) ||
+		hasDuplicates(f.Matrix.Load) || hasDuplicates(f.Matrix.Fault) {
+		problems = append(problems, errors.New("matrix, seeds: no value may stand twice"))
 	}
-	return errors.Join(findings...)
+	return errors.Join(problems...)
 }
 
-func duplicate[T cmp.Ordered](values []T) bool {
+func hasDuplicates[T cmp.Ordered](values []T) bool {
 	sorted := slices.Sorted(slices.Values(values))
 	return len(slices.Compact(sorted)) != len(values)
 }
 
-// Cells lists every combination, the last dimension changing first.
+// Cells returns every combination; the policy changes fastest, then the fault,
+// the load and the profile.
 func (m Matrix) Cells() []Cell {
 	var cells []Cell
-	for _, profile := range orOne(m.Profile, "") {
-		for _, load := range orOne(m.Load, 1) {
-			for _, fault := range orOne(m.Fault, "none") {
-				for _, policy := range orOne(m.Policy, "") {
+	for _, profile := range valuesOrDefault(m.Profile, "") {
+		for _, load := range valuesOrDefault(m.Load, 1) {
+			for _, fault := range valuesOrDefault(m.Fault, "none") {
+				for _, policy := range valuesOrDefault(m.Policy, "") {
 					cells = append(cells, Cell{Policy: policy, Profile: profile, Load: load, Fault: fault})
 				}
 			}
@@ -103,9 +106,9 @@
 	return cells
 }
 
-func orOne[T any](values []T, single T) []T {
+func valuesOrDefault[T any](values []T, defaultValue T) []T {
 	if len(values) == 0 {
-		return []T{single}
+		return []T{defaultValue}
 	}
 	return values
 }
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Row is one figure of one run, as it stands in the CSV.
+// Row is one value of one run, as in the CSV.
 type Row struct {
 	Cell
 	Seed   uint64
@@ -18,13 +18,14 @@
 	Value  float64
 }
 
-// quantiles of a distribution that count as values.
+// quantiles of a distribution that are listed as rows.
 var quantiles = []struct {
 	name  string
 	share float64
 }{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}}
 
-// Rows lists every figure; distributions with their quantiles and mean.
+// Rows returns all values of all runs, and the quantiles and mean of each
+// distribution.
 func (r Result) Rows() []Row {
 	var rows []Row
 	for _, run := range r.Runs {
@@ -50,8 +51,8 @@
 	return rows
 }
 
-// Quantile returns the smallest sample that the share of the sorted samples
-// does not exceed.
+// Quantile returns the smallest sample such that at least the share of the sorted
+// samples is not greater than it, or NaN without samples.
 func Quantile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
@@ -70,9 +71,9 @@
 
 var csvHeader = []string{"policy", "profile", "load", "fault", "seed", "metric", "unit", "value"}
 
-// WriteCSV writes the rows with a header.
-func WriteCSV(to io.Writer, rows []Row) error {
-	writer := csv.NewWriter(to)
+// WriteCSV writes the rows as CSV with a header.
+func WriteCSV(output io.Writer, rows []Row) error {
+	writer := csv.NewWriter(output)
 	if err := writer.Write(csvHeader); err != nil {
 		return err
 	}
@@ -93,9 +94,9 @@
 	return strconv.FormatFloat(value, 'g', -1, 64)
 }
 
-// ReadCSV reads what WriteCSV wrote.
-func ReadCSV(from io.Reader) ([]Row, error) {
-	reader := csv.NewReader(from)
+// ReadCSV reads rows that WriteCSV has written.
+func ReadCSV(input io.Reader) ([]Row, error) {
+	reader := csv.NewReader(input)
 	reader.FieldsPerRecord = len(csvHeader)
 	records, err := reader.ReadAll()
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -9,49 +9,50 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Run is one run with what came of it.
+// Run is one run with its measurements.
 type Run struct {
 	Parameters   Parameters
 	Measurements Measurements
 }
 
-// Result has the runs in the order of the matrix, seeds changing first.
+// Result has the runs in the order of the matrix; the seed changes fastest.
 type Result struct {
 	File File
 	Runs []Run
 }
 
-// Options say how a matrix is run.
+// Options configure how a matrix is run.
 type Options struct {
-	// Parallel bounds the runs side by side.
+	// Parallel limits the number of concurrent runs.
 	Parallel int
-	// Progress is called after each run from the goroutine that made it; it
-	// may be nil.
+	// Progress is called after each run from the goroutine of the run; it may be
+	// nil.
 	Progress func(done, total int)
 }
 
-// Execute makes all runs. A run that fails does not stop the others; the error
-// has all failures, and the result the runs that did not fail.
+// Execute runs the whole matrix. A failed run does not stop the others: the error
+// joins all failures, and the result has the runs that succeeded.
 func Execute(ctx context.Context, file File, registry Registry, options Options) (Result, error) {
 	runner, err := registry.Find(file.Runner)
 	if err != nil {
 		return Result{}, err
 	}
-	runs := plannedRuns(file)
+	runs := planRuns(file)
 	failures := make([]error, len(runs))
 	var done atomic.Int64
 	var group errgroup.Group
 	group.SetLimit(max(options.Parallel, 1))
 	for index := range runs {
 		group.Go(func() error {
-			failures[index] = runOne(ctx, runner, &runs[index])
+			failures[index] = execute(ctx, runner, &runs[index])
 			if options.Progress != nil {
 				options.Progress(int(done.Add(1)), len(runs))
 			}
 			return nil
 		})
 	}
-	// The failures are kept apart, so that every run is made.
+	// The functions return no error, because the group must execute every run;
+	// failures has the errors.
 	_ = group.Wait()
 	result := Result{File: file}
 	for index, run := range runs {
@@ -62,7 +63,7 @@
 	return result, errors.Join(failures...)
 }
 
-func plannedRuns(file File) []Run {
+func planRuns(file File) []Run {
 	var runs []Run
 	for _, cell := range file.Matrix.Cells() {
 		for _, seed := range file.Seeds {
@@ -74,7 +75,7 @@
 	return runs
 }
 
-func runOne(ctx context.Context, runner Runner, run *Run) error {
+func execute(ctx context.Context, runner Runner, run *Run) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/lab/experiment/runner.go
+++ b/internal/lab/experiment/runner.go
@@ -12,7 +12,7 @@
 type Parameters struct {
 	Cell
 	Seed uint64
-	// Duration is how long the run lasts, on the clock that the runner has.
+	// Duration is how long the run lasts, on the runner's clock.
 	Duration time.Duration
 	// Options are further settings of the runner, the same for all runs.
 	Options map[string]string
@@ -22,17 +22,17 @@
 type Cell struct {
 	Policy  string `json:"policy"`
 	Profile string `json:"profile"`
-	// Load is what the runner takes it for, such as requests a second.
+	// Load has a unit that the runner defines, such as requests a second.
 	Load  float64 `json:"load"`
 	Fault string  `json:"fault"`
 }
 
-// String names the cell.
+// String describes the cell.
 func (c Cell) String() string {
 	return fmt.Sprintf("%s %s load %g %s", c.Policy, c.Profile, c.Load, c.Fault)
 }
 
-// Measurements are the figures of one run.
+// Measurements are the results of one run.
 type Measurements struct {
 	Values []Value
 	// Distributions are shown as curves; their quantiles count as values too.
@@ -40,7 +40,7 @@
 	Series        []Series
 }
 
-// Value is one figure.
+// Value is one measured value.
 type Value struct {
 	Metric string
 	Unit   string
@@ -61,19 +61,19 @@
 	Points []Point
 }
 
-// Point is one moment of a series.
+// Point is a value of a series at a time.
 type Point struct {
 	Seconds float64
 	Value   float64
 }
 
-// Runner makes one run. It must be safe for runs side by side, and the same
-// parameters should give the same figures.
+// Runner executes one run. It must be safe for concurrent use, and equal
+// parameters should give equal results.
 type Runner interface {
 	Run(ctx context.Context, parameters Parameters) (Measurements, error)
 }
 
-// RunnerFunc is a function that is a Runner.
+// RunnerFunc is a function that implements Runner.
 type RunnerFunc func(ctx context.Context, parameters Parameters) (Measurements, error)
 
 // Run implements Runner.
@@ -81,14 +81,14 @@
 	return f(ctx, parameters)
 }
 
-// Registry finds runners by the name that a file gives.
+// Registry maps the names used in files to runners.
 type Registry map[string]Runner
 
-// Find returns a runner, or an error that lists those there are.
+// Find returns a runner, or an error that lists the known ones.
 func (r Registry) Find(name string) (Runner, error) {
 	runner, found := r[name]
 	if !found {
-		return nil, fmt.Errorf("runner %q is not known; there are %v", name, slices.Sorted(maps.Keys(r)))
+		return nil, fmt.Errorf("unknown runner %q; known runners are %v", name, slices.Sorted(maps.Keys(r)))
 	}
 	return runner, nil
 }
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -8,8 +8,7 @@
 	"text/tabwriter"
 )
 
-// Summary lists, for each cell, the means of the metrics that the file's table
-// names.
+// Summary returns, for each cell, the means of the metrics in the file's table.
 func (r Result) Summary() []SummaryRow {
 	var rows []SummaryRow
 	for _, group := range Groups(r.Rows()) {
@@ -27,20 +26,21 @@
 	return rows
 }
 
-// SummaryRow has one figure for each metric of the table, "" where there is none.
+// SummaryRow has the formatted mean of each metric of the table; empty if there
+// is none.
 type SummaryRow struct {
 	Cell
 	Values []string
 }
 
-// WriteSummary writes the summary as text.
-func (r Result) WriteSummary(to io.Writer) error {
+// WriteSummary writes the summary as a text table.
+func (r Result) WriteSummary(output io.Writer) error {
 	rows := r.Summary()
 	if len(rows) == 0 {
 		return nil
 	}
 	const padding = 2
-	table := tabwriter.NewWriter(to, 0, 0, padding, ' ', tabwriter.AlignRight)
+	table := tabwriter.NewWriter(output, 0, 0, padding, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "profile\tpolicy\t%s\t\n", strings.Join(r.File.Table, "\t"))
 	for _, row := range rows {
 		fmt.Fprintf(table, "%s\t%s\t%s\t\n", row.Profile, row.Policy, strings.Join(row.Values, "\t"))
@@ -48,14 +48,14 @@
 	return table.Flush()
 }
 
-// Curve returns the points of a line of a plot for a profile, load and fault:
-// the means over the seeds.
-func Curve(groups []Group, plot Plot, line string, place Cell) []XY {
+// Curve returns the points of a plot's line, the means over the seeds, for the
+// profile, load and fault of the cell.
+func Curve(groups []Group, plot Plot, line string, cell Cell) []XY {
 	var points []XY
 	for _, policy := range plot.Lines[line] {
-		place.Policy = policy
-		x, foundX := meanOf(groups, place, plot.X)
-		y, foundY := meanOf(groups, place, plot.Y)
+		cell.Policy = policy
+		x, foundX := findMean(groups, cell, plot.X)
+		y, foundY := findMean(groups, cell, plot.Y)
 		if foundX && foundY {
 			points = append(points, XY{x, y})
 		}
@@ -66,7 +66,7 @@
 // XY is one point of a plot.
 type XY struct{ X, Y float64 }
 
-func meanOf(groups []Group, cell Cell, metric string) (float64, bool) {
+func findMean(groups []Group, cell Cell, metric string) (float64, bool) {
 	index := slices.IndexFunc(groups, func(group Group) bool { return group.Cell == cell && group.Metric == metric })
 	if index < 0 {
 		return 0, false
