--- a/internal/lab/requestpath/clock.go
+++ b/internal/lab/requestpath/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock runs events in the order of their times, those of one time in the
-// order in which they were added.
+// clock is a virtual clock that runs events in order of time. Events due at the
+// same time run in the order in which they were added.
 type clock struct {
 	now    time.Time
 	events events
@@ -19,16 +19,16 @@
 	do    func()
 }
 
-func (c *clock) after(wait time.Duration, do func()) {
-	c.at(c.now.Add(wait), do)
+func (c *clock) scheduleAfter(wait time.Duration, do func()) {
+	c.scheduleAt(c.now.Add(wait), do)
 }
 
-func (c *clock) at(at time.Time, do func()) {
+func (c *clock) scheduleAt(at time.Time, do func()) {
 	c.added++
 	heap.Push(&c.events, event{at: at, order: c.added, do: do})
 }
 
-// runUntil runs all that is due, then sets the clock to the end.
+// runUntil runs all events due until the end, then sets the clock to the end.
 func (c *clock) runUntil(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		next := heap.Pop(&c.events).(event)
@@ -40,36 +40,36 @@
 	c.now = end
 }
 
-// alarm calls a function at a time that may be set anew. A time that moves on
-// costs nothing until the former one has come.
-type alarm struct {
+// timer calls a function at a deadline that may change. If the deadline moves
+// later, the scheduled event stays and the timer is rescheduled when it fires.
+type timer struct {
 	clock *clock
-	// want reads the time that is wanted now; zero is never.
-	want func() time.Time
-	ring func()
-	// set is the earliest time for which an event is there.
-	set time.Time
+	// deadline returns the current deadline; zero means never.
+	deadline func() time.Time
+	callback func()
+	// scheduledAt is the earliest time for which an event is scheduled.
+	scheduledAt time.Time
 }
 
-// arm makes sure that an event comes at the wanted time or before.
-func (a *alarm) arm() {
-	at := a.want()
-	if at.IsZero() || !a.set.IsZero() && !at.Before(a.set) {
+// reset makes sure that an event is scheduled at the deadline or earlier.
+func (a *timer) reset() {
+	at := a.deadline()
+	if at.IsZero() || !a.scheduledAt.IsZero() && !at.Before(a.scheduledAt) {
 		return
 	}
-	a.set = at
-	a.clock.at(at, func() { a.fire(at) })
+	a.scheduledAt = at
+	a.clock.scheduleAt(at, func() { a.fire(at) })
 }
 
-func (a *alarm) fire(at time.Time) {
-	if !a.set.Equal(at) {
+func (a *timer) fire(at time.Time) {
+	if !a.scheduledAt.Equal(at) {
 		return
 	}
-	a.set = time.Time{}
-	if wanted := a.want(); !wanted.IsZero() && !wanted.After(a.clock.now) {
-		a.ring()
+	a.scheduledAt = time.Time{}
+	if wanted := a.deadline(); !wanted.IsZero() && !wanted.After(a.clock.now) {
+		a.callback()
 	}
-	a.arm()
+	a.reset()
 }
 
 // events is a heap by time, then order. It implements heap.Interface.
--- a/internal/lab/requestpath/node.go
+++ b/internal/lab/requestpath/node.go
@@ -10,51 +10,52 @@
 	"github.com/spanlanding/spanlanding/internal/routing"
 )
 
-// itemBytes is what a waiting request is taken to hold.
+// itemBytes is the assumed memory of a waiting request.
 const itemBytes = 16 << 10
 
-// node wires the cores of one node together as the gateway's dispatcher does.
+// node connects the cores of one node as the gateway's dispatcher does.
 type node struct {
-	world   *world
-	zone    fleet.Zone
-	queue   *queue.Core
-	routing *routing.Core
-	// budget is nil where retries are not bounded.
+	simulation *simulation
+	zone       fleet.Zone
+	queue      *queue.Core
+	routing    *routing.Core
+	// budget is nil if retries are not limited.
 	budget *attempt.Budget
-	alarm  alarm
-	// pending have no back end yet, assigned have one.
-	pending  map[uint64]*request
-	assigned map[uint64]time.Time
-	misses   map[uint64]int
-	// hedges ask for a second back end.
+	timer  timer
+	// pending holds requests without a back end; assigned has the times at which
+	// tickets got one; assignFailures counts failed assignments of a ticket.
+	pending        map[uint64]*request
+	assigned       map[uint64]time.Time
+	assignFailures map[uint64]int
+	// hedges holds requests that wait for a second back end.
 	hedges map[uint64]*request
 }
 
-func newNode(world *world, index int, zone fleet.Zone, budget bool, seed uint64) *node {
+func newNode(world *simulation, index int, zone fleet.Zone, budget bool, seed uint64) *node {
 	created := &node{
-		world: world, zone: zone,
-		queue:    queue.New(queue.Options{Zone: zone}),
-		routing:  routing.New(routing.Options{Zone: zone, Seed: seed + uint64(index)}),
-		pending:  make(map[uint64]*request),
-		assigned: make(map[uint64]time.Time),
-		misses:   make(map[uint64]int),
-		hedges:   make(map[uint64]*request),
+		simulation: world, zone: zone,
+		queue:          queue.New(queue.Options{Zone: zone}),
+		routing:        routing.New(routing.Options{Zone: zone, Seed: seed + uint64(index)}),
+		pending:        make(map[uint64]*request),
+		assigned:       make(map[uint64]time.Time),
+		assignFailures: make(map[uint64]int),
+		hedges:         make(map[uint64]*request),
 	}
 	if budget {
 		created.budget = attempt.NewBudget(attempt.DefaultRetryShare, attempt.DefaultRetryBurst)
 	}
-	created.alarm = alarm{clock: &world.clock, want: created.wake, ring: created.tick}
+	created.timer = timer{clock: &world.clock, deadline: created.nextWake, callback: created.tick}
 	return created
 }
 
 func (n *node) latency(to *server) time.Duration {
 	if to.backend.Zone == n.zone {
-		return sameZone
+		return sameZoneLatency
 	}
-	return otherZone
+	return otherZoneLatency
 }
 
-func (n *node) wake() time.Time {
+func (n *node) nextWake() time.Time {
 	wake := n.queue.NextWake()
 	if other := n.routing.NextWake(); wake.IsZero() || !other.IsZero() && other.Before(wake) {
 		wake = other
@@ -66,48 +67,48 @@
 	n.stepRouting(routing.Tick{})
 	n.stepQueue(queue.Tick{})
 	for _, line := range n.queue.Queues() {
-		n.offer(line.Model)
+		n.updateCapacity(line.Model)
 	}
 }
 
-// submit asks for a back end.
-func (n *node) submit(r *request, reassign attempt.Reassign) {
+// requestBackend queues a request for a back end. A retry must fit the budget.
+func (n *node) requestBackend(r *request, reassign attempt.Reassign) {
 	retry := reassign.Exclude != nil
 	switch {
 	case n.budget == nil:
 	case !retry:
 		n.budget.Earn()
 	case !reassign.BudgetExempt && !n.budget.Spend():
-		r.take(attempt.Unassigned{Code: "retry-budget-spent"})
+		r.receive(attempt.Unassigned{Code: "retry-budget-spent"})
 		return
 	}
-	n.world.tickets++
-	r.ticket = n.world.tickets
+	n.simulation.lastTicket++
+	r.ticket = n.simulation.lastTicket
 	r.exclude = slices.Clone(reassign.Exclude)
 	n.pending[r.ticket] = r
-	n.offer(model)
-	n.arrive(r, retry)
-	n.alarm.arm()
+	n.updateCapacity(model)
+	n.enqueue(r, retry)
+	n.timer.reset()
 }
 
-func (n *node) arrive(r *request, again bool) {
+func (n *node) enqueue(r *request, requeued bool) {
 	n.stepQueue(queue.Arrive{Item: queue.Item{
 		Ticket: queue.Ticket(r.ticket), Model: model, Priority: r.call.priority, Deadline: r.core.NextWake(),
-		ArrivedAt: r.call.arrived, Bytes: itemBytes, Requeued: again,
+		ArrivedAt: r.call.arrived, Bytes: itemBytes, Requeued: requeued,
 	}})
 }
 
-func (n *node) offer(model fleet.ModelVersion) {
-	rooms := n.routing.Capacity(n.world.clock.now, model)
-	replicas := make([]queue.Replica, 0, len(rooms.Replicas))
-	for _, room := range rooms.Replicas {
+func (n *node) updateCapacity(model fleet.ModelVersion) {
+	capacity := n.routing.Capacity(n.simulation.clock.now, model)
+	replicas := make([]queue.Replica, 0, len(capacity.Replicas))
+	for _, room := range capacity.Replicas {
 		replicas = append(replicas, queue.Replica{Name: room.Name, FreeSlots: room.FreeSlots})
 	}
-	n.stepQueue(queue.CapacityChanged{Model: model, Ready: rooms.Ready, Replicas: replicas, Slots: rooms.Slots})
+	n.stepQueue(queue.CapacityChanged{Model: model, Ready: capacity.Ready, Replicas: replicas, Slots: capacity.Slots})
 }
 
 func (n *node) stepQueue(message queue.Message) {
-	for _, effect := range slices.Clone(n.queue.Step(n.world.clock.now, message)) {
+	for _, effect := range slices.Clone(n.queue.Step(n.simulation.clock.now, message)) {
 		switch effect := effect.(type) {
 		case queue.Release:
 			n.release(uint64(effect.Item.Ticket))
@@ -116,40 +117,40 @@
 			if waiting := n.pending[ticket]; waiting != nil {
 				delete(n.pending, ticket)
 				waiting.ticket = 0
-				waiting.take(attempt.Unassigned{Code: string(effect.Reason), RetryAfter: effect.RetryAfter})
+				waiting.receive(attempt.Unassigned{Code: string(effect.Reason), RetryAfter: effect.RetryAfter})
 			}
 		}
 	}
-	n.alarm.arm()
+	n.timer.reset()
 }
 
 func (n *node) stepRouting(message routing.Message) {
-	for _, effect := range slices.Clone(n.routing.Step(n.world.clock.now, message)) {
+	for _, effect := range slices.Clone(n.routing.Step(n.simulation.clock.now, message)) {
 		switch effect := effect.(type) {
 		case routing.Picked:
 			n.picked(uint64(effect.Ticket), effect.Backend.Name)
 		case routing.NonePicked:
 			n.nonePicked(uint64(effect.Ticket))
 		case routing.CapacityChanged:
-			n.offer(effect.Model)
+			n.updateCapacity(effect.Model)
 		}
 	}
-	n.alarm.arm()
+	n.timer.reset()
 }
 
-// hedge looks for a second back end: only where none waits for the room, and
-// within the budget.
+// hedge requests a second back end if one has a free slot, no request waits in
+// the queue and the budget allows it.
 func (n *node) hedge(r *request, exclude []fleet.BackendName) {
 	items, _ := n.queue.Waiting()
-	free := slices.ContainsFunc(n.routing.Capacity(n.world.clock.now, model).Replicas, func(room routing.ReplicaCapacity) bool {
+	free := slices.ContainsFunc(n.routing.Capacity(n.simulation.clock.now, model).Replicas, func(room routing.ReplicaCapacity) bool {
 		return room.FreeSlots > 0 && !slices.Contains(exclude, room.Name)
 	})
 	if items > 0 || !free || n.budget != nil && !n.budget.Spend() {
 		return
 	}
-	n.world.tickets++
-	n.hedges[n.world.tickets] = r
-	n.stepRouting(routing.Pick{Ticket: routing.Ticket(n.world.tickets), Model: model, Exclude: exclude})
+	n.simulation.lastTicket++
+	n.hedges[n.simulation.lastTicket] = r
+	n.stepRouting(routing.Pick{Ticket: routing.Ticket(n.simulation.lastTicket), Model: model, Exclude: exclude})
 }
 
 func (n *node) release(ticket uint64) {
@@ -161,8 +162,8 @@
 func (n *node) picked(ticket uint64, name fleet.BackendName) {
 	if hedged := n.hedges[ticket]; hedged != nil {
 		delete(n.hedges, ticket)
-		n.assigned[ticket] = n.world.clock.now
-		hedged.hedged(ticket, n.world.server(name))
+		n.assigned[ticket] = n.simulation.clock.now
+		hedged.hedged(ticket, n.simulation.server(name))
 		return
 	}
 	waiting := n.pending[ticket]
@@ -170,14 +171,14 @@
 		return
 	}
 	delete(n.pending, ticket)
-	delete(n.misses, ticket)
-	n.assigned[ticket] = n.world.clock.now
-	waiting.server = n.world.server(name)
-	waiting.take(attempt.Assigned{Backend: name})
+	delete(n.assignFailures, ticket)
+	n.assigned[ticket] = n.simulation.clock.now
+	waiting.server = n.simulation.server(name)
+	waiting.receive(attempt.Assigned{Backend: name})
 }
 
-// maxMisses is the gateway's bound on putting a request back.
-const maxMisses = 5
+// maxAssignFailures is the gateway's limit on requeuing a request.
+const maxAssignFailures = 5
 
 func (n *node) nonePicked(ticket uint64) {
 	delete(n.hedges, ticket)
@@ -185,19 +186,19 @@
 	if waiting == nil {
 		return
 	}
-	n.misses[ticket]++
-	if n.misses[ticket] > maxMisses {
+	n.assignFailures[ticket]++
+	if n.assignFailures[ticket] > maxAssignFailures {
 		delete(n.pending, ticket)
-		delete(n.misses, ticket)
+		delete(n.assignFailures, ticket)
 		waiting.ticket = 0
-		waiting.take(attempt.Unassigned{Code: "no-backend"})
+		waiting.receive(attempt.Unassigned{Code: "no-backend"})
 		return
 	}
-	n.offer(model)
-	n.arrive(waiting, true)
+	n.updateCapacity(model)
+	n.enqueue(waiting, true)
 }
 
-func (n *node) began(ticket uint64, after time.Duration) {
+func (n *node) firstToken(ticket uint64, after time.Duration) {
 	n.stepQueue(queue.FirstTokenReceived{Model: model, Latency: after})
 	n.stepRouting(routing.FirstToken{Ticket: routing.Ticket(ticket), After: after})
 }
@@ -209,7 +210,7 @@
 	}
 	delete(n.assigned, ticket)
 	if result == routing.ResultOK {
-		n.stepQueue(queue.Completed{Model: model, ServiceTime: n.world.clock.now.Sub(since)})
+		n.stepQueue(queue.Completed{Model: model, ServiceTime: n.simulation.clock.now.Sub(since)})
 	}
 	n.stepRouting(routing.Ended{Ticket: routing.Ticket(ticket), Result: result})
 }
--- a/internal/lab/requestpath/overload.go
+++ b/internal/lab/requestpath/overload.go
@@ -11,54 +11,54 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// Overload is the name of the runner that compares the queue and routing with
-// plain lines at a share of the capacity.
+// Overload is the name of the runner that compares queue and routing with FIFO
+// queues at the engines, at a given share of the capacity.
 const Overload = "overload"
 
 // The policies of Overload.
 const (
 	policyProduct = "spanlanding"
 	policyPlain   = "fifo-round-robin"
-	// policyGivesUp is the plain one with callers that leave at their deadline.
-	policyGivesUp = "fifo-callers-leave"
+	// policyCallersLeave is policyPlain with callers that cancel at their deadline.
+	policyCallersLeave = "fifo-callers-leave"
 )
 
 const (
 	overloadDuration = time.Minute
-	// warmUp is left out of the figures.
+	// Requests that arrive during warmUp are not counted.
 	warmUp = 10 * time.Second
 )
 
 // RunOverload implements experiment.Runner; load is the share of the capacity.
 func RunOverload(ctx context.Context, parameters experiment.Parameters) (experiment.Measurements, error) {
-	settings := layout{zones: []fleet.Zone{"a", "b"}, enginesPerZone: 2, nodeZones: 2, nodesPerZone: 1, budget: true}
+	settings := topology{zones: []fleet.Zone{"a", "b"}, enginesPerZone: 2, nodeZones: 2, nodesPerZone: 1, retryBudget: true}
 	switch parameters.Policy {
 	case policyProduct:
-	case policyPlain, policyGivesUp:
-		settings.plain = true
-		settings.givesUp = parameters.Policy == policyGivesUp
+	case policyPlain, policyCallersLeave:
+		settings.baseline = true
+		settings.callersCancel = parameters.Policy == policyCallersLeave
 	default:
 		return experiment.Measurements{}, fmt.Errorf("policy %q is none of %s, %s, %s",
-			parameters.Policy, policyProduct, policyPlain, policyGivesUp)
+			parameters.Policy, policyProduct, policyPlain, policyCallersLeave)
 	}
-	world := newWorld(settings, parameters.Seed)
+	world := newSimulation(settings, parameters.Seed)
 	duration := cmp.Or(parameters.Duration, overloadDuration)
 	rate := parameters.Load * capacity() * float64(len(world.servers))
-	if err := world.arrivals(ctx, duration, rate); err != nil {
+	if err := world.generateArrivals(ctx, duration, rate); err != nil {
 		return experiment.Measurements{}, err
 	}
 	counted := slices.DeleteFunc(slices.Clone(world.calls), func(c *call) bool {
-		return c.arrived.Before(world.begun.Add(warmUp))
+		return c.arrived.Before(world.started.Add(warmUp))
 	})
-	return overloadFigures(counted, (duration - warmUp).Seconds()), nil
+	return overloadMeasurements(counted, (duration - warmUp).Seconds()), nil
 }
 
-func overloadFigures(calls []*call, seconds float64) experiment.Measurements {
+func overloadMeasurements(calls []*call, seconds float64) experiment.Measurements {
 	var met, refused, late, open int
 	var firstTokens, refusals []float64
 	for _, call := range calls {
 		switch {
-		case call.met():
+		case call.metDeadline():
 			met++
 		case call.refused:
 			refused++
--- a/internal/lab/requestpath/plain.go
+++ b/internal/lab/requestpath/plain.go
@@ -8,52 +8,52 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// plain is what the product is measured against: each request goes to the next
-// engine in turn at once and stands in that engine's line, first in first out.
-type plain struct {
-	world *world
-	zone  fleet.Zone
-	next  int
-	// givesUp cancels a request whose first token has not come by its
-	// deadline, as a caller does that leaves.
-	givesUp bool
+// baseline is the policy that the product is compared with: requests are sent
+// round robin to the engines at once and wait in the engine's FIFO queue.
+type baseline struct {
+	simulation *simulation
+	zone       fleet.Zone
+	next       int
+	// callersCancel cancels a request without a first token at its deadline, like a
+	// caller that disconnects.
+	callersCancel bool
 }
 
-func (p *plain) serve(asked *call) {
-	target := p.world.servers[p.next%len(p.world.servers)]
+func (p *baseline) serve(call *call) {
+	target := p.simulation.servers[p.next%len(p.simulation.servers)]
 	p.next++
-	latency := otherZone
+	latency := otherZoneLatency
 	if target.backend.Zone == p.zone {
-		latency = sameZone
+		latency = sameZoneLatency
 	}
-	reader := &plainReader{call: asked, world: p.world}
-	asked.attempts++
-	p.world.opened(p.world.clock.now)
-	target.call(&connection{reader: reader, number: 1, latency: latency}, func(id engine.CallID) engine.Message {
-		return engine.Submit{Call: id, Request: asked.engineRequest(1, 0, 0)}
+	reader := &baselineReader{call: call, simulation: p.simulation}
+	call.attempts++
+	p.simulation.recordAttempt(p.simulation.clock.now)
+	target.connect(&connection{reader: reader, number: 1, latency: latency}, func(id engine.CallID) engine.Message {
+		return engine.Submit{Call: id, Request: call.engineRequest(1, 0, 0)}
 	})
-	if p.givesUp {
-		p.world.clock.at(asked.deadline, func() {
-			if asked.firstToken.IsZero() {
-				asked.ended = p.world.clock.now
-				target.cancel(latency, asked.id, 1)
+	if p.callersCancel {
+		p.simulation.clock.scheduleAt(call.deadline, func() {
+			if call.firstToken.IsZero() {
+				call.ended = p.simulation.clock.now
+				target.cancel(latency, call.id, 1)
 			}
 		})
 	}
 }
 
-// plainReader takes an answer without any check.
-type plainReader struct {
-	call  *call
-	world *world
+// baselineReader records an answer without checking it.
+type baselineReader struct {
+	call       *call
+	simulation *simulation
 }
 
-func (p *plainReader) take(message attempt.Message) {
-	now := p.world.clock.now
+func (p *baselineReader) receive(message attempt.Message) {
+	now := p.simulation.clock.now
 	switch message := message.(type) {
 	case *attempt.Chunk:
 		if message.FinishReason != "" {
-			p.call.whole, p.call.ended = true, now
+			p.call.complete, p.call.ended = true, now
 			return
 		}
 		p.call.tokens++
@@ -65,9 +65,10 @@
 	}
 }
 
-var _ taker = (*plainReader)(nil)
+var _ receiver = (*baselineReader)(nil)
 
-// waitsLong is more than ever comes.
-const waitsLong = 1 << 30
+// unlimitedWaiting is a queue limit that is never reached.
+const unlimitedWaiting = 1 << 30
 
-var start = time.Unix(0, 0).UTC()
+// epoch is the start of virtual time.
+var epoch = time.Unix(0, 0).UTC()
--- a/internal/lab/requestpath/request.go
+++ b/internal/lab/requestpath/request.go
@@ -10,7 +10,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/engine"
 )
 
-// call is what a caller asks for, and what came of it.
+// call is a caller's request and its outcome.
 type call struct {
 	id           fleet.RequestID
 	number       uint64
@@ -22,19 +22,21 @@
 
 	firstToken time.Time
 	ended      time.Time
-	whole      bool
+	complete   bool
 	refused    bool
 	outcome    attempt.Outcome
 	attempts   int
 	tokens     int
-	// lastToken is when the last one came, pause the longest time between two.
-	lastToken time.Time
-	pause     time.Duration
+	// lastTokenAt is when the last token came, longestGap the longest time between
+	// two.
+	lastTokenAt time.Time
+	longestGap  time.Duration
 }
 
-// met: the first token came in time and the answer was whole.
-func (c *call) met() bool {
-	return c.whole && !c.firstToken.IsZero() && !c.firstToken.After(c.deadline)
+// metDeadline reports whether the first token came in time and the answer was
+// complete.
+func (c *call) metDeadline() bool {
+	return c.complete && !c.firstToken.IsZero() && !c.firstToken.After(c.deadline)
 }
 
 func (c *call) engineRequest(number, from, priority int) engine.Request {
@@ -44,66 +46,67 @@
 	}
 }
 
-// leg is one back end's part in a request.
-type leg struct {
-	ticket uint64
-	server *server
-	link   *connection
-	opened time.Time
+// backendCall is an attempt's call to one back end.
+type backendCall struct {
+	ticket     uint64
+	server     *server
+	connection *connection
+	opened     time.Time
 }
 
-// request drives the attempt core of one call, as the gateway does.
+// request runs the attempt core of one call, as the gateway does.
 type request struct {
 	call  *call
 	node  *node
 	core  *attempt.Core
-	alarm alarm
+	timer timer
 
-	leg
-	// rival is the second leg of a hedged request.
-	rival   *leg
+	backendCall
+	// hedge is the second back-end call of a hedged request.
+	hedge   *backendCall
 	began   bool
 	exclude []fleet.BackendName
 }
 
 func (r *request) start(seed uint64) {
 	r.core = attempt.New(attempt.Options{RequestID: r.call.id, Deadline: r.call.deadline,
-		Repeatable: true, Resumable: true, HedgeAfter: r.node.world.layout.hedgeAfter, Seed: seed})
-	r.alarm = alarm{clock: &r.node.world.clock, want: r.wake, ring: func() { r.take(attempt.Tick{}) }}
-	r.node.submit(r, attempt.Reassign{})
+		Repeatable: true, Resumable: true, HedgeAfter: r.node.simulation.topology.hedgeAfter, Seed: seed})
+	r.timer = timer{clock: &r.node.simulation.clock, deadline: r.nextWake, callback: func() { r.receive(attempt.Tick{}) }}
+	r.node.requestBackend(r, attempt.Reassign{})
 }
 
-// wake bounds the present connection; the queue bounds the wait for one.
-func (r *request) wake() time.Time {
-	if r.link == nil {
+// nextWake returns the attempt core's deadline while there is a connection; while
+// the request waits for a back end, the queue enforces the deadline.
+func (r *request) nextWake() time.Time {
+	if r.connection == nil {
 		return time.Time{}
 	}
 	return r.core.NextWake()
 }
 
-func (r *request) take(message attempt.Message) {
-	now := r.node.world.clock.now
+func (r *request) receive(message attempt.Message) {
+	now := r.node.simulation.clock.now
 	for _, effect := range slices.Clone(r.core.Step(now, message)) {
 		switch effect := effect.(type) {
 		case *attempt.Deliver:
-			r.delivered(now)
+			r.recordToken(now)
 		case attempt.Open:
 			r.call.attempts++
-			r.node.world.opened(now)
+			r.node.simulation.recordAttempt(now)
 			request := r.call.engineRequest(effect.Attempt, len(effect.ContinueFrom), r.call.priority)
 			submit := func(id engine.CallID) engine.Message { return engine.Submit{Call: id, Request: request} }
-			if r.rival != nil {
-				r.connect(r.rival, effect.Connection, submit)
+			if r.hedge != nil {
+				r.connect(r.hedge, effect.Connection, submit)
 				continue
 			}
 			r.began = false
-			r.connect(&r.leg, effect.Connection, submit)
+			r.connect(&r.backendCall, effect.Connection, submit)
 		case attempt.Resume:
-			r.connect(&r.leg, effect.Connection, func(id engine.CallID) engine.Message {
+			r.connect(&r.backendCall, effect.Connection, func(id engine.CallID) engine.Message {
 				return engine.Resume{Call: id, Request: r.call.id, Attempt: effect.Attempt, From: effect.From}
 			})
 		case attempt.Cancel:
-			target := r.node.world.server(effect.Backend)
+			target := r.node.simulation.server(effect.Backend)
 			target.cancel(r.node.latency(target), r.call.id, effect.Attempt)
 		case attempt.Hedge:
 			r.node.hedge(r, effect.Exclude)
@@ -111,73 +114,73 @@
 			r.drop(effect)
 		case attempt.Reassign:
 			r.endAttempt()
-			r.node.world.clock.after(effect.After, func() { r.node.submit(r, effect) })
+			r.node.simulation.clock.scheduleAfter(effect.After, func() { r.node.requestBackend(r, effect) })
 		case attempt.Finish:
 			r.endAttempt()
 			r.call.ended, r.call.outcome = now, effect.Outcome
-			r.call.whole = effect.Outcome == attempt.OutcomeOK
+			r.call.complete = effect.Outcome == attempt.OutcomeOK
 			r.call.refused = effect.Outcome == attempt.OutcomeNotRun
 		}
 	}
-	r.alarm.arm()
+	r.timer.reset()
 }
 
-func (r *request) connect(leg *leg, number int, build func(engine.CallID) engine.Message) {
-	leg.opened = r.node.world.clock.now
-	leg.link = &connection{reader: r, number: number, latency: r.node.latency(leg.server)}
-	leg.server.call(leg.link, build)
+func (r *request) connect(leg *backendCall, number int, build func(engine.CallID) engine.Message) {
+	leg.opened = r.node.simulation.clock.now
+	leg.connection = &connection{reader: r, number: number, latency: r.node.latency(leg.server)}
+	leg.server.connect(leg.connection, build)
 }
 
-// hedged has a second back end, which is given back if it is not needed.
+// hedged takes the second back end, and releases it if it is no longer needed.
 func (r *request) hedged(ticket uint64, server *server) {
-	r.rival = &leg{ticket: ticket, server: server}
-	r.take(attempt.HedgeAssigned{Backend: server.backend.Name})
-	if r.rival != nil && r.rival.link == nil {
-		r.rival = nil
+	r.hedge = &backendCall{ticket: ticket, server: server}
+	r.receive(attempt.HedgeAssigned{Backend: server.backend.Name})
+	if r.hedge != nil && r.hedge.connection == nil {
+		r.hedge = nil
 		r.node.ended(ticket, routing.ResultAbandoned)
 	}
 }
 
-// drop ends one of two legs; the other one is the request's from now on.
+// drop ends one of the two back-end calls and keeps the other.
 func (r *request) drop(drop attempt.Drop) {
-	dropped := *r.rival
-	if r.link.number == drop.Connection {
-		dropped, r.leg = r.leg, *r.rival
+	dropped := *r.hedge
+	if r.connection.number == drop.Connection {
+		dropped, r.backendCall = r.backendCall, *r.hedge
 	}
-	r.rival = nil
+	r.hedge = nil
 	result := routing.ResultAbandoned
 	if drop.Failure.Evidence != 0 {
-		result = resultOf(drop.Failure)
+		result = routingResult(drop.Failure)
 	}
 	r.node.ended(dropped.ticket, result)
 }
 
-func (r *request) delivered(now time.Time) {
+func (r *request) recordToken(now time.Time) {
 	if r.call.firstToken.IsZero() {
 		r.call.firstToken = now
 	}
 	if r.call.tokens > 0 {
-		r.call.pause = max(r.call.pause, now.Sub(r.call.lastToken))
+		r.call.longestGap = max(r.call.longestGap, now.Sub(r.call.lastTokenAt))
 	}
-	r.call.lastToken = now
+	r.call.lastTokenAt = now
 	r.call.tokens++
 	if !r.began {
 		r.began = true
-		r.node.began(r.ticket, now.Sub(r.opened))
+		r.node.firstToken(r.ticket, now.Sub(r.opened))
 	}
 }
 
 func (r *request) endAttempt() {
-	r.link = nil
+	r.connection = nil
 	if r.ticket == 0 {
 		return
 	}
-	r.node.ended(r.ticket, resultOf(r.core.LastFailure()))
+	r.node.ended(r.ticket, routingResult(r.core.LastFailure()))
 	r.ticket = 0
 }
 
-// resultOf is what the gateway tells routing.
-func resultOf(last attempt.Failure) routing.Result {
+// routingResult returns the result that the gateway reports to routing.
+func routingResult(last attempt.Failure) routing.Result {
 	switch last.Evidence {
 	case 0:
 		return routing.ResultOK
--- a/internal/lab/requestpath/runner_test.go
+++ b/internal/lab/requestpath/runner_test.go
@@ -10,11 +10,11 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-const tested = 30 * time.Second
+const testDuration = 30 * time.Second
 
-func figures(t *testing.T, run experiment.RunnerFunc, cell experiment.Cell) map[string]float64 {
+func measure(t *testing.T, run experiment.RunnerFunc, cell experiment.Cell) map[string]float64 {
 	t.Helper()
-	measured, err := run(t.Context(), experiment.Parameters{Cell: cell, Seed: 7, Duration: tested})
+	measured, err := run(t.Context(), experiment.Parameters{Cell: cell, Seed: 7, Duration: testDuration})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	goodput := map[string]map[float64]float64{policyProduct: {}, policyPlain: {}}
 	for policy, byLoad := range goodput {
 		for _, load := range []float64{1, 2} {
-			values := figures(t, RunOverload, experiment.Cell{Policy: policy, Load: load})
+			values := measure(t, RunOverload, experiment.Cell{Policy: policy, Load: load})
 			byLoad[load] = values["goodput"]
 			if policy == policyProduct && (values["refused late"] > 0 || values["unfinished"] > 0) {
 				t.Errorf("load %g: %g refused late, %g unfinished", load, values["refused late"], values["unfinished"])
@@ -38,30 +38,30 @@
 		}
 	}
 	if ours := goodput[policyProduct]; ours[2] < 0.95*ours[1] {
-		t.Errorf("goodput %v by load", ours)
+		t.Errorf("goodput by load is %v, expected at load 2 at least 95 %% of that at load 1", ours)
 	}
 	if plain := goodput[policyPlain]; plain[2] > 0.5*plain[1] {
-		t.Errorf("plain lines keep %v by load: the check cannot fail", plain)
+		t.Errorf("the baseline's goodput by load is %v: without a collapse the test proves nothing", plain)
 	}
 }
 
-// TestCapacityIsThatOfTheEngines holds the loads' unit against what engines
-// with long lines end.
+// TestCapacityIsThatOfTheEngines compares capacity, the unit of the loads, with the
+// throughput of an engine whose queue is never empty.
 func TestCapacityIsThatOfTheEngines(t *testing.T) {
 	t.Parallel()
-	settings := layout{zones: []fleet.Zone{"a"}, enginesPerZone: 1, nodeZones: 1, nodesPerZone: 1, plain: true}
-	world := newWorld(settings, 3)
-	if err := world.arrivals(t.Context(), tested, 3*capacity()); err != nil {
+	settings := topology{zones: []fleet.Zone{"a"}, enginesPerZone: 1, nodeZones: 1, nodesPerZone: 1, baseline: true}
+	world := newSimulation(settings, 3)
+	if err := world.generateArrivals(t.Context(), testDuration, 3*capacity()); err != nil {
 		t.Fatal(err)
 	}
 	ended := 0
 	for _, call := range world.calls {
-		if !call.ended.IsZero() && call.ended.Before(world.begun.Add(tested)) {
+		if !call.ended.IsZero() && call.ended.Before(world.started.Add(testDuration)) {
 			ended++
 		}
 	}
-	if rate := float64(ended) / tested.Seconds(); rate < 0.9*capacity() || rate > 1.1*capacity() {
-		t.Errorf("an engine ends %.2f requests a second, %.2f are taken for its capacity", rate, capacity())
+	if rate := float64(ended) / testDuration.Seconds(); rate < 0.9*capacity() || rate > 1.1*capacity() {
+		t.Errorf("an engine completes %.2f requests a second, its computed capacity is %.2f", rate, capacity())
 	}
 }
 
@@ -69,12 +69,12 @@
 	t.Parallel()
 	for _, fault := range []string{faultPower, faultSilent} {
 		cell := experiment.Cell{Policy: withBudget, Load: 0.5, Fault: fault}
-		values := figures(t, RunZoneLoss, cell)
+		values := measure(t, RunZoneLoss, cell)
 		if values["amplification"] > 1.2 || values["answers cut"] > 0 {
 			t.Errorf("%s: amplification %g, %g answers cut", fault, values["amplification"], values["answers cut"])
 		}
-		if diff := cmp.Diff(values, figures(t, RunZoneLoss, cell)); diff != "" {
-			t.Errorf("%s: the same seed gives other figures: %s", fault, diff)
+		if diff := cmp.Diff(values, measure(t, RunZoneLoss, cell)); diff != "" {
+			t.Errorf("%s: the same seed gave different values: %s", fault, diff)
 		}
 	}
 }
--- a/internal/lab/requestpath/server.go
+++ b/internal/lab/requestpath/server.go
@@ -11,58 +11,57 @@
 )
 
 const (
-	// sameZone and otherZone are the times of one way.
-	sameZone  = 200 * time.Microsecond
-	otherZone = 2 * time.Millisecond
-	// maxRunning is the batch of an engine.
+	// One-way network latencies.
+	sameZoneLatency  = 200 * time.Microsecond
+	otherZoneLatency = 2 * time.Millisecond
+	// maxRunning is an engine's limit on the batch size.
 	maxRunning = 32
 	modelBytes = 14 * engine.GiB
 	kvReserve  = 32 * engine.GiB
-	// loadedBefore is the time in which a model is loaded before the first
-	// request.
-	loadedBefore = 10 * time.Second
+	// modelLoadTime is reserved for loading the model before the first request.
+	modelLoadTime = 10 * time.Second
 )
 
 var model = fleet.ModelVersion{Model: "measured", Version: "v1"}
 
-// reach is how an engine can be reached.
-type reach int
+// reachability is the network state of an engine.
+type reachability int
 
 const (
-	reachable reach = iota
-	// unreachable: connections break and none can be made.
+	reachable reachability = iota
+	// unreachable: open connections break and new ones fail.
 	unreachable
-	// silent: nothing comes through, and nobody is told.
+	// silent: all messages are lost without an error.
 	silent
 )
 
-// taker takes what comes in on a connection.
-type taker interface{ take(message attempt.Message) }
+// receiver receives the messages of a connection.
+type receiver interface{ receive(message attempt.Message) }
 
-// connection is one reader of an answer.
+// connection is a connection on which a reader receives an answer.
 type connection struct {
-	reader  taker
+	reader  receiver
 	number  int
 	latency time.Duration
 }
 
-// server is one engine with its network.
+// server is an engine with its simulated network.
 type server struct {
-	world       *world
-	backend     fleet.Backend
-	core        *engine.Core
-	reach       reach
-	alarm       alarm
-	calls       map[engine.CallID]*connection
-	next        engine.CallID
-	incarnation uint64
-	fence       fleet.Fence
-	seen        fleet.EngineState
+	simulation   *simulation
+	backend      fleet.Backend
+	core         *engine.Core
+	reachability reachability
+	timer        timer
+	calls        map[engine.CallID]*connection
+	next         engine.CallID
+	incarnation  uint64
+	fence        fleet.Fence
+	lastSeen     fleet.EngineState
 }
 
-func newServer(world *world, index int, zone fleet.Zone, maxWaiting int, seed uint64) *server {
+func newServer(world *simulation, index int, zone fleet.Zone, maxWaiting int, seed uint64) *server {
 	created := &server{
-		world: world, calls: make(map[engine.CallID]*connection), incarnation: 1,
+		simulation: world, calls: make(map[engine.CallID]*connection), incarnation: 1,
 		backend: fleet.Backend{Name: fleet.BackendName(fmt.Sprintf("e%02d", index)), Kind: fleet.KindEngine, Zone: zone},
 	}
 	created.core = engine.New(engine.Options{
@@ -70,12 +69,13 @@
 		MaxRunning: maxRunning, MaxWaiting: maxWaiting, Seed: seed + uint64(index),
 		Tiers: map[fleet.ModelVersion]fleet.Tier{model: fleet.TierMemory},
 	})
-	created.alarm = alarm{clock: &world.clock, want: created.core.NextWake, ring: func() { created.step(engine.Tick{}) }}
+	created.timer = timer{clock: &world.clock, deadline: created.core.NextWake, callback: func() { created.step(engine.Tick{}) }}
 	created.load()
 	return created
 }
 
-// load does what the zone's leader does after a start.
+// load claims the engine and orders the load of the model, as the zone's leader
+// does after a start.
 func (s *server) load() {
 	s.fence++
 	s.step(engine.TakeClaim{Claim: backend.Claim{Fence: s.fence, Incarnation: s.incarnation}})
@@ -85,37 +85,37 @@
 	}})
 }
 
-// lose makes the engine unreachable or silent.
-func (s *server) lose(how reach) {
-	s.reach = how
+// disconnect makes the engine unreachable or silent.
+func (s *server) disconnect(how reachability) {
+	s.reachability = how
 	if how == unreachable {
-		// The machine lost its power: it starts anew, with nothing loaded.
+		// Simulates a power loss: the engine restarts with nothing loaded.
 		s.step(engine.Restart{})
 		s.incarnation++
 	}
 }
 
 func (s *server) restore() {
-	if s.reach == unreachable {
+	if s.reachability == unreachable {
 		s.load()
 	}
-	s.reach = reachable
+	s.reachability = reachable
 }
 
-// arrival is an answer of the engine on its way to a node.
-type arrival struct {
+// delivery is a message of the engine on its way to a node.
+type delivery struct {
 	connection *connection
 	message    attempt.Message
 }
 
 func (s *server) step(message engine.Message) {
-	onTheWay := make(map[time.Duration][]arrival)
+	byLatency := make(map[time.Duration][]delivery)
 	send := func(to *connection, message attempt.Message) {
 		if to != nil {
-			onTheWay[to.latency] = append(onTheWay[to.latency], arrival{to, message})
+			byLatency[to.latency] = append(byLatency[to.latency], delivery{to, message})
 		}
 	}
-	for _, effect := range s.core.Step(s.world.clock.now, message) {
+	for _, effect := range s.core.Step(s.simulation.clock.now, message) {
 		switch effect := effect.(type) {
 		case engine.FetchWeights:
 			s.step(engine.WeightsDone{Load: effect.Load})
@@ -143,26 +143,27 @@
 			}
 		}
 	}
-	for _, latency := range []time.Duration{sameZone, otherZone} {
-		if arrivals := onTheWay[latency]; len(arrivals) > 0 && s.reach != silent {
-			s.world.clock.after(latency, func() {
+	for _, latency := range []time.Duration{sameZoneLatency, otherZoneLatency} {
+		if arrivals := byLatency[latency]; len(arrivals) > 0 && s.reachability != silent {
+			s.simulation.clock.scheduleAfter(latency, func() {
 				for _, arrival := range arrivals {
-					arrival.connection.reader.take(arrival.message)
+					arrival.connection.reader.receive(arrival.message)
 				}
 			})
 		}
 	}
-	s.alarm.arm()
+	s.timer.reset()
 }
 
-// call hands a message in on a new connection, after the way to the engine.
-func (s *server) call(from *connection, build func(engine.CallID) engine.Message) {
-	s.world.clock.after(from.latency, func() {
-		switch s.reach {
+// connect opens a connection and passes a message to the engine after the network
+// latency.
+func (s *server) connect(from *connection, build func(engine.CallID) engine.Message) {
+	s.simulation.clock.scheduleAfter(from.latency, func() {
+		switch s.reachability {
 		case silent:
 		case unreachable:
-			s.world.clock.after(from.latency, func() {
-				from.reader.take(attempt.Failure{Connection: from.number, Evidence: attempt.NeverSent, Detail: "no connection"})
+			s.simulation.clock.scheduleAfter(from.latency, func() {
+				from.reader.receive(attempt.Failure{Connection: from.number, Evidence: attempt.NeverSent, Detail: "no connection"})
 			})
 		case reachable:
 			s.next++
@@ -172,10 +173,10 @@
 	})
 }
 
-// cancel is a call of its own.
+// cancel sends a cancellation, which needs no connection of an attempt.
 func (s *server) cancel(latency time.Duration, id fleet.RequestID, number int) {
-	s.world.clock.after(latency, func() {
-		if s.reach == reachable {
+	s.simulation.clock.scheduleAfter(latency, func() {
+		if s.reachability == reachable {
 			s.step(engine.Cancel{Request: id, Attempt: number})
 		}
 	})
--- a/internal/lab/requestpath/world.go
+++ b/internal/lab/requestpath/world.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// tableInterval is how often a zone's leader reads its engines, tableDelay
-	// how long a table takes to the nodes.
+	// tableInterval is how often a zone's leader reads the states of its engines,
+	// tableDelay how long a route table takes to reach the nodes.
 	tableInterval = 500 * time.Millisecond
 	tableDelay    = 50 * time.Millisecond
 
@@ -21,49 +21,51 @@
 	maxTokens    = 112
 	priorities   = 3
 	deadline     = 4 * time.Second
-	// ending is the time in which what runs at the end may end.
-	ending = 30 * time.Second
+	// drainTime is how long the simulation goes on after the last arrival, so that
+	// running requests can end.
+	drainTime = 30 * time.Second
 )
 
-// layout says what is there.
-type layout struct {
-	// zones of the engines; nodes are in the first nodeZones of them.
+// topology describes the simulated fleet and its options.
+type topology struct {
+	// zones are the zones of the engines; the first nodeZones of them have nodes.
 	zones          []fleet.Zone
 	enginesPerZone int
 	nodeZones      int
 	nodesPerZone   int
-	// plain serves by round robin and engines' own lines.
-	plain   bool
-	givesUp bool
-	// budget bounds retries.
-	budget bool
-	// hedgeAfter is zero where nothing is hedged.
+	// baseline replaces the product's cores by round robin over the engines'
+	// queues. callersCancel lets callers cancel at their deadline.
+	baseline      bool
+	callersCancel bool
+	// retryBudget limits retries.
+	retryBudget bool
+	// hedgeAfter is the delay before a request is hedged; zero disables hedging.
 	hedgeAfter time.Duration
 }
 
-// world is one run.
-type world struct {
-	clock   clock
-	random  *rand.Rand
-	layout  layout
-	servers []*server
-	byName  map[fleet.BackendName]*server
-	nodes   []*node
-	plains  []*plain
-	tickets uint64
-	begun   time.Time
-	calls   []*call
-	// opens are the times of attempts.
-	opens []time.Time
+// simulation is the state of one run.
+type simulation struct {
+	clock      clock
+	random     *rand.Rand
+	topology   topology
+	servers    []*server
+	byName     map[fleet.BackendName]*server
+	nodes      []*node
+	baselines  []*baseline
+	lastTicket uint64
+	started    time.Time
+	calls      []*call
+	// attemptTimes has the start of each attempt.
+	attemptTimes []time.Time
 }
 
-func newWorld(layout layout, seed uint64) *world {
-	created := &world{layout: layout, random: rand.New(rand.NewPCG(seed, 0x72657175657374)),
+func newSimulation(layout topology, seed uint64) *simulation {
+	created := &simulation{topology: layout, random: rand.New(rand.NewPCG(seed, 0x72657175657374)),
 		byName: make(map[fleet.BackendName]*server)}
-	created.clock.now = start
+	created.clock.now = epoch
 	maxWaiting := 0
-	if layout.plain {
-		maxWaiting = waitsLong
+	if layout.baseline {
+		maxWaiting = unlimitedWaiting
 	}
 	for index, zone := range layout.zones {
 		for range layout.enginesPerZone {
@@ -75,29 +77,30 @@
 			continue
 		}
 		for range layout.nodesPerZone {
-			created.nodes = append(created.nodes, newNode(created, len(created.nodes), zone, layout.budget, seed))
-			created.plains = append(created.plains, &plain{world: created, zone: zone, next: len(created.plains), givesUp: layout.givesUp})
+			created.nodes = append(created.nodes, newNode(created, len(created.nodes), zone, layout.retryBudget, seed))
+			created.baselines = append(created.baselines, &baseline{simulation: created, zone: zone, next: len(created.baselines), callersCancel: layout.callersCancel})
 		}
 	}
-	created.clock.runUntil(start.Add(loadedBefore))
-	created.begun = created.clock.now
-	if !layout.plain {
+	created.clock.runUntil(epoch.Add(modelLoadTime))
+	created.started = created.clock.now
+	if !layout.baseline {
 		created.publish()
-		created.clock.runUntil(created.begun.Add(tableInterval))
-		created.begun = created.clock.now
+		created.clock.runUntil(created.started.Add(tableInterval))
+		created.started = created.clock.now
 	}
 	return created
 }
 
-func (w *world) server(name fleet.BackendName) *server { return w.byName[name] }
+func (w *simulation) server(name fleet.BackendName) *server { return w.byName[name] }
 
-func (w *world) opened(at time.Time) { w.opens = append(w.opens, at) }
+func (w *simulation) recordAttempt(at time.Time) { w.attemptTimes = append(w.attemptTimes, at) }
 
-// publish gives every node the engines' states. Engines that cannot be reached
-// stay in the table as they were last seen: routing has to find out.
-func (w *world) publish() {
-	tables := make([]fleet.RouteTable, 0, len(w.layout.zones))
-	for _, zone := range w.layout.zones {
+// publish sends every node the engines' states and schedules the next one.
+// Engines that can't be reached stay in the table with their last known state, so
+// that routing has to detect the loss.
+func (w *simulation) publish() {
+	tables := make([]fleet.RouteTable, 0, len(w.topology.zones))
+	for _, zone := range w.topology.zones {
 		table := fleet.RouteTable{Zone: zone}
 		for _, server := range w.servers {
 			if server.backend.Zone == zone {
@@ -106,44 +109,45 @@
 		}
 		tables = append(tables, table)
 	}
-	w.clock.after(tableDelay, func() {
+	w.clock.scheduleAfter(tableDelay, func() {
 		for _, node := range w.nodes {
 			node.stepRouting(routing.Tables{Tables: tables})
 		}
 	})
-	w.clock.after(tableInterval, w.publish)
+	w.clock.scheduleAfter(tableInterval, w.publish)
 }
 
-// lastState is what the zone's leader saw last.
+// lastState returns the engine's state as its zone's leader last read it.
 func (s *server) lastState() fleet.EngineState {
-	if s.reach == reachable {
-		s.seen = s.core.State(s.world.clock.now)
+	if s.reachability == reachable {
+		s.lastSeen = s.core.State(s.simulation.clock.now)
 	}
-	return s.seen
+	return s.lastSeen
 }
 
-// arrivals lets requests come at a rate for a time, and lets them end.
-func (w *world) arrivals(ctx context.Context, duration time.Duration, rate float64) error {
+// generateArrivals simulates Poisson arrivals at a rate for a duration, then lets
+// running requests end.
+func (w *simulation) generateArrivals(ctx context.Context, duration time.Duration, rate float64) error {
 	if rate <= 0 {
-		return fmt.Errorf("%g is no rate of requests a second", rate)
+		return fmt.Errorf("the request rate %g is not positive", rate)
 	}
-	end := w.begun.Add(duration)
-	for at := w.gap(w.begun, rate); at.Before(end); at = w.gap(at, rate) {
+	end := w.started.Add(duration)
+	for at := w.nextArrival(w.started, rate); at.Before(end); at = w.nextArrival(at, rate) {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 		w.clock.runUntil(at)
 		w.arrive()
 	}
-	w.clock.runUntil(end.Add(ending))
+	w.clock.runUntil(end.Add(drainTime))
 	return nil
 }
 
-func (w *world) gap(from time.Time, rate float64) time.Time {
+func (w *simulation) nextArrival(from time.Time, rate float64) time.Time {
 	return from.Add(time.Duration(w.random.ExpFloat64() / rate * float64(time.Second)))
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	now := w.clock.now
 	number := uint64(len(w.calls) + 1)
 	asked := &call{
@@ -153,16 +157,16 @@
 	}
 	at, seed := w.random.IntN(len(w.nodes)), w.random.Uint64()
 	w.calls = append(w.calls, asked)
-	if w.layout.plain {
-		w.plains[at].serve(asked)
+	if w.topology.baseline {
+		w.baselines[at].serve(asked)
 		return
 	}
 	(&request{call: asked, node: w.nodes[at]}).start(seed)
 }
 
-// capacity is the number of requests a second that an engine ends when its
-// batch is always full: in each iteration every request gains one token, and a
-// share of them is new and brings its prompt.
+// capacity returns the number of requests a second that an engine completes with
+// a batch that is always full. In each iteration every request gains one token,
+// and the prompts of the new requests are processed.
 func capacity() float64 {
 	const (
 		base        = 0.020
--- a/internal/lab/requestpath/zoneloss.go
+++ b/internal/lab/requestpath/zoneloss.go
@@ -11,10 +11,11 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// ZoneLoss is the name of the runner that takes one of three zones away.
+// ZoneLoss is the name of the runner that simulates the loss of one of three
+// zones.
 const ZoneLoss = "zone-loss"
 
-// Faults of ZoneLoss.
+// Faults of ZoneLoss: loss of power, or loss of all messages.
 const (
 	faultPower  = "power"
 	faultSilent = "silent"
@@ -31,8 +32,9 @@
 	zoneLossDuration = time.Minute
 	hedgeAfter       = 500 * time.Millisecond
 	lossAt           = 20 * time.Second
-	lossTime         = 20 * time.Second
-	// normalShare of deadlines met counts as normal, for normalSeconds on end.
+	lossDuration     = 20 * time.Second
+	// Service is back to normal after normalSeconds consecutive seconds in each of
+	// which at least normalShare of the deadlines are met.
 	normalShare   = 0.99
 	normalSeconds = 5
 )
@@ -40,31 +42,31 @@
 // RunZoneLoss implements experiment.Runner; load is the share of the capacity
 // of all three zones.
 func RunZoneLoss(ctx context.Context, parameters experiment.Parameters) (experiment.Measurements, error) {
-	settings := layout{zones: []fleet.Zone{"a", "b", "c"}, enginesPerZone: 2, nodeZones: 2, nodesPerZone: 1}
-	if err := settings.readPolicy(parameters.Policy); err != nil {
+	settings := topology{zones: []fleet.Zone{"a", "b", "c"}, enginesPerZone: 2, nodeZones: 2, nodesPerZone: 1}
+	if err := settings.parsePolicy(parameters.Policy); err != nil {
 		return experiment.Measurements{}, err
 	}
-	how, known := map[string]reach{faultPower: unreachable, faultSilent: silent}[parameters.Fault]
+	how, known := map[string]reachability{faultPower: unreachable, faultSilent: silent}[parameters.Fault]
 	if !known {
 		return experiment.Measurements{}, fmt.Errorf("fault %q is neither %s nor %s", parameters.Fault, faultPower, faultSilent)
 	}
-	world := newWorld(settings, parameters.Seed)
-	world.loseZone("c", how)
+	world := newSimulation(settings, parameters.Seed)
+	world.scheduleZoneLoss("c", how)
 	rate := parameters.Load * capacity() * float64(len(world.servers))
-	if err := world.arrivals(ctx, cmp.Or(parameters.Duration, zoneLossDuration), rate); err != nil {
+	if err := world.generateArrivals(ctx, cmp.Or(parameters.Duration, zoneLossDuration), rate); err != nil {
 		return experiment.Measurements{}, err
 	}
-	return world.zoneLossFigures(), nil
+	return world.zoneLossMeasurements(), nil
 }
 
-// readPolicy reads parts that are joined by a plus sign.
-func (l *layout) readPolicy(policy string) error {
+// parsePolicy parses a policy, whose parts are joined by plus signs.
+func (l *topology) parsePolicy(policy string) error {
 	for part := range strings.SplitSeq(policy, "+") {
 		switch part {
 		case withBudget:
-			l.budget = true
+			l.retryBudget = true
 		case withoutBudget:
-			l.budget = false
+			l.retryBudget = false
 		case withHedging:
 			l.hedgeAfter = hedgeAfter
 		default:
@@ -74,16 +76,17 @@
 	return nil
 }
 
-func (w *world) loseZone(zone fleet.Zone, how reach) {
+func (w *simulation) scheduleZoneLoss(zone fleet.Zone, how reachability) {
 	for _, server := range w.servers {
 		if server.backend.Zone == zone {
-			w.clock.at(w.begun.Add(lossAt), func() { server.lose(how) })
-			w.clock.at(w.begun.Add(lossAt+lossTime), server.restore)
+			w.clock.scheduleAt(w.started.Add(lossAt), func() { server.disconnect(how) })
+			w.clock.scheduleAt(w.started.Add(lossAt+lossDuration), server.restore)
 		}
 	}
 }
 
-// second is what came of the requests that arrived in one second.
+// second counts the arrivals of one second, those of them that met their
+// deadline, and the attempts of that second.
 type second struct{ arrived, met, attempts int }
 
 func (s second) share() float64 {
@@ -93,10 +96,10 @@
 	return float64(s.met) / float64(s.arrived)
 }
 
-func (w *world) seconds() []second {
+func (w *simulation) seconds() []second {
 	var seconds []second
 	at := func(when time.Time) *second {
-		index := int(when.Sub(w.begun) / time.Second)
+		index := int(when.Sub(w.started) / time.Second)
 		for len(seconds) <= index {
 			seconds = append(seconds, second{})
 		}
@@ -104,19 +107,19 @@
 	}
 	for _, call := range w.calls {
 		at(call.arrived).arrived++
-		if call.met() {
+		if call.metDeadline() {
 			at(call.arrived).met++
 		}
 	}
-	for _, opened := range w.opens {
+	for _, opened := range w.attemptTimes {
 		at(opened).attempts++
 	}
 	return seconds
 }
 
-func (w *world) zoneLossFigures() experiment.Measurements {
+func (w *simulation) zoneLossMeasurements() experiment.Measurements {
 	seconds := w.seconds()
-	from, to := int(lossAt/time.Second), int((lossAt+lossTime)/time.Second)
+	from, to := int(lossAt/time.Second), int((lossAt+lossDuration)/time.Second)
 	var lost second
 	peak := 0.0
 	met, attempts := experiment.Series{Metric: "deadlines met", Unit: "%"}, experiment.Series{Metric: "attempts", Unit: "1/s"}
@@ -138,12 +141,12 @@
 			{Metric: "amplification", Unit: "attempts/request", Value: float64(lost.attempts) / float64(max(1, lost.arrived))},
 			{Metric: "amplification, worst second", Unit: "attempts/request", Value: peak},
 			{Metric: "deadlines met in the loss", Unit: "%", Value: 100 * lost.share()},
-			{Metric: "normal again after", Unit: "s", Value: normalAfter(seconds, from)},
+			{Metric: "normal again after", Unit: "s", Value: recoveryTime(seconds, from)},
 			{Metric: "deadlines met in all", Unit: "%", Value: 100 * float64(outcomes.met) / float64(max(1, len(w.calls)))},
 			{Metric: "answers cut", Unit: "requests", Value: float64(outcomes.cut)},
-			{Metric: "attempts in all", Unit: "attempts/request", Value: float64(len(w.opens)) / float64(max(1, len(w.calls)))},
+			{Metric: "attempts in all", Unit: "attempts/request", Value: float64(len(w.attemptTimes)) / float64(max(1, len(w.calls)))},
 			{Metric: "refused", Unit: "requests", Value: float64(outcomes.refused)},
-			{Metric: "longest pause in an answer", Unit: "s", Value: outcomes.pause.Seconds()},
+			{Metric: "longest pause in an answer", Unit: "s", Value: outcomes.longestGap.Seconds()},
 		},
 		Series: []experiment.Series{met, attempts},
 	}
@@ -151,29 +154,29 @@
 
 type outcomes struct {
 	met, cut, refused int
-	// pause is the longest time between two tokens of an answer.
-	pause time.Duration
+	// longestGap is the longest time between two tokens of an answer.
+	longestGap time.Duration
 }
 
-func (w *world) outcomes() outcomes {
+func (w *simulation) outcomes() outcomes {
 	var counted outcomes
 	for _, call := range w.calls {
-		counted.pause = max(counted.pause, call.pause)
+		counted.longestGap = max(counted.longestGap, call.longestGap)
 		switch {
-		case call.met():
+		case call.metDeadline():
 			counted.met++
 		case call.refused:
 			counted.refused++
-		case call.tokens > 0 && !call.whole:
+		case call.tokens > 0 && !call.complete:
 			counted.cut++
 		}
 	}
 	return counted
 }
 
-// normalAfter is the time from the loss to the first of several good seconds
-// on end, or to the end of the run where there are none.
-func normalAfter(seconds []second, from int) float64 {
+// recoveryTime returns the seconds from the loss to the first of normalSeconds
+// consecutive normal seconds, or to the end of the run if there are none.
+func recoveryTime(seconds []second, from int) float64 {
 	good := 0
 	for index := from; index < len(seconds); index++ {
 		if seconds[index].share() < normalShare {
