--- a/internal/lab/batching/doc.go
+++ b/internal/lab/batching/doc.go
@@ -1,7 +1,8 @@
-// Package batching is an experiment runner: one engine stand-in on a virtual
-// clock under Poisson arrivals, with the policy being the most requests that
-// run in one batch. It shows what a batch costs the first token and gains in
-// throughput, and is the least runner there is for the experiments' frame.
+// Package batching is an experiment runner that simulates one engine stand-in on a
+// virtual clock under Poisson arrivals. The policy of the experiment is the
+// maximum batch size. The results show how the batch size affects throughput and
+// the time to the first token. It is also the simplest example of a runner for
+// the experiment package.
 //
 // It may import experiment, fleet, backend's wire types and standin/engine.
 package batching
--- a/internal/lab/batching/runner.go
+++ b/internal/lab/batching/runner.go
@@ -22,12 +22,13 @@
 	minTokens       = 16
 	maxTokens       = 256
 	promptTokens    = 400
-	// maxWaiting is beyond what comes, so that nothing is refused.
-	maxWaiting   = 1 << 30
-	sampleEvery  = time.Second
-	modelBytes   = 14 * engine.GiB
-	kvReserve    = 32 * engine.GiB
-	loadedBefore = time.Minute
+	// maxWaiting is a queue limit that is never reached, so that no request is
+	// refused.
+	maxWaiting     = 1 << 30
+	sampleInterval = time.Second
+	modelBytes     = 14 * engine.GiB
+	kvReserve      = 32 * engine.GiB
+	modelLoadTime  = time.Minute
 )
 
 var model = fleet.ModelVersion{Model: "measured", Version: "v1"}
@@ -38,18 +39,18 @@
 	if err != nil || batch < 1 {
 		return experiment.Measurements{}, fmt.Errorf("policy %q is not a batch size", parameters.Policy)
 	}
-	run := newRun(batch, parameters)
+	run := newSimulation(batch, parameters)
 	if err := run.load(); err != nil {
 		return experiment.Measurements{}, err
 	}
-	if err := run.arrivals(ctx, cmp.Or(parameters.Duration, defaultDuration), parameters.Load); err != nil {
+	if err := run.generateArrivals(ctx, cmp.Or(parameters.Duration, defaultDuration), parameters.Load); err != nil {
 		return experiment.Measurements{}, err
 	}
 	return run.measurements(), nil
 }
 
-// run is one engine with the requests that it was sent.
-type run struct {
+// simulation is one engine with its requests in progress and measurements.
+type simulation struct {
 	core    *engine.Core
 	random  *rand.Rand
 	start   time.Time
@@ -57,20 +58,22 @@
 	next    engine.CallID
 	streams map[engine.CallID]*stream
 	tokens  int
-	// firstTokens and gaps are in seconds.
+	// firstTokens has the times to the first token, gaps those between tokens, in
+	// seconds.
 	firstTokens []float64
 	gaps        []float64
 	running     []experiment.Point
 }
 
+// stream has the times of a request in progress.
 type stream struct {
-	sent time.Time
-	last time.Time
+	submittedAt time.Time
+	lastTokenAt time.Time
 }
 
-func newRun(batch int, parameters experiment.Parameters) *run {
+func newSimulation(batch int, parameters experiment.Parameters) *simulation {
 	start := time.Unix(0, 0).UTC()
-	return &run{
+	return &simulation{
 		core: engine.New(engine.Options{
 			Backend: fleet.Backend{Name: "e", Zone: "z"}, Incarnation: 1,
 			KVReserveBytes: kvReserve, MaxRunning: batch, MaxWaiting: maxWaiting, Seed: parameters.Seed,
@@ -83,32 +86,33 @@
 	}
 }
 
-// load has the model ready before the first request.
-func (r *run) load() error {
+// load loads the model before the first request.
+func (r *simulation) load() error {
 	r.step(engine.TakeClaim{Claim: backend.Claim{Fence: 1, Incarnation: 1}})
 	r.step(engine.TakeOrder{Order: backend.Order{
 		ID: "load", Fence: 1, Incarnation: 1, Action: backend.ActionLoad,
 		Model: model, Bytes: modelBytes, CheckpointBytes: modelBytes,
 	}})
-	r.advance(r.now.Add(loadedBefore))
+	r.advance(r.now.Add(modelLoadTime))
 	if entry := r.core.State(r.now).Find(model); entry == nil || entry.State != fleet.LoadReady {
-		return fmt.Errorf("the model is not ready after %s", loadedBefore)
+		return fmt.Errorf("the model is not ready after %s", modelLoadTime)
 	}
 	r.start = r.now
 	return nil
 }
 
-// arrivals sends requests with exponential gaps and lets all of them end.
-func (r *run) arrivals(ctx context.Context, duration time.Duration, rate float64) error {
+// generateArrivals sends requests with exponentially distributed gaps, then lets
+// all of them end.
+func (r *simulation) generateArrivals(ctx context.Context, duration time.Duration, rate float64) error {
 	if rate <= 0 {
-		return fmt.Errorf("load %g is no rate of requests a second", rate)
+		return fmt.Errorf("load %g is not a positive request rate", rate)
 	}
 	end := r.start.Add(duration)
 	sample := r.start
 	for {
 		gap := time.Duration(r.random.ExpFloat64() / rate * float64(time.Second))
 		arrival := r.now.Add(gap)
-		for ; sample.Before(arrival) && sample.Before(end); sample = sample.Add(sampleEvery) {
+		for ; sample.Before(arrival) && sample.Before(end); sample = sample.Add(sampleInterval) {
 			r.advance(sample)
 			r.running = append(r.running, experiment.Point{
 				Seconds: sample.Sub(r.start).Seconds(), Value: float64(len(r.streams)),
@@ -129,9 +133,9 @@
 	return nil
 }
 
-func (r *run) submit() {
+func (r *simulation) submit() {
 	r.next++
-	r.streams[r.next] = &stream{sent: r.now}
+	r.streams[r.next] = &stream{submittedAt: r.now}
 	r.step(engine.Submit{Call: r.next, Request: engine.Request{
 		ID:    fleet.RequestID(strconv.FormatUint(uint64(r.next), 10)),
 		Model: model, PromptHash: uint64(r.next), PromptTokens: promptTokens,
@@ -139,8 +143,8 @@
 	}})
 }
 
-// advance brings the engine to a time, step by step.
-func (r *run) advance(to time.Time) {
+// advance runs all engine steps due until a time.
+func (r *simulation) advance(to time.Time) {
 	for wake := r.core.NextWake(); !wake.IsZero() && !wake.After(to); wake = r.core.NextWake() {
 		r.now = wake
 		r.step(engine.Tick{})
@@ -149,7 +153,7 @@
 	r.step(engine.Tick{})
 }
 
-func (r *run) step(message engine.Message) {
+func (r *simulation) step(message engine.Message) {
 	for _, effect := range r.core.Step(r.now, message) {
 		switch e := effect.(type) {
 		case engine.Emit:
@@ -160,9 +164,9 @@
 	}
 }
 
-func (r *run) emit(emit engine.Emit) {
-	followed := r.streams[emit.Call]
-	if followed == nil {
+func (r *simulation) emit(emit engine.Emit) {
+	current := r.streams[emit.Call]
+	if current == nil {
 		return
 	}
 	if emit.Chunk.Finish != "" {
@@ -170,15 +174,15 @@
 		return
 	}
 	r.tokens++
-	if followed.last.IsZero() {
-		r.firstTokens = append(r.firstTokens, r.now.Sub(followed.sent).Seconds())
+	if current.lastTokenAt.IsZero() {
+		r.firstTokens = append(r.firstTokens, r.now.Sub(current.submittedAt).Seconds())
 	} else {
-		r.gaps = append(r.gaps, r.now.Sub(followed.last).Seconds())
+		r.gaps = append(r.gaps, r.now.Sub(current.lastTokenAt).Seconds())
 	}
-	followed.last = r.now
+	current.lastTokenAt = r.now
 }
 
-func (r *run) measurements() experiment.Measurements {
+func (r *simulation) measurements() experiment.Measurements {
 	elapsed := r.now.Sub(r.start).Seconds()
 	return experiment.Measurements{
 		Values: []experiment.Value{
--- a/internal/lab/batching/runner_test.go
+++ b/internal/lab/batching/runner_test.go
@@ -26,7 +26,7 @@
 		t.Error(difference)
 	}
 	if cmp.Equal(measure(t, "16", 1), measure(t, "16", 2)) {
-		t.Error("two seeds gave the same figures")
+		t.Error("two seeds gave the same measurements")
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	small, large := measure(t, "1", 1), measure(t, "64", 1)
 	if last(small) < 10*last(large) {
-		t.Errorf("last first token after %.2f s with batches of 1, %.2f s with 64", last(small), last(large))
+		t.Errorf("last first token after %.2f s with batches of 1, %.2f s with 64; expected at least ten times as long", last(small), last(large))
 	}
 	for _, m := range []experiment.Measurements{small, large} {
 		if m.Values[1].Value != 0 {
@@ -49,7 +49,7 @@
 func TestBadParametersAreRefused(t *testing.T) {
 	for _, cell := range []experiment.Cell{{Policy: "large", Load: 1}, {Policy: "0", Load: 1}, {Policy: "4", Load: -1}} {
 		if _, err := Run(context.Background(), experiment.Parameters{Cell: cell}); err == nil {
-			t.Errorf("%v was taken", cell)
+			t.Errorf("invalid cell %v was accepted", cell)
 		}
 	}
 }
