--- a/internal/lab/report/doc.go
+++ b/internal/lab/report/doc.go
@@ -1,5 +1,6 @@
-// Package report turns a judged run into figures: for people on a terminal,
-// as JSON for scripts, and as a page with plots.
+// Package report presents results. Summary holds the results of a load test with
+// the verdict on each rule, as text for terminals or JSON for scripts; Page is an
+// HTML page with tables and plots of an experiment.
 //
 // It may import history, check, experiment, fleet, the stand-ins' books,
 // HdrHistogram and gonum/plot.
--- a/internal/lab/report/environment.go
+++ b/internal/lab/report/environment.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Environment is what a run was made with.
+// Environment describes the machine and the build that executed a run.
 type Environment struct {
 	Lines []EnvironmentLine
 }
 
-// EnvironmentLine is one fact of it.
+// EnvironmentLine is one property of an environment.
 type EnvironmentLine struct {
 	Name  string
 	Value string
 }
 
-// Keys of the build's facts that a report shows.
+// Keys of the build settings that a report shows.
 const (
 	buildRevision = "vcs.revision"
 	buildModified = "vcs.modified"
 )
 
-// ThisEnvironment describes the machine and the build.
+// ThisEnvironment describes the current machine and the build of the program.
 func ThisEnvironment(now time.Time, command string) Environment {
 	environment := Environment{Lines: []EnvironmentLine{
 		{"time", now.UTC().Format(time.RFC3339)},
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -12,28 +12,29 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// Page is what a report of an experiment shows.
+// Page is the HTML report of an experiment.
 type Page struct {
 	Result      experiment.Result
 	Environment Environment
-	// Took is the time that all runs took.
+	// Took is the duration of all runs together.
 	Took time.Duration
-	// Differences to an older experiment, if it was compared; Older names it.
+	// Differences are the differences to an older experiment, if one was compared;
+	// Older is its name.
 	Differences []experiment.Difference
 	Older       string
-	// Failures are the runs that failed, as text.
+	// Failures describes the runs that failed.
 	Failures string
 }
 
-// pageView is what the template shows.
+// pageView is the data of the template.
 type pageView struct {
 	Page
 	Tables  []table
 	Figures []template.HTML
 }
 
-// table is one metric: a row for each profile, load and fault, a column for
-// each policy.
+// table shows one metric, with a row for each profile, load and fault, and a
+// column for each policy.
 type table struct {
 	Metric   string
 	Unit     string
@@ -48,11 +49,12 @@
 	Cells   []experiment.Interval
 }
 
-// WriteHTML writes one page without any other file.
-func (p Page) WriteHTML(to io.Writer) error {
-	view := pageView{Page: p, Tables: tables(p.Result)}
+// WriteHTML writes a self-contained HTML page. Plots that can't be drawn are left
+// out and returned as errors.
+func (p Page) WriteHTML(output io.Writer) error {
+	view := pageView{Page: p, Tables: buildTables(p.Result)}
 	var failures []error
-	for _, drawn := range append(tradeoffs(p.Result), figures(p.Result)...) {
+	for _, drawn := range append(tradeoffFigures(p.Result), distributionAndSeriesFigures(p.Result)...) {
 		svg, err := drawn.svg()
 		if err != nil {
 			failures = append(failures, err)
@@ -60,11 +62,11 @@
 		}
 		view.Figures = append(view.Figures, svg)
 	}
-	return errors.Join(append(failures, pageTemplate.Execute(to, view))...)
+	return errors.Join(append(failures, pageTemplate.Execute(output, view))...)
 }
 
-// tables groups the figures by metric, in the order of the rows.
-func tables(result experiment.Result) []table {
+// buildTables groups the values by metric, in the order of the rows.
+func buildTables(result experiment.Result) []table {
 	var all []table
 	index := make(map[string]int)
 	for _, group := range experiment.Groups(result.Rows()) {
@@ -72,7 +74,7 @@
 		if !known {
 			position = len(all)
 			index[group.Metric] = position
-			all = append(all, table{Metric: group.Metric, Unit: group.Unit, Policies: policies(result)})
+			all = append(all, table{Metric: group.Metric, Unit: group.Unit, Policies: policyNames(result)})
 		}
 		all[position].add(group)
 	}
@@ -93,7 +95,7 @@
 	t.Rows[row].Cells[slices.Index(t.Policies, group.Policy)] = group.Mean
 }
 
-func policies(result experiment.Result) []string {
+func policyNames(result experiment.Result) []string {
 	var names []string
 	for _, run := range result.Runs {
 		if !slices.Contains(names, run.Parameters.Policy) {
@@ -103,58 +105,58 @@
 	return names
 }
 
-// place is what one figure shows the policies side by side for.
-type place struct {
+// plotKey identifies a figure that compares the policies.
+type plotKey struct {
 	metric, unit, profile, fault string
 	load                         float64
 }
 
-func (p place) title() string {
+func (p plotKey) title() string {
 	parts := []string{p.metric, p.profile, fmt.Sprintf("load %g", p.load), p.fault}
 	return strings.Join(slices.DeleteFunc(parts, func(part string) bool { return part == "" }), ", ")
 }
 
-// figures draws each distribution over all seeds, and each series of the first
-// seed, with one curve for each policy.
-func figures(result experiment.Result) []figure {
-	samples := make(map[place]map[string][]float64)
-	var order []place
+// distributionAndSeriesFigures returns a figure of each distribution over all
+// seeds, and of each series of the first seed, with one curve for each policy.
+func distributionAndSeriesFigures(result experiment.Result) []figure {
+	samples := make(map[plotKey]map[string][]float64)
+	var order []plotKey
 	var timeLines []figure
-	lineIndex := make(map[place]int)
+	lineIndex := make(map[plotKey]int)
 	for _, run := range result.Runs {
 		at := run.Parameters
 		for _, distribution := range run.Measurements.Distributions {
-			where := place{distribution.Metric, distribution.Unit, at.Profile, at.Fault, at.Load}
-			if samples[where] == nil {
-				samples[where] = make(map[string][]float64)
-				order = append(order, where)
+			key := plotKey{distribution.Metric, distribution.Unit, at.Profile, at.Fault, at.Load}
+			if samples[key] == nil {
+				samples[key] = make(map[string][]float64)
+				order = append(order, key)
 			}
-			samples[where][at.Policy] = append(samples[where][at.Policy], distribution.Samples...)
+			samples[key][at.Policy] = append(samples[key][at.Policy], distribution.Samples...)
 		}
 		if len(result.File.Seeds) == 0 || at.Seed != result.File.Seeds[0] {
 			continue
 		}
 		for _, series := range run.Measurements.Series {
-			where := place{series.Metric, series.Unit, at.Profile, at.Fault, at.Load}
-			position, known := lineIndex[where]
+			key := plotKey{series.Metric, series.Unit, at.Profile, at.Fault, at.Load}
+			position, known := lineIndex[key]
 			if !known {
 				position = len(timeLines)
-				lineIndex[where] = position
-				timeLines = append(timeLines, figure{title: where.title(), x: "s", y: series.Unit})
+				lineIndex[key] = position
+				timeLines = append(timeLines, figure{title: key.title(), x: "s", y: series.Unit})
 			}
-			timeLines[position].curves = append(timeLines[position].curves, curve{at.Policy, overTime(series.Points)})
+			timeLines[position].curves = append(timeLines[position].curves, curve{at.Policy, downsample(series.Points)})
 		}
 	}
-	return append(cumulativeFigures(order, samples, policies(result)), timeLines...)
+	return append(distributionFigures(order, samples, policyNames(result)), timeLines...)
 }
 
-func cumulativeFigures(order []place, samples map[place]map[string][]float64, policies []string) []figure {
+func distributionFigures(order []plotKey, samples map[plotKey]map[string][]float64, policies []string) []figure {
 	drawn := make([]figure, 0, len(order))
-	for _, where := range order {
-		next := figure{title: where.title(), x: where.unit, y: "share of samples", shares: true}
+	for _, key := range order {
+		next := figure{title: key.title(), x: key.unit, y: "share of samples", isCDF: true}
 		for _, policy := range policies {
-			if values := samples[where][policy]; len(values) > 0 {
-				next.curves = append(next.curves, curve{policy, cumulative(values)})
+			if values := samples[key][policy]; len(values) > 0 {
+				next.curves = append(next.curves, curve{policy, cumulativeShares(values)})
 			}
 		}
 		if len(next.curves) > 0 {
--- a/internal/lab/report/page_test.go
+++ b/internal/lab/report/page_test.go
@@ -46,11 +46,11 @@
 		}
 	}
 	if drawn := strings.Count(shown, "<svg"); drawn != 2 {
-		t.Errorf("%d plots, expected a curve and a time line", drawn)
+		t.Errorf("%d plots, expected two: a distribution and a time series", drawn)
 	}
 	for _, part := range []string{"<lazy>", "<?xml", "<script", "src=", "@import"} {
 		if strings.Contains(shown, part) {
-			t.Errorf("the page has %q", part)
+			t.Errorf("the page contains %q", part)
 		}
 	}
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -17,17 +17,17 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// Sizes of a plot on the page.
+// Dimensions of a plot on the page.
 const (
 	plotWidth  = 15 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
-	// legendMargin keeps the legend off the frame.
+	// legendMargin is the distance of the legend from the frame.
 	legendMargin = 3 * vg.Millimeter
-	// maxCurvePoints bounds the points of one curve, so that pages stay small.
+	// maxCurvePoints limits the points of one curve to keep pages small.
 	maxCurvePoints = 400
 )
 
-// palette has colours that differ for most colour-blind readers too.
+// palette has colours that most colour-blind readers can tell apart.
 var palette = []color.RGBA{
 	{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {230, 159, 0, 255}, {0, 0, 0, 255}, {120, 94, 240, 255},
@@ -43,19 +43,20 @@
 type figure struct {
 	title, x, y string
 	curves      []curve
-	// shares is set for a curve of samples, which goes in steps from 0 to 1.
-	shares bool
-	// points marks each point of the lines.
-	points bool
+	// isCDF is set for cumulative distributions, which are drawn as steps from 0
+	// to 1.
+	isCDF bool
+	// markPoints draws a mark at each point of the lines.
+	markPoints bool
 }
 
-// svg draws the figure for the inside of a page.
+// svg renders the figure as SVG for embedding in HTML.
 func (f figure) svg() (template.HTML, error) {
 	drawn := plot.New()
 	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = f.title, f.x, f.y
-	drawn.Legend.Top = !f.shares
+	drawn.Legend.Top = !f.isCDF
 	drawn.Legend.XOffs = -legendMargin
-	if f.shares {
+	if f.isCDF {
 		drawn.Y.Min, drawn.Y.Max = 0, 1
 		drawn.Legend.YOffs = legendMargin
 	}
@@ -67,11 +68,11 @@
 		}
 		line.Color = palette[index%len(palette)]
 		line.Width = vg.Points(1.5)
-		if f.shares {
+		if f.isCDF {
 			line.StepStyle = plotter.PostStep
 		}
 		drawn.Add(line)
-		if f.points {
+		if f.markPoints {
 			marks, err := plotter.NewScatter(curve.points)
 			if err != nil {
 				return "", fmt.Errorf("plot %s: %s: %w", f.title, curve.name, err)
@@ -87,20 +88,21 @@
 	if _, err := canvas.WriteTo(&text); err != nil {
 		return "", fmt.Errorf("plot %s: %w", f.title, err)
 	}
-	return inline(text.String()), nil
+	return stripProlog(text.String()), nil
 }
 
-// inline cuts off what may stand only at the top of a file.
-func inline(svg string) template.HTML {
+// stripProlog removes the XML prolog, which may not occur inside HTML.
+func stripProlog(svg string) template.HTML {
 	if start := strings.Index(svg, "<svg"); start > 0 {
 		svg = svg[start:]
 	}
-	// The text is gonum's own drawing; names in it are escaped by vgsvg.
+	// The SVG comes from gonum, and vgsvg escapes the names in it.
 	return template.HTML(svg)
 }
 
-// cumulative is the share of samples up to each value.
-func cumulative(samples []float64) plotter.XYs {
+// cumulativeShares returns the empirical cumulative distribution of the samples,
+// with about maxCurvePoints points at most.
+func cumulativeShares(samples []float64) plotter.XYs {
 	sorted := slices.Sorted(slices.Values(samples))
 	points := make(plotter.XYs, 0, min(len(sorted), maxCurvePoints)+2)
 	if len(sorted) > 0 {
@@ -116,8 +118,8 @@
 	return points
 }
 
-// overTime thins a series out to what a plot can show.
-func overTime(series []experiment.Point) plotter.XYs {
+// downsample reduces a series to about maxCurvePoints points.
+func downsample(series []experiment.Point) plotter.XYs {
 	step := max(1, len(series)/maxCurvePoints)
 	points := make(plotter.XYs, 0, min(len(series), maxCurvePoints)+1)
 	for index := 0; index < len(series); index += step {
--- a/internal/lab/report/quantiles.go
+++ b/internal/lab/report/quantiles.go
@@ -7,14 +7,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of the histograms, in microseconds and digits.
+// Bounds of the histograms in microseconds, and their precision in digits.
 const (
 	lowestMicroseconds  = 1
 	highestMicroseconds = int64(10 * time.Minute / time.Microsecond)
 	significantDigits   = 3
 )
 
-// Quantiles are a distribution of times, in milliseconds.
+// Quantiles summarizes a distribution of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50Millis"`
@@ -23,20 +23,20 @@
 	Max   float64 `json:"maxMillis"`
 }
 
-// newHistogram returns an empty histogram of times.
+// newHistogram returns an empty histogram of durations.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(lowestMicroseconds, highestMicroseconds, significantDigits)
 }
 
-// record adds a time; one beyond the bounds counts as the bound.
+// record adds a duration, clamped to the bounds.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	microseconds := min(max(value.Microseconds(), lowestMicroseconds), highestMicroseconds)
-	// The value is within the bounds, so that it can't fail.
+	// The value is within the bounds, so RecordValue can't fail.
 	_ = histogram.RecordValue(microseconds)
 }
 
-// quantilesOf reads the usual quantiles.
-func quantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
+// computeQuantiles returns the quantiles of a histogram.
+func computeQuantiles(histogram *hdrhistogram.Histogram) Quantiles {
 	millis := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
 	return Quantiles{
 		Count: histogram.TotalCount(),
@@ -47,7 +47,7 @@
 	}
 }
 
-// String shows the quantiles in one line.
+// String formats the quantiles in one line.
 func (q Quantiles) String() string {
 	if q.Count == 0 {
 		return "none"
--- a/internal/lab/report/summary.go
+++ b/internal/lab/report/summary.go
@@ -9,7 +9,7 @@
 	"github.com/spanlanding/spanlanding/internal/standin/books"
 )
 
-// Summary are the figures of one run.
+// Summary holds the results of one load test.
 type Summary struct {
 	Profile  string                          `json:"profile"`
 	Seed     uint64                          `json:"seed"`
@@ -33,36 +33,41 @@
 	TimeLoad          = "load"
 )
 
-// Loads compares what engines were ordered to load with what was decided.
+// Loads compares the loads that engines were ordered with the decided numbers of
+// replicas.
 type Loads struct {
 	// Ordered counts accepted load orders.
 	Ordered int `json:"ordered"`
 	// Models counts the model versions that were loaded at any time.
 	Models int `json:"models"`
-	// Decided adds up the largest number decided of each model version.
+	// Decided is the sum of the largest decided number of replicas of each model
+	// version.
 	Decided int `json:"decided"`
-	// RefusedOrders counts orders that engines refused for their fence.
+	// RefusedOrders counts orders that engines refused because of their fence.
 	RefusedOrders int `json:"refusedOrders"`
-	// IdleSeconds and BusySeconds split the time for which models were ready.
+	// IdleSeconds and BusySeconds are the total times for which ready replicas had
+	// no request or ran some.
 	IdleSeconds float64 `json:"idleSeconds"`
 	BusySeconds float64 `json:"busySeconds"`
 }
 
-// Summarize works out the figures of a run.
+// Summarize computes the summary of a load test from its evidence and the report
+// of the checks.
 func Summarize(evidence check.Evidence, judged check.Report) Summary {
 	return Summary{
 		Requests: len(evidence.Records),
-		Outcomes: outcomes(evidence.Records),
-		Times:    times(evidence),
-		Loads:    loads(evidence),
+		Outcomes: countOutcomes(evidence.Records),
+		Times:    measureTimes(evidence),
+		Loads:    countLoads(evidence),
 		Faults:   evidence.Faults,
 		Verdicts: judged.Verdicts,
 		OK:       judged.Violations() == 0,
 	}
 }
 
-// outcomes counts by kind and outcome, refusals with their code.
-func outcomes(records []history.Record) map[history.Kind]map[string]int {
+// countOutcomes counts the records by kind and outcome; an outcome with a code is
+// counted as outcome/code.
+func countOutcomes(records []history.Record) map[history.Kind]map[string]int {
 	counts := make(map[history.Kind]map[string]int)
 	for _, record := range records {
 		if counts[record.Kind] == nil {
@@ -77,10 +82,11 @@
 	return counts
 }
 
-func times(evidence check.Evidence) map[string]Quantiles {
+// measureTimes computes the distributions of Summary.Times.
+func measureTimes(evidence check.Evidence) map[string]Quantiles {
 	firstToken, coldStart, between := newHistogram(), newHistogram(), newHistogram()
 	whole, plain, load := newHistogram(), newHistogram(), newHistogram()
-	ready := readyTimes(evidence.Books)
+	ready := collectReady(evidence.Books)
 	models := evidence.RanModels()
 	for _, entry := range evidence.Records {
 		if entry.Outcome != history.Answered {
@@ -95,7 +101,7 @@
 			continue
 		}
 		record(firstToken, entry.ToFirstToken())
-		if model, known := models[entry.RequestID]; known && !ready.anyAt(model, entry.Sent) {
+		if model, known := models[entry.RequestID]; known && !ready.anyReadyAt(model, entry.Sent) {
 			record(coldStart, entry.ToFirstToken())
 		}
 		for _, gap := range entry.TokenGaps {
@@ -110,17 +116,17 @@
 		}
 	}
 	return map[string]Quantiles{
-		TimeFirstToken: quantilesOf(firstToken), TimeColdStart: quantilesOf(coldStart),
-		TimeBetweenTokens: quantilesOf(between), TimeWhole: quantilesOf(whole),
-		TimePlainCall: quantilesOf(plain), TimeLoad: quantilesOf(load),
+		TimeFirstToken: computeQuantiles(firstToken), TimeColdStart: computeQuantiles(coldStart),
+		TimeBetweenTokens: computeQuantiles(between), TimeWhole: computeQuantiles(whole),
+		TimePlainCall: computeQuantiles(plain), TimeLoad: computeQuantiles(load),
 	}
 }
 
-// readiness has the stays of each model.
-type readiness map[fleet.ModelVersion][]books.Residency
+// readyResidencies has the residencies of each model that became ready.
+type readyResidencies map[fleet.ModelVersion][]books.Residency
 
-func readyTimes(samples []check.BookSample) readiness {
-	ready := make(readiness)
+func collectReady(samples []check.BookSample) readyResidencies {
+	ready := make(readyResidencies)
 	for _, book := range samples {
 		for _, residency := range book.Residencies {
 			if !residency.ReadyAt.IsZero() {
@@ -131,9 +137,9 @@
 	return ready
 }
 
-// anyAt reports whether a replica was ready at the time, so that a request
-// that came then was not cold.
-func (r readiness) anyAt(model fleet.ModelVersion, at time.Time) bool {
+// anyReadyAt reports whether a replica of the model was ready at the time, so that
+// a request sent then was not a cold start.
+func (r readyResidencies) anyReadyAt(model fleet.ModelVersion, at time.Time) bool {
 	for _, residency := range r[model] {
 		if !residency.ReadyAt.After(at) && (residency.To.IsZero() || residency.To.After(at)) {
 			return true
@@ -142,7 +148,7 @@
 	return false
 }
 
-func loads(evidence check.Evidence) Loads {
+func countLoads(evidence check.Evidence) Loads {
 	var figures Loads
 	models := make(map[fleet.ModelVersion]bool)
 	for _, book := range evidence.Books {
@@ -167,7 +173,8 @@
 	return figures
 }
 
-// idleSeconds is the time for which a replica was ready and ran nothing.
+// idleSeconds returns the time for which a replica was ready without running a
+// request.
 func idleSeconds(residency books.Residency, sampledAt time.Time) float64 {
 	if residency.ReadyAt.IsZero() {
 		return 0
@@ -179,12 +186,12 @@
 	return max(0, until.Sub(residency.ReadyAt).Seconds()-residency.BusySeconds)
 }
 
-// Broken lists the rules that were broken.
+// Broken returns the violated rules.
 func (s Summary) Broken() []check.Rule {
 	return s.rulesWith(check.Violated)
 }
 
-// NotExercised lists the rules that never came into play.
+// NotExercised returns the rules that no event of the run exercised.
 func (s Summary) NotExercised() []check.Rule {
 	return s.rulesWith(check.NotExercised)
 }
--- a/internal/lab/report/summary_test.go
+++ b/internal/lab/report/summary_test.go
@@ -20,7 +20,8 @@
 	return time.Unix(int64(1000+seconds), 0)
 }
 
-// twoStreams is a run with one cold and one warm stream and a refusal.
+// twoStreams returns the evidence of a run with one cold and one warm stream and
+// a refused request.
 func twoStreams() check.Evidence {
 	stream := func(id string, sent, first int) history.Record {
 		return history.Record{
@@ -48,10 +49,10 @@
 func TestSummaryTellsColdFromWarm(t *testing.T) {
 	summary := Summarize(twoStreams(), check.Report{})
 	if cold := summary.Times[TimeColdStart]; cold.Count != 1 || cold.P50 < 6990 || cold.P50 > 7010 {
-		t.Errorf("cold starts: %s", cold)
+		t.Errorf("cold starts: %s, expected one of 7 s", cold)
 	}
 	if first := summary.Times[TimeFirstToken]; first.Count != 2 {
-		t.Errorf("first tokens: %s", first)
+		t.Errorf("first tokens: %s, expected two", first)
 	}
 	expected := Loads{Ordered: 1, Models: 1, Decided: 2, RefusedOrders: 3, IdleSeconds: 16, BusySeconds: 4}
 	if difference := cmp.Diff(expected, summary.Loads); difference != "" {
@@ -69,7 +70,7 @@
 	judged := check.Judge(evidence, check.DefaultTolerances())
 	summary := Summarize(evidence, judged)
 	if summary.OK {
-		t.Error("a run that broke a rule counts as kept")
+		t.Error("the summary of a run that violated a rule has OK set")
 	}
 	var text bytes.Buffer
 	if err := summary.Text(&text); err != nil {
--- a/internal/lab/report/text.go
+++ b/internal/lab/report/text.go
@@ -10,11 +10,11 @@
 	"github.com/spanlanding/spanlanding/internal/lab/check"
 )
 
-// maxFindings is how many findings of one rule are shown; all are in the JSON.
+// maxFindings is how many findings of one rule the text shows; the JSON has all.
 const maxFindings = 5
 
-// Text writes the summary for people.
-func (s Summary) Text(to io.Writer) error {
+// Text writes the summary as text.
+func (s Summary) Text(output io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "requests     %d (profile %s, seed %d)\n", s.Requests, s.Profile, s.Seed)
 	for _, kind := range slices.Sorted(maps.Keys(s.Outcomes)) {
@@ -43,7 +43,7 @@
 	for _, verdict := range s.Verdicts {
 		verdictText(&text, verdict)
 	}
-	_, err := io.WriteString(to, text.String())
+	_, err := io.WriteString(output, text.String())
 	return err
 }
 
--- a/internal/lab/report/tradeoff.go
+++ b/internal/lab/report/tradeoff.go
@@ -9,16 +9,16 @@
 	"github.com/spanlanding/spanlanding/internal/lab/experiment"
 )
 
-// tradeoffs draws the plots that the file asks for, one for each profile, load
-// and fault.
-func tradeoffs(result experiment.Result) []figure {
+// tradeoffFigures returns the plots that the experiment's file defines, one for
+// each profile, load and fault.
+func tradeoffFigures(result experiment.Result) []figure {
 	groups := experiment.Groups(result.Rows())
 	var drawn []figure
 	for _, plot := range result.File.Plots {
-		for _, place := range places(result) {
+		for _, place := range cellsWithoutPolicy(result) {
 			where := place
 			next := figure{
-				title: plot.Title + ", " + where.Profile, x: plot.X, y: plot.Y, points: true,
+				title: plot.Title + ", " + where.Profile, x: plot.X, y: plot.Y, markPoints: true,
 			}
 			for _, line := range slices.Sorted(maps.Keys(plot.Lines)) {
 				var points plotter.XYs
@@ -37,8 +37,8 @@
 	return drawn
 }
 
-// places are the cells of the runs without their policies.
-func places(result experiment.Result) []experiment.Cell {
+// cellsWithoutPolicy returns the distinct cells of the runs with an empty policy.
+func cellsWithoutPolicy(result experiment.Result) []experiment.Cell {
 	var found []experiment.Cell
 	for _, run := range result.Runs {
 		place := run.Parameters.Cell
