--- a/internal/lab/batching/runner.go
+++ b/internal/lab/batching/runner.go
@@ -105,7 +105,7 @@
 // all of them end.
 func (r *simulation) generateArrivals(ctx context.Context, duration time.Duration, rate float64) error {
 	if rate <= 0 {
-		return fmt.Errorf("load %g is not a positive request rate", rate)
+		return fmt.Errorf("load %g is no rate of requests a second", rate)
 	}
 	end := r.start.Add(duration)
 	sample := r.start
--- a/internal/lab/experiment/runner.go
+++ b/internal/lab/experiment/runner.go
@@ -88,7 +88,7 @@
 func (r Registry) Find(name string) (Runner, error) {
 	runner, found := r[name]
 	if !found {
-		return nil, fmt.Errorf("unknown runner %q; known runners are %v", name, slices.Sorted(maps.Keys(r)))
+		return nil, fmt.Errorf("runner %q is not known; there are %v", name, slices.Sorted(maps.Keys(r)))
 	}
 	return runner, nil
 }
--- a/internal/lab/policy/engine.go
+++ b/internal/lab/policy/engine.go
@@ -61,8 +61,8 @@
 	return engineReserve+e.used()+bytes <= engineMemory
 }
 
-func (e *engine) remove(gone *replica) {
-	e.replicas = slices.DeleteFunc(e.replicas, func(held *replica) bool { return held == gone })
+func (e *engine) remove(removed *replica) {
+	e.replicas = slices.DeleteFunc(e.replicas, func(held *replica) bool { return held == removed })
 }
 
 func (e *engine) state(w *simulation) fleet.EngineState {
--- a/internal/lab/policy/queue.go
+++ b/internal/lab/policy/queue.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	repeatInterval  = time.Second
-	refusalLifetime = 2 * time.Second
-	starvedLifetime = 5 * time.Second
+	repeatInterval     = time.Second
+	refusalLifetime    = 2 * time.Second
+	starvationLifetime = 5 * time.Second
 )
 
 // nodeZone returns the index of a node's zone.
@@ -230,7 +230,7 @@
 		if queue.targetZone(w, home) >= 0 {
 			continue
 		}
-		queue.starvedUntil[home] = w.now + starvedLifetime
+		queue.starvedUntil[home] = w.now + starvationLifetime
 		w.allotmentsStale = true
 		if pending.retryAt <= w.now {
 			pending.retryAt = w.now + wait
@@ -239,7 +239,6 @@
 	}
 }
 
-// starvedZones returns the zones whose wants no zone could serve recently.
 // starvedZones returns the zones whose wants no zone could serve recently.
 func (q *queue) starvedZones(w *simulation) map[fleet.Zone]int {
 	var starved map[fleet.Zone]int
--- a/internal/lab/policy/shape.go
+++ b/internal/lab/policy/shape.go
@@ -37,15 +37,14 @@
 	diskCacheBytes = 128 * gib
 )
 
-// Load speeds by the tier of the checkpoint, in bytes a second: 14 GiB take 20 s from
-// the weight store, 5 s from disk and 1 s from host memory.
+// Load speeds by the tier of the checkpoint, in bytes a second: 14 GiB take 20 s
+// from the weight store, 5 s from disk and 1 s from host memory.
 const (
 	remoteSpeed = 14 * float64(gib) / 20
 	diskSpeed   = 14 * float64(gib) / 5
 	hostSpeed   = 14 * float64(gib) / 1
 )
 
-// Durations of the other engine operations.
 // Durations of the other engine operations.
 const (
 	adapterLoad  = 200 * time.Millisecond
--- a/internal/lab/policy/trace.go
+++ b/internal/lab/policy/trace.go
@@ -131,23 +131,23 @@
 		int(math.Round(g.shape.Daily * float64(g.shape.Models))),
 	}
 	for index := range g.shape.Models {
-		drawn := model{kind: rare, maxReplicas: 1, deadline: mediumDeadline, priority: 40}
+		model := model{kind: rare, maxReplicas: 1, deadline: mediumDeadline, priority: 40}
 		for kind, count := range counts {
 			if index < count {
-				drawn.kind = kindOf(kind)
+				model.kind = kindOf(kind)
 				break
 			}
 			index -= count
 		}
-		drawn.bytes = sizes[g.random.IntN(len(sizes))] * gib
+		model.bytes = sizes[g.random.IntN(len(sizes))] * gib
 		switch share := g.random.Float64(); {
 		case share < 0.08:
-			drawn.maxReplicas = 3
+			model.maxReplicas = 3
 		case share < 0.3:
-			drawn.maxReplicas = 2
+			model.maxReplicas = 2
 		}
-		g.applyKind(&drawn)
-		g.models = append(g.models, drawn)
+		g.applyKind(&model)
+		g.models = append(g.models, model)
 		g.cached = append(g.cached, g.random.Perm(g.shape.Engines)[:g.random.IntN(3)])
 	}
 	for adapter := range g.shape.Adapters {
@@ -161,24 +161,23 @@
 func kindOf(index int) kind { return kind(index) }
 
 // applyKind sets the properties that depend on the kind of model.
-func (g *generator) applyKind(drawn *model) {
-	switch drawn.kind {
+func (g *generator) applyKind(model *model) {
+	switch model.kind {
 	case steady:
-		drawn.bytes = min(drawn.bytes, 8*gib)
-		drawn.maxReplicas = max(drawn.maxReplicas, 2)
-		drawn.priority, drawn.deadline = 100, shortDeadline
+		model.bytes = min(model.bytes, 8*gib)
+		model.maxReplicas = max(model.maxReplicas, 2)
+		model.priority, model.deadline = 100, shortDeadline
 		if g.random.IntN(2) == 0 {
-			drawn.standing = 1
+			model.standing = 1
 		}
 	case periodic:
-		drawn.deadline = mediumDeadline
+		model.deadline = mediumDeadline
 	case daily:
-		drawn.priority, drawn.deadline = 60, longDeadline
+		model.priority, model.deadline = 60, longDeadline
 	case office, rare:
 	}
 }
 
-// markFirst marks the first requests and collects the arrival times by model.
 // markFirst marks the first requests and collects the arrival times by model.
 func (g *generator) markFirst() {
 	g.arrivals = make([][]time.Duration, len(g.models))
--- a/internal/lab/policy/world.go
+++ b/internal/lab/policy/world.go
@@ -52,7 +52,6 @@
 	do       func()
 }
 
-// events is a heap of events, the next one due first.
 // events is a heap of events, the next one due first.
 type events []event
 
@@ -103,12 +102,12 @@
 const never = time.Duration(1<<63 - 1)
 
 func (w *simulation) buildCatalog() {
-	for index, drawn := range w.trace.models {
+	for index, model := range w.trace.models {
 		name := fleet.ModelVersion{Model: fmt.Sprintf("model-%02d", index), Version: "1"}
 		w.modelIndex[name] = index
 		w.models = append(w.models, catalog.ModelInfo{
-			Model: name, MemoryBytes: drawn.bytes, CheckpointBytes: drawn.bytes,
-			MaxReplicas: drawn.maxReplicas, StandingReplicas: drawn.standing, Priority: drawn.priority,
+			Model: name, MemoryBytes: model.bytes, CheckpointBytes: model.bytes,
+			MaxReplicas: model.maxReplicas, StandingReplicas: model.standing, Priority: model.priority,
 		})
 		w.queues[index] = &queue{model: index}
 	}
@@ -129,13 +128,13 @@
 		})
 	}
 	for index := range w.trace.shape.Engines {
-		built := &engine{
+		added := &engine{
 			name: fleet.BackendName(fmt.Sprintf("engine-%02d", index)),
 			rack: fmt.Sprintf("rack-%d", index/w.trace.shape.Zones%2),
 			zone: w.zones[index%len(w.zones)], up: true, incarnation: 1,
 		}
-		built.zone.engines = append(built.zone.engines, built)
-		w.engines = append(w.engines, built)
+		added.zone.engines = append(added.zone.engines, added)
+		w.engines = append(w.engines, added)
 	}
 	for model, engines := range w.trace.cached {
 		for _, engine := range engines {
@@ -257,19 +256,19 @@
 	case engineFails:
 		w.engines[fault.engine].fail(w)
 	case engineRestarts:
-		if struck := w.engines[fault.engine]; !struck.zone.lost {
-			struck.restart(w)
+		if engine := w.engines[fault.engine]; !engine.zone.failed {
+			engine.restart(w)
 		}
 	case zoneFails:
 		zone := w.zones[fault.zone]
-		zone.lost = true
+		zone.failed = true
 		zone.core = nil
 		for _, engine := range zone.engines {
 			engine.fail(w)
 		}
 	case zoneRecovers:
 		zone := w.zones[fault.zone]
-		zone.lost = false
+		zone.failed = false
 		for _, engine := range zone.engines {
 			engine.restart(w)
 		}
@@ -307,7 +306,6 @@
 // gone.
 const removalDelay = 10 * time.Second
 
-// restart brings a failed engine up again, empty and with a new incarnation.
 // restart brings a failed engine up again, empty and with a new incarnation.
 func (e *engine) restart(w *simulation) {
 	if e.up {
@@ -316,7 +314,7 @@
 	e.up = true
 	e.incarnation++
 	e.fence = 0
-	if !e.zone.lost && e.zone.core != nil {
+	if !e.zone.failed && e.zone.core != nil {
 		e.zone.beginRound()
 	}
 	w.allotmentsStale = true
--- a/internal/lab/policy/zone.go
+++ b/internal/lab/policy/zone.go
@@ -21,7 +21,7 @@
 	core          *placement.Core
 	fence         fleet.Fence
 	querySequence uint64
-	lost          bool
+	failed        bool
 	nextPlanAt    time.Duration
 	// arrived counts requests since the last report, by model.
 	arrived []int
@@ -143,23 +143,23 @@
 	}
 }
 
-func (z *zone) sendOrder(sent placement.SendOrder) {
-	if sent.Order.Action == backend.ActionUnload {
-		z.simulation.statistics.recordUnload(z.simulation.now, sent.Evicts)
+func (z *zone) sendOrder(effect placement.SendOrder) {
+	if effect.Order.Action == backend.ActionUnload {
+		z.simulation.statistics.recordUnload(z.simulation.now, effect.Evicts)
 	}
 	core := z.core
 	z.simulation.scheduleAfter(orderLatency, func() {
-		target := z.engine(sent.Engine)
+		target := z.engine(effect.Engine)
 		if target == nil || !target.up || z.core != core {
 			return
 		}
-		reason := target.execute(z.simulation, sent.Order)
+		reason := target.execute(z.simulation, effect.Order)
 		result := placement.OrderAccepted
 		if reason != "" {
 			result = placement.OrderRefused
 		}
 		z.querySequence++
-		z.step(placement.OrderAnswered{ID: sent.Order.ID, Result: result, Reason: reason, QuerySequence: z.querySequence})
+		z.step(placement.OrderAnswered{ID: effect.Order.ID, Result: result, Reason: reason, QuerySequence: z.querySequence})
 		z.reportEngineState(target)
 	})
 }
--- a/internal/lab/requestpath/clock.go
+++ b/internal/lab/requestpath/clock.go
@@ -97,8 +97,8 @@
 // Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
-	taken := (*e)[last]
+	next := (*e)[last]
 	(*e)[last] = event{}
 	*e = (*e)[:last]
-	return taken
+	return next
 }
--- a/internal/lab/requestpath/node.go
+++ b/internal/lab/requestpath/node.go
@@ -31,9 +31,9 @@
 	hedges map[uint64]*request
 }
 
-func newNode(world *simulation, index int, zone fleet.Zone, budget bool, seed uint64) *node {
+func newNode(simulation *simulation, index int, zone fleet.Zone, budget bool, seed uint64) *node {
 	created := &node{
-		simulation: world, zone: zone,
+		simulation: simulation, zone: zone,
 		queue:          queue.New(queue.Options{Zone: zone}),
 		routing:        routing.New(routing.Options{Zone: zone, Seed: seed + uint64(index)}),
 		pending:        make(map[uint64]*request),
@@ -44,7 +44,7 @@
 	if budget {
 		created.budget = attempt.NewBudget(attempt.DefaultRetryShare, attempt.DefaultRetryBurst)
 	}
-	created.timer = timer{clock: &world.clock, deadline: created.nextWake, callback: created.tick}
+	created.timer = timer{clock: &simulation.clock, deadline: created.nextWake, callback: created.tick}
 	return created
 }
 
--- a/internal/lab/requestpath/overload.go
+++ b/internal/lab/requestpath/overload.go
@@ -41,14 +41,14 @@
 		return experiment.Measurements{}, fmt.Errorf("policy %q is none of %s, %s, %s",
 			parameters.Policy, policyProduct, policyPlain, policyCallersLeave)
 	}
-	world := newSimulation(settings, parameters.Seed)
+	simulation := newSimulation(settings, parameters.Seed)
 	duration := cmp.Or(parameters.Duration, overloadDuration)
-	rate := parameters.Load * capacity() * float64(len(world.servers))
-	if err := world.generateArrivals(ctx, duration, rate); err != nil {
+	rate := parameters.Load * capacity() * float64(len(simulation.servers))
+	if err := simulation.generateArrivals(ctx, duration, rate); err != nil {
 		return experiment.Measurements{}, err
 	}
-	counted := slices.DeleteFunc(slices.Clone(world.calls), func(c *call) bool {
-		return c.arrived.Before(world.started.Add(warmUp))
+	counted := slices.DeleteFunc(slices.Clone(simulation.calls), func(c *call) bool {
+		return c.arrived.Before(simulation.started.Add(warmUp))
 	})
 	return overloadMeasurements(counted, (duration - warmUp).Seconds()), nil
 }
--- a/internal/lab/requestpath/request.go
+++ b/internal/lab/requestpath/request.go
@@ -125,10 +125,10 @@
 	r.timer.reset()
 }
 
-func (r *request) connect(leg *backendCall, number int, build func(engine.CallID) engine.Message) {
-	leg.opened = r.node.simulation.clock.now
-	leg.connection = &connection{reader: r, number: number, latency: r.node.latency(leg.server)}
-	leg.server.connect(leg.connection, build)
+func (r *request) connect(target *backendCall, number int, build func(engine.CallID) engine.Message) {
+	target.opened = r.node.simulation.clock.now
+	target.connection = &connection{reader: r, number: number, latency: r.node.latency(target.server)}
+	target.server.connect(target.connection, build)
 }
 
 // hedged takes the second back end, and releases it if it is no longer needed.
--- a/internal/lab/requestpath/runner_test.go
+++ b/internal/lab/requestpath/runner_test.go
@@ -37,11 +37,11 @@
 			}
 		}
 	}
-	if ours := goodput[policyProduct]; ours[2] < 0.95*ours[1] {
-		t.Errorf("goodput by load is %v, expected at load 2 at least 95 %% of that at load 1", ours)
+	if product := goodput[policyProduct]; product[2] < 0.95*product[1] {
+		t.Errorf("goodput by load is %v, expected at load 2 at least 95 %% of that at load 1", product)
 	}
-	if plain := goodput[policyPlain]; plain[2] > 0.5*plain[1] {
-		t.Errorf("the baseline's goodput by load is %v: without a collapse the test proves nothing", plain)
+	if baseline := goodput[policyPlain]; baseline[2] > 0.5*baseline[1] {
+		t.Errorf("the baseline's goodput by load is %v: without a collapse the test proves nothing", baseline)
 	}
 }
 
@@ -50,13 +50,13 @@
 func TestCapacityIsThatOfTheEngines(t *testing.T) {
 	t.Parallel()
 	settings := topology{zones: []fleet.Zone{"a"}, enginesPerZone: 1, nodeZones: 1, nodesPerZone: 1, baseline: true}
-	world := newSimulation(settings, 3)
-	if err := world.generateArrivals(t.Context(), testDuration, 3*capacity()); err != nil {
+	simulation := newSimulation(settings, 3)
+	if err := simulation.generateArrivals(t.Context(), testDuration, 3*capacity()); err != nil {
 		t.Fatal(err)
 	}
 	ended := 0
-	for _, call := range world.calls {
-		if !call.ended.IsZero() && call.ended.Before(world.started.Add(testDuration)) {
+	for _, call := range simulation.calls {
+		if !call.ended.IsZero() && call.ended.Before(simulation.started.Add(testDuration)) {
 			ended++
 		}
 	}
--- a/internal/lab/requestpath/server.go
+++ b/internal/lab/requestpath/server.go
@@ -59,9 +59,9 @@
 	lastSeen     fleet.EngineState
 }
 
-func newServer(world *simulation, index int, zone fleet.Zone, maxWaiting int, seed uint64) *server {
+func newServer(simulation *simulation, index int, zone fleet.Zone, maxWaiting int, seed uint64) *server {
 	created := &server{
-		simulation: world, calls: make(map[engine.CallID]*connection), incarnation: 1,
+		simulation: simulation, calls: make(map[engine.CallID]*connection), incarnation: 1,
 		backend: fleet.Backend{Name: fleet.BackendName(fmt.Sprintf("e%02d", index)), Kind: fleet.KindEngine, Zone: zone},
 	}
 	created.core = engine.New(engine.Options{
@@ -69,7 +69,7 @@
 		MaxRunning: maxRunning, MaxWaiting: maxWaiting, Seed: seed + uint64(index),
 		Tiers: map[fleet.ModelVersion]fleet.Tier{model: fleet.TierMemory},
 	})
-	created.timer = timer{clock: &world.clock, deadline: created.core.NextWake, callback: func() { created.step(engine.Tick{}) }}
+	created.timer = timer{clock: &simulation.clock, deadline: created.core.NextWake, callback: func() { created.step(engine.Tick{}) }}
 	created.load()
 	return created
 }
@@ -86,9 +86,9 @@
 }
 
 // disconnect makes the engine unreachable or silent.
-func (s *server) disconnect(how reachability) {
-	s.reachability = how
-	if how == unreachable {
+func (s *server) disconnect(reachability reachability) {
+	s.reachability = reachability
+	if reachability == unreachable {
 		// Simulates a power loss: the engine restarts with nothing loaded.
 		s.step(engine.Restart{})
 		s.incarnation++
@@ -144,10 +144,10 @@
 		}
 	}
 	for _, latency := range []time.Duration{sameZoneLatency, otherZoneLatency} {
-		if arrivals := byLatency[latency]; len(arrivals) > 0 && s.reachability != silent {
+		if deliveries := byLatency[latency]; len(deliveries) > 0 && s.reachability != silent {
 			s.simulation.clock.scheduleAfter(latency, func() {
-				for _, arrival := range arrivals {
-					arrival.connection.reader.receive(arrival.message)
+				for _, delivery := range deliveries {
+					delivery.connection.reader.receive(delivery.message)
 				}
 			})
 		}
--- a/internal/lab/requestpath/world.go
+++ b/internal/lab/requestpath/world.go
@@ -59,31 +59,31 @@
 	attemptTimes []time.Time
 }
 
-func newSimulation(layout topology, seed uint64) *simulation {
-	created := &simulation{topology: layout, random: rand.New(rand.NewPCG(seed, 0x72657175657374)),
+func newSimulation(topology topology, seed uint64) *simulation {
+	created := &simulation{topology: topology, random: rand.New(rand.NewPCG(seed, 0x72657175657374)),
 		byName: make(map[fleet.BackendName]*server)}
 	created.clock.now = epoch
 	maxWaiting := 0
-	if layout.baseline {
+	if topology.baseline {
 		maxWaiting = unlimitedWaiting
 	}
-	for index, zone := range layout.zones {
-		for range layout.enginesPerZone {
+	for index, zone := range topology.zones {
+		for range topology.enginesPerZone {
 			server := newServer(created, len(created.servers), zone, maxWaiting, seed)
 			created.servers = append(created.servers, server)
 			created.byName[server.backend.Name] = server
 		}
-		if index >= layout.nodeZones {
+		if index >= topology.nodeZones {
 			continue
 		}
-		for range layout.nodesPerZone {
-			created.nodes = append(created.nodes, newNode(created, len(created.nodes), zone, layout.retryBudget, seed))
-			created.baselines = append(created.baselines, &baseline{simulation: created, zone: zone, next: len(created.baselines), callersCancel: layout.callersCancel})
+		for range topology.nodesPerZone {
+			created.nodes = append(created.nodes, newNode(created, len(created.nodes), zone, topology.retryBudget, seed))
+			created.baselines = append(created.baselines, &baseline{simulation: created, zone: zone, next: len(created.baselines), callersCancel: topology.callersCancel})
 		}
 	}
 	created.clock.runUntil(epoch.Add(modelLoadTime))
 	created.started = created.clock.now
-	if !layout.baseline {
+	if !topology.baseline {
 		created.publish()
 		created.clock.runUntil(created.started.Add(tableInterval))
 		created.started = created.clock.now
@@ -129,7 +129,7 @@
 // running requests end.
 func (w *simulation) generateArrivals(ctx context.Context, duration time.Duration, rate float64) error {
 	if rate <= 0 {
-		return fmt.Errorf("the request rate %g is not positive", rate)
+		return fmt.Errorf("%g is no rate of requests a second", rate)
 	}
 	end := w.started.Add(duration)
 	for at := w.nextArrival(w.started, rate); at.Before(end); at = w.nextArrival(at, rate) {
@@ -150,18 +150,18 @@
 func (w *simulation) arrive() {
 	now := w.clock.now
 	number := uint64(len(w.calls) + 1)
-	asked := &call{
+	created := &call{
 		id: fleet.RequestID(fmt.Sprint("r", number)), number: number, arrived: now, deadline: now.Add(deadline),
 		priority: w.random.IntN(priorities), promptTokens: promptTokens,
 		answerTokens: minTokens + w.random.IntN(maxTokens-minTokens+1),
 	}
 	at, seed := w.random.IntN(len(w.nodes)), w.random.Uint64()
-	w.calls = append(w.calls, asked)
+	w.calls = append(w.calls, created)
 	if w.topology.baseline {
-		w.baselines[at].serve(asked)
+		w.baselines[at].serve(created)
 		return
 	}
-	(&request{call: asked, node: w.nodes[at]}).start(seed)
+	(&request{call: created, node: w.nodes[at]}).start(seed)
 }
 
 // capacity returns the number of requests a second that an engine completes with
--- a/internal/lab/requestpath/zoneloss.go
+++ b/internal/lab/requestpath/zoneloss.go
@@ -46,17 +46,17 @@
 	if err := settings.parsePolicy(parameters.Policy); err != nil {
 		return experiment.Measurements{}, err
 	}
-	how, known := map[string]reachability{faultPower: unreachable, faultSilent: silent}[parameters.Fault]
+	reachability, known := map[string]reachability{faultPower: unreachable, faultSilent: silent}[parameters.Fault]
 	if !known {
 		return experiment.Measurements{}, fmt.Errorf("fault %q is neither %s nor %s", parameters.Fault, faultPower, faultSilent)
 	}
-	world := newSimulation(settings, parameters.Seed)
-	world.scheduleZoneLoss("c", how)
-	rate := parameters.Load * capacity() * float64(len(world.servers))
-	if err := world.generateArrivals(ctx, cmp.Or(parameters.Duration, zoneLossDuration), rate); err != nil {
+	simulation := newSimulation(settings, parameters.Seed)
+	simulation.scheduleZoneLoss("c", reachability)
+	rate := parameters.Load * capacity() * float64(len(simulation.servers))
+	if err := simulation.generateArrivals(ctx, cmp.Or(parameters.Duration, zoneLossDuration), rate); err != nil {
 		return experiment.Measurements{}, err
 	}
-	return world.zoneLossMeasurements(), nil
+	return simulation.zoneLossMeasurements(), nil
 }
 
 // parsePolicy parses a policy, whose parts are joined by plus signs.
@@ -76,10 +76,10 @@
 	return nil
 }
 
-func (w *simulation) scheduleZoneLoss(zone fleet.Zone, how reachability) {
+func (w *simulation) scheduleZoneLoss(zone fleet.Zone, reachability reachability) {
 	for _, server := range w.servers {
 		if server.backend.Zone == zone {
-			w.clock.scheduleAt(w.started.Add(lossAt), func() { server.disconnect(how) })
+			w.clock.scheduleAt(w.started.Add(lossAt), func() { server.disconnect(reachability) })
 			w.clock.scheduleAt(w.started.Add(lossAt+lossDuration), server.restore)
 		}
 	}
@@ -87,13 +87,13 @@
 
 // second counts the arrivals of one second, those of them that met their
 // deadline, and the attempts of that second.
-type second struct{ arrived, met, attempts int }
+type second struct{ arrived, metDeadline, attempts int }
 
 func (s second) share() float64 {
 	if s.arrived == 0 {
 		return 1
 	}
-	return float64(s.met) / float64(s.arrived)
+	return float64(s.metDeadline) / float64(s.arrived)
 }
 
 func (w *simulation) seconds() []second {
@@ -108,7 +108,7 @@
 	for _, call := range w.calls {
 		at(call.arrived).arrived++
 		if call.metDeadline() {
-			at(call.arrived).met++
+			at(call.arrived).metDeadline++
 		}
 	}
 	for _, opened := range w.attemptTimes {
@@ -126,7 +126,7 @@
 	for index, each := range seconds {
 		if index >= from && index < to {
 			lost.arrived += each.arrived
-			lost.met += each.met
+			lost.metDeadline += each.metDeadline
 			lost.attempts += each.attempts
 			peak = max(peak, float64(each.attempts)/float64(max(1, each.arrived)))
 		}
@@ -142,7 +142,7 @@
 			{Metric: "amplification, worst second", Unit: "attempts/request", Value: peak},
 			{Metric: "deadlines met in the loss", Unit: "%", Value: 100 * lost.share()},
 			{Metric: "normal again after", Unit: "s", Value: recoveryTime(seconds, from)},
-			{Metric: "deadlines met in all", Unit: "%", Value: 100 * float64(outcomes.met) / float64(max(1, len(w.calls)))},
+			{Metric: "deadlines met in all", Unit: "%", Value: 100 * float64(outcomes.metDeadline) / float64(max(1, len(w.calls)))},
 			{Metric: "answers cut", Unit: "requests", Value: float64(outcomes.cut)},
 			{Metric: "attempts in all", Unit: "attempts/request", Value: float64(len(w.attemptTimes)) / float64(max(1, len(w.calls)))},
 			{Metric: "refused", Unit: "requests", Value: float64(outcomes.refused)},
@@ -153,7 +153,7 @@
 }
 
 type outcomes struct {
-	met, cut, refused int
+	metDeadline, cut, refused int
 	// longestGap is the longest time between two tokens of an answer.
 	longestGap time.Duration
 }
@@ -164,7 +164,7 @@
 		counted.longestGap = max(counted.longestGap, call.longestGap)
 		switch {
 		case call.metDeadline():
-			counted.met++
+			counted.metDeadline++
 		case call.refused:
 			counted.refused++
 		case call.tokens > 0 && !call.complete:
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -131,7 +131,7 @@
 		return func() { cancel(); <-ended }, nil
 	case err := <-ended:
 		cancel()
-		return nil, errors.Join(errors.New("the collector ended before its first sample"), err)
+		return nil, errors.Join(errors.New("the run ended before it began"), err)
 	}
 }
 
@@ -143,7 +143,7 @@
 		return check.Evidence{}, err
 	}
 	if len(classes.Models) == 0 {
-		return check.Evidence{}, errors.New("no deployment is declared, so no request can be sent")
+		return check.Evidence{}, errors.New("no deployment is declared, so there is nothing to ask for")
 	}
 	started := time.Now()
 	runID := strconv.FormatUint(options.Seed, 10) + "-" + strconv.FormatInt(started.Unix(), 36)
