--- a/internal/configsync/first_test.go
+++ b/internal/configsync/first_test.go
@@ -14,8 +14,8 @@
 	members := MembersChanged{Members: []fleet.Member{member("a"), member("b"), member("c"), member("d")}}
 	start := time.Unix(1000, 0)
 	const second = time.Second
-	// countDigests counts the object digests in the second after the first one, which is answered
-	// by the message.
+	// countDigests returns how many object digests the core sends within a second, beginning with
+	// its first one. The answer, unless nil, arrives right after the first digest.
 	countDigests := func(answer Message) int {
 		core := New(Options{Self: member("d"), Seed: 7})
 		core.Step(start, members)
