--- a/internal/backend/service.go
+++ b/internal/backend/service.go
@@ -171,8 +171,8 @@
 )
 
 var (
-	errWritesBlocked = errors.New("call abandoned before it was sent")
-	errStartDenied   = errors.New("call may no longer be sent")
+	errWritesBlocked = errors.New("the call was given up before it was sent")
+	errStartDenied   = errors.New("the call may not be sent any more")
 )
 
 // trackedConn records whether a write was started. It hides the connection's
